--- a/apps/heronshift/main.cpp
+++ b/apps/heronshift/main.cpp
@@ -38,7 +38,8 @@
         nlohmann::ordered_json j{{"time", fmt::format("{:%Y-%m-%dT%H:%M:%S}.{:03}Z",
                                                       fmt::gmtime(static_cast<std::time_t>(ms / 1000)), ms % 1000)},
                                  {"level", std::string(level.data(), level.size())}};
-        if (!node_.empty()) j["node"] = node_;
+        if (!node_.empty())
+            j["node"] = node_;
         j["message"] = std::string(m.payload.data(), m.payload.size());
         const auto text = j.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace) + "\n";
         out.append(text.data(), text.data() + text.size());
@@ -65,7 +66,8 @@
 
 heronshift::Settings read(const std::string& config, const std::string& operators) {
     auto s = heronshift::load_settings(config);
-    if (!operators.empty()) s.ops = heronshift::load_operator_settings(operators, s.report_s);
+    if (!operators.empty())
+        s.ops = heronshift::load_operator_settings(operators, s.report_s);
     return s;
 }
 
@@ -78,9 +80,11 @@
     std::signal(SIGPIPE, SIG_IGN);
     auto* loop = uv_default_loop();
     heronshift::Node::Parts parts;
-    if (!state_file.empty()) parts.state = store::file_store(loop, state_file, s.txn_ops, s.value_kb);
+    if (!state_file.empty())
+        parts.state = store::file_store(loop, state_file, s.txn_ops, s.value_kb);
     heronshift::Node node(loop, std::move(s), std::move(parts));
-    if (log) node.record(std::move(log));
+    if (log)
+        node.record(std::move(log));
     if (const int e = node.start(); e != 0) {
         spdlog::error("cannot listen: {}", uv_strerror(e));
         return 1;
@@ -208,7 +212,8 @@
     auto* get_verb = user_verb("get", "the state of a job");
     auto* cancel_verb = user_verb("cancel", "cancel a job and all that wait for it");
     auto* watch_verb = user_verb("watch", "a line at each change, until the job is over");
-    for (auto* v : {get_verb, cancel_verb, watch_verb}) v->add_option("ID", job_id, "such as wk-000412")->required();
+    for (auto* v : {get_verb, cancel_verb, watch_verb})
+        v->add_option("ID", job_id, "such as wk-000412")->required();
     auto* schema_verb = app.add_subcommand("schema", "print a JSON Schema");
     schema_verb->add_option("NAME", schema_name, "submission, settings or operators")
         ->required()
@@ -223,7 +228,8 @@
     try {
         app.parse(argc, argv);
     } catch (const CLI::ParseError& e) {
-        if (e.get_exit_code() == 0) return app.exit(e); // help and version
+        if (e.get_exit_code() == 0)
+            return app.exit(e); // help and version
         std::cerr << "heronshift: " << e.what() << "\n";
         return 2;
     }
@@ -237,7 +243,8 @@
     if (submit_verb->parsed()) {
         std::string job;
         std::ifstream file;
-        if (job_file != "-") file.open(job_file, std::ios::binary);
+        if (job_file != "-")
+            file.open(job_file, std::ios::binary);
         std::istream& in = job_file == "-" ? std::cin : file;
         job.assign(std::istreambuf_iterator<char>(in), {});
         if (!in && !in.eof()) {
@@ -253,7 +260,8 @@
     for (const auto& [verb, run_verb] :
          {std::pair{get_verb, &heronshift::cli::get}, std::pair{cancel_verb, &heronshift::cli::cancel},
           std::pair{watch_verb, &heronshift::cli::watch}}) {
-        if (!verb->parsed()) continue;
+        if (!verb->parsed())
+            continue;
         if (!heronshift::codec::valid_job_id(job_id)) {
             std::cerr << "heronshift: ID: must have the form wk-000412\n";
             return 2;
@@ -264,7 +272,8 @@
         namespace local_ns = heronshift::local;
         try {
             const auto at = local_ns::address(stand_in_at);
-            if (state_service->parsed()) return local_ns::run_state(at, limits);
+            if (state_service->parsed())
+                return local_ns::run_state(at, limits);
             for (const auto& n : workers_to) {
                 const auto eq = n.find('=');
                 if (eq == std::string::npos || eq == 0)
@@ -277,7 +286,8 @@
             return 2;
         }
     }
-    if (local_verb->parsed()) return heronshift::local::run_local(local);
+    if (local_verb->parsed())
+        return heronshift::local::run_local(local);
     if (backup_verb->parsed()) {
         try {
             store::back_up(backup_from, backup_to);
@@ -287,7 +297,8 @@
             return 2;
         }
     }
-    if (replay_verb->parsed()) return replay(replay_file, allow_cut);
+    if (replay_verb->parsed())
+        return replay(replay_file, allow_cut);
     if (config.empty()) {
         std::cerr << "heronshift: --config is required\n";
         return 2;
--- a/examples/embed_c.c
+++ b/examples/embed_c.c
@@ -22,7 +22,8 @@
 }
 
 static void wait_for(struct answer* a) {
-    while (!atomic_load(&a->ready)) usleep(10000);
+    while (!atomic_load(&a->ready))
+        usleep(10000);
     atomic_store(&a->ready, 0);
 }
 
@@ -42,7 +43,8 @@
         return 2;
     }
     do {
-        if (hs_submit(s, job, keep, &a) != HS_OK) return 1;
+        if (hs_submit(s, job, keep, &a) != HS_OK)
+            return 1;
         wait_for(&a);
         if (a.status == 400 || a.status == 422) {
             fprintf(stderr, "embed_c: %s\n", a.error);
@@ -52,7 +54,8 @@
     } while (a.status != 200 && a.status != 201);
     do {
         usleep(200000);
-        if (hs_get(s, "wk-000888", keep, &a) != HS_OK) return 1;
+        if (hs_get(s, "wk-000888", keep, &a) != HS_OK)
+            return 1;
         wait_for(&a);
     } while (a.status != 200 || strcmp(a.state, "done") != 0);
     printf("wk-000888 is %s\n", a.state);
--- a/examples/embed_loop.cpp
+++ b/examples/embed_loop.cpp
@@ -38,7 +38,8 @@
         &program.timer,
         [](uv_timer_t* t) {
             auto& p = *static_cast<Program*>(t->data);
-            if (!p.scheduler->acts()) return;
+            if (!p.scheduler->acts())
+                return;
             std::cout << "this copy acts\n";
             uv_close(reinterpret_cast<uv_handle_t*>(t), nullptr);
             p.scheduler->get("wk-000001", [&p](const heronshift::Reply& r) {
--- a/examples/embed_thread.cpp
+++ b/examples/embed_thread.cpp
@@ -30,7 +30,8 @@
 
         std::promise<std::string> ended;
         scheduler.subscribe([&, told = false](const heronshift::Change& c) mutable {
-            if (c.id != job.id || told) return;
+            if (c.id != job.id || told)
+                return;
             told = true;
             ended.set_value(c.state);
         });
@@ -39,8 +40,10 @@
             scheduler.submit(job, [&](const heronshift::Reply& r) { answer.set_value(r); });
             const auto r = answer.get_future().get();
             std::cout << "submitted: " << r.status << " " << r.state << r.error << "\n";
-            if (r.ok()) break;
-            if (r.status != 429 && r.status != 503) return 1;
+            if (r.ok())
+                break;
+            if (r.status != 429 && r.status != 503)
+                return 1;
             std::this_thread::sleep_for(std::chrono::seconds(std::max(1, r.retry_after_s)));
         }
         std::cout << job.id << " is " << ended.get_future().get() << "\n";
--- a/include/heronshift/budget.hpp
+++ b/include/heronshift/budget.hpp
@@ -9,7 +9,8 @@
 public:
     RateBudget(double per_s, double burst) : rate_(per_s), burst_(burst), left_(burst) {}
     bool take(double now, double n = 1) {
-        if (!would_take(now, n)) return false;
+        if (!would_take(now, n))
+            return false;
         left_ -= n;
         return true;
     }
--- a/include/heronshift/executor/http.hpp
+++ b/include/heronshift/executor/http.hpp
@@ -21,7 +21,8 @@
     void pass_on(const std::string& addr, std::string body, double timeout_s,
                  std::function<void(HttpReply&&)> done) override;
     void sweep() override {
-        for (auto* c : {&cloud_, &agents_, &probes_}) c->sweep();
+        for (auto* c : {&cloud_, &agents_, &probes_})
+            c->sweep();
     }
 
 private:
--- a/include/heronshift/http.hpp
+++ b/include/heronshift/http.hpp
@@ -48,7 +48,8 @@
         Once(const Once&) = delete;
         Once& operator=(const Once&) = delete;
         void send(int status, std::string_view body, int retry_after_s) {
-            if (const auto once = std::exchange(f, nullptr); once) once(status, body, retry_after_s);
+            if (const auto once = std::exchange(f, nullptr); once)
+                once(status, body, retry_after_s);
         }
         Direct f;
     };
--- a/include/heronshift/later.hpp
+++ b/include/heronshift/later.hpp
@@ -19,7 +19,8 @@
 
     void after(double delay_s, std::function<void()> f) {
         list_.push_back({clock_->now() + delay_s, std::move(f)});
-        if (on_change) on_change();
+        if (on_change)
+            on_change();
     }
     void run() {
         std::vector<Entry> due;
@@ -33,11 +34,13 @@
             list_[i] = std::move(list_.back());
             list_.pop_back();
         }
-        for (auto& e : due) e.f();
+        for (auto& e : due)
+            e.f();
     }
     [[nodiscard]] double next_at() const {
         double at = std::numeric_limits<double>::infinity();
-        for (const auto& e : list_) at = std::min(at, e.at);
+        for (const auto& e : list_)
+            at = std::min(at, e.at);
         return at;
     }
     [[nodiscard]] double now() const {
--- a/include/heronshift/ledger/state.hpp
+++ b/include/heronshift/ledger/state.hpp
@@ -73,8 +73,8 @@
     std::uint32_t done = 0, live = 0, running = 0;
     Final final = Final::none;
     bool final_stored = false, final_queued = false, guaranteed = false;
-    bool final_sent = false; // to the store, which may hold it and tell others before its answer comes
-    std::uint32_t open_launches = 0; // of a cancelled job: its final state is stored once they are settled
+    bool final_sent = false;             // to the store, which may hold it and tell others before its answer comes
+    std::uint32_t open_launches = 0;     // of a cancelled job: its final state is stored once they are settled
     std::vector<std::uint32_t> unstored; // done, not yet in the store
     std::vector<std::uint32_t> zone_live;
     std::uint32_t on_pool = 0;
@@ -203,7 +203,8 @@
     }
     [[nodiscard]] const MachineType* type_of(const std::string& name) const {
         for (const auto& t : types)
-            if (t.name == name) return &t;
+            if (t.name == name)
+                return &t;
         return nullptr;
     }
     [[nodiscard]] bool unproven() const {
--- a/include/heronshift/local/port.hpp
+++ b/include/heronshift/local/port.hpp
@@ -25,7 +25,8 @@
         ::setsockopt(fd_, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
     }
     ~Port() {
-        if (fd_ >= 0) ::close(fd_);
+        if (fd_ >= 0)
+            ::close(fd_);
     }
     Port(Port&& o) noexcept : fd_(std::exchange(o.fd_, -1)), number_(o.number_) {}
     Port(const Port&) = delete;
--- a/include/heronshift/loop_queue.hpp
+++ b/include/heronshift/loop_queue.hpp
@@ -13,10 +13,12 @@
 public:
     explicit LoopQueue(uv_loop_t* loop) : async_(new uv_async_t) {
         uv_async_init(loop, async_, [](uv_async_t* a) {
-            if (a->data == nullptr) return;
+            if (a->data == nullptr)
+                return;
             for (auto list = std::exchange(static_cast<LoopQueue*>(a->data)->list_, {}); !list.empty();
                  list.pop_front())
-                if (a->data != nullptr) list.front()();
+                if (a->data != nullptr)
+                    list.front()();
         });
         async_->data = this;
     }
--- a/include/heronshift/loop_timer.hpp
+++ b/include/heronshift/loop_timer.hpp
@@ -12,7 +12,8 @@
 public:
     LoopTimer() = default;
     ~LoopTimer() {
-        if (timer_ == nullptr) return;
+        if (timer_ == nullptr)
+            return;
         timer_->data = nullptr;
         uv_close(reinterpret_cast<uv_handle_t*>(timer_),
                  [](uv_handle_t* h) { delete reinterpret_cast<uv_timer_t*>(h); });
@@ -29,7 +30,8 @@
         return uv_timer_start(
             timer_,
             [](uv_timer_t* t) {
-                if (t->data != nullptr) static_cast<LoopTimer*>(t->data)->f_();
+                if (t->data != nullptr)
+                    static_cast<LoopTimer*>(t->data)->f_();
             },
             every_ms, every_ms);
     }
--- a/include/heronshift/membership/watched.hpp
+++ b/include/heronshift/membership/watched.hpp
@@ -15,10 +15,12 @@
 
     void call(store::Call&& c, double timeout_s, store::Callback done) override {
         // A follow that stays open proves nothing: during an outage it does, too.
-        if (std::holds_alternative<store::Follow>(c)) return inner_->call(std::move(c), timeout_s, std::move(done));
+        if (std::holds_alternative<store::Follow>(c))
+            return inner_->call(std::move(c), timeout_s, std::move(done));
         inner_->call(std::move(c), timeout_s, [this, done = std::move(done)](store::Answer&& a) {
             // 429 is an answer: the store is there. Without one the request may have failed here.
-            if (on_answer) on_answer(a.status != 0 && a.status != 502 && a.status != 503);
+            if (on_answer)
+                on_answer(a.status != 0 && a.status != 502 && a.status != 503);
             done(std::move(a));
         });
     }
@@ -39,7 +41,8 @@
                  double timeout_s, Done done) override {
         inner_->request(lane, name, method, path, std::move(body), timeout_s,
                         [this, name, done = std::move(done)](HttpReply&& r) {
-                            if (on_answer) on_answer(name, r.status != 0);
+                            if (on_answer)
+                                on_answer(name, r.status != 0);
                             done(std::move(r));
                         });
     }
--- a/include/heronshift/peers/peers.hpp
+++ b/include/heronshift/peers/peers.hpp
@@ -37,7 +37,8 @@
     void request(Lane lane, const std::string& name, const char* method, const std::string& path, std::string body,
                  double timeout_s, Done done) override;
     void sweep() override {
-        for (auto* c : {&control_, &users_, &relays_}) c->sweep();
+        for (auto* c : {&control_, &users_, &relays_})
+            c->sweep();
     }
 
 private:
--- a/include/heronshift/records/intents.hpp
+++ b/include/heronshift/records/intents.hpp
@@ -54,7 +54,8 @@
 template <class F> void each_in_ranges(std::string_view text, F f) {
     std::uint32_t first = 0, last = 0;
     while (parse_range(text, first, last))
-        for (auto i = first; i <= last; ++i) f(i);
+        for (auto i = first; i <= last; ++i)
+            f(i);
 }
 
 } // namespace heronshift::intents
--- a/include/heronshift/remembered.hpp
+++ b/include/heronshift/remembered.hpp
@@ -27,9 +27,11 @@
     }
     // False: it is known, and stays as it was.
     bool add(const std::string& name, V value) {
-        if (!known_.try_emplace(name, Known{std::move(value), seq_}).second) return false;
+        if (!known_.try_emplace(name, Known{std::move(value), seq_}).second)
+            return false;
         order_.emplace_back(seq_++, name);
-        while (known_.size() > most_ || order_.size() > 2 * most_) drop_oldest();
+        while (known_.size() > most_ || order_.size() > 2 * most_)
+            drop_oldest();
         return true;
     }
     void erase(const std::string& name) {
@@ -46,7 +48,8 @@
     };
     void drop_oldest() {
         const auto it = known_.find(order_.front().second);
-        if (it != known_.end() && it->second.seq == order_.front().first) known_.erase(it); // else it was erased
+        if (it != known_.end() && it->second.seq == order_.front().first)
+            known_.erase(it); // else it was erased
         order_.pop_front();
     }
     std::size_t most_;
--- a/src/agents/desk.cpp
+++ b/src/agents/desk.cpp
@@ -23,7 +23,8 @@
     : s_(s), later_(later), executor_(executor), peers_(peers), members_(members), took_(took), host_(host),
       most_relays_(static_cast<std::size_t>(s.fd_limit) / 20) {
     executor_.reports_to([this](Report&& r, Executor::ReportDone done) {
-        if (!host_.acts()) return done(elsewhere());
+        if (!host_.acts())
+            return done(elsewhere());
         take({std::move(r), false, std::move(done), later_.now(), std::nullopt, ""});
     });
 }
@@ -38,8 +39,10 @@
 
 Executor::ReportDone answer_to(const Responder& res) {
     return [res](const ReportAnswer& a) {
-        if (a.status == 200) return res.send(200, codec::orders(a.fence, a.orders));
-        if (a.status == 421) return res.send(421, codec::redirect(a.holder));
+        if (a.status == 200)
+            return res.send(200, codec::orders(a.fence, a.orders));
+        if (a.status == 421)
+            return res.send(421, codec::redirect(a.holder));
         res.send(a.status, "{}");
     };
 }
@@ -47,7 +50,8 @@
 } // namespace
 
 void Desk::beat(HttpRequest&& r, const Responder& res, bool relayed) {
-    if (relayed && !host_.acts() && !host_.taking()) return answer_to(res)(elsewhere());
+    if (relayed && !host_.acts() && !host_.taking())
+        return answer_to(res)(elsewhere());
     auto read = codec::report(r.body);
     if (!read) {
         spdlog::warn("malformed report");
@@ -56,11 +60,13 @@
     const auto other = elsewhere();
     if (!relayed && !host_.acts() && other.status == 421) {
         const auto way = way_of(*read);
-        if (way == Way::relay) return relay(std::move(*read), {std::move(r.body), res}, later_.now());
+        if (way == Way::relay)
+            return relay(std::move(*read), {std::move(r.body), res}, later_.now());
         return answer_to(res)(way == Way::holder ? other : ReportAnswer{});
     }
     std::optional<Whole> whole;
-    if (!relayed) whole = Whole{std::move(r.body), res};
+    if (!relayed)
+        whole = Whole{std::move(r.body), res};
     take({std::move(*read), relayed, answer_to(res), later_.now(), std::move(whole), ""});
 }
 
@@ -69,7 +75,8 @@
 void Desk::take(Early&& e) {
     if (!host_.acts()) {
         // Cut off from the store and from all others, this node would not hear who has it.
-        if (early_.size() >= most_early || !members_.in_touch()) return e.done({});
+        if (early_.size() >= most_early || !members_.in_touch())
+            return e.done({});
         early_.push_back(std::move(e));
         return;
     }
@@ -81,7 +88,8 @@
 // (Sent to a new holder that their zone does not reach, machines came back past all others that do not reach it
 // either, when their lease had run out.)
 void Desk::settle_early() {
-    if (early_.empty()) return;
+    if (early_.empty())
+        return;
     const bool late_too = !host_.acts() && !host_.taking();
     for (auto& e : std::exchange(early_, {})) {
         const auto other = elsewhere();
@@ -105,15 +113,18 @@
 Desk::Way Desk::way_of(const Report& r) {
     const auto& holder = host_.holder();
     const bool reached = members_.peer(holder) != membership::Reach::lost;
-    if (reached && !members_.holder_reaches(holder, r.zone)) return Way::relay;
+    if (reached && !members_.holder_reaches(holder, r.zone))
+        return Way::relay;
     const double t = later_.now();
-    if (sent_away_.size() >= most_remembered) sent_away_.clear();
+    if (sent_away_.size() >= most_remembered)
+        sent_away_.clear();
     auto& last = sent_away_[r.machine];
     const bool known = last.holder == holder;
     if (known) {
         const double since = t - last.at;
         const bool back = last.at >= 0 && since < s_.lease_s / 2;
-        if (back && since >= worker_waits_s) last.relay_until = t + s_.lease_s;
+        if (back && since >= worker_waits_s)
+            last.relay_until = t + s_.lease_s;
         if (back || t < last.relay_until) {
             last.at = -1;
             return reached ? Way::relay : Way::next;
@@ -121,7 +132,8 @@
     }
     last = {holder, t, -1};
     // It has heard this holder and left it all the same: answers from there do not reach it any more.
-    if (known || !host_.of_its_term(r.fence)) return Way::holder;
+    if (known || !host_.of_its_term(r.fence))
+        return Way::holder;
     last.relay_until = t + s_.lease_s;
     last.at = -1;
     return reached ? Way::relay : Way::next;
@@ -142,23 +154,27 @@
                        --relaying_;
                        // Whatever the holder said, and nothing that it did not say. Where it has just given
                        // the office up, the machine is told who has it next.
-                       if (a.status == 200 || a.status == 421) return res.send(a.status, a.body);
+                       if (a.status == 200 || a.status == 421)
+                           return res.send(a.status, a.body);
                        take({std::move(*kept), false, answer_to(res), since, std::nullopt, holder});
                    });
 }
 
 void Desk::left_office() {
-    for (const auto& [h, open] : std::exchange(open_, {})) open.done({});
+    for (const auto& [h, open] : std::exchange(open_, {}))
+        open.done({});
 }
 
 void Desk::note_launches(const std::vector<Order>& orders) {
     for (const auto& o : orders)
-        if (o.verb == Verb::launch) took_.first_launches.launched(o.job, later_.now(), took_.launch);
+        if (o.verb == Verb::launch)
+            took_.first_launches.launched(o.job, later_.now(), took_.launch);
 }
 
 void Desk::answer(BeatAnswer&& a) {
     const auto it = open_.find(a.handle);
-    if (it == open_.end()) return;
+    if (it == open_.end())
+        return;
     const auto open = std::move(it->second);
     open_.erase(it);
     took_.report.add(later_.now() - open.since);
@@ -177,9 +193,11 @@
     note_launches(o.orders);
     if (o.around || members_.any_zone_lost())
         if (const auto zone = host_.zone_of(o.machine); o.around || members_.zone(zone) == membership::Reach::lost)
-            if (const auto by = members_.way_to(zone); by) return send_by(*by, o, std::move(done));
+            if (const auto by = members_.way_to(zone); by)
+                return send_by(*by, o, std::move(done));
     executor_.command(o, s_.report_s / 2, [this, done = std::move(done)](OrdersAnswered&& a) {
-        if (a.status != 0) members_.machine_answered();
+        if (a.status != 0)
+            members_.machine_answered();
         done(std::move(a));
     });
 }
@@ -205,8 +223,10 @@
 
 void Desk::pass_on(HttpRequest&& r, const Responder& res) {
     constexpr std::string_view to = "to=";
-    if (r.method != "POST") return res.send(405, codec::error_answer("wrong method"));
-    if (!r.query.starts_with(to)) return res.send(400, codec::error_answer("to: the machine's address is needed"));
+    if (r.method != "POST")
+        return res.send(405, codec::error_answer("wrong method"));
+    if (!r.query.starts_with(to))
+        return res.send(400, codec::error_answer("to: the machine's address is needed"));
     if (relaying_ >= most_relays_) {
         ++took_.refused;
         return res.send(503, codec::not_now);
@@ -215,7 +235,8 @@
     ++took_.relayed;
     executor_.pass_on(r.query.substr(to.size()), std::move(r.body), s_.report_s / 3, [this, res](HttpReply&& a) {
         --relaying_;
-        if (a.status != 0) return res.send(a.status, a.body);
+        if (a.status != 0)
+            return res.send(a.status, a.body);
         // 503 says that nothing was executed, so it is said only if nothing was sent.
         res.send(a.sent ? 504 : 503, codec::error_answer("no answer of the machine"));
     });
--- a/src/cli/client.cpp
+++ b/src/cli/client.cpp
@@ -30,7 +30,8 @@
                 usleep(2000);
             }
             const int s = got->status;
-            if (s != 0 && s != 429 && s != 503 && s != 504) return got;
+            if (s != 0 && s != 429 && s != 503 && s != 504)
+                return got;
             last_ = s == 0 ? "no answer" : std::to_string(s);
             pause(pause_s);
         } while (now() < end);
@@ -103,11 +104,15 @@
     for (;; c.pause(poll_s)) {
         const auto r = c.ask("GET", path_of(id), "");
         const auto a = r && r->status == 200 ? codec::job_answer_of(r->body) : std::nullopt;
-        if (!a) return c.print(r);
-        if (r->body != last) std::cout << r->body << std::endl; // seen at once, also through a pipe
+        if (!a)
+            return c.print(r);
+        if (r->body != last)
+            std::cout << r->body << std::endl; // seen at once, also through a pipe
         last = r->body;
-        if (a->status == codec::status_done) return 0;
-        if (a->status == codec::status_cancelled) return 1;
+        if (a->status == codec::status_done)
+            return 0;
+        if (a->status == codec::status_cancelled)
+            return 1;
     }
 }
 
--- a/src/cli/schema.cpp
+++ b/src/cli/schema.cpp
@@ -11,7 +11,8 @@
 
 std::string violation(std::string_view schema, std::string_view document) {
     const auto doc = nlohmann::json::parse(document.begin(), document.end(), nullptr, false);
-    if (doc.is_discarded()) return "not JSON";
+    if (doc.is_discarded())
+        return "not JSON";
     const auto rules = nlohmann::json::parse(schema.begin(), schema.end());
     valijson::Schema compiled;
     valijson::SchemaParser parser;
@@ -19,13 +20,16 @@
     parser.populateSchema(rules_adapter, compiled);
     valijson::Validator validator;
     valijson::ValidationResults results;
-    if (validator.validate(compiled, doc_adapter, &results)) return {};
+    if (validator.validate(compiled, doc_adapter, &results))
+        return {};
     valijson::ValidationResults::Error error, deepest;
     while (results.popError(error))
-        if (error.context.size() >= deepest.context.size()) deepest = error;
+        if (error.context.size() >= deepest.context.size())
+            deepest = error;
     std::string path;
     for (const auto& part : deepest.context) {
-        if (part == "<root>") continue;
+        if (part == "<root>")
+            continue;
         // "[name]" of a field, "[3]" of an element.
         const bool element = part.size() > 2 && part.find_first_not_of("0123456789", 1) == part.size() - 1;
         const auto name = part.size() > 2 && part.front() == '[' ? part.substr(1, part.size() - 2) : part;
--- a/src/cloud/cloud_desk.cpp
+++ b/src/cloud/cloud_desk.cpp
@@ -13,7 +13,8 @@
 
 void CloudDesk::tick() {
     const double t = later_.now();
-    if (t >= next_types_) learn_types();
+    if (t >= next_types_)
+        learn_types();
     if (host_.held() && t >= next_list_) {
         next_list_ = t + std::max(s_.list_lag_s / 2, 2 / s_.cloud_rps);
         list_machines("");
@@ -22,7 +23,8 @@
 }
 
 void CloudDesk::entered_office() {
-    if (!types_.empty()) host_.push(TypesKnown{types_});
+    if (!types_.empty())
+        host_.push(TypesKnown{types_});
     next_list_ = 0;
 }
 
@@ -34,7 +36,8 @@
 void CloudDesk::pump() {
     // What a holder asked for that may no longer act must not reach the cloud later.
     if (!host_.acts())
-        for (auto gone = std::move(queue_); !gone.empty(); gone.pop_front()) gone.front()(false);
+        for (auto gone = std::move(queue_); !gone.empty(); gone.pop_front())
+            gone.front()(false);
     while (!queue_.empty() && budget_.take(later_.now())) {
         const auto ask = std::move(queue_.front());
         queue_.pop_front();
@@ -45,14 +48,18 @@
 void CloudDesk::rent(const Rent& wanted) {
     request([this, gen = generation_, wanted](bool go) {
         auto done = [this, gen, go](Rented&& c) {
-            if (go) host_.cloud_answered(c.outcome == RentOutcome::rented || c.outcome == RentOutcome::no_capacity);
-            if (gen != generation_) return;
+            if (go)
+                host_.cloud_answered(c.outcome == RentOutcome::rented || c.outcome == RentOutcome::no_capacity);
+            if (gen != generation_)
+                return;
             const double delay = c.outcome == RentOutcome::rented ? 0 : s_.report_s / 6;
             later_.after(delay, [this, gen, c = std::move(c)]() mutable {
-                if (gen == generation_) host_.push(std::move(c));
+                if (gen == generation_)
+                    host_.push(std::move(c));
             });
         };
-        if (!go) return done({wanted.claim, RentOutcome::failed, {}});
+        if (!go)
+            return done({wanted.claim, RentOutcome::failed, {}});
         executor_.rent(wanted, s_.report_s * 2, done);
     });
 }
@@ -60,31 +67,38 @@
 void CloudDesk::release(const Release& wanted) {
     request([this, gen = generation_, wanted](bool go) {
         auto done = [this, gen, go](Released&& c) {
-            if (go) host_.cloud_answered(c.ok);
-            if (gen == generation_) host_.push(std::move(c));
+            if (go)
+                host_.cloud_answered(c.ok);
+            if (gen == generation_)
+                host_.push(std::move(c));
         };
-        if (!go) return done({wanted.machines, false});
+        if (!go)
+            return done({wanted.machines, false});
         executor_.release(wanted, s_.report_s * 2, done);
     });
 }
 
 void CloudDesk::list_machines(const std::string& since) {
-    if (queue_.size() > most_queued_lists) return;
+    if (queue_.size() > most_queued_lists)
+        return;
     if (since.empty()) {
         listing_.clear();
         listing_at_ = later_.now();
     }
     request([this, gen = generation_, since](bool go) {
-        if (!go) return;
+        if (!go)
+            return;
         executor_.list(since, s_.report_s * 2, [this, gen](std::optional<codec::MachinePage>&& page) {
             host_.cloud_answered(page.has_value());
-            if (gen != generation_ || !page) return;
+            if (gen != generation_ || !page)
+                return;
             std::string last;
             for (auto& m : page->machines) {
                 last = m.id;
                 listing_.push_back(std::move(m));
             }
-            if (page->more && !last.empty()) return list_machines(last);
+            if (page->more && !last.empty())
+                return list_machines(last);
             host_.push(Listed{std::move(listing_), listing_at_});
             listing_.clear();
         });
@@ -95,13 +109,17 @@
 // the cloud is in trouble.
 void CloudDesk::learn_types() {
     next_types_ = later_.now() + s_.report_s;
-    if (learning_types_) return;
-    if (!types_.empty() && (!host_.held() || later_.now() - types_at_ < s_.lease_s)) return;
+    if (learning_types_)
+        return;
+    if (!types_.empty() && (!host_.held() || later_.now() - types_at_ < s_.lease_s))
+        return;
     learning_types_ = true;
-    if (!types_.empty()) return from_cloud();
+    if (!types_.empty())
+        return from_cloud();
     store_.get(types_key, s_.report_s / 2, [this](store::Answer&& r) {
         if (r.item)
-            if (auto types = codec::machine_types(r.item->value.dump()); types) return learned(std::move(*types));
+            if (auto types = codec::machine_types(r.item->value.dump()); types)
+                return learned(std::move(*types));
         from_cloud();
     });
 }
@@ -110,9 +128,11 @@
     executor_.types(s_.report_s * 2, [this](std::optional<std::vector<MachineType>>&& types) {
         host_.cloud_answered(types.has_value());
         learning_types_ = false;
-        if (!types) return;
+        if (!types)
+            return;
         const bool first = types_.empty();
-        if (first) spdlog::info("{} machine types known", types->size());
+        if (first)
+            spdlog::info("{} machine types known", types->size());
         learned(std::move(*types));
         if (first)
             store_.transact({{types_key, 0}}, {{types_key, codec::types_to_json(types_), 0}}, 1,
@@ -124,7 +144,8 @@
     learning_types_ = false;
     types_ = std::move(types);
     types_at_ = later_.now();
-    if (host_.held()) host_.push(TypesKnown{types_});
+    if (host_.held())
+        host_.push(TypesKnown{types_});
 }
 
 } // namespace heronshift::cloud
--- a/src/config.cpp
+++ b/src/config.cpp
@@ -26,18 +26,23 @@
 
     std::string text(const toml::table& t, const std::string& at, const char* key) const {
         const auto* n = t.get(key);
-        if (n == nullptr) fail(at + key, "is missing");
+        if (n == nullptr)
+            fail(at + key, "is missing");
         auto v = n->value_exact<std::string>();
-        if (!v || v->empty()) fail(at + key, "must be a non-empty string");
+        if (!v || v->empty())
+            fail(at + key, "must be a non-empty string");
         return *v;
     }
 
     double number(const toml::table& t, const std::string& at, const char* key, double least, bool open = false) const {
         const auto* n = t.get(key);
-        if (n == nullptr) fail(at + key, "is missing");
-        if (!n->is_number()) fail(at + key, "must be a number");
+        if (n == nullptr)
+            fail(at + key, "is missing");
+        if (!n->is_number())
+            fail(at + key, "must be a number");
         const double v = n->value<double>().value_or(NAN);
-        if (!std::isfinite(v)) fail(at + key, "must be finite");
+        if (!std::isfinite(v))
+            fail(at + key, "must be finite");
         if (v < least || (open && v <= least))
             fail(at + key, fmt::format("must be {} {}", open ? "above" : "at least", least));
         return v;
@@ -45,19 +50,24 @@
 
     const toml::table& table(const toml::table& t, const std::string& at, const char* key) const {
         const auto* n = t.get(key);
-        if (n == nullptr) fail(at + key, "is missing");
-        if (!n->is_table()) fail(at + key, "must be a table");
+        if (n == nullptr)
+            fail(at + key, "is missing");
+        if (!n->is_table())
+            fail(at + key, "must be a table");
         return *n->as_table();
     }
 
     template <class F> void each(const toml::table& t, const std::string& at, const char* key, F f) const {
         const auto* n = t.get(key);
-        if (n == nullptr) return;
-        if (!n->is_array()) fail(at + key, "must be an array of tables");
+        if (n == nullptr)
+            return;
+        if (!n->is_array())
+            fail(at + key, "must be an array of tables");
         std::size_t i = 0;
         for (const auto& e : *n->as_array()) {
             const auto where = fmt::format("{}{}[{}].", at, key, i++);
-            if (!e.is_table()) fail(where, "must be a table");
+            if (!e.is_table())
+                fail(where, "must be a table");
             f(*e.as_table(), where);
         }
     }
@@ -65,13 +75,16 @@
     Endpoint endpoint(const toml::table& t, const std::string& at, const char* key) const {
         const auto s = text(t, at, key);
         const auto colon = s.rfind(':');
-        if (colon == std::string::npos || colon == 0) fail(at + key, "must be ADDRESS:PORT");
+        if (colon == std::string::npos || colon == 0)
+            fail(at + key, "must be ADDRESS:PORT");
         int port = 0;
         for (char c : s.substr(colon + 1)) {
-            if (c < '0' || c > '9' || port > 65535) fail(at + key, "has a bad port");
+            if (c < '0' || c > '9' || port > 65535)
+                fail(at + key, "has a bad port");
             port = port * 10 + (c - '0');
         }
-        if (port < 1 || port > 65535) fail(at + key, "has a bad port");
+        if (port < 1 || port > 65535)
+            fail(at + key, "has a bad port");
         return {s.substr(0, colon), port};
     }
 
@@ -104,7 +117,8 @@
 
 std::string slurp(const std::string& path) {
     std::ifstream in(path, std::ios::binary);
-    if (!in) throw SettingsError(path + ": cannot be read");
+    if (!in)
+        throw SettingsError(path + ": cannot be read");
     std::ostringstream s;
     s << in.rdbuf();
     return s.str();
@@ -117,18 +131,23 @@
 void apply(OperatorSettings& o, const std::string& path, const std::string& name, const std::string& value) {
     auto fail = [&](const std::string& what) { throw SettingsError(path + ": " + name + ": " + what); };
     for (const auto& f : operator_fields) {
-        if (name != f.name) continue;
+        if (name != f.name)
+            continue;
         if (f.flag != nullptr) {
-            if (value != "yes" && value != "no") fail("must be yes or no");
+            if (value != "yes" && value != "no")
+                fail("must be yes or no");
             o.*f.flag = value == "yes";
             return;
         }
         char* end = nullptr;
         const double v = std::strtod(value.c_str(), &end);
-        if (value.empty() || *end != 0 || !std::isfinite(v)) fail("must be a finite number");
-        if (v < f.least) fail(fmt::format("must be at least {}", f.least));
+        if (value.empty() || *end != 0 || !std::isfinite(v))
+            fail("must be a finite number");
+        if (v < f.least)
+            fail(fmt::format("must be at least {}", f.least));
         if (f.count != nullptr) {
-            if (v != std::floor(v) || v > 1e6) fail("must be a whole number");
+            if (v != std::floor(v) || v > 1e6)
+                fail("must be a whole number");
             o.*f.count = static_cast<int>(v);
         } else {
             o.*f.number = v;
@@ -144,15 +163,19 @@
     // Comments run from ; to the end of the line.
     for (std::size_t i = 0; i < text.size(); ++i)
         if (text[i] == ';')
-            while (i < text.size() && text[i] != '\n') text[i++] = ' ';
+            while (i < text.size() && text[i] != '\n')
+                text[i++] = ' ';
     long depth = 0;
     for (char c : text) {
         depth += c == '(' ? 1 : c == ')' ? -1 : 0;
-        if (depth < 0) break;
+        if (depth < 0)
+            break;
     }
-    if (depth != 0) throw SettingsError(path + ": parentheses do not match");
+    if (depth != 0)
+        throw SettingsError(path + ": parentheses do not match");
     sexp_t* root = parse_sexp(text.data(), text.size());
-    if (root == nullptr || root->ty != SEXP_LIST) throw SettingsError(path + ": not an S-expression");
+    if (root == nullptr || root->ty != SEXP_LIST)
+        throw SettingsError(path + ": not an S-expression");
     struct Free {
         sexp_t* s;
         ~Free() {
@@ -160,16 +183,19 @@
             sexp_cleanup();
         }
     } freed{root};
-    if (atom(root->list) != "heronshift") throw SettingsError(path + ": must start with (heronshift");
+    if (atom(root->list) != "heronshift")
+        throw SettingsError(path + ": must start with (heronshift");
     std::vector<std::pair<std::string, std::string>> out;
     std::set<std::string> seen;
     for (auto* e = root->list->next; e != nullptr; e = e->next) {
-        if (e->ty != SEXP_LIST) throw SettingsError(path + ": " + atom(e) + ": must be (name value)");
+        if (e->ty != SEXP_LIST)
+            throw SettingsError(path + ": " + atom(e) + ": must be (name value)");
         const auto name = atom(e->list);
         const auto* value = e->list != nullptr ? e->list->next : nullptr;
         if (value == nullptr || value->next != nullptr)
             throw SettingsError(path + ": " + name + ": must be (name value)");
-        if (!seen.insert(name).second) throw SettingsError(path + ": " + name + ": is given twice");
+        if (!seen.insert(name).second)
+            throw SettingsError(path + ": " + name + ": is given twice");
         out.emplace_back(name, atom(value));
     }
     return out;
@@ -188,9 +214,11 @@
 
 OperatorSettings load_operator_settings(const std::string& path, double report_s) {
     OperatorSettings o;
-    for (const auto& [name, value] : operator_file(path)) apply(o, path, name, value);
+    for (const auto& [name, value] : operator_file(path))
+        apply(o, path, name, value);
     auto need = [&](bool ok, const char* name, const char* what) {
-        if (!ok) throw SettingsError(path + ": " + name + ": " + what);
+        if (!ok)
+            throw SettingsError(path + ": " + name + ": " + what);
     };
     need(o.beta < o.alpha, "beta", "must be below alpha");
     need(o.gamma >= 5 * o.alpha, "gamma", "must be far above alpha (five times at least)");
@@ -212,16 +240,19 @@
     std::set<std::string> names{s.name};
     r.each(t, "", "others", [&](const toml::table& e, const std::string& at) {
         s.peers.push_back({r.text(e, at, "host_name"), r.text(e, at, "zone"), r.endpoint(e, at, "peer_addr")});
-        if (!names.insert(s.peers.back().name).second) r.fail(at + "host_name", "is given twice");
+        if (!names.insert(s.peers.back().name).second)
+            r.fail(at + "host_name", "is given twice");
     });
     const auto& ext = r.table(t, "", "external");
     s.cloud = r.endpoint(ext, "external.", "cloud");
     s.state = r.endpoint(ext, "external.", "state");
     const auto& f = r.table(t, "", "facts");
     if (const auto* z = f.get("zones"); z != nullptr) {
-        if (!z->is_array()) r.fail("facts.zones", "must be an array");
+        if (!z->is_array())
+            r.fail("facts.zones", "must be an array");
         for (const auto& e : *z->as_array()) {
-            if (!e.is_string()) r.fail("facts.zones", "must hold strings");
+            if (!e.is_string())
+                r.fail("facts.zones", "must hold strings");
             s.zones.push_back(**e.as_string());
         }
     }
@@ -234,9 +265,12 @@
         l.cpus_max = r.number(e, at, "cpus_max", 0);
         l.gpus = r.number(e, at, "gpus", 0);
         l.gpus_max = r.number(e, at, "gpus_max", 0);
-        if (!teams.insert(l.name).second) r.fail(at + "name", "is given twice");
-        if (l.cpus_max > 0 && l.cpus > l.cpus_max) r.fail(at + "cpus", "is above cpus_max");
-        if (l.gpus_max > 0 && l.gpus > l.gpus_max) r.fail(at + "gpus", "is above gpus_max");
+        if (!teams.insert(l.name).second)
+            r.fail(at + "name", "is given twice");
+        if (l.cpus_max > 0 && l.cpus > l.cpus_max)
+            r.fail(at + "cpus", "is above cpus_max");
+        if (l.gpus_max > 0 && l.gpus > l.gpus_max)
+            r.fail(at + "gpus", "is above gpus_max");
         s.teams.push_back(l);
     });
     r.each(f, "facts.", "objectives", [&](const toml::table& e, const std::string& at) {
@@ -255,7 +289,8 @@
     s.gang_wait_s = r.number(w, at, "gang_wait_s", 0, true);
     s.gang_peer_s = r.number(w, at, "gang_peer_s", 0, true);
     s.cancel_s = r.number(w, at, "cancel_s", 0, true);
-    if (s.lease_s < 2 * s.report_s) r.fail(at + "lease_s", "must be at least twice report_s");
+    if (s.lease_s < 2 * s.report_s)
+        r.fail(at + "lease_s", "must be at least twice report_s");
     // A machine that no stop reaches keeps a cancelled task until its lease has run out, by its own clock.
     if (s.cancel_s < s.lease_s * (1 + lease_drift))
         r.fail(at + "cancel_s",
@@ -271,7 +306,8 @@
         const std::string in = "facts.state.next.";
         if (next.contains("write_rps"))
             s.state_write_rps = std::min(s.state_write_rps, r.number(next, in, "write_rps", 0, true));
-        if (next.contains("value_kb")) s.value_kb = std::min(s.value_kb, r.number(next, in, "value_kb", 1));
+        if (next.contains("value_kb"))
+            s.value_kb = std::min(s.value_kb, r.number(next, in, "value_kb", 1));
         if (next.contains("txn_ops"))
             s.txn_ops = std::min(s.txn_ops, static_cast<int>(r.number(next, in, "txn_ops", 4)));
     }
@@ -307,7 +343,8 @@
     line("zone", s.zone);
     line("bind", s.listen.str());
     line("back", s.peer_listen.str());
-    for (const auto& p : s.peers) line("others." + p.name, p.addr.str());
+    for (const auto& p : s.peers)
+        line("others." + p.name, p.addr.str());
     line("external.cloud", s.cloud.str());
     line("external.state", s.state.str());
     line("facts.teams", s.teams.size());
--- a/src/core/core.cpp
+++ b/src/core/core.cpp
@@ -41,13 +41,15 @@
         // them back the moment the cut ended, with all that ran there under its successor.
         std::erase_if(commands, [this](const Command& c) {
             const auto* b = std::get_if<Beat>(&c);
-            if (b != nullptr) effects_.emplace_back(BeatAnswer{b->handle, 503, 0, {}});
+            if (b != nullptr)
+                effects_.emplace_back(BeatAnswer{b->handle, 503, 0, {}});
             return b != nullptr;
         });
         wake_at_ = now + s_.report_s / 10;
         return std::move(effects_);
     }
-    for (auto& c : commands) take(c);
+    for (auto& c : commands)
+        take(c);
     commands.clear();
     if (now >= next_tick_) {
         next_tick_ = now + s_.report_s / 20;
@@ -75,22 +77,27 @@
     }
     if (now >= next_round_) {
         next_round_ = now + s_.ops.round_s;
-        if (!ledger_.view().types.empty()) capacity_.note_fleet();
+        if (!ledger_.view().types.empty())
+            capacity_.note_fleet();
         rounds_.plan_round();
     }
     ledger_.find_needs();
     records_.collect_commit();
-    if (records_.late(s_.report_s / 3)) ledger_.store_is_late();
+    if (records_.late(s_.report_s / 3))
+        ledger_.store_is_late();
     ledger_.send_due_orders();
     wake_at_ = next_tick_;
-    if (records_.waiting()) wake_at_ = std::min(wake_at_, now + 1 / s_.state_write_rps); // as the budget allows
-    if (ledger_.dirty()) wake_at_ = std::min(wake_at_, next_schedule_);
+    if (records_.waiting())
+        wake_at_ = std::min(wake_at_, now + 1 / s_.state_write_rps); // as the budget allows
+    if (ledger_.dirty())
+        wake_at_ = std::min(wake_at_, next_schedule_);
     return std::move(effects_);
 }
 
 std::optional<Shape> Core::shape_of(const std::string& id) const {
     const auto* j = ledger_.view().find_job(id);
-    if (j == nullptr || ledger_.stepped_down()) return {};
+    if (j == nullptr || ledger_.stepped_down())
+        return {};
     return j->spec.shape;
 }
 
@@ -116,7 +123,8 @@
     }
     std::map<std::string, double> by_class, by_team; // the oldest that waits
     for (const auto& [id, j] : v.jobs) {
-        if (j->final != ledger::Final::none || j->waits || j->live > 0) continue;
+        if (j->final != ledger::Final::none || j->waits || j->live > 0)
+            continue;
         for (auto* wait : {&by_class[j->spec.job_class], &by_team[j->spec.team]})
             *wait = std::max(*wait, v.now - j->ready);
     }
@@ -139,7 +147,8 @@
     constexpr const char* help = "seconds since the oldest job of which nothing runs was ready";
     for (const auto& [name, s] : by_class)
         out.push_back({"heronshift_oldest_wait_seconds", help, s, {{"class", name}}});
-    for (const auto& [name, s] : by_team) out.push_back({"heronshift_oldest_wait_seconds", help, s, {{"team", name}}});
+    for (const auto& [name, s] : by_team)
+        out.push_back({"heronshift_oldest_wait_seconds", help, s, {{"team", name}}});
     return out;
 }
 
--- a/src/embed/c_api.cpp
+++ b/src/embed/c_api.cpp
@@ -28,7 +28,8 @@
 }
 
 void say(char* message, std::size_t size, const char* text) {
-    if (message == nullptr || size == 0) return;
+    if (message == nullptr || size == 0)
+        return;
     const auto n = std::min(size - 1, std::strlen(text));
     std::memcpy(message, text, n);
     message[n] = 0;
@@ -44,7 +45,8 @@
 
 // Calls f unless an argument is wrong; whatever is thrown stays here.
 template <class F> int guarded(hs_scheduler* s, bool good, F f) {
-    if (!good || !known(s)) return HS_INVALID;
+    if (!good || !known(s))
+        return HS_INVALID;
     try {
         f(s->scheduler);
         return HS_OK;
@@ -60,13 +62,16 @@
 int hs_start(const char* settings_path, const char* state_file, hs_scheduler** out, char* message,
              size_t message_size) {
     say(message, message_size, "");
-    if (out == nullptr) return HS_INVALID;
+    if (out == nullptr)
+        return HS_INVALID;
     *out = nullptr;
-    if (settings_path == nullptr) return HS_INVALID;
+    if (settings_path == nullptr)
+        return HS_INVALID;
     try {
         heronshift::SchedulerOptions o;
         o.settings = heronshift::load_settings(settings_path);
-        if (state_file != nullptr) o.state_file = state_file;
+        if (state_file != nullptr)
+            o.state_file = state_file;
         auto* s = new hs_scheduler{heronshift::Scheduler(std::move(o))};
         const std::lock_guard l(lock);
         alive().insert(s);
@@ -112,7 +117,8 @@
 int hs_end(hs_scheduler* s) {
     {
         const std::lock_guard l(lock);
-        if (s == nullptr || alive().erase(s) == 0) return HS_INVALID;
+        if (s == nullptr || alive().erase(s) == 0)
+            return HS_INVALID;
     }
     delete s;
     return HS_OK;
--- a/src/embed/scheduler.cpp
+++ b/src/embed/scheduler.cpp
@@ -18,7 +18,8 @@
 class Scheduler::Inner : public std::enable_shared_from_this<Inner> {
 public:
     Inner(uv_loop_t* loop, SchedulerOptions o) : loop_(loop), o_(std::move(o)) {
-        if (!o_.clock) o_.clock = std::make_shared<Clock>();
+        if (!o_.clock)
+            o_.clock = std::make_shared<Clock>();
     }
 
     // On the loop's thread. Throws what the constructors of Scheduler do.
@@ -29,7 +30,8 @@
         } else if (!o_.state_file.empty()) {
             parts.state = store::file_store(loop_, o_.state_file, o_.settings.txn_ops, o_.settings.value_kb);
         }
-        if (o_.executor) parts.executor = o_.executor(loop_);
+        if (o_.executor)
+            parts.executor = o_.executor(loop_);
         parts.clock = o_.clock;
         node_ = std::make_unique<Node>(loop_, o_.settings, std::move(parts));
         if (!o_.command_log.empty())
@@ -42,7 +44,8 @@
         node_->each_tick([this] { acts_until_ = node_->acts_until(); });
         async_ = new uv_async_t;
         uv_async_init(loop_, async_, [](uv_async_t* a) {
-            if (a->data != nullptr) static_cast<Inner*>(a->data)->run();
+            if (a->data != nullptr)
+                static_cast<Inner*>(a->data)->run();
         });
         async_->data = this;
         self_ = shared_from_this();
@@ -51,14 +54,16 @@
     // From any thread; f runs on the loop's.
     void post(std::function<void(Inner&)> f) {
         const std::lock_guard l(lock_);
-        if (ended_) return;
+        if (ended_)
+            return;
         queue_.push_back(std::move(f));
         uv_async_send(async_);
     }
 
     void call(const char* method, std::string path, std::string body, Done done) {
         post([method, path = std::move(path), body = std::move(body), done = std::move(done)](Inner& in) mutable {
-            if (!in.node_) return in.answer(done, 0, {}, 0);
+            if (!in.node_)
+                return in.answer(done, 0, {}, 0);
             in.node_->call({method, std::move(path), {}, std::move(body)},
                            Responder([&in, done = std::move(done)](int status, std::string_view text, int after) {
                                in.answer(done, status, text, after);
@@ -69,19 +74,23 @@
     void subscribe(Watch w) {
         post([w = std::move(w)](Inner& in) mutable {
             in.watches_.push_back(std::move(w));
-            if (in.watches_.size() == 1) in.watch_from_now();
+            if (in.watches_.size() == 1)
+                in.watch_from_now();
         });
     }
 
     void turn() {
-        if (node_) node_->turn();
+        if (node_)
+            node_->turn();
     }
 
     // end: nothing more is called, and all is torn down in a turn of the loop's own.
     void finish(bool end) {
-        if (end) silent_ = true;
+        if (end)
+            silent_ = true;
         post([end](Inner& in) {
-            if (in.node_) in.node_->stop();
+            if (in.node_)
+                in.node_->stop();
             in.stopping_ = true;
             in.end_now_ = in.end_now_ || end;
         });
@@ -101,7 +110,8 @@
 
 private:
     void answer(const Done& done, int status, std::string_view body, int after) {
-        if (silent_ || !done) return;
+        if (silent_ || !done)
+            return;
         Reply r;
         r.status = status;
         r.retry_after_s = after;
@@ -123,12 +133,15 @@
             const std::lock_guard l(lock_);
             list.swap(queue_);
         }
-        for (auto& f : list) f(*this);
-        if (!stopping_ || (!node_ && !end_now_)) return;
+        for (auto& f : list)
+            f(*this);
+        if (!stopping_ || (!node_ && !end_now_))
+            return;
         // No call of the node's is on the stack here.
         node_.reset();
         acts_until_ = 0;
-        if (!end_now_) return;
+        if (!end_now_)
+            return;
         {
             const std::lock_guard l(lock_);
             ended_ = true;
@@ -142,31 +155,39 @@
 
     // Final states are stored before they are told, so the store's changes are all there is to tell.
     void watch_from_now() {
-        if (!node_) return;
+        if (!node_)
+            return;
         node_->state().list("f/", "", 1, o_.settings.report_s, [this](store::Answer&& a) {
-            if (a.status != 200) return again();
+            if (a.status != 200)
+                return again();
             follow(a.epoch);
         });
     }
 
     void again() { // after a pause that costs the store little
-        if (!node_) return;
+        if (!node_)
+            return;
         node_->after(o_.settings.report_s, [this] {
             for (const auto& w : watches_)
-                if (!silent_) w({{}, {}, true});
+                if (!silent_)
+                    w({{}, {}, true});
             watch_from_now();
         });
     }
 
     void follow(std::uint64_t since) {
-        if (!node_) return;
+        if (!node_)
+            return;
         node_->state().follow("f/", since, o_.settings.lease_s, [this, since](store::Answer&& a) {
-            if (a.status != 200) return again();
+            if (a.status != 200)
+                return again();
             for (const auto& i : a.items) {
                 const auto final = i.deleted ? std::nullopt : codec::stored_final(i.value);
-                if (!final) continue;
+                if (!final)
+                    continue;
                 for (const auto& w : watches_)
-                    if (!silent_) w({i.key.substr(2), final->status, false});
+                    if (!silent_)
+                        w({i.key.substr(2), final->status, false});
             }
             follow(std::max(since, a.epoch));
         });
@@ -224,7 +245,8 @@
     auto thread = std::move(inner_->thread);
     inner_->finish(true);
     inner_.reset();
-    if (!thread.joinable()) return;
+    if (!thread.joinable())
+        return;
     if (own)
         thread.detach(); // its loop ends by itself
     else
--- a/src/executor/http.cpp
+++ b/src/executor/http.cpp
@@ -12,7 +12,8 @@
     agents_.request(o.addr, "POST", std::string(codec::path_commands), codec::commands(o.fence, o.tenure, o.orders),
                     timeout_s, [done = std::move(done), id = o.machine, batch = o.batch](HttpReply&& r) {
                         OrdersAnswered a{id, batch, r.status, r.sent, std::nullopt};
-                        if (r.status == 200 || r.status == 409) a.report = codec::report(r.body);
+                        if (r.status == 200 || r.status == 409)
+                            a.report = codec::report(r.body);
                         done(std::move(a));
                     });
 }
@@ -56,7 +57,8 @@
 void HttpExecutor::list(const std::string& since, double timeout_s,
                         std::function<void(std::optional<codec::MachinePage>&&)> done) {
     auto path = std::string(codec::path_rentals) + "?most=" + std::to_string(most_listed);
-    if (!since.empty()) path += "&since=" + since;
+    if (!since.empty())
+        path += "&since=" + since;
     cloud_.request(cloud_at_, "GET", path, "", timeout_s, [done = std::move(done)](HttpReply&& r) {
         done(r.status == 200 ? codec::machine_page(r.body) : std::nullopt);
     });
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -32,24 +32,32 @@
     const bool get = r.method == "GET", post = r.method == "POST";
     auto wrong_method = [&] { res.send(405, error_answer("wrong method")); };
     const std::string_view path = r.path;
-    if (path == codec::path_jobs) return post ? submit(std::move(r), std::move(res), passed_on) : wrong_method();
+    if (path == codec::path_jobs)
+        return post ? submit(std::move(r), std::move(res), passed_on) : wrong_method();
     if (path.size() <= codec::path_jobs.size() + 1 || path[codec::path_jobs.size()] != '/')
         return res.send(404, error_answer("no such path"));
     auto rest = path.substr(codec::path_jobs.size() + 1);
     const auto slash = rest.find('/');
     const std::string id(rest.substr(0, slash));
     if (slash == std::string_view::npos) {
-        if (!get) return wrong_method();
+        if (!get)
+            return wrong_method();
         // An id that can't have been accepted needs no reading.
-        if (!codec::valid_job_id(id)) return res.send(404, error_answer("no such job"));
-        if (tell_final(id, res)) return;
-        if (passed_on || host_.acting() != nullptr) return poll(id, std::move(res));
+        if (!codec::valid_job_id(id))
+            return res.send(404, error_answer("no such job"));
+        if (tell_final(id, res))
+            return;
+        if (passed_on || host_.acting() != nullptr)
+            return poll(id, std::move(res));
         return pass_on(std::make_shared<HttpRequest>(std::move(r)), std::move(res), ways(true, true), look_up_s,
                        [this, id](Responder x) { poll(id, std::move(x)); });
     }
-    if (rest.substr(slash + 1) != codec::suffix_cancel) return res.send(404, error_answer("no such path"));
-    if (!post) return wrong_method();
-    if (!codec::valid_job_id(id)) return res.send(404, error_answer("no such job"));
+    if (rest.substr(slash + 1) != codec::suffix_cancel)
+        return res.send(404, error_answer("no such path"));
+    if (!post)
+        return wrong_method();
+    if (!codec::valid_job_id(id))
+        return res.send(404, error_answer("no such job"));
     cancel(id, std::move(r), std::move(res), passed_on);
 }
 
@@ -67,7 +75,8 @@
 
 void Gateway::left_office() {
     ++generation_;
-    for (auto& [h, c] : std::exchange(cancels_, {})) c.res.send(503, not_now, retry_soon_s);
+    for (auto& [h, c] : std::exchange(cancels_, {}))
+        c.res.send(503, not_now, retry_soon_s);
 }
 
 // Who else could answer: the holder; where the store does not serve this node, one that it serves.
@@ -77,7 +86,8 @@
     if (to_holder && !holder.empty() && holder != s_.name && members_.peer(holder) != membership::Reach::lost)
         out.push_back(holder);
     if (to_store && members_.store() == membership::Reach::lost)
-        if (const auto by = members_.with_store(holder); by && (out.empty() || *by != out.front())) out.push_back(*by);
+        if (const auto by = members_.with_store(holder); by && (out.empty() || *by != out.front()))
+            out.push_back(*by);
     return out;
 }
 
@@ -85,7 +95,8 @@
 // without harm: a job is accepted once, and cancelled by one.
 void Gateway::pass_on(std::shared_ptr<const HttpRequest> r, Responder res, std::vector<std::string> to, double wait_s,
                       Otherwise otherwise) {
-    if (to.empty()) return otherwise(std::move(res));
+    if (to.empty())
+        return otherwise(std::move(res));
     const double each_s = std::min(s_.report_s / 3, share_of_wait * wait_s / static_cast<double>(to.size()));
     const auto first = to.front();
     to.erase(to.begin());
@@ -102,12 +113,14 @@
 }
 
 void Gateway::remember_final(const std::string& id, const std::string& status) {
-    if (status == codec::status_done || status == codec::status_cancelled) finals_.add(id, status);
+    if (status == codec::status_done || status == codec::status_cancelled)
+        finals_.add(id, status);
 }
 
 bool Gateway::tell_final(const std::string& id, const Responder& res) const {
     const auto* status = finals_.find(id);
-    if (status != nullptr) res.send(200, codec::job_answer(id, *status));
+    if (status != nullptr)
+        res.send(200, codec::job_answer(id, *status));
     return status != nullptr;
 }
 
@@ -117,14 +130,16 @@
     const double t = later_.now();
     const bool lost = members_.store() == membership::Reach::lost;
     if (lost || lookups_ > most_lookups || !reads_.take(id, t)) {
-        if (!lost) reads_.refused(id, t);
+        if (!lost)
+            reads_.refused(id, t);
         ++took_.refused;
         return done({});
     }
     ++lookups_;
     auto end = [this, id, done = std::move(done)](Found f) {
         --lookups_;
-        if (f.known) remember_final(id, f.status);
+        if (f.known)
+            remember_final(id, f.status);
         done(std::move(f));
     };
     // Whether it said something: there is a final state, or there is none.
@@ -140,19 +155,22 @@
     store_.get("f/" + id, s_.report_s / 3, [this, id, final_of, end = std::move(end)](store::Answer&& first) {
         Found f;
         // A damaged one may be told by what is left of the job's record.
-        if (!final_of(first, f) ? first.status != 200 : !f.status.empty()) return end(std::move(f));
+        if (!final_of(first, f) ? first.status != 200 : !f.status.empty())
+            return end(std::move(f));
         reads_.spend(later_.now(), 2);
         store_.get("j/" + id, s_.report_s / 3, [this, id, final_of, end](store::Answer&& r) {
             Found g;
             g.job = std::move(r.item);
-            if (r.status != 404 && !g.job) return end({});
+            if (r.status != 404 && !g.job)
+                return end({});
             store_.get("f/" + id, s_.report_s / 3, [final_of, end, g = std::move(g)](store::Answer&& last) mutable {
                 if (!final_of(last, g) && last.status == 200 && g.job)
                     if (const auto j = codec::stored_job(g.job->value, 0); j && !j->final.empty()) {
                         g.status = j->final;
                         g.known = true;
                     }
-                if (g.known && g.status.empty() && g.job) g.status = codec::status_pending;
+                if (g.known && g.status.empty() && g.job)
+                    g.status = codec::status_pending;
                 end(std::move(g));
             });
         });
@@ -173,15 +191,18 @@
     if (const auto v = known_here(id); v)
         return res.send(200, codec::job_answer(id, v->status, v->done, v->running));
     look_up(id, [id, res](Found f) {
-        if (!f.known) return res.send(503, not_now, retry_soon_s);
-        if (f.status.empty()) return res.send(404, error_answer("no such job"));
+        if (!f.known)
+            return res.send(503, not_now, retry_soon_s);
+        if (f.status.empty())
+            return res.send(404, error_answer("no such job"));
         res.send(200, codec::job_answer(id, f.status, 0, 0));
     });
 }
 
 void Gateway::cancel(const std::string& id, HttpRequest&& r, Responder res, bool passed_on) {
     if (host_.acting() == nullptr) {
-        if (passed_on) return res.send(503, not_now, retry_soon_s);
+        if (passed_on)
+            return res.send(503, not_now, retry_soon_s);
         // Only the holder decides, so that its answers from memory are never old.
         return pass_on(std::make_shared<HttpRequest>(std::move(r)), std::move(res), ways(true, false), look_up_s,
                        [](Responder x) { x.send(503, not_now, retry_soon_s); });
@@ -197,17 +218,23 @@
 
 void Gateway::answered(const CancelAnswer& a) {
     const auto it = cancels_.find(a.handle);
-    if (it == cancels_.end()) return;
+    if (it == cancels_.end())
+        return;
     auto open = std::move(it->second);
     cancels_.erase(it);
-    if (!a.status.empty()) return open.res.send(200, codec::job_answer(open.id, a.status));
+    if (!a.status.empty())
+        return open.res.send(200, codec::job_answer(open.id, a.status));
     look_up(open.id, [this, gen = generation_, open](Found f) {
-        if (!f.known || gen != generation_) return open.res.send(503, not_now, retry_soon_s);
-        if (f.status.empty()) return open.res.send(404, error_answer("no such job"));
-        if (f.status != codec::status_pending) return open.res.send(200, codec::job_answer(open.id, f.status));
+        if (!f.known || gen != generation_)
+            return open.res.send(503, not_now, retry_soon_s);
+        if (f.status.empty())
+            return open.res.send(404, error_answer("no such job"));
+        if (f.status != codec::status_pending)
+            return open.res.send(200, codec::job_answer(open.id, f.status));
         auto j = f.job ? codec::stored_job(f.job->value, later_.wall()) : std::nullopt;
         // A damaged record: nobody can do anything with such a job.
-        if (!j) return open.res.send(503, not_now, retry_soon_s);
+        if (!j)
+            return open.res.send(503, not_now, retry_soon_s);
         host_.push(job_stored(std::move(*j), later_.wall()));
         ask_core_to_cancel(open.id, open.res);
     });
@@ -231,20 +258,28 @@
 std::string Gateway::impossible(const JobSpec& s) const {
     const TeamLimits* team = nullptr;
     for (const auto& t : s_.teams)
-        if (t.name == s.team) team = &t;
-    if (team == nullptr) return "owner: unknown team";
+        if (t.name == s.team)
+            team = &t;
+    if (team == nullptr)
+        return "owner: unknown team";
     const double n = s.shape == Shape::array ? 1 : s.tasks;
-    if (team->cpus_max > 0 && s.each.cpus * n > team->cpus_max + 1e-6) return "cpus: beyond the team's limit";
-    if (team->gpus_max > 0 && s.each.gpus * n > team->gpus_max + 1e-6) return "accelerators: beyond the team's limit";
-    if (std::find(s.needs.begin(), s.needs.end(), s.id) != s.needs.end()) return "waitsOn: names the job itself";
+    if (team->cpus_max > 0 && s.each.cpus * n > team->cpus_max + 1e-6)
+        return "cpus: beyond the team's limit";
+    if (team->gpus_max > 0 && s.each.gpus * n > team->gpus_max + 1e-6)
+        return "accelerators: beyond the team's limit";
+    if (std::find(s.needs.begin(), s.needs.end(), s.id) != s.needs.end())
+        return "waitsOn: names the job itself";
     // Its longest record, with the times written out.
     const auto record = codec::to_record({s, 1e9 + 0.123456, 1e9 + 0.123456, !s.needs.empty(), {}}).dump().size() + 40;
     if (record > static_cast<std::size_t>(s_.value_kb * 1024))
         return fmt::format("the job's record is longer than the {} KiB that the state service takes", s_.value_kb);
     for (const auto& t : host_.types()) {
-        if (!s.types.empty() && std::find(s.types.begin(), s.types.end(), t.name) == s.types.end()) continue;
-        if (!s.zone.empty() && std::find(t.zones.begin(), t.zones.end(), s.zone) == t.zones.end()) continue;
-        if (s.each.fits(t.room)) return {};
+        if (!s.types.empty() && std::find(s.types.begin(), s.types.end(), t.name) == s.types.end())
+            continue;
+        if (!s.zone.empty() && std::find(t.zones.begin(), t.zones.end(), s.zone) == t.zones.end())
+            continue;
+        if (s.each.fits(t.room))
+            return {};
     }
     return "a task fits no allowed machine type";
 }
@@ -264,18 +299,24 @@
         // Even then a known id gets its state.
         if (const auto j = codec::parse(r.body); j.is_object() && j.contains("id") && j["id"].is_string())
             id = j["id"].get<std::string>();
-        if (!codec::valid_job_id(id)) return res.send(400, error_answer(refusal));
+        if (!codec::valid_job_id(id))
+            return res.send(400, error_answer(refusal));
     } else {
         id = std::get<JobSpec>(parsed).id;
     }
-    if (tell_final(id, res)) return;
-    if (const auto v = known_here(id); v) return res.send(200, codec::job_answer(id, v->status));
+    if (tell_final(id, res))
+        return;
+    if (const auto v = known_here(id); v)
+        return res.send(200, codec::job_answer(id, v->status));
     if (status == 0) {
-        if (host_.types().empty()) return res.send(503, not_now, retry_soon_s);
+        if (host_.types().empty())
+            return res.send(503, not_now, retry_soon_s);
         refusal = impossible(std::get<JobSpec>(parsed));
-        if (!refusal.empty()) status = 422;
+        if (!refusal.empty())
+            status = 422;
     }
-    if (status != 0) return refuse_unless_known(id, status, refusal, res);
+    if (status != 0)
+        return refuse_unless_known(id, status, refusal, res);
     auto s = std::make_shared<Submission>(Submission{std::move(std::get<JobSpec>(parsed)),
                                                      std::make_shared<HttpRequest>(std::move(r)), std::move(res),
                                                      passed_on, later_.now(), 0, 0});
@@ -285,8 +326,10 @@
 // A known id gets its state, whatever else is wrong.
 void Gateway::refuse_unless_known(const std::string& id, int status, const std::string& why, const Responder& res) {
     look_up(id, [id, res, status, why](Found f) {
-        if (!f.known) return res.send(503, not_now, retry_soon_s);
-        if (!f.status.empty()) return res.send(200, codec::job_answer(id, f.status));
+        if (!f.known)
+            return res.send(503, not_now, retry_soon_s);
+        if (!f.status.empty())
+            return res.send(200, codec::job_answer(id, f.status));
         res.send(status, error_answer(why));
     });
 }
@@ -312,10 +355,12 @@
     };
     for (; s->next_need < s->spec.needs.size(); ++s->next_need) {
         const auto& id = s->spec.needs[s->next_need];
-        if (accepted_.contains(id)) continue;
+        if (accepted_.contains(id))
+            continue;
         const auto* core = host_.acting();
         if (const auto shape = core != nullptr ? core->shape_of(id) : std::nullopt; shape) {
-            if (*shape == Shape::service) return refuse(id + " is a service");
+            if (*shape == Shape::service)
+                return refuse(id + " is a service");
             continue;
         }
         if (!reads_.would_take(id, later_.now(), 1) || lookups_ > most_lookups) {
@@ -326,10 +371,13 @@
             return later_.after(s_.report_s / 60, [this, s] { check_needs(s); });
         }
         return look_up(id, [this, s, id, refuse](Found f) {
-            if (!f.known) return s->res.send(503, not_now, retry_soon_s);
-            if (f.status.empty()) return refuse(id + " was never accepted");
+            if (!f.known)
+                return s->res.send(503, not_now, retry_soon_s);
+            if (f.status.empty())
+                return refuse(id + " was never accepted");
             const auto j = f.job ? codec::stored_job(f.job->value, later_.wall()) : std::nullopt;
-            if (f.service || (j && j->spec.shape == Shape::service)) return refuse(id + " is a service");
+            if (f.service || (j && j->spec.shape == Shape::service))
+                return refuse(id + " is a service");
             accepted_.add(id, true);
             check_needs(s);
         });
@@ -354,13 +402,15 @@
     const bool waits = !s->spec.needs.empty();
     if (r.status == 200) {
         took_.submit.add(later_.now() - began);
-        if (s->spec.shape != Shape::service) accepted_.add(id, true);
+        if (s->spec.shape != Shape::service)
+            accepted_.add(id, true);
         host_.stored(JobStored{std::move(s->spec), std::max(0.0, later_.wall() - at), -1, waits});
         return s->res.send(201, codec::job_answer(id, codec::status_pending));
     }
     if (r.status == 409)
         return look_up(id, [id, res = s->res](Found f) {
-            if (!f.known || f.status.empty()) return res.send(503, not_now, retry_soon_s);
+            if (!f.known || f.status.empty())
+                return res.send(503, not_now, retry_soon_s);
             res.send(200, codec::job_answer(id, f.status));
         });
     // The budget is shared: a moment later there may be room.
@@ -372,7 +422,8 @@
         x.send(503, not_now, retry_soon_s);
     };
     // A process of the version before would take a chained job for one that may start.
-    if (s->passed_on || waits || r.status == 429) return refuse(s->res);
+    if (s->passed_on || waits || r.status == 429)
+        return refuse(s->res);
     pass_on(s->request, s->res, ways(true, true), submit_s, refuse);
 }
 
--- a/src/http.cpp
+++ b/src/http.cpp
@@ -12,17 +12,28 @@
 
 const char* reason(int status) {
     switch (status) {
-    case 200: return "OK";
-    case 201: return "Created";
-    case 400: return "Bad Request";
-    case 404: return "Not Found";
-    case 405: return "Method Not Allowed";
-    case 421: return "Misdirected Request";
-    case 422: return "Unprocessable Entity";
-    case 429: return "Too Many Requests";
-    case 503: return "Service Unavailable";
-    case 504: return "Gateway Timeout";
-    default: return "Status";
+    case 200:
+        return "OK";
+    case 201:
+        return "Created";
+    case 400:
+        return "Bad Request";
+    case 404:
+        return "Not Found";
+    case 405:
+        return "Method Not Allowed";
+    case 421:
+        return "Misdirected Request";
+    case 422:
+        return "Unprocessable Entity";
+    case 429:
+        return "Too Many Requests";
+    case 503:
+        return "Service Unavailable";
+    case 504:
+        return "Gateway Timeout";
+    default:
+        return "Status";
     }
 }
 
@@ -53,7 +64,8 @@
     const uv_buf_t rest = uv_buf_init(w->data.data() + sent, static_cast<unsigned>(w->data.size() - sent));
     const int e = uv_write(&w->req, reinterpret_cast<uv_stream_t*>(tcp), &rest, 1,
                            [](uv_write_t* r, int) { delete static_cast<WriteOp*>(r->data); });
-    if (e != 0) delete w;
+    if (e != 0)
+        delete w;
     return e;
 }
 
@@ -82,17 +94,20 @@
         uv_tcp_nodelay(tcp_, 1);
         uv_read_start(reinterpret_cast<uv_stream_t*>(tcp_), give_buffer,
                       [](uv_stream_t* s, ssize_t n, const uv_buf_t* buf) {
-                          if (auto* c = static_cast<ServerConnection*>(s->data); c != nullptr) c->on_read(n, buf);
+                          if (auto* c = static_cast<ServerConnection*>(s->data); c != nullptr)
+                              c->on_read(n, buf);
                       });
     }
 
     void close() {
-        if (tcp_ == nullptr) return;
+        if (tcp_ == nullptr)
+            return;
         tcp_->data = nullptr;
         uv_close(reinterpret_cast<uv_handle_t*>(tcp_), [](uv_handle_t* h) { delete reinterpret_cast<uv_tcp_t*>(h); });
         tcp_ = nullptr;
         auto self = shared_from_this();
-        if (server_ != nullptr) server_->conns_.erase(self);
+        if (server_ != nullptr)
+            server_->conns_.erase(self);
     }
 
     void orphan() {
@@ -100,34 +115,43 @@
     }
 
     void respond(int status, std::string_view body, int retry_after_s) {
-        if (tcp_ == nullptr || !busy_) return;
+        if (tcp_ == nullptr || !busy_)
+            return;
         busy_ = false;
         last_ = steady_now(tcp_->loop);
         auto head = fmt::format("HTTP/1.1 {} {}\r\nContent-Type: application/json\r\nContent-Length: {}\r\n", status,
                                 reason(status), body.size());
-        if (retry_after_s > 0) head += fmt::format("Retry-After: {}\r\n", retry_after_s);
-        if (!keep_) head += "Connection: close\r\n";
+        if (retry_after_s > 0)
+            head += fmt::format("Retry-After: {}\r\n", retry_after_s);
+        if (!keep_)
+            head += "Connection: close\r\n";
         head += "\r\n";
         head += body;
         const int e = write_all(tcp_, std::move(head));
-        if (e != 0 || !keep_) return close();
+        if (e != 0 || !keep_)
+            return close();
     }
 
     // A request that takes too long to arrive, or an idle connection.
     [[nodiscard]] bool stale(double now, double idle_s) const {
-        if (busy_) return false;
+        if (busy_)
+            return false;
         return now - last_ > (receiving_ ? idle_s / 4 : idle_s);
     }
 
 private:
     void on_read(ssize_t n, const uv_buf_t* buf) {
-        if (n == 0) return;
+        if (n == 0)
+            return;
         auto self = shared_from_this();
-        if (n < 0) return close();
-        if (busy_) return bad(); // pipelining is not part of the protocol
+        if (n < 0)
+            return close();
+        if (busy_)
+            return bad(); // pipelining is not part of the protocol
         static const http_parser_settings callbacks = make_callbacks();
         const auto used = http_parser_execute(&parser_, &callbacks, buf->base, static_cast<std::size_t>(n));
-        if (tcp_ == nullptr) return;
+        if (tcp_ == nullptr)
+            return;
         if (HTTP_PARSER_ERRNO(&parser_) == HPE_PAUSED) {
             http_parser_pause(&parser_, 0);
             complete();
@@ -154,7 +178,8 @@
         auto r = std::move(request_);
         request_ = {};
         url_.clear();
-        if (server_ == nullptr) return;
+        if (server_ == nullptr)
+            return;
         server_->handler_(std::move(r), Responder(shared_from_this()));
     }
 
@@ -196,8 +221,10 @@
 };
 
 void Responder::send(int status, std::string_view body, int retry_after_s) const {
-    if (conn_) conn_->respond(status, body, retry_after_s);
-    if (direct_) direct_->send(status, body, retry_after_s);
+    if (conn_)
+        conn_->respond(status, body, retry_after_s);
+    if (direct_)
+        direct_->send(status, body, retry_after_s);
 }
 
 HttpServer::HttpServer(uv_loop_t* loop, std::size_t most, double idle_s, Handler handler)
@@ -216,14 +243,16 @@
 
 int HttpServer::listen(const Endpoint& at) {
     sockaddr_in addr{};
-    if (!sockaddr_of(at.host, at.port, addr)) return UV_EINVAL;
+    if (!sockaddr_of(at.host, at.port, addr))
+        return UV_EINVAL;
     tcp_ = new uv_tcp_t;
     uv_tcp_init(loop_, tcp_);
     tcp_->data = this;
     int e = uv_tcp_bind(tcp_, reinterpret_cast<const sockaddr*>(&addr), 0);
     if (e == 0)
         e = uv_listen(reinterpret_cast<uv_stream_t*>(tcp_), 512, [](uv_stream_t* s, int status) {
-            if (status == 0) static_cast<HttpServer*>(s->data)->accept();
+            if (status == 0)
+                static_cast<HttpServer*>(s->data)->accept();
         });
     return e;
 }
@@ -231,7 +260,8 @@
 int HttpServer::port() const {
     sockaddr_in addr{};
     int size = sizeof addr;
-    if (tcp_ == nullptr || uv_tcp_getsockname(tcp_, reinterpret_cast<sockaddr*>(&addr), &size) != 0) return 0;
+    if (tcp_ == nullptr || uv_tcp_getsockname(tcp_, reinterpret_cast<sockaddr*>(&addr), &size) != 0)
+        return 0;
     return ntohs(addr.sin_port);
 }
 
@@ -250,8 +280,10 @@
     const double now = steady_now(loop_);
     std::vector<std::shared_ptr<ServerConnection>> old;
     for (const auto& c : conns_)
-        if (c->stale(now, idle_s_)) old.push_back(c);
-    for (const auto& c : old) c->close();
+        if (c->stale(now, idle_s_))
+            old.push_back(c);
+    for (const auto& c : old)
+        c->close();
 }
 
 struct HttpClient::Connection {
@@ -266,7 +298,8 @@
     double idle_since = 0;
 
     void close() {
-        if (tcp == nullptr) return;
+        if (tcp == nullptr)
+            return;
         tcp->data = nullptr;
         uv_close(reinterpret_cast<uv_handle_t*>(tcp), [](uv_handle_t* h) { delete reinterpret_cast<uv_tcp_t*>(h); });
         tcp = nullptr;
@@ -285,12 +318,15 @@
             out += fmt::format("Content-Type: application/json\r\nContent-Length: {}\r\n", job.body.size());
         out += "\r\n";
         out += job.body;
-        if (write_all(tcp, std::move(out)) != 0) client->finish(this, {0, {}, true}, false);
+        if (write_all(tcp, std::move(out)) != 0)
+            client->finish(this, {0, {}, true}, false);
     }
 
     void on_read(ssize_t n, const uv_buf_t* buf) {
-        if (n == 0) return;
-        if (!busy) return client->finish(this, {}, false);
+        if (n == 0)
+            return;
+        if (!busy)
+            return client->finish(this, {}, false);
         static const http_parser_settings callbacks = make_callbacks();
         // At the end of the stream the parser is told so: a body without length ends there.
         http_parser_execute(&parser, &callbacks, buf->base, n < 0 ? 0 : static_cast<std::size_t>(n));
@@ -298,7 +334,8 @@
             const bool keep = n > 0 && http_should_keep_alive(&parser) != 0;
             return client->finish(this, {static_cast<int>(parser.status_code), std::move(body), true}, keep);
         }
-        if (n < 0 || HTTP_PARSER_ERRNO(&parser) != HPE_OK) client->finish(this, {0, {}, true}, false);
+        if (n < 0 || HTTP_PARSER_ERRNO(&parser) != HPE_OK)
+            client->finish(this, {0, {}, true}, false);
     }
 
     static http_parser_settings make_callbacks() {
@@ -344,8 +381,10 @@
     while (!pool.waiting.empty()) {
         Connection* free = nullptr;
         for (auto* c : pool.conns)
-            if (!c->busy) free = c;
-        if (free == nullptr && pool.conns.size() >= most_) return;
+            if (!c->busy)
+                free = c;
+        if (free == nullptr && pool.conns.size() >= most_)
+            return;
         auto job = std::move(pool.waiting.front());
         pool.waiting.pop_front();
         if (free != nullptr) {
@@ -376,12 +415,15 @@
             uv_tcp_connect(req, c->tcp, reinterpret_cast<const sockaddr*>(&to), [](uv_connect_t* r, int status) {
                 auto* conn = static_cast<Connection*>(r->handle->data);
                 delete r;
-                if (conn == nullptr) return;
-                if (status != 0) return conn->client->finish(conn, {}, false);
+                if (conn == nullptr)
+                    return;
+                if (status != 0)
+                    return conn->client->finish(conn, {}, false);
                 conn->connected = true;
                 uv_read_start(reinterpret_cast<uv_stream_t*>(conn->tcp), give_buffer,
                               [](uv_stream_t* s, ssize_t n, const uv_buf_t* buf) {
-                                  if (auto* k = static_cast<Connection*>(s->data); k != nullptr) k->on_read(n, buf);
+                                  if (auto* k = static_cast<Connection*>(s->data); k != nullptr)
+                                      k->on_read(n, buf);
                               });
                 conn->send();
             });
@@ -405,7 +447,8 @@
         c->close();
         delete c;
     }
-    if (was_busy && done) done(std::move(reply));
+    if (was_busy && done)
+        done(std::move(reply));
     pump(addr);
 }
 
@@ -416,7 +459,8 @@
     for (auto it = pools_.begin(); it != pools_.end();) {
         auto& pool = it->second;
         for (auto* c : pool.conns)
-            if (c->busy ? now > c->job.deadline : now - c->idle_since > 30) late.push_back(c);
+            if (c->busy ? now > c->job.deadline : now - c->idle_since > 30)
+                late.push_back(c);
         while (!pool.waiting.empty() && now > pool.waiting.front().deadline) {
             unsent.push_back(std::move(pool.waiting.front()));
             pool.waiting.pop_front();
@@ -428,9 +472,11 @@
         bool alive = false;
         for (const auto& [addr, pool] : pools_)
             alive = alive || std::find(pool.conns.begin(), pool.conns.end(), c) != pool.conns.end();
-        if (alive) finish(c, {0, {}, c->used}, false);
+        if (alive)
+            finish(c, {0, {}, c->used}, false);
     }
-    for (auto& w : unsent) w.done({});
+    for (auto& w : unsent)
+        w.done({});
 }
 
 } // namespace heronshift
--- a/src/ledger/ledger.cpp
+++ b/src/ledger/ledger.cpp
@@ -17,7 +17,8 @@
     st_.term = term;
     st_.now = st_.started = now;
     st_.wall = wall;
-    for (const auto& t : settings.teams) st_.teams.push_back({t, {}, {}});
+    for (const auto& t : settings.teams)
+        st_.teams.push_back({t, {}, {}});
 }
 
 Job* Ledger::find_job(const std::string& id) {
@@ -26,7 +27,8 @@
 }
 
 void Ledger::add_job(JobStored& c) {
-    if (st_.jobs.contains(c.spec.id) || recent_.contains(c.spec.id)) return;
+    if (st_.jobs.contains(c.spec.id) || recent_.contains(c.spec.id))
+        return;
     auto j = std::make_unique<Job>();
     j->spec = std::move(c.spec);
     j->submitted = st_.now - c.age_s;
@@ -35,16 +37,19 @@
     j->zone_live.resize(st_.settings.zones.size() + 1);
     if (j->spec.shape == Shape::service)
         for (const auto& o : st_.settings.objectives)
-            if (o.kind == "wait" && o.job_class == j->spec.job_class) j->start_within_s = o.within_s;
+            if (o.kind == "wait" && o.job_class == j->spec.job_class)
+                j->start_within_s = o.within_s;
     j->image = image_id(j->spec.image, j->spec.image_gb);
     for (std::size_t i = 0; i < st_.teams.size(); ++i)
-        if (st_.teams[i].limits.name == j->spec.team) j->team = static_cast<int>(i);
+        if (st_.teams[i].limits.name == j->spec.team)
+            j->team = static_cast<int>(i);
     auto& stored = *j;
     books_->added(stored);
     st_.jobs.emplace(j->spec.id, std::move(j));
     if (const auto it = needed_by_.find(stored.spec.id); it != needed_by_.end())
         for (const auto& by : it->second)
-            if (auto* n = find_job(by); n != nullptr) raise_needs(*n);
+            if (auto* n = find_job(by); n != nullptr)
+                raise_needs(*n);
     if (c.waits)
         wait_for_needs(stored);
     else
@@ -55,7 +60,8 @@
 // placed early, so its place is near the front.
 void Ledger::queue_task(Job& j, std::uint32_t index) {
     auto& t = j.tasks[index];
-    if (t.queued || t.done || t.live > 0) return;
+    if (t.queued || t.done || t.live > 0)
+        return;
     t.queued = true;
     auto& p = j.pending;
     p.insert(p.empty() || p.back() < index ? p.end() : std::lower_bound(p.begin(), p.end(), index), index);
@@ -74,7 +80,8 @@
         return;
     }
     j->cancels.push_back(c.handle);
-    if (j->final == Final::none) finalize(*j, Final::cancelled);
+    if (j->final == Final::none)
+        finalize(*j, Final::cancelled);
 }
 
 void Ledger::finalize(Job& j, Final f, bool taken_along) {
@@ -84,7 +91,8 @@
     note(0, fmt::format("job {} of class {}, {} tasks, {} {:.1f} s after it was submitted{}", j.spec.id,
                         j.spec.job_class, j.spec.tasks, f == Final::done ? "done" : "cancelled", st_.now - j.submitted,
                         j.spec.deadline_s >= 0 ? fmt::format(", due after {:.1f} s", j.spec.deadline_s) : ""));
-    for (auto& e : j.entries) stop_entry(*e, 0);
+    for (auto& e : j.entries)
+        stop_entry(*e, 0);
     dirty_ = true;
     if (f != Final::cancelled)
         books_->final_due(j, Bookkeeping::Urgency::done);
@@ -106,13 +114,16 @@
 void Ledger::store_cancellation(Job& j) {
     const auto open = std::count_if(j.entries.begin(), j.entries.end(), [](const auto& e) { return launch_open(*e); });
     j.open_launches = static_cast<std::uint32_t>(open);
-    if (open == 0) books_->final_due(j, Bookkeeping::Urgency::cancelled);
+    if (open == 0)
+        books_->final_due(j, Bookkeeping::Urgency::cancelled);
 }
 
 void Ledger::launch_settled(Job& j) {
-    if (j.open_launches == 0) return;
+    if (j.open_launches == 0)
+        return;
     --j.open_launches;
-    if (j.open_launches == 0) books_->final_due(j, Bookkeeping::Urgency::cancelled);
+    if (j.open_launches == 0)
+        books_->final_due(j, Bookkeeping::Urgency::cancelled);
 }
 
 Entry& Ledger::add_entry(Machine& m, Job& j, std::uint32_t index, std::uint64_t try_no) {
@@ -129,13 +140,16 @@
     j.entries.emplace_back(&e);
     books_->added(e);
     m.used += j.spec.each;
-    if (j.spec.shape != Shape::array) m.firm += j.spec.each;
+    if (j.spec.shape != Shape::array)
+        m.firm += j.spec.each;
     m.empty_since = -1;
     ++j.live;
     ++j.tasks[index].live;
-    if (m.pool) ++j.on_pool;
+    if (m.pool)
+        ++j.on_pool;
     ++j.zone_live[m.zone < 0 ? st_.settings.zones.size() : static_cast<std::size_t>(m.zone)];
-    if (j.team >= 0) st_.teams[static_cast<std::size_t>(j.team)].used += j.spec.each;
+    if (j.team >= 0)
+        st_.teams[static_cast<std::size_t>(j.team)].used += j.spec.each;
     use_image(m, j.image, false);
     return e;
 }
@@ -144,7 +158,8 @@
     auto& m = *gone.machine;
     auto& j = *gone.job;
     books_->removed(gone);
-    if (gone.at_job + 1 < j.entries.size()) j.entries[gone.at_job] = std::move(j.entries.back());
+    if (gone.at_job + 1 < j.entries.size())
+        j.entries[gone.at_job] = std::move(j.entries.back());
     j.entries[gone.at_job]->at_job = gone.at_job;
     j.entries.pop_back();
     const auto owned = std::move(m.entries[gone.at_machine]);
@@ -154,39 +169,50 @@
     }
     m.entries.pop_back();
     const Entry& e = *owned;
-    if (launch_open(e)) launch_settled(j);
+    if (launch_open(e))
+        launch_settled(j);
     m.used -= j.spec.each;
-    if (j.spec.shape != Shape::array) m.firm -= j.spec.each;
+    if (j.spec.shape != Shape::array)
+        m.firm -= j.spec.each;
     if (m.entries.empty()) {
         m.used = m.firm = {};
         m.empty_since = st_.now;
     }
     --j.live;
     --j.tasks[e.index].live;
-    if (j.on_pool > 0 && m.pool) --j.on_pool;
-    if (e.phase == Phase::running && j.running > 0) --j.running;
+    if (j.on_pool > 0 && m.pool)
+        --j.on_pool;
+    if (e.phase == Phase::running && j.running > 0)
+        --j.running;
     --j.zone_live[m.zone < 0 ? st_.settings.zones.size() : static_cast<std::size_t>(m.zone)];
-    if (j.team >= 0) st_.teams[static_cast<std::size_t>(j.team)].used -= j.spec.each;
+    if (j.team >= 0)
+        st_.teams[static_cast<std::size_t>(j.team)].used -= j.spec.each;
     const bool open = j.final == Final::none && !j.tasks[e.index].done;
-    if (open) queue_task(j, e.index);
+    if (open)
+        queue_task(j, e.index);
     // What a stale record named of an earlier attempt says nothing about this one.
-    if (j.spec.shape == Shape::gang && open && e.try_no == j.gang_try) break_gang(j);
+    if (j.spec.shape == Shape::gang && open && e.try_no == j.gang_try)
+        break_gang(j);
     if (j.live == 0) {
         j.gang_breaking = false;
-        if (j.final != Final::none && j.final_stored) books_->final_due(j, Bookkeeping::Urgency::done);
+        if (j.final != Final::none && j.final_stored)
+            books_->final_due(j, Bookkeeping::Urgency::done);
     }
     dirty_ = true;
 }
 
 // A gang that lost a task is stopped whole; it starts again once every old task is proven gone.
 void Ledger::break_gang(Job& j) {
-    if (j.gang_breaking || j.live == 0) return;
+    if (j.gang_breaking || j.live == 0)
+        return;
     j.gang_breaking = true;
-    for (auto& e : j.entries) stop_entry(*e, 0);
+    for (auto& e : j.entries)
+        stop_entry(*e, 0);
 }
 
 void Ledger::stop_entry(Entry& e, double drain_s) {
-    if (e.stop && e.drain_s <= drain_s) return;
+    if (e.stop && e.drain_s <= drain_s)
+        return;
     e.stop = true;
     e.drain_s = drain_s;
     e.stop_at = -1;
@@ -195,7 +221,8 @@
 
 void Ledger::mark_done(Job& j, std::uint32_t index) {
     auto& t = j.tasks[index];
-    if (t.done) return;
+    if (t.done)
+        return;
     t.done = true;
     ++j.done;
     j.had_success = true;
@@ -203,11 +230,13 @@
     j.unstored.push_back(index);
     if (j.spec.shape == Shape::gang && j.done < j.spec.tasks) {
         // A gang completes together: if one task is done, all are.
-        for (auto& x : j.tasks) x.done = true;
+        for (auto& x : j.tasks)
+            x.done = true;
         j.done = j.spec.tasks;
     }
     if (j.done == j.spec.tasks) {
-        if (j.final == Final::none) finalize(j, Final::done);
+        if (j.final == Final::none)
+            finalize(j, Final::done);
     } else {
         books_->progressed(j);
     }
@@ -226,20 +255,23 @@
         mark_done(j, e.index);
         break;
     case ExitCause::stopped:
-        if (t.saved && e.running_at >= 0) task.saved_s += static_cast<float>(st_.now - e.running_at);
+        if (t.saved && e.running_at >= 0)
+            task.saved_s += static_cast<float>(st_.now - e.running_at);
         break;
     case ExitCause::error:
         note(1, fmt::format("task {}/{} failed on {}", j.spec.id, e.index, m.id));
         j.error_machines.insert(m.id);
         ++j.error_streak;
-        if (task.failures < 200) ++task.failures;
+        if (task.failures < 200)
+            ++task.failures;
         if (!j.had_success && j.error_machines.size() >= 3) {
             // The same job failing on several machines: the job is at fault. It is tried again
             // with a growing pause and takes no machine down with it.
             j.not_before = st_.now + std::min(st_.settings.lease_s * 3,
                                               st_.settings.report_s * (1 << std::min(j.error_streak, 6)));
             for (const auto& id : j.error_machines)
-                if (auto* x = find_machine(id); x != nullptr) x->failed_jobs.erase(j.spec.id);
+                if (auto* x = find_machine(id); x != nullptr)
+                    x->failed_jobs.erase(j.spec.id);
         } else {
             m.failed_jobs.insert(j.spec.id);
             m.avoid_until = std::max(m.avoid_until, st_.now + st_.settings.lease_s);
@@ -256,25 +288,36 @@
         m.avoid_until = std::max(m.avoid_until, st_.now + st_.settings.report_s);
         j.not_before = std::max(j.not_before, st_.now + st_.settings.report_s / 3);
         break;
-    default: break;
+    default:
+        break;
     }
 }
 
 void Ledger::note_seen(Entry& e) {
     const bool was_open = launch_open(e);
     e.seen = true;
-    if (was_open) launch_settled(*e.job);
+    if (was_open)
+        launch_settled(*e.job);
 }
 
 void Ledger::update_entry(Entry& e, const ReportedTask& t) {
     note_seen(e);
     const auto was = e.phase;
     switch (t.state) {
-    case TaskState::fetching: e.phase = Phase::fetching; break;
-    case TaskState::waiting: e.phase = Phase::waiting; break;
-    case TaskState::running: e.phase = Phase::running; break;
-    case TaskState::saving: e.phase = Phase::saving; break;
-    case TaskState::ended: break;
+    case TaskState::fetching:
+        e.phase = Phase::fetching;
+        break;
+    case TaskState::waiting:
+        e.phase = Phase::waiting;
+        break;
+    case TaskState::running:
+        e.phase = Phase::running;
+        break;
+    case TaskState::saving:
+        e.phase = Phase::saving;
+        break;
+    case TaskState::ended:
+        break;
     }
     auto& j = *e.job;
     if (e.phase == Phase::running && was != Phase::running) {
@@ -284,19 +327,23 @@
             note(0, fmt::format("task {}/{} runs on {}, {:.1f} s after it was placed, {:.1f} s after its job was ready",
                                 j.spec.id, e.index, e.machine->id, st_.now - e.placed_at, st_.now - j.ready));
         }
-        if (j.first_start < 0) j.first_start = st_.now;
+        if (j.first_start < 0)
+            j.first_start = st_.now;
     } else if (was == Phase::running && e.phase != Phase::running && j.running > 0) {
         --j.running;
     }
-    if (e.phase == Phase::running || e.phase == Phase::waiting) use_image(*e.machine, j.image, true);
+    if (e.phase == Phase::running || e.phase == Phase::waiting)
+        use_image(*e.machine, j.image, true);
 }
 
 std::optional<JobView> Ledger::job(const std::string& id) const {
     const auto it = st_.jobs.find(id);
-    if (stepped_down_) return {};
+    if (stepped_down_)
+        return {};
     if (it == st_.jobs.end()) {
         const auto* r = recent_.find(id);
-        if (r == nullptr) return {};
+        if (r == nullptr)
+            return {};
         return JobView{*r == Final::done ? codec::status_done : codec::status_cancelled, 0, 0};
     }
     const auto& j = *it->second;
@@ -324,7 +371,8 @@
 
 // Work that arrays bring, averaged over a while: what is kept for those to come.
 void Ledger::offer(const Job& j) {
-    if (j.spec.shape != Shape::array) return;
+    if (j.spec.shape != Shape::array)
+        return;
     auto& l = st_.learned;
     const double over = st_.average_s();
     const double left = std::exp(-(st_.now - l.offered_at) / over);
@@ -341,7 +389,8 @@
 // Tasks of one job take much the same time, so the longest of those that are through tells what is
 // too long, long before any estimate would.
 void Ledger::note_run(Job& j, const Machine& m, double ran) {
-    if (j.spec.shape != Shape::array) return;
+    if (j.spec.shape != Shape::array)
+        return;
     if (j.spec.estimate_s > 0) {
         // On some days most estimates are too low: sums, since single ones are often wrong by half.
         auto& l = st_.learned;
@@ -350,7 +399,8 @@
     }
     ++j.runs;
     j.run_sum += ran;
-    if (st_.now >= m.slow_until) j.longest_run = std::max(j.longest_run, ran);
+    if (st_.now >= m.slow_until)
+        j.longest_run = std::max(j.longest_run, ran);
 }
 
 } // namespace heronshift::ledger
--- a/src/ledger/machines.cpp
+++ b/src/ledger/machines.cpp
@@ -29,10 +29,13 @@
             m.type = static_cast<int>(i);
             m.whole = st_.types[i].room;
         }
-    if (m.zone >= 0) return;
+    if (m.zone >= 0)
+        return;
     for (std::size_t i = 0; i < st_.settings.zones.size(); ++i)
-        if (st_.settings.zones[i] == m.zone_name) m.zone = static_cast<int>(i);
-    if (m.zone < 0) return;
+        if (st_.settings.zones[i] == m.zone_name)
+            m.zone = static_cast<int>(i);
+    if (m.zone < 0)
+        return;
     for (auto& e : m.entries) { // counted as in an unknown zone until now
         --e->job->zone_live[st_.settings.zones.size()];
         ++e->job->zone_live[static_cast<std::size_t>(m.zone)];
@@ -53,17 +56,21 @@
             last_words_.erase(id);
         }
         if (const auto hint = image_hints_.find(id); hint != image_hints_.end()) {
-            for (const auto image : hint->second) slot->images.push_back({image, true, st_.now});
+            for (const auto image : hint->second)
+                slot->images.push_back({image, true, st_.now});
             image_hints_.erase(hint);
         }
     }
-    if (!addr.empty()) slot->addr = addr;
+    if (!addr.empty())
+        slot->addr = addr;
     if (slot->type_name.empty() && !type.empty()) {
         slot->type_name = type;
         slot->spot = spot;
     }
-    if (slot->zone_name.empty()) slot->zone_name = zone;
-    if (slot->type < 0 || slot->zone < 0) bind_type(*slot);
+    if (slot->zone_name.empty())
+        slot->zone_name = zone;
+    if (slot->type < 0 || slot->zone < 0)
+        bind_type(*slot);
     return *slot;
 }
 
@@ -73,71 +80,86 @@
 
 int Ledger::image_id(const std::string& name, double gb) {
     const auto [it, fresh] = image_ids_.emplace(name, static_cast<int>(st_.image_gb.size()));
-    if (fresh) st_.image_gb.push_back(gb);
+    if (fresh)
+        st_.image_gb.push_back(gb);
     return it->second;
 }
 
 CachedImage* Ledger::cached(Machine& m, int image) {
     for (auto& c : m.images)
-        if (c.image == image) return &c;
+        if (c.image == image)
+            return &c;
     return nullptr;
 }
 
 // A machine keeps the images used last; what its cache cannot hold beside them is forgotten here too.
 void Ledger::use_image(Machine& m, int image, bool ready) {
     auto* c = cached(m, image);
-    if (c == nullptr) c = &m.images.emplace_back(CachedImage{image, false, st_.now});
+    if (c == nullptr)
+        c = &m.images.emplace_back(CachedImage{image, false, st_.now});
     c->used = st_.now;
-    if (!ready || c->ready) return;
+    if (!ready || c->ready)
+        return;
     c->ready = true;
-    if (m.type < 0) return;
+    if (m.type < 0)
+        return;
     double room = st_.types[static_cast<std::size_t>(m.type)].cache_gb;
     std::sort(m.images.begin(), m.images.end(), [](const auto& a, const auto& b) { return a.used > b.used; });
     for (std::size_t i = 0; i < m.images.size(); ++i) {
         room -= st_.image_gb[static_cast<std::size_t>(m.images[i].image)];
-        if (room >= 0 || i == 0) continue;
+        if (room >= 0 || i == 0)
+            continue;
         m.images.resize(i);
         return;
     }
 }
 
 void Ledger::want_orders(Machine& m) {
-    if (m.wants_orders) return;
+    if (m.wants_orders)
+        return;
     m.wants_orders = true;
     to_dispatch_.push_back(&m);
 }
 
 void Ledger::forget_machine(const std::string& id) {
     const auto it = st_.machines.find(id);
-    if (it == st_.machines.end()) return;
-    if (it->second->asked) --asking_;
+    if (it == st_.machines.end())
+        return;
+    if (it->second->asked)
+        --asking_;
     std::erase(to_dispatch_, it->second.get());
-    if (it->second->tenure > 0) last_words_.add(id, {it->second->tenure, it->second->counter});
+    if (it->second->tenure > 0)
+        last_words_.add(id, {it->second->tenure, it->second->counter});
     st_.machines.erase(it);
 }
 
 // All tasks here are gone for good; what a transaction under way names is settled by its outcome.
 void Ledger::lose_entries(Machine& m) {
     for (std::size_t i = m.entries.size(); i-- > 0;)
-        if (m.entries[i]->phase != Phase::storing) remove_entry(*m.entries[i]);
+        if (m.entries[i]->phase != Phase::storing)
+            remove_entry(*m.entries[i]);
 }
 
 bool Ledger::may_reap(const ReportedTask& t) {
-    if (t.cause != ExitCause::done) return true;
+    if (t.cause != ExitCause::done)
+        return true;
     const auto* j = find_job(t.job);
-    if (j == nullptr || j->final != Final::none) return true;
+    if (j == nullptr || j->final != Final::none)
+        return true;
     return t.index >= j->tasks.size() || j->tasks[t.index].stored;
 }
 
 Entry* Ledger::find_entry(Machine& m, const ReportedTask& t) {
     for (auto& e : m.entries)
-        if (e->index == t.index && e->try_no == t.try_no && e->job->spec.id == t.job) return e.get();
+        if (e->index == t.index && e->try_no == t.try_no && e->job->spec.id == t.job)
+            return e.get();
     return nullptr;
 }
 
 // Another holder has come: however old the report is.
 bool Ledger::outdated(const Machine& m, const Report& r) {
-    if (r.fence >> fence_bits <= st_.term) return false;
+    if (r.fence >> fence_bits <= st_.term)
+        return false;
     stepped_down_ = true;
     out_.push_back(StepDown{fmt::format("{} has seen fence {} above ours", m.id, r.fence)});
     return true;
@@ -145,9 +167,11 @@
 
 void Ledger::apply_report(Machine& m, const Report& r, std::vector<Order>& reaps) {
     const bool ours = r.fence >> fence_bits == st_.term;
-    if (ours && r.fence > m.fence) m.fence = r.fence;
+    if (ours && r.fence > m.fence)
+        m.fence = r.fence;
     const bool newer = r.tenure > m.tenure || (r.tenure == m.tenure && r.counter > m.counter);
-    if (!newer) return; // late: its task list is as old as the report
+    if (!newer)
+        return; // late: its task list is as old as the report
     if (ours) {
         st_.unproven_machines.erase(m.id);
         dirty_ = dirty_ || !m.proven;
@@ -160,7 +184,8 @@
                 ++counters_.lost;
                 remove_entry(*m.entries[i]);
             }
-        if (m.tenure > 0) began_anew(m);
+        if (m.tenure > 0)
+            began_anew(m);
         m.tenure = r.tenure;
         m.failed_jobs.clear();
         // The lease of a new tenure counts from its beginning, which was at the latest now: it holds
@@ -177,14 +202,16 @@
             m.up_since = st_.now;
             note(0, fmt::format("machine {} is up, {:.0f} s after it was asked for", m.id, st_.now - m.known_since));
         }
-        if (m.entries.empty()) m.empty_since = st_.now;
+        if (m.entries.empty())
+            m.empty_since = st_.now;
         dirty_ = true;
     }
     const auto mark = ++report_seq_;
     std::vector<std::pair<Entry*, const ReportedTask*>> ended;
     for (const auto& t : r.tasks) {
         auto* e = find_entry(m, t);
-        if (e != nullptr) e->listed = mark;
+        if (e != nullptr)
+            e->listed = mark;
         if (t.state == TaskState::ended) {
             if (e != nullptr) {
                 ended.emplace_back(e, &t);
@@ -193,7 +220,8 @@
             if (auto* j = find_job(t.job);
                 j != nullptr && t.cause == ExitCause::done && t.index < j->tasks.size() && j->final == Final::none)
                 mark_done(*j, t.index);
-            if (may_reap(t)) reaps.push_back({Verb::reap, t.job, t.index, t.try_no, 0});
+            if (may_reap(t))
+                reaps.push_back({Verb::reap, t.job, t.index, t.try_no, 0});
             continue;
         }
         if (e != nullptr) {
@@ -211,20 +239,24 @@
         auto& fresh = add_entry(m, *j, t.index, t.try_no);
         fresh.listed = mark;
         update_entry(fresh, t);
-        if (!wanted) stop_entry(fresh, 0);
+        if (!wanted)
+            stop_entry(fresh, 0);
     }
     // What is not listed is gone if it had been seen here before, or if the machine had by then
     // seen a fence above that of its launch, which can therefore no longer be executed.
     std::vector<Entry*> gone;
     for (auto& e : m.entries)
-        if (e->listed != mark && e->phase >= Phase::sent && (e->seen || r.fence > e->fence)) gone.push_back(e.get());
+        if (e->listed != mark && e->phase >= Phase::sent && (e->seen || r.fence > e->fence))
+            gone.push_back(e.get());
     for (const auto& [e, t] : ended) {
         task_exited(*e, *t);
         gone.push_back(e);
     }
-    for (auto* e : gone) remove_entry(*e);
+    for (auto* e : gone)
+        remove_entry(*e);
     for (const auto& [e, t] : ended)
-        if (may_reap(*t)) reaps.push_back({Verb::reap, t->job, t->index, t->try_no, 0});
+        if (may_reap(*t))
+            reaps.push_back({Verb::reap, t->job, t->index, t->try_no, 0});
     if (r.notice_s >= 0 && !m.draining) {
         note_spot_loss();
         m.draining = true;
@@ -257,7 +289,8 @@
     else if (now - m.told_at > st_.settings.report_s / 2)
         ++m.unheard;
     const bool deaf = m.unheard >= surely_unheard || now < m.deaf_until;
-    if (deaf == m.deaf()) return;
+    if (deaf == m.deaf())
+        return;
     m.deaf_since = deaf ? now : -1;
     dirty_ = true;
     note(1, deaf ? fmt::format("machine {} does not hear: its reports come, what they are answered does not reach it",
@@ -268,7 +301,8 @@
 void Ledger::note_copies() {
     const bool first = st_.now - copies_noted_at_ > st_.settings.lease_s;
     copies_noted_at_ = st_.now;
-    if (first) note(1, "old reports come late, they count for nothing");
+    if (first)
+        note(1, "old reports come late, they count for nothing");
 }
 
 std::vector<Order> Ledger::standing_orders(Machine& m) {
@@ -276,7 +310,8 @@
     for (auto& e : m.entries)
         if (e->stop && e->phase >= Phase::sent) {
             // A second stop of a saving task with no grace would end it before it has saved.
-            if (e->phase == Phase::saving && e->drain_s > 0) continue;
+            if (e->phase == Phase::saving && e->drain_s > 0)
+                continue;
             e->stop_at = st_.now;
             out.push_back({Verb::stop, e->job->spec.id, e->index, e->try_no, e->drain_s});
         }
@@ -294,7 +329,8 @@
         return refuse();
     }
     auto& m = learn_machine(r.machine, r.addr, r.type, r.zone, r.spot);
-    if (outdated(m, r)) return refuse();
+    if (outdated(m, r))
+        return refuse();
     if (r.tenure < m.tenure || (r.tenure == m.tenure && r.counter <= m.beat_counter)) {
         ++counters_.old_reports;
         note_copies();
@@ -312,7 +348,8 @@
         m.told = m.fence;
         m.told_at = st_.now;
     }
-    if (!m.proven) to_ask_.push_back(m.id); // an answer to empty orders proves that it is there
+    if (!m.proven)
+        to_ask_.push_back(m.id); // an answer to empty orders proves that it is there
     auto stops = standing_orders(m);
     orders.insert(orders.end(), stops.begin(), stops.end());
     out_.push_back(BeatAnswer{c.handle, 200, m.fence, std::move(orders)});
@@ -332,7 +369,8 @@
     }
     for (std::size_t i = m.entries.size(); i-- > 0;) {
         auto& e = *m.entries[i];
-        if (e.phase != Phase::stored) continue;
+        if (e.phase != Phase::stored)
+            continue;
         // Never sent, so it is surely not there.
         if (e.stop || e.tenure != m.tenure || m.status != Status::up || m.addr.empty() || e.job->final != Final::none) {
             remove_entry(e);
@@ -348,7 +386,8 @@
         ++counters_.launched;
         o.orders.push_back({Verb::launch, e.job->spec.id, e.index, e.try_no, 0});
     }
-    if (o.orders.empty()) return;
+    if (o.orders.empty())
+        return;
     o.machine = m.id;
     o.addr = m.addr;
     o.batch = m.batch = ++batch_seq_;
@@ -365,8 +404,10 @@
     while (!to_ask_.empty() && asking_ < at_once) {
         auto* m = find_machine(to_ask_.front());
         to_ask_.pop_front();
-        if (m == nullptr || m->batch != 0 || m->addr.empty()) continue;
-        if (m->proven && st_.now - m->heard < st_.settings.report_s) continue;
+        if (m == nullptr || m->batch != 0 || m->addr.empty())
+            continue;
+        if (m->proven && st_.now - m->heard < st_.settings.report_s)
+            continue;
         ++asking_;
         m->asked = true;
         m->batch = ++batch_seq_;
@@ -377,16 +418,20 @@
 
 void Ledger::answered(const OrdersAnswered& c) {
     auto* m = find_machine(c.machine);
-    if (m == nullptr || m->batch != c.batch) return;
+    if (m == nullptr || m->batch != c.batch)
+        return;
     m->batch = 0;
-    if (c.report && outdated(*m, *c.report)) return;
+    if (c.report && outdated(*m, *c.report))
+        return;
     // The other way next time: this one may be cut though reports come.
-    if (c.status == 0) m->around_until = st_.now < m->around_until ? -1 : st_.now + st_.settings.lease_s;
+    if (c.status == 0)
+        m->around_until = st_.now < m->around_until ? -1 : st_.now + st_.settings.lease_s;
     std::vector<Order> reaps;
     if (m->asked) {
         m->asked = false;
         --asking_;
-        if (c.report) apply_report(*m, *c.report, reaps);
+        if (c.report)
+            apply_report(*m, *c.report, reaps);
         want_orders(*m);
         return;
     }
@@ -398,18 +443,24 @@
     if (c.status == 200 && c.report && c.report->tenure == m->tenure) {
         // The body is the report after the commands: what it does not list did not start.
         for (auto& e : m->entries)
-            if (outstanding(e) && c.report->counter > m->counter) note_seen(*e);
+            if (outstanding(e) && c.report->counter > m->counter)
+                note_seen(*e);
         apply_report(*m, *c.report, reaps);
         // A newer report overtook this answer without settling a launch: raise the fence.
-        if (std::any_of(m->entries.begin(), m->entries.end(), outstanding)) ++m->fence;
+        if (std::any_of(m->entries.begin(), m->entries.end(), outstanding))
+            ++m->fence;
         return;
     }
     if (c.status == 409 || !c.sent) {
         for (std::size_t i = m->entries.size(); i-- > 0;)
-            if (outstanding(m->entries[i])) remove_entry(*m->entries[i]);
-        for (auto& e : m->entries) e->stop_at = e->stop ? st_.now : e->stop_at; // beats repeat the stops
-        if (!c.sent) m->avoid_until = std::max(m->avoid_until, st_.now + st_.settings.report_s / 2);
-        if (c.report) apply_report(*m, *c.report, reaps);
+            if (outstanding(m->entries[i]))
+                remove_entry(*m->entries[i]);
+        for (auto& e : m->entries)
+            e->stop_at = e->stop ? st_.now : e->stop_at; // beats repeat the stops
+        if (!c.sent)
+            m->avoid_until = std::max(m->avoid_until, st_.now + st_.settings.report_s / 2);
+        if (c.report)
+            apply_report(*m, *c.report, reaps);
         return;
     }
     // The outcome is open: the commands may still be executed, minutes later. Raising the fence
@@ -425,9 +476,12 @@
     for (auto& [id, mp] : st_.machines) {
         auto& m = *mp;
         if (m.status == Status::up && st_.now > m.last_seen + lease) {
-            if (!m.entries.empty()) note(2, fmt::format("lease of {} has lapsed, {} tasks lost", id, m.entries.size()));
-            for (const auto& e : m.entries) counters_.lost += e->phase >= Phase::sent;
-            if (m.spot) note_spot_loss();
+            if (!m.entries.empty())
+                note(2, fmt::format("lease of {} has lapsed, {} tasks lost", id, m.entries.size()));
+            for (const auto& e : m.entries)
+                counters_.lost += e->phase >= Phase::sent;
+            if (m.spot)
+                note_spot_loss();
             lose_entries(m);
             m.status = Status::lost;
             m.empty_since = st_.now;
@@ -436,14 +490,17 @@
         // Gone from the list for good, or never there: nothing of it is left to keep.
         const bool unlisted =
             st_.now - std::max(m.listed_at, m.known_since) > 4 * st_.settings.list_lag_s + 2 * st_.settings.lease_s;
-        if (m.status != Status::up && m.entries.empty() && unlisted && m.batch == 0) remove.push_back(id);
+        if (m.status != Status::up && m.entries.empty() && unlisted && m.batch == 0)
+            remove.push_back(id);
     }
-    for (const auto& id : remove) forget_machine(id);
+    for (const auto& id : remove)
+        forget_machine(id);
 }
 
 void Ledger::rented(const Rented& c) {
     const auto it = st_.rentals.find(c.claim);
-    if (it == st_.rentals.end()) return;
+    if (it == st_.rentals.end())
+        return;
     auto& p = it->second;
     p.in_flight = false;
     if (c.outcome == RentOutcome::rented) {
@@ -471,7 +528,8 @@
 void Ledger::released(const Released& c) {
     for (const auto& id : c.machines) {
         auto* m = find_machine(id);
-        if (m == nullptr) continue;
+        if (m == nullptr)
+            continue;
         m->release_asked = false;
         if (!c.ok) {
             m->release_retry = st_.now + st_.settings.report_s;
@@ -479,7 +537,8 @@
         }
         // By the time of the answer the machine and everything on it are gone.
         lose_entries(*m);
-        if (!m->entries.empty()) continue; // asked again once the store has answered
+        if (!m->entries.empty())
+            continue; // asked again once the store has answered
         released_.add(id, st_.now);
         forget_machine(id);
     }
@@ -489,7 +548,8 @@
 void Ledger::listed(const Listed& c) {
     for (const auto& l : c.machines) {
         // The list lags: what was released may still be in it for a while.
-        if (released_.contains(l.id)) continue;
+        if (released_.contains(l.id))
+            continue;
         auto& m = learn_machine(l.id, l.addr, l.type, l.zone, l.spot);
         m.listed_at = st_.now;
         // Known from records or a report first, as after a takeover, it is older than that: from a day on
@@ -501,7 +561,8 @@
             m.status = Status::lost;
             m.bad = true;
         }
-        if (!st_.asked_all && l.status == "running") to_ask_.push_back(l.id);
+        if (!st_.asked_all && l.status == "running")
+            to_ask_.push_back(l.id);
     }
     st_.asked_all = true;
     dirty_ = true;
@@ -509,7 +570,8 @@
 
 void Ledger::types_known(std::vector<MachineType>&& types) {
     st_.types = std::move(types);
-    for (auto& [id, m] : st_.machines) bind_type(*m);
+    for (auto& [id, m] : st_.machines)
+        bind_type(*m);
     dirty_ = true;
 }
 
@@ -518,7 +580,8 @@
     to_dispatch_.clear();
     for (auto* m : due) {
         m->wants_orders = false;
-        if (m->batch == 0) dispatch(*m); // else once the answer is in
+        if (m->batch == 0)
+            dispatch(*m); // else once the answer is in
     }
     ask_machines();
 }
--- a/src/ledger/needs.cpp
+++ b/src/ledger/needs.cpp
@@ -27,7 +27,8 @@
                      "submission",
                      j.spec.id, j.spec.job_class, j.spec.team, j.spec.tasks, j.spec.each.cpus, j.spec.estimate_s,
                      st_.now - j.submitted));
-    for (std::uint32_t i = 0; i < j.spec.tasks; ++i) queue_task(j, i);
+    for (std::uint32_t i = 0; i < j.spec.tasks; ++i)
+        queue_task(j, i);
     offer(j);
     dirty_ = true;
 }
@@ -50,7 +51,8 @@
         }
         j.unmet.push_back(id);
         needed_by_[id].insert(j.spec.id);
-        if (n == nullptr) look_for(id, st_.now);
+        if (n == nullptr)
+            look_for(id, st_.now);
     }
     if (j.spec.needs_damaged) {
         j.unmet.emplace_back(); // never settled
@@ -80,15 +82,18 @@
         const auto it = needed_by_.find(settled.back());
         const auto need = std::move(settled.back());
         settled.pop_back();
-        if (it == needed_by_.end()) continue;
+        if (it == needed_by_.end())
+            continue;
         const auto list = std::move(it->second);
         needed_by_.erase(it);
         for (const auto& by : list) {
             auto* j = find_job(by);
-            if (j == nullptr || j->final != Final::none || !j->waits) continue;
+            if (j == nullptr || j->final != Final::none || !j->waits)
+                continue;
             if (f == Final::done) {
                 std::erase(j->unmet, need);
-                if (j->unmet.empty()) become_ready(*j);
+                if (j->unmet.empty())
+                    become_ready(*j);
                 continue;
             }
             note(1, fmt::format("job {} is cancelled, as {} is, which it needs", by, need));
@@ -105,13 +110,15 @@
     while (!stack.empty()) {
         auto& j = *stack.back();
         stack.pop_back();
-        if (j.final != Final::none) continue;
+        if (j.final != Final::none)
+            continue;
         const double due = st_.due_at(j);
         const double start =
             due < 0 ? -1 : due - estimate_slack * std::max(1.0, j.spec.estimate_s) - st_.settings.report_s;
         for (const auto& id : j.unmet) {
             auto* n = find_job(id);
-            if (n == nullptr || n->final != Final::none) continue;
+            if (n == nullptr || n->final != Final::none)
+                continue;
             bool changed = false;
             if (j.rank < n->rank) {
                 n->rank = j.rank;
@@ -121,7 +128,8 @@
                 n->latest = start;
                 changed = true;
             }
-            if (changed) stack.push_back(n);
+            if (changed)
+                stack.push_back(n);
         }
     }
 }
@@ -136,9 +144,11 @@
     while (finding_ < finds_at_once && !to_find_.empty() && to_find_.begin()->first <= st_.now) {
         auto id = std::move(to_find_.begin()->second);
         to_find_.erase(to_find_.begin());
-        if (!needed_by_.contains(id)) continue;
+        if (!needed_by_.contains(id))
+            continue;
         if (const auto* n = find_job(id); n != nullptr) {
-            if (n->final_stored) need_settled(id, n->final);
+            if (n->final_stored)
+                need_settled(id, n->final);
             continue;
         }
         if (const auto* r = recent_.find(id); r != nullptr) {
@@ -151,15 +161,21 @@
 }
 
 void Ledger::found(JobFound& c) {
-    if (finding_ > 0) --finding_;
+    if (finding_ > 0)
+        --finding_;
     switch (c.state) {
     case Known::done:
-    case Known::cancelled: need_settled(c.id, c.state == Known::done ? Final::done : Final::cancelled); break;
+    case Known::cancelled:
+        need_settled(c.id, c.state == Known::done ? Final::done : Final::cancelled);
+        break;
     case Known::open:
-        if (c.job) add_job(*c.job);
+        if (c.job)
+            add_job(*c.job);
         look_for(c.id, st_.now + st_.settings.lease_s); // met by its own end, or else asked for again
         break;
-    case Known::no_answer: look_for(c.id, st_.now + st_.settings.report_s / 10); break;
+    case Known::no_answer:
+        look_for(c.id, st_.now + st_.settings.report_s / 10);
+        break;
     case Known::never:
         if (const auto it = needed_by_.find(c.id); it != needed_by_.end())
             note(2, fmt::format("job {} and {} others wait for {}, of which the store knows nothing",
@@ -170,9 +186,11 @@
 void Ledger::forget_needs(Job& j) {
     for (const auto& id : j.unmet) {
         const auto it = needed_by_.find(id);
-        if (it == needed_by_.end()) continue;
+        if (it == needed_by_.end())
+            continue;
         it->second.erase(j.spec.id);
-        if (it->second.empty()) needed_by_.erase(it);
+        if (it->second.empty())
+            needed_by_.erase(it);
     }
 }
 
--- a/src/ledger/proposals.cpp
+++ b/src/ledger/proposals.cpp
@@ -17,13 +17,16 @@
         const auto i = j.pending.front();
         j.pending.pop_front();
         j.tasks[i].queued = false;
-        if (j.tasks[i].done || j.tasks[i].live > 0) continue;
+        if (j.tasks[i].done || j.tasks[i].live > 0)
+            continue;
         // A task is placed once a pass at most, so the pass makes the attempt unique.
         const auto try_no = (st_.term << try_bits) + try_seq_;
-        if (j.spec.shape == Shape::gang) j.gang_try = try_no;
+        if (j.spec.shape == Shape::gang)
+            j.gang_try = try_no;
         add_entry(m, j, i, try_no);
         // What was made room for is there: others may have the rest.
-        if (m.reserved_for == &j && --m.reserved_tasks <= 0) m.reserved_for = nullptr;
+        if (m.reserved_for == &j && --m.reserved_tasks <= 0)
+            m.reserved_for = nullptr;
         return true;
     }
     return false;
@@ -33,14 +36,16 @@
     auto& j = own(job);
     const auto settled = [&](std::uint32_t i) {
         const bool over = j.tasks[i].done || j.tasks[i].live > 0;
-        if (over) j.tasks[i].queued = false;
+        if (over)
+            j.tasks[i].queued = false;
         return over;
     };
     if (all) {
         std::erase_if(j.pending, settled);
         return;
     }
-    while (!j.pending.empty() && settled(j.pending.front())) j.pending.pop_front();
+    while (!j.pending.empty() && settled(j.pending.front()))
+        j.pending.pop_front();
 }
 
 void Ledger::stop(const Entry& e, double drain_s) {
@@ -80,8 +85,10 @@
 
 void Ledger::set_pool(const std::vector<const Machine*>& pool, const Resources& service_shape) {
     st_.service_shape = service_shape;
-    for (auto& [id, m] : st_.machines) m->pool = false;
-    for (const auto* m : pool) own(*m).pool = true;
+    for (auto& [id, m] : st_.machines)
+        m->pool = false;
+    for (const auto* m : pool)
+        own(*m).pool = true;
 }
 
 void Ledger::set_common_shape(const Resources& r) {
@@ -93,7 +100,8 @@
     for (auto& t : st_.teams) {
         double cpus = 0, gpus = 0;
         for (auto& j : t.jobs) {
-            if (j->final != Final::none) continue;
+            if (j->final != Final::none)
+                continue;
             cpus += j->spec.each.cpus * j->spec.tasks;
             gpus += j->spec.each.gpus * j->spec.tasks;
             // What is guaranteed nothing of what a job uses is no guarantee for it.
@@ -106,7 +114,8 @@
 
 void Ledger::blame(const Entry& e) {
     auto& blamed = own(e).job->tasks[e.index].blamed;
-    if (blamed < 4) ++blamed;
+    if (blamed < 4)
+        ++blamed;
 }
 
 void Ledger::slow(const Machine& m, double until) {
@@ -116,7 +125,8 @@
 
 void Ledger::retire(const Machine& m, bool leave) {
     own(m).retiring = leave;
-    if (!leave) dirty_ = true;
+    if (!leave)
+        dirty_ = true;
 }
 
 void Ledger::rent(const Pending& p) {
@@ -138,7 +148,8 @@
 void Ledger::give_back(const Machine& machine) {
     auto& m = own(machine);
     m.releasing = m.release_asked = true;
-    if (!m.presumed_dead) return;
+    if (!m.presumed_dead)
+        return;
     note_spot_loss();
     note(1, fmt::format("spot machine {} is silent, {} tasks start elsewhere once it is surely gone", m.id,
                         m.entries.size()));
--- a/src/local/cloud.cpp
+++ b/src/local/cloud.cpp
@@ -29,9 +29,11 @@
         addr_ = id_;
         return 0;
     }
-    if (const int e = server_.listen({"127.0.0.1", 0}); e != 0) return e;
+    if (const int e = server_.listen({"127.0.0.1", 0}); e != 0)
+        return e;
     addr_ = fmt::format("127.0.0.1:{}", server_.port());
-    if (!p_.plan_.workers.nodes.empty() && !p_.plan_.lockstep) node_ = p_.rng_() % p_.plan_.workers.nodes.size();
+    if (!p_.plan_.workers.nodes.empty() && !p_.plan_.lockstep)
+        node_ = p_.rng_() % p_.plan_.workers.nodes.size();
     return 0;
 }
 
@@ -41,13 +43,16 @@
 
 Report StandInWorker::report() {
     Report r{id_, addr_, type_.name, zone_, spot_, tenure_, ++counter_, fence_, -1, {}};
-    for (const auto& x : runs_) r.tasks.push_back(x.t);
+    for (const auto& x : runs_)
+        r.tasks.push_back(x.t);
     return r;
 }
 
 void StandInWorker::end(Run& r, ExitCause cause, bool saved) {
-    if (r.counted) p_.history_.off_machine(r.t.job, r.t.index, id_);
-    if (cause == ExitCause::done) p_.history_.task_done(r.t.job, r.t.index);
+    if (r.counted)
+        p_.history_.off_machine(r.t.job, r.t.index, id_);
+    if (cause == ExitCause::done)
+        p_.history_.task_done(r.t.job, r.t.index);
     r.counted = false;
     r.t.state = TaskState::ended;
     r.t.cause = cause;
@@ -57,7 +62,8 @@
 
 void StandInWorker::lose_all() {
     for (auto& r : runs_)
-        if (r.counted) p_.history_.off_machine(r.t.job, r.t.index, id_);
+        if (r.counted)
+            p_.history_.off_machine(r.t.job, r.t.index, id_);
     runs_.clear();
 }
 
@@ -70,13 +76,15 @@
     const auto& specs = p_.jobs_;
     Run r;
     r.t = {o.job, o.index, o.try_no, TaskState::fetching, ExitCause::none, false};
-    if (p_.on_launch) p_.on_launch(o, type_, zone_, spot_);
+    if (p_.on_launch)
+        p_.on_launch(o, type_, zone_, spot_);
     const auto spec = specs.find(o.job);
     Resources used;
     bool here = false;
     for (const auto& x : runs_) {
         if (x.t.job == o.job && x.t.index == o.index) {
-            if (x.t.try_no == o.try_no) return;
+            if (x.t.try_no == o.try_no)
+                return;
             here = here || x.t.state != TaskState::ended;
         }
         if (const auto s = specs.find(x.t.job); s != specs.end() && x.t.state != TaskState::ended)
@@ -103,12 +111,15 @@
         const auto it = std::find_if(runs_.begin(), runs_.end(), [&](const Run& r) {
             return r.t.job == o.job && r.t.index == o.index && r.t.try_no == o.try_no;
         });
-        if (it == runs_.end()) continue;
+        if (it == runs_.end())
+            continue;
         if (o.verb == Verb::reap) {
-            if (it->t.state == TaskState::ended) runs_.erase(it);
+            if (it->t.state == TaskState::ended)
+                runs_.erase(it);
             continue;
         }
-        if (it->t.state == TaskState::ended) continue;
+        if (it->t.state == TaskState::ended)
+            continue;
         const auto& s = p_.jobs_[o.job];
         if (it->t.state == TaskState::running && s.checkpoint_s > 0 && o.drain_s >= s.save_s) {
             it->t.state = TaskState::saving;
@@ -124,8 +135,10 @@
                                                           const std::vector<Order>& list) {
     const double now = p_.now();
     ++p_.messages_;
-    if (now < hung_until || now < cut_until || !up(now)) return {0, {}};
-    if (fence < fence_ || tenure != tenure_) return {409, report()};
+    if (now < hung_until || now < cut_until || !up(now))
+        return {0, {}};
+    if (fence < fence_ || tenure != tenure_)
+        return {409, report()};
     changed_ = changed_ || fence > fence_;
     fence_ = fence;
     execute(list, now);
@@ -134,29 +147,37 @@
 
 void StandInWorker::handle(HttpRequest&& r, const Responder& res) {
     const double now = p_.now();
-    if (now < hung_until || now < cut_until || !up(now)) return; // silence: the caller gives up
-    if (r.method == "GET" && r.path == codec::path_status) return res.send(200, codec::to_body(report()));
-    if (r.method != "POST" || r.path != codec::path_commands) return res.send(404, error_body("no such path"));
+    if (now < hung_until || now < cut_until || !up(now))
+        return; // silence: the caller gives up
+    if (r.method == "GET" && r.path == codec::path_status)
+        return res.send(200, codec::to_body(report()));
+    if (r.method != "POST" || r.path != codec::path_commands)
+        return res.send(404, error_body("no such path"));
     const auto o = codec::read_orders(r.body);
-    if (!o || !o->fence || !o->tenure) return res.send(400, error_body("fence and tenure are needed"));
+    if (!o || !o->fence || !o->tenure)
+        return res.send(400, error_body("fence and tenure are needed"));
     const auto take = [this, o = *o, res] {
         const auto [status, answer] = obey(*o.fence, *o.tenure, o.list);
-        if (answer) res.send(status, codec::to_body(*answer));
+        if (answer)
+            res.send(status, codec::to_body(*answer));
     };
-    if (now < late_until) return held_.push_back(take);
+    if (now < late_until)
+        return held_.push_back(take);
     take();
 }
 
 void StandInWorker::next_node(double now) {
     const auto n = p_.plan_.workers.nodes.size();
-    if (n > 0) node_ = (node_ + 1) % n;
+    if (n > 0)
+        node_ = (node_ + 1) % n;
     next_beat_ = now + next_node_s;
 }
 
 void StandInWorker::answered(const ReportAnswer& a, double sent, std::uint64_t tenure) {
     in_flight_ = false;
     const double now = p_.now();
-    if (now < cut_until || now < hung_until) return;
+    if (now < cut_until || now < hung_until)
+        return;
     const auto& nodes = p_.plan_.workers.nodes;
     if (a.status == 421) {
         for (std::size_t i = 0; i < nodes.size(); ++i)
@@ -167,8 +188,10 @@
             }
         return next_node(now);
     }
-    if (a.status != 200) return next_node(now);
-    if (a.fence < fence_ || tenure != tenure_) return; // dropped; it stays with this node
+    if (a.status != 200)
+        return next_node(now);
+    if (a.fence < fence_ || tenure != tenure_)
+        return; // dropped; it stays with this node
     changed_ = changed_ || a.fence > fence_;
     fence_ = a.fence;
     lease_from_ = std::max(lease_from_, sent);
@@ -177,14 +200,17 @@
 
 void StandInWorker::beat(double now) {
     const auto& w = p_.plan_.workers;
-    if (in_flight_ || w.nodes.empty()) return;
+    if (in_flight_ || w.nodes.empty())
+        return;
     const bool due =
         now >= next_beat_ || (changed_ && now >= last_beat_ + least_pause_s && next_beat_ - now < w.report_s);
-    if (!due) return;
+    if (!due)
+        return;
     next_beat_ = now + w.report_s * (p_.plan_.lockstep ? 1 : p_.between(0.75, 1.25));
     last_beat_ = now;
     changed_ = false;
-    if (now < cut_until) return;
+    if (now < cut_until)
+        return;
     if (now < late_until) { // given up meanwhile: nobody hears the answer
         held_.emplace_back([this, r = report()] { p_.send(*this, r, [](const ReportAnswer&) {}); });
         return;
@@ -193,13 +219,15 @@
     p_.send(*this, report(), [&p = p_, id = id_, now, tenure = tenure_](const ReportAnswer& a) {
         ++p.messages_;
         const auto it = p.machines_.find(id);
-        if (it != p.machines_.end()) it->second->answered(a, now, tenure);
+        if (it != p.machines_.end())
+            it->second->answered(a, now, tenure);
     });
 }
 
 void Platform::send(StandInWorker& w, Report r, std::function<void(const ReportAnswer&)> done) {
     ++messages_;
-    if (direct_) return reports_ ? reports_(std::move(r), std::move(done)) : done({});
+    if (direct_)
+        return reports_ ? reports_(std::move(r), std::move(done)) : done({});
     client_.request(plan_.workers.nodes[w.node_].second, "POST", std::string(codec::path_report), codec::to_body(r),
                     answer_s, [done = std::move(done)](HttpReply&& reply) {
                         ReportAnswer a;
@@ -209,14 +237,16 @@
                         } else if (reply.status == 200) {
                             // Fence 0: one that cannot be read, older than any.
                             a = {200, o && o->fence ? *o->fence : 0, {}, {}};
-                            if (a.fence > 0) a.orders = std::move(o->list);
+                            if (a.fence > 0)
+                                a.orders = std::move(o->list);
                         }
                         done(a);
                     });
 }
 
 void StandInWorker::tick(double now) {
-    if (!up(now)) return;
+    if (!up(now))
+        return;
     const auto& w = p_.plan_.workers;
     // A hanging machine too: past its lease its tasks never go on.
     if (now > lease_from_ + w.lease_s) {
@@ -225,9 +255,11 @@
         lease_from_ = now;
         changed_ = true;
     }
-    if (now < hung_until) return;
+    if (now < hung_until)
+        return;
     if (now >= late_until && now >= cut_until)
-        for (const auto& f : std::exchange(held_, {})) f();
+        for (const auto& f : std::exchange(held_, {}))
+            f();
     for (auto& r : runs_) {
         const auto& s = p_.jobs_[r.t.job];
         if (r.t.state == TaskState::fetching && now >= r.until) {
@@ -249,21 +281,26 @@
                                });
             const double run = p_.run_s(s, all.empty() ? r.t : all.front().run->t);
             for (const auto& x : all) {
-                if (!ready) break;
+                if (!ready)
+                    break;
                 x.run->t.state = TaskState::running;
                 x.run->until = now + run;
                 x.on->changed_ = true;
             }
             changed_ = changed_ || ready;
-            if (!ready && now >= r.until) end(r, ExitCause::alone);
+            if (!ready && now >= r.until)
+                end(r, ExitCause::alone);
         } else if (r.t.state == TaskState::running && s.shape == Shape::gang && s.tasks > 1) {
             const auto all = p_.mates(r.t.job, r.t.try_no);
             if (all.size() < s.tasks) {
-                if (r.mate_lost < 0) r.mate_lost = now;
-                if (now > r.mate_lost + w.gang_peer_s) end(r, ExitCause::peers);
+                if (r.mate_lost < 0)
+                    r.mate_lost = now;
+                if (now > r.mate_lost + w.gang_peer_s)
+                    end(r, ExitCause::peers);
             } else if (now >= r.until) {
                 for (const auto& x : all) // they complete together
-                    if (x.run->t.state == TaskState::running) x.on->end(*x.run, ExitCause::done);
+                    if (x.run->t.state == TaskState::running)
+                        x.on->end(*x.run, ExitCause::done);
             }
         } else if (r.t.state == TaskState::running && s.shape != Shape::service && now >= r.until) {
             end(r, ExitCause::done);
@@ -278,11 +315,13 @@
     : loop_(loop), plan_(std::move(plan)), history_(history), rng_(plan_.seed),
       server_(loop, 64, 600, [this](HttpRequest&& r, Responder res) { handle(std::move(r), res); }),
       client_(loop, 128, 4096) {
-    if (!plan_.clock) plan_.clock = std::make_shared<Clock>();
+    if (!plan_.clock)
+        plan_.clock = std::make_shared<Clock>();
 }
 
 int Platform::start(const Endpoint& cloud_at) {
-    if (const int e = server_.listen(cloud_at); e != 0) return e;
+    if (const int e = server_.listen(cloud_at); e != 0)
+        return e;
     return plan_.lockstep ? 0 : timer_.start(loop_, tick_ms, [this] { turn(); });
 }
 
@@ -300,14 +339,16 @@
     void command(const SendOrders& o, double, std::function<void(OrdersAnswered&&)> done) override {
         const auto it = p_.machines_.find(o.machine);
         OrdersAnswered a{o.machine, o.batch, 0, it != p_.machines_.end(), std::nullopt};
-        if (it != p_.machines_.end()) std::tie(a.status, a.report) = it->second->obey(o.fence, o.tenure, o.orders);
+        if (it != p_.machines_.end())
+            std::tie(a.status, a.report) = it->second->obey(o.fence, o.tenure, o.orders);
         later(std::move(done), std::move(a));
     }
     void rent(const Rent& ask, double, std::function<void(Rented&&)> done) override {
         later(std::move(done), p_.out ? Rented{ask.claim, RentOutcome::failed, {}} : p_.rent(ask));
     }
     void release(const Release& ask, double, std::function<void(Released&&)> done) override {
-        if (!p_.out) p_.release(ask.machines);
+        if (!p_.out)
+            p_.release(ask.machines);
         later(std::move(done), Released{ask.machines, !p_.out});
     }
     void list(const std::string& since, double,
@@ -328,17 +369,22 @@
 
 std::unique_ptr<Executor> Platform::executor() {
     direct_ = true;
-    if (plan_.workers.nodes.empty()) plan_.workers.nodes.emplace_back("direct", "");
-    if (!plan_.lockstep) timer_.start(loop_, tick_ms, [this] { turn(); });
+    if (plan_.workers.nodes.empty())
+        plan_.workers.nodes.emplace_back("direct", "");
+    if (!plan_.lockstep)
+        timer_.start(loop_, tick_ms, [this] { turn(); });
     return std::make_unique<Direct>(*this);
 }
 
 void Platform::turn() {
     const double t = now();
     gone_.clear();
-    for (auto& [id, m] : machines_) m->tick(t);
-    if (++ticks_ % ticks_a_sweep == 0) client_.sweep();
-    if (ticks_ % ticks_a_second == 0) server_.sweep();
+    for (auto& [id, m] : machines_)
+        m->tick(t);
+    if (++ticks_ % ticks_a_sweep == 0)
+        client_.sweep();
+    if (ticks_ % ticks_a_second == 0)
+        server_.sweep();
     history_.check(t);
 }
 
@@ -362,7 +408,8 @@
 StandInWorker* Platform::any() {
     std::vector<StandInWorker*> list;
     for (auto& [id, m] : machines_)
-        if (m->up(now())) list.push_back(m.get());
+        if (m->up(now()))
+            list.push_back(m.get());
     return list.empty() ? nullptr : list[rng_() % list.size()];
 }
 
@@ -388,9 +435,11 @@
 }
 
 void Platform::handle(HttpRequest&& r, const Responder& res) {
-    if (out) return res.send(503, error_body("trouble"));
+    if (out)
+        return res.send(503, error_body("trouble"));
     const bool get = r.method == "GET", post = r.method == "POST";
-    if (get && r.path == codec::path_types) return res.send(200, codec::types_to_json(plan_.types).dump());
+    if (get && r.path == codec::path_types)
+        return res.send(200, codec::types_to_json(plan_.types).dump());
     if (get && r.path == codec::path_rentals) {
         const auto at = r.query.find("since=");
         return res.send(
@@ -399,16 +448,21 @@
     }
     if (post && r.path == codec::path_release) {
         const auto list = codec::rented(r.body);
-        if (!list || list->size() > 100) return res.send(400, error_body("hosts"));
+        if (!list || list->size() > 100)
+            return res.send(400, error_body("hosts"));
         release(*list);
         return res.send(200, "{}");
     }
-    if (!post || r.path != codec::path_rentals) return res.send(404, error_body("no such path"));
+    if (!post || r.path != codec::path_rentals)
+        return res.send(404, error_body("no such path"));
     const auto ask = codec::rental_request(r.body);
-    if (!ask) return res.send(400, error_body("malformed"));
+    if (!ask)
+        return res.send(400, error_body("malformed"));
     const auto a = rent({ask->claim, ask->type, ask->zone, ask->spot, ask->count});
-    if (a.outcome == RentOutcome::failed) return res.send(400, error_body("malformed"));
-    if (a.outcome == RentOutcome::no_capacity) return res.send(503, error_body("no capacity"));
+    if (a.outcome == RentOutcome::failed)
+        return res.send(400, error_body("malformed"));
+    if (a.outcome == RentOutcome::no_capacity)
+        return res.send(503, error_body("no capacity"));
     res.send(200, codec::release(a.machines));
 }
 
@@ -438,8 +492,10 @@
     ++messages_;
     const MachineType* type = nullptr;
     for (const auto& x : plan_.types)
-        if (x.name == ask.type && std::find(x.zones.begin(), x.zones.end(), ask.zone) != x.zones.end()) type = &x;
-    if (type == nullptr) return {ask.claim, RentOutcome::failed, {}};
+        if (x.name == ask.type && std::find(x.zones.begin(), x.zones.end(), ask.zone) != x.zones.end())
+            type = &x;
+    if (type == nullptr)
+        return {ask.claim, RentOutcome::failed, {}};
     if (const auto known = claims_.find(ask.claim); known != claims_.end())
         return {ask.claim, RentOutcome::rented, known->second};
     const auto have = std::count_if(machines_.begin(), machines_.end(), [&](const auto& m) {
@@ -447,13 +503,15 @@
         return x.type_.name == type->name && x.zone_ == ask.zone && x.spot_ == ask.spot;
     });
     const int n = std::min(ask.count, plan_.capacity - static_cast<int>(have));
-    if (n <= 0) return {ask.claim, RentOutcome::no_capacity, {}};
+    if (n <= 0)
+        return {ask.claim, RentOutcome::no_capacity, {}};
     auto& names = claims_[ask.claim];
     for (int i = 0; i < n; ++i) {
         auto id = fmt::format("n-{:06}", ++named_);
         auto w = std::make_unique<StandInWorker>(*this, id, *type, ask.zone, ask.spot,
                                                  now() + type->boot_s * between(0.6, 1.5));
-        if (w->start() != 0) break;
+        if (w->start() != 0)
+            break;
         machines_[id] = std::move(w);
         names.push_back(std::move(id));
     }
--- a/src/local/history.cpp
+++ b/src/local/history.cpp
@@ -9,12 +9,14 @@
 
 void History::breaks(const std::string& rule, const std::string& what) {
     auto text = rule + ": " + what;
-    if (said_.insert(text).second) broken_.push_back(std::move(text));
+    if (said_.insert(text).second)
+        broken_.push_back(std::move(text));
 }
 
 bool History::taken_along(const std::string& id) const {
     const auto it = jobs_.find(id);
-    if (it == jobs_.end()) return false;
+    if (it == jobs_.end())
+        return false;
     return it->second.asked || std::any_of(it->second.spec.needs.begin(), it->second.spec.needs.end(),
                                            [this](const auto& n) { return taken_along(n); });
 }
@@ -22,21 +24,27 @@
 void History::told(const std::string& id, int status, const std::string& state, double now) {
     const auto it = jobs_.find(id);
     if (it == jobs_.end()) {
-        if (status == 200) breaks("invented", id);
+        if (status == 200)
+            breaks("invented", id);
         return;
     }
     auto& j = it->second;
     if (j.accepted && (status == 404 || status == 400 || status == 422))
         breaks("forgotten", fmt::format("{} was answered {}", id, status));
-    if (status != 200 && status != 201) return;
+    if (status != 200 && status != 201)
+        return;
     j.accepted = true;
-    if (!j.final.empty() && state != j.final) breaks("went_back", fmt::format("{} was {}, now {}", id, j.final, state));
+    if (!j.final.empty() && state != j.final)
+        breaks("went_back", fmt::format("{} was {}, now {}", id, j.final, state));
     if (state == codec::status_done) {
-        if (!over(j)) breaks("not_done", fmt::format("{} with {} of {} tasks", id, j.done.size(), j.spec.tasks));
+        if (!over(j))
+            breaks("not_done", fmt::format("{} with {} of {} tasks", id, j.done.size(), j.spec.tasks));
         j.final = state;
     } else if (state == codec::status_cancelled) {
-        if (!taken_along(id)) breaks("went_back", id + " was cancelled by nobody");
-        if (j.cancelled_at < 0) j.cancelled_at = now;
+        if (!taken_along(id))
+            breaks("went_back", id + " was cancelled by nobody");
+        if (j.cancelled_at < 0)
+            j.cancelled_at = now;
         j.final = state;
     }
 }
@@ -48,23 +56,30 @@
     ++starts_;
     if (j.on.contains(index))
         breaks("ran_twice", fmt::format("{} on {} and {}", name, j.on.find(index)->second.machine, at.machine));
-    if (at.spot && !s.spot) breaks("wrong_place", name + " on a spot machine");
-    if (!s.zone.empty() && s.zone != at.zone) breaks("wrong_place", name + " in " + at.zone);
+    if (at.spot && !s.spot)
+        breaks("wrong_place", name + " on a spot machine");
+    if (!s.zone.empty() && s.zone != at.zone)
+        breaks("wrong_place", name + " in " + at.zone);
     if (!s.types.empty() && std::find(s.types.begin(), s.types.end(), at.type) == s.types.end())
         breaks("wrong_place", name + " on a " + at.type);
     std::size_t here = 1;
     for (const auto& [i, p] : j.on) {
         here += p.zone == at.zone;
-        if (s.one_zone && p.zone != at.zone) breaks("wrong_place", name + " apart from the others");
+        if (s.one_zone && p.zone != at.zone)
+            breaks("wrong_place", name + " apart from the others");
     }
-    if (s.spread && here > (s.tasks + 1) / 2) breaks("wrong_place", name + " with too many others in " + at.zone);
-    if (j.cancelled_at >= 0 && now > j.cancelled_at + cancel_s_) breaks("ran_cancelled", name);
+    if (s.spread && here > (s.tasks + 1) / 2)
+        breaks("wrong_place", name + " with too many others in " + at.zone);
+    if (j.cancelled_at >= 0 && now > j.cancelled_at + cancel_s_)
+        breaks("ran_cancelled", name);
     for (const auto& n : s.needs)
-        if (!over(jobs_[n])) breaks("too_early", fmt::format("{} before {} is done", name, n));
+        if (!over(jobs_[n]))
+            breaks("too_early", fmt::format("{} before {} is done", name, n));
     j.on.emplace(index, at);
     Resources used;
     for (const auto& [other, o] : jobs_)
-        if (o.spec.team == s.team) used += o.spec.each * static_cast<double>(o.on.size());
+        if (o.spec.team == s.team)
+            used += o.spec.each * static_cast<double>(o.on.size());
     for (const auto& t : teams_)
         if (t.name == s.team &&
             ((t.cpus_max > 0 && used.cpus > t.cpus_max + 1e-6) || (t.gpus_max > 0 && used.gpus > t.gpus_max + 1e-6)))
@@ -75,7 +90,8 @@
     auto& on = jobs_[id].on;
     const auto [from, to] = on.equal_range(index);
     const auto it = std::find_if(from, to, [&](const auto& p) { return p.second.machine == machine; });
-    if (it != to) on.erase(it);
+    if (it != to)
+        on.erase(it);
 }
 
 void History::task_done(const std::string& id, std::uint32_t index) {
@@ -84,7 +100,8 @@
         j.done.insert(index);
         return;
     }
-    for (std::uint32_t i = 0; i < j.spec.tasks; ++i) j.done.insert(i); // they complete together
+    for (std::uint32_t i = 0; i < j.spec.tasks; ++i)
+        j.done.insert(i); // they complete together
 }
 
 void History::check(double now) {
@@ -97,7 +114,8 @@
 std::vector<std::string> History::unfinished() const {
     std::vector<std::string> out;
     for (const auto& [id, j] : jobs_)
-        if (j.accepted && j.final.empty()) out.push_back(id);
+        if (j.accepted && j.final.empty())
+            out.push_back(id);
     return out;
 }
 
--- a/src/local/local.cpp
+++ b/src/local/local.cpp
@@ -110,13 +110,15 @@
         if (folder_.empty()) {
             const char* tmp = std::getenv("TMPDIR");
             folder_ = fmt::format("{}/heronshift-XXXXXX", tmp != nullptr ? tmp : "/tmp");
-            if (::mkdtemp(folder_.data()) == nullptr) return folder_ + ": cannot be made";
+            if (::mkdtemp(folder_.data()) == nullptr)
+                return folder_ + ": cannot be made";
         } else if (::mkdir(folder_.c_str(), 0755) != 0 && errno != EEXIST) {
             return folder_ + ": cannot be made";
         }
         store_ = std::make_unique<store::StoreServer>(
             &loop_, std::make_unique<store::Engine>(store::memory_data(), store::Limits{200, 100, 24, 16}));
-        if (store_->start({"127.0.0.1", 0}) != 0) return "the state service cannot listen";
+        if (store_->start({"127.0.0.1", 0}) != 0)
+            return "the state service cannot listen";
         PlatformPlan plan;
         plan.workers.report_s = report_s;
         plan.workers.lease_s = lease_s;
@@ -130,14 +132,18 @@
             plan.workers.nodes.emplace_back(c.name, fmt::format("127.0.0.1:{}", c.user.number()));
             nodes_.push_back(std::move(c));
         }
-        if (o_.serve_port > 0) plan.workers.nodes.emplace_back("alone", fmt::format("127.0.0.1:{}", o_.serve_port));
+        if (o_.serve_port > 0)
+            plan.workers.nodes.emplace_back("alone", fmt::format("127.0.0.1:{}", o_.serve_port));
         platform_ = std::make_unique<Platform>(&loop_, std::move(plan), history_);
-        if (platform_->start({"127.0.0.1", 0}) != 0) return "the cloud cannot listen";
+        if (platform_->start({"127.0.0.1", 0}) != 0)
+            return "the cloud cannot listen";
         platform_->ask = [this](const std::string& id) -> std::optional<JobSpec> {
             const auto row = store_->engine().data().get("j/" + id);
             auto j = row ? codec::stored_job(codec::parse(row->data), 0) : std::nullopt;
-            if (j) return std::move(j->spec);
-            if (o_.serve_port == 0) return {};
+            if (j)
+                return std::move(j->spec);
+            if (o_.serve_port == 0)
+                return {};
             // Kept in the other program's own store, where nobody here can read it.
             return any_job(id);
         };
@@ -145,11 +151,13 @@
             const auto& c = nodes_[i];
             if (!write_settings(c.config, c.name, c.user.number(), c.peer.number()))
                 return nodes_[i].config + ": cannot be written";
-            if (!spawn(nodes_[i])) return "a controller cannot be started";
+            if (!spawn(nodes_[i]))
+                return "a controller cannot be started";
         }
         if (o_.serve_port > 0) {
             const auto path = folder_ + "/settings.toml";
-            if (!write_settings(path, "alone", o_.serve_port, spare_.number())) return path + ": cannot be written";
+            if (!write_settings(path, "alone", o_.serve_port, spare_.number()))
+                return path + ": cannot be written";
             say("settings for the program that schedules here: " + path);
             o_.stay = true;
         } else {
@@ -164,7 +172,8 @@
             interrupt_, [](uv_signal_t* s, int) { static_cast<Local*>(s->data)->finish("interrupted"); }, SIGINT);
         say(fmt::format("state service on 127.0.0.1:{}, cloud on 127.0.0.1:{}, logs in {}", store_->port(),
                         platform_->port(), folder_));
-        for (const auto& c : nodes_) say(fmt::format("{} on http://127.0.0.1:{}", c.name, c.user.number()));
+        for (const auto& c : nodes_)
+            say(fmt::format("{} on http://127.0.0.1:{}", c.name, c.user.number()));
         return {};
     }
 
@@ -195,10 +204,12 @@
     bool spawn(Controller& c) {
         const std::string program = o_.program.empty() ? "/proc/self/exe" : o_.program;
         const int log = ::open(c.log.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0644);
-        if (log < 0) return false;
+        if (log < 0)
+            return false;
         std::vector<std::string> words{program, "--config", c.config};
         std::vector<char*> args;
-        for (auto& w : words) args.push_back(w.data());
+        for (auto& w : words)
+            args.push_back(w.data());
         args.push_back(nullptr);
         uv_stdio_container_t io[3];
         io[0].flags = UV_IGNORE;
@@ -210,7 +221,8 @@
         p.stdio = io;
         p.stdio_count = 3;
         p.exit_cb = [](uv_process_t* x, std::int64_t, int) {
-            if (auto* owner = static_cast<Controller*>(x->data); owner != nullptr) owner->process = nullptr;
+            if (auto* owner = static_cast<Controller*>(x->data); owner != nullptr)
+                owner->process = nullptr;
             uv_close(reinterpret_cast<uv_handle_t*>(x),
                      [](uv_handle_t* h) { delete reinterpret_cast<uv_process_t*>(h); });
         };
@@ -224,7 +236,8 @@
 
     void stop_nodes() {
         for (auto& c : nodes_)
-            if (c.process != nullptr) uv_process_kill(c.process, SIGKILL);
+            if (c.process != nullptr)
+                uv_process_kill(c.process, SIGKILL);
     }
 
     void plan_load() {
@@ -272,14 +285,16 @@
     void serve(std::size_t i, double t) {
         auto& u = users_wanted_[i];
         using S = User::State;
-        if (u.asking || u.state == S::over || t < u.next) return;
+        if (u.asking || u.state == S::over || t < u.next)
+            return;
         if (u.state == S::waits) {
             const bool ready = std::all_of(u.spec.needs.begin(), u.spec.needs.end(), [this](const auto& id) {
                 return std::any_of(users_wanted_.begin(), users_wanted_.end(), [&](const User& x) {
                     return x.spec.id == id && x.state != S::waits && x.state != S::submits;
                 });
             });
-            if (t < u.at || !ready) return;
+            if (t < u.at || !ready)
+                return;
             u.state = S::submits;
             u.first_try = t;
             platform_->know(u.spec);
@@ -309,7 +324,8 @@
         const double t = now();
         u.next = t + (u.state == S::polls ? poll_every_s : 1);
         const auto a = r.status == 200 || r.status == 201 ? codec::job_answer_of(r.body) : std::nullopt;
-        if (r.status != 0) history_.told(u.spec.id, r.status, a ? a->status : "", platform_->now());
+        if (r.status != 0)
+            history_.told(u.spec.id, r.status, a ? a->status : "", platform_->now());
         if (!a) {
             const bool never = u.state == S::submits && (r.status == 400 || r.status == 422);
             if (never || (u.state == S::submits && t - u.first_try > give_up_s)) {
@@ -319,12 +335,15 @@
             return;
         }
         u.last = a->status;
-        if (u.state == S::submits) u.state = S::polls;
-        if (a->status == codec::status_done || a->status == codec::status_cancelled) u.state = S::over;
+        if (u.state == S::submits)
+            u.state = S::polls;
+        if (a->status == codec::status_done || a->status == codec::status_cancelled)
+            u.state = S::over;
     }
 
     void trouble(double t) {
-        if (!o_.faults || t < next_fault_ || t > o_.seconds) return;
+        if (!o_.faults || t < next_fault_ || t > o_.seconds)
+            return;
         next_fault_ = t + fault_every_s * between(0.6, 1.4);
         auto* w = platform_->any();
         using Mood = store::StoreServer::Mood;
@@ -334,7 +353,8 @@
             store_well_at_ = t + between(1, 5);
         };
         const auto worker = [&](const char* what, double StandInWorker::*until) {
-            if (w == nullptr) return;
+            if (w == nullptr)
+                return;
             say(fmt::format("trouble: {} {}", w->listed(0).id, what));
             if (until != nullptr)
                 w->*until = platform_->now() + between(1, 2 * lease_s);
@@ -342,13 +362,20 @@
                 platform_->kill(*w);
         };
         switch (std::uniform_int_distribution<int>(0, 9)(rng_)) {
-        case 0: return store("is out (503)", Mood::out);
-        case 1: return store("has too much to do (429)", Mood::busy);
-        case 2: return store("is silent", Mood::silent);
-        case 3: return worker("hangs", &StandInWorker::hung_until);
-        case 4: return worker("is cut off", &StandInWorker::cut_until);
-        case 5: return worker("and its controller hear each other late", &StandInWorker::late_until);
-        case 6: return worker("stops with all that is on it", nullptr);
+        case 0:
+            return store("is out (503)", Mood::out);
+        case 1:
+            return store("has too much to do (429)", Mood::busy);
+        case 2:
+            return store("is silent", Mood::silent);
+        case 3:
+            return worker("hangs", &StandInWorker::hung_until);
+        case 4:
+            return worker("is cut off", &StandInWorker::cut_until);
+        case 5:
+            return worker("and its controller hear each other late", &StandInWorker::late_until);
+        case 6:
+            return worker("stops with all that is on it", nullptr);
         case 7:
             say("trouble: the cloud is out");
             platform_->out = true;
@@ -356,7 +383,8 @@
             return;
         default: {
             auto& c = nodes_[rng_() % nodes_.size()];
-            if (c.process == nullptr) return;
+            if (c.process == nullptr)
+                return;
             say(fmt::format("trouble: {} is killed", c.name));
             uv_process_kill(c.process, SIGKILL);
             c.back_at = t + back_after_s;
@@ -376,13 +404,15 @@
             platform_->out = false;
         }
         for (auto& c : nodes_) {
-            if (c.process != nullptr) continue;
+            if (c.process != nullptr)
+                continue;
             if (c.back_at < 0) { // by itself: never a good sign
                 ++ended_;
                 say(fmt::format("{} has ended by itself, see {}", c.name, c.log));
                 c.back_at = t + back_after_s;
             }
-            if (t < c.back_at) continue;
+            if (t < c.back_at)
+                continue;
             c.back_at = -1;
             spawn(c);
         }
@@ -396,22 +426,27 @@
             next_line_ = t + 1;
             progress();
         }
-        if (over && !o_.stay) finish("");
-        if (t > o_.seconds + patience_s && !o_.stay) finish("time is over");
+        if (over && !o_.stay)
+            finish("");
+        if (t > o_.seconds + patience_s && !o_.stay)
+            finish("time is over");
     }
 
     void progress() const {
         std::map<std::string, int> states;
-        for (const auto& u : users_wanted_) ++states[u.last];
+        for (const auto& u : users_wanted_)
+            ++states[u.last];
         std::string jobs;
-        for (const auto& [s, n] : states) jobs += fmt::format("{}{} {}", jobs.empty() ? "" : ", ", n, s);
+        for (const auto& [s, n] : states)
+            jobs += fmt::format("{}{} {}", jobs.empty() ? "" : ", ", n, s);
         const auto s = platform_->sum();
         say(fmt::format("jobs: {} | machines: {} up of {}, {} tasks run | rules broken: {}", jobs, s.up, s.machines,
                         s.running, history_.broken().size()));
     }
 
     void finish(const std::string& why) {
-        if (!why.empty()) say(why);
+        if (!why.empty())
+            say(why);
         uv_stop(&loop_);
     }
 
@@ -425,7 +460,8 @@
         }
         for (const auto& [shape, states] : shapes) {
             std::cout << fmt::format("{:9}", shape);
-            for (const auto& [s, n] : states) std::cout << fmt::format("  {} {}", n, s);
+            for (const auto& [s, n] : states)
+                std::cout << fmt::format("  {} {}", n, s);
             std::cout << "\n";
         }
         const auto s = platform_->sum();
@@ -433,10 +469,13 @@
                                  "service\nlogs       {}\n",
                                  s.rented, s.returned, history_.starts(), store_->requests(), folder_);
         const auto left = history_.unfinished();
-        for (const auto& id : left) std::cout << "unfinished " << id << "\n";
-        for (const auto& b : history_.broken()) std::cout << "BROKEN     " << b << "\n";
+        for (const auto& id : left)
+            std::cout << "unfinished " << id << "\n";
+        for (const auto& b : history_.broken())
+            std::cout << "BROKEN     " << b << "\n";
         std::cout << fmt::format("rules      {}\n", history_.broken().empty() ? "none broken" : "broken, see above");
-        if (o_.faults) std::cout << fmt::format("seed       {}\n", o_.seed);
+        if (o_.faults)
+            std::cout << fmt::format("seed       {}\n", o_.seed);
         return history_.broken().empty() && (left.empty() || o_.stay) && ended_ == 0 ? 0 : 1;
     }
 
--- a/src/local/stand_in.cpp
+++ b/src/local/stand_in.cpp
@@ -24,7 +24,8 @@
         }
     }
     ~Until() {
-        for (auto& s : signals_) uv_close(reinterpret_cast<uv_handle_t*>(&s), nullptr);
+        for (auto& s : signals_)
+            uv_close(reinterpret_cast<uv_handle_t*>(&s), nullptr);
         uv_run(&loop, UV_RUN_DEFAULT);
         uv_loop_close(&loop);
     }
@@ -80,7 +81,8 @@
 
 int run_cloud(const Endpoint& listen, PlatformPlan plan) {
     Until until;
-    if (plan.types.empty()) plan.types = usual_types();
+    if (plan.types.empty())
+        plan.types = usual_types();
     History history({}, plan.workers.lease_s * 2);
     Platform platform(&until.loop, std::move(plan), history);
     platform.ask = any_job;
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -52,8 +52,10 @@
                        Host& host)
     : s_(s), later_(later), state_(store), executor_(executor), peers_(peers), host_(host), store_(store_patience(s)),
       cloud_(store_patience(s)) {
-    for (const auto& z : s.zones) zones_.emplace(z, s);
-    for (const auto& p : s.peers) others_.emplace(p.name, s);
+    for (const auto& z : s.zones)
+        zones_.emplace(z, s);
+    for (const auto& p : s.peers)
+        others_.emplace(p.name, s);
 }
 
 Membership::Zone* Membership::find_zone(const std::string& name) {
@@ -72,35 +74,42 @@
 void Membership::store_answered(bool ok) {
     const double t = later_.now();
     store_asked_at_ = t;
-    if (ok ? store_.worked(t) : store_.failed(t)) changed("the state service", store_.reach());
+    if (ok ? store_.worked(t) : store_.failed(t))
+        changed("the state service", store_.reach());
 }
 
 void Membership::cloud_answered(bool ok) {
     const double t = later_.now();
-    if (ok ? cloud_.worked(t) : cloud_.failed(t)) changed("the cloud", cloud_.reach());
+    if (ok ? cloud_.worked(t) : cloud_.failed(t))
+        changed("the cloud", cloud_.reach());
 }
 
 void Membership::peer_answered(const std::string& name, bool ok) {
     const auto it = others_.find(name);
-    if (it == others_.end()) return;
+    if (it == others_.end())
+        return;
     auto& l = it->second.link;
-    if (ok ? l.worked(later_.now()) : l.failed(later_.now())) changed("controller " + name, l.reach());
+    if (ok ? l.worked(later_.now()) : l.failed(later_.now()))
+        changed("controller " + name, l.reach());
 }
 
 void Membership::report_came(const std::string& zone, const std::string& addr) {
     const double t = later_.now();
     heard_at_ = t;
     auto* z = find_zone(zone);
-    if (z == nullptr) return;
+    if (z == nullptr)
+        return;
     z->heard_at = t;
-    if (z->in.worked(t)) changed(fmt::format("workers in {}", zone), reach(*z));
+    if (z->in.worked(t))
+        changed(fmt::format("workers in {}", zone), reach(*z));
     remember(*z, addr);
 }
 
 void Membership::report_relayed(const std::string& zone, const std::string& addr) {
     heard_at_ = later_.now();
     auto* z = find_zone(zone);
-    if (z == nullptr) return;
+    if (z == nullptr)
+        return;
     z->relayed_at = heard_at_;
     remember(*z, addr);
 }
@@ -114,7 +123,8 @@
             x.at = t;
             return;
         }
-    if (z.samples.size() < most_samples) return z.samples.push_back({addr, t});
+    if (z.samples.size() < most_samples)
+        return z.samples.push_back({addr, t});
     for (auto& x : z.samples)
         if (t - x.at > silence_reports * s_.report_s) {
             x = {addr, t};
@@ -150,7 +160,8 @@
 // report through another were told to: their silence here says nothing, so what was thought of it is tried
 // anew once requests are answered again, and after a lease in any case.
 void Membership::watch_silence() {
-    if (!host_.acts()) return;
+    if (!host_.acts())
+        return;
     const double t = later_.now();
     const auto by_zone = host_.machines_by_zone();
     for (auto& [name, z] : zones_) {
@@ -160,11 +171,14 @@
             z.samples.clear(); // given back: that they are silent says nothing
             continue;
         }
-        if (z.in.lost() && t - z.in.failed_at() > s_.lease_s) trust(z);
+        if (z.in.lost() && t - z.in.failed_at() > s_.lease_s)
+            trust(z);
         const double patience = machines < few_machines ? silence_few_reports : silence_reports;
         const double since = std::max({z.heard_at, z.relayed_at, z.trusted_at, host_.acts_since()});
-        if (t - since < patience * s_.report_s) continue;
-        if (z.in.failed(t)) changed(fmt::format("workers in {}", name), Reach::lost);
+        if (t - since < patience * s_.report_s)
+            continue;
+        if (z.in.failed(t))
+            changed(fmt::format("workers in {}", name), Reach::lost);
     }
 }
 
@@ -180,10 +194,12 @@
         asking_store_ = true;
         state_.get("office", s_.report_s / 4, [this](store::Answer&&) { asking_store_ = false; });
     }
-    for (auto& [name, z] : zones_) probe_zone(name, z);
+    for (auto& [name, z] : zones_)
+        probe_zone(name, z);
     // The cloud's calls are few: the others look only when it is the holder that cannot.
     const auto h = others_.find(host_.holder());
-    if (h == others_.end() || !fresh(h->second) || h->second.view.cloud != Reach::lost || t < next_cloud_) return;
+    if (h == others_.end() || !fresh(h->second) || h->second.view.cloud != Reach::lost || t < next_cloud_)
+        return;
     next_cloud_ = t + s_.lease_s / 2;
     executor_.types(s_.report_s,
                     [this](std::optional<std::vector<MachineType>>&& types) { cloud_answered(types.has_value()); });
@@ -195,8 +211,10 @@
     // Machines that were given back answer nobody: where others report, those that do not are not asked. (The
     // office was handed on, its zone of two machines taken for lost.)
     const auto silent = [&](const auto& x) { return t - x.at > silence_reports * s_.report_s; };
-    if (!std::all_of(z.samples.begin(), z.samples.end(), silent)) std::erase_if(z.samples, silent);
-    if (z.probes > z.answered || z.samples.empty()) return;
+    if (!std::all_of(z.samples.begin(), z.samples.end(), silent))
+        std::erase_if(z.samples, silent);
+    if (z.probes > z.answered || z.samples.empty())
+        return;
     z.probes = z.answered = 0;
     const auto n = std::min<std::size_t>(probes_a_round, z.samples.size());
     auto any = std::make_shared<bool>(false);
@@ -216,10 +234,13 @@
     bool turned = false;
     if (ok.value_or(false)) {
         turned = z->out.worked(t);
-        if (turned) trust(*z);
+        if (turned)
+            trust(*z);
     }
-    if (++z->answered == z->probes && !any && ok.has_value()) turned = z->out.failed(t);
-    if (turned) changed(fmt::format("workers in {}", zone), reach(*z));
+    if (++z->answered == z->probes && !any && ok.has_value())
+        turned = z->out.failed(t);
+    if (turned)
+        changed(fmt::format("workers in {}", zone), reach(*z));
 }
 
 View Membership::own_view() const {
@@ -231,34 +252,42 @@
     const auto since = [t = later_.now()](const Link& l) { return l.worked_at() < 0 ? -1 : t - l.worked_at(); };
     v.store_s = since(store_);
     v.cloud_s = since(cloud_);
-    for (const auto& [name, z] : zones_) v.zones[name] = reach(z);
-    for (const auto& [name, o] : others_) v.peers[name] = o.link.reach();
+    for (const auto& [name, z] : zones_)
+        v.zones[name] = reach(z);
+    for (const auto& [name, o] : others_)
+        v.peers[name] = o.link.reach();
     v.holder = host_.holder();
     v.term = host_.holder_term();
     v.sees_office = host_.sees_office();
     v.acts = host_.acts();
     for (const auto& [name, z] : zones_)
         for (const auto& x : z.samples)
-            if (later_.now() - x.at < s_.lease_s) v.machines[name].push_back(x.addr);
+            if (later_.now() - x.at < s_.lease_s)
+                v.machines[name].push_back(x.addr);
     return v;
 }
 
 void Membership::exchange() {
     const auto body = to_body(own_view());
     for (auto& [name, o] : others_) {
-        if (o.asking) continue;
+        if (o.asking)
+            continue;
         o.asking = true;
         ++exchanges_;
         peers_.request(Lane::control, name, "POST", peer_view, body, exchange_wait * s_.report_s,
                        [this, name, sent = later_.now()](HttpReply&& r) {
                            auto& to = others_.at(name);
                            to.asking = false;
-                           if (r.status != 200) return;
+                           if (r.status != 200)
+                               return;
                            auto v = view(r.body);
-                           if (!v || v->node != name) return;
+                           if (!v || v->node != name)
+                               return;
                            // An answer was made after its question was sent, however long it took to come.
-                           if (v->store_s >= 0) to.store_at = std::max(to.store_at, sent - v->store_s);
-                           if (v->cloud_s >= 0) to.cloud_at = std::max(to.cloud_at, sent - v->cloud_s);
+                           if (v->store_s >= 0)
+                               to.store_at = std::max(to.store_at, sent - v->store_s);
+                           if (v->cloud_s >= 0)
+                               to.cloud_at = std::max(to.cloud_at, sent - v->cloud_s);
                            took(std::move(*v));
                        });
     }
@@ -266,25 +295,30 @@
 
 void Membership::exchanged(const HttpRequest& r, const Responder& res) {
     auto v = view(r.body);
-    if (!v) return res.send(400, codec::error_answer("not a view"));
+    if (!v)
+        return res.send(400, codec::error_answer("not a view"));
     took(std::move(*v));
     res.send(200, to_body(own_view()));
 }
 
 void Membership::took(View&& v) {
     const auto it = others_.find(v.node);
-    if (it == others_.end()) return;
+    if (it == others_.end())
+        return;
     // One that was held up on the way is as old as it is; clocks differ by the bound of the settings.
     const double late = std::max(0.0, later_.wall() - v.sent - 2 * s_.time_bound_s);
     const double t = later_.now();
-    if (t - late < it->second.at) return;
+    if (t - late < it->second.at)
+        return;
     for (const auto& [name, list] : v.machines) {
         auto* z = find_zone(name);
-        if (z == nullptr || list.empty() || host_.acts() || !(v.acts || z->samples.empty())) continue;
+        if (z == nullptr || list.empty() || host_.acts() || !(v.acts || z->samples.empty()))
+            continue;
         // What others only remember is used, but not handed on: it would never grow old.
         const double at = v.acts ? t : t - s_.lease_s;
         z->samples.clear();
-        for (const auto& addr : list) z->samples.push_back({addr, at});
+        for (const auto& addr : list)
+            z->samples.push_back({addr, at});
     }
     it->second.view = std::move(v);
     it->second.at = t - late;
@@ -293,7 +327,8 @@
 // --- what is thought ---
 
 Reach Membership::reach(const Zone& z) const {
-    if (z.out.lost() || (host_.acts() && z.in.lost())) return Reach::lost;
+    if (z.out.lost() || (host_.acts() && z.in.lost()))
+        return Reach::lost;
     const bool any = z.out.reach() == Reach::works || (host_.acts() && z.in.reach() == Reach::works);
     return any ? Reach::works : Reach::unknown;
 }
@@ -327,7 +362,8 @@
 
 bool Membership::nobody_better() const {
     return std::all_of(others_.begin(), others_.end(), [this](const auto& o) {
-        if (!fresh(o.second)) return false;
+        if (!fresh(o.second))
+            return false;
         const auto x = standing(o.second.view, true);
         return x.store == 0 || x.zones + x.zones_by_others == 0;
     });
@@ -358,7 +394,8 @@
             return name != v.node && of(x) == Reach::works && link != v.peers.end() && link->second == Reach::works;
         };
         bool any = v.node != s_.name && by(s_.name, own_view());
-        for (const auto& [name, o] : others_) any = any || (fresh(o) && by(name, o.view));
+        for (const auto& [name, o] : others_)
+            any = any || (fresh(o) && by(name, o.view));
         out.zones_by_others += any;
     }
     return out;
@@ -373,8 +410,10 @@
 // Surely so: what others reach counts only if that is newer than the failure here.
 Standing Membership::standing(const Other& o) const {
     auto out = standing(o.view, false);
-    if (!since_lost(o.store_at, store_)) out.store = 0;
-    if (!since_lost(o.cloud_at, cloud_)) out.cloud = 0;
+    if (!since_lost(o.store_at, store_))
+        out.store = 0;
+    if (!since_lost(o.cloud_at, cloud_))
+        out.cloud = 0;
     return out;
 }
 
@@ -391,7 +430,8 @@
     std::optional<std::string> best;
     auto most = own();
     for (const auto& [name, o] : others_) {
-        if (!fresh(o)) continue;
+        if (!fresh(o))
+            continue;
         if (const auto x = standing(o); x > most) {
             most = x;
             best = name;
@@ -405,45 +445,54 @@
     const double yield = yield_leases * s_.lease_s;
     int before = 0; // as fit as this node, and earlier by name
     for (const auto& [name, o] : others_) {
-        if (!fresh(o)) continue;
+        if (!fresh(o))
+            continue;
         const auto x = standing(o.view, true);
-        if (x > mine) return yield;
+        if (x > mine)
+            return yield;
         before += x == mine && name < s_.name;
     }
     // Deaf, and not all the others are known to be no better.
-    if (mine.zones + mine.zones_by_others == 0 && !s_.zones.empty() && !nobody_better()) return yield;
+    if (mine.zones + mine.zones_by_others == 0 && !s_.zones.empty() && !nobody_better())
+        return yield;
     return before * stagger_reports * s_.report_s;
 }
 
 std::optional<std::string> Membership::with_store(const std::string& rather) const {
     std::optional<std::string> out;
     for (const auto& [name, o] : others_) {
-        if (!fresh(o) || o.link.lost() || o.view.store != Reach::works) continue;
-        if (!out || name == rather) out = name;
+        if (!fresh(o) || o.link.lost() || o.view.store != Reach::works)
+            continue;
+        if (!out || name == rather)
+            out = name;
     }
     return out;
 }
 
 std::optional<std::string> Membership::served_instead() const {
     for (const auto& [name, o] : others_)
-        if (fresh(o) && o.view.store == Reach::works && store_.lost() && since_lost(o.store_at, store_)) return name;
+        if (fresh(o) && o.view.store == Reach::works && store_.lost() && since_lost(o.store_at, store_))
+            return name;
     return {};
 }
 
 std::optional<std::string> Membership::way_to(const std::string& zone) {
     std::vector<const std::string*> ways;
     for (const auto& [name, o] : others_) {
-        if (!fresh(o) || o.link.lost()) continue;
+        if (!fresh(o) || o.link.lost())
+            continue;
         if (const auto r = o.view.zones.find(zone); r != o.view.zones.end() && r->second == Reach::works)
             ways.push_back(&name);
     }
-    if (ways.empty()) return {};
+    if (ways.empty())
+        return {};
     return *ways[turn_++ % ways.size()];
 }
 
 bool Membership::holder_reaches(const std::string& holder, const std::string& zone) const {
     const auto it = others_.find(holder);
-    if (it == others_.end() || !fresh(it->second)) return true; // nothing is known to be better
+    if (it == others_.end() || !fresh(it->second))
+        return true; // nothing is known to be better
     const auto r = it->second.view.zones.find(zone);
     return r == it->second.view.zones.end() || r->second != Reach::lost;
 }
--- a/src/membership/view.cpp
+++ b/src/membership/view.cpp
@@ -17,24 +17,29 @@
 }
 
 Reach reach(const Json& j) {
-    if (!j.is_string()) return Reach::unknown;
+    if (!j.is_string())
+        return Reach::unknown;
     const auto& s = j.get_ref<const std::string&>();
     return s == "works" ? Reach::works : s == "lost" ? Reach::lost : Reach::unknown;
 }
 
 Json to_json(const std::map<std::string, Reach>& all) {
     auto out = Json::object();
-    for (const auto& [name, r] : all) out[name] = word(r);
+    for (const auto& [name, r] : all)
+        out[name] = word(r);
     return out;
 }
 
 template <class F> void each(const Json& j, const char* field, F f) {
     const auto it = j.find(field);
-    if (it == j.end() || !it->is_object()) return;
+    if (it == j.end() || !it->is_object())
+        return;
     std::size_t n = 0;
     for (const auto& [name, value] : it->items()) {
-        if (++n > most_entries) return;
-        if (name.size() <= longest_name) f(name, value);
+        if (++n > most_entries)
+            return;
+        if (name.size() <= longest_name)
+            f(name, value);
     }
 }
 
@@ -71,12 +76,15 @@
 
 std::optional<View> view(std::string_view body) {
     const auto j = codec::parse(body);
-    if (!j.is_object()) return {};
+    if (!j.is_object())
+        return {};
     View v;
     v.node = text(j, "node");
-    if (v.node.empty()) return {};
+    if (v.node.empty())
+        return {};
     const auto number = [&](const char* name, double& into) {
-        if (const auto t = j.find(name); t != j.end() && t->is_number()) into = t->get<double>();
+        if (const auto t = j.find(name); t != j.end() && t->is_number())
+            into = t->get<double>();
     };
     number("sent", v.sent);
     number("storeS", v.store_s);
@@ -87,14 +95,16 @@
     each(j, "zones", [&](const std::string& name, const Json& r) { v.zones[name] = reach(r); });
     each(j, "peers", [&](const std::string& name, const Json& r) { v.peers[name] = reach(r); });
     each(j, "machines", [&](const std::string& zone, const Json& list) {
-        if (!list.is_array()) return;
+        if (!list.is_array())
+            return;
         for (const auto& a : list)
             if (a.is_string() && a.get_ref<const std::string&>().size() <= longest_name &&
                 v.machines[zone].size() < most_samples)
                 v.machines[zone].push_back(a.get<std::string>());
     });
     v.holder = text(j, "holder");
-    if (const auto t = j.find("term"); t != j.end() && t->is_number_unsigned()) v.term = t->get<std::uint64_t>();
+    if (const auto t = j.find("term"); t != j.end() && t->is_number_unsigned())
+        v.term = t->get<std::uint64_t>();
     v.sees_office = flag(j, "seesOffice");
     v.acts = flag(j, "acts");
     return v;
--- a/src/metrics/metrics.cpp
+++ b/src/metrics/metrics.cpp
@@ -17,7 +17,8 @@
 Latency::Latency() : bins_(boost::histogram::make_histogram(Axis(bins, least_s, most_s))) {}
 
 void Latency::add(double seconds) {
-    if (!std::isfinite(seconds)) return;
+    if (!std::isfinite(seconds))
+        return;
     seconds = std::max(0.0, seconds);
     bins_(std::max(seconds, least_s / 2)); // a logarithm of nothing is none: below the first bin
     ++count_;
@@ -36,16 +37,19 @@
 }
 
 void FirstLaunches::known(const std::string& job, double now) {
-    if (!since_.emplace(job, now).second) return;
+    if (!since_.emplace(job, now).second)
+        return;
     order_.push_back(job);
-    if (order_.size() <= most_waiting) return;
+    if (order_.size() <= most_waiting)
+        return;
     since_.erase(order_.front());
     order_.pop_front();
 }
 
 void FirstLaunches::launched(const std::string& job, double now, Latency& into) {
     const auto it = since_.find(job);
-    if (it == since_.end() || it->second < 0) return;
+    if (it == since_.end() || it->second < 0)
+        return;
     into.add(now - it->second);
     it->second = -1; // stays known until it is the oldest, so that a second launch is not a first one
 }
@@ -59,7 +63,8 @@
         ClientMetric m;
         const bool counter = v.name.ends_with("_total");
         (counter ? m.counter.value : m.gauge.value) = v.value;
-        for (const auto& [name, value] : v.labels) m.label.push_back({name, value});
+        for (const auto& [name, value] : v.labels)
+            m.label.push_back({name, value});
         if (!all.empty() && all.back().name == v.name)
             all.back().metric.push_back(m);
         else
@@ -69,7 +74,8 @@
         ClientMetric m;
         m.histogram.sample_count = t.latency->count();
         m.histogram.sample_sum = t.latency->sum();
-        for (const auto& b : t.latency->buckets()) m.histogram.bucket.push_back({b.count, b.upto});
+        for (const auto& b : t.latency->buckets())
+            m.histogram.bucket.push_back({b.count, b.upto});
         all.push_back({t.name, t.help, MetricType::Histogram, {m}});
     }
     return prometheus::TextSerializer().Serialize(all);
--- a/src/node/controller.cpp
+++ b/src/node/controller.cpp
@@ -20,7 +20,8 @@
     store_.on_answer = [this](bool ok) { members_.store_answered(ok); };
     peers_.on_answer = [this](const std::string& name, bool ok) { members_.peer_answered(name, ok); };
     later_.on_change = [this] {
-        if (on_wake_at) on_wake_at();
+        if (on_wake_at)
+            on_wake_at();
     };
 }
 
@@ -51,27 +52,32 @@
 
 double Controller::wake_at() const {
     const double at = later_.next_at();
-    if (!core_) return at;
+    if (!core_)
+        return at;
     return queue_.empty() || !office_.valid() ? std::min(at, core_->wake_at()) : 0;
 }
 
 void Controller::push(Command c) {
-    if (!core_) return;
+    if (!core_)
+        return;
     queue_.push_back(std::move(c));
-    if (on_wake_at) on_wake_at();
+    if (on_wake_at)
+        on_wake_at();
 }
 
 void Controller::entered(std::uint64_t term, Snapshot&& stored) {
     const double at = later_.now(), wall_at = later_.wall();
     ++life_;
     queue_.clear();
-    if (log_) log_->begin(s_, term, stored, at, wall_at);
+    if (log_)
+        log_->begin(s_, term, stored, at, wall_at);
     core_ = std::make_unique<Core>(s_, term, stored, at, wall_at);
     spdlog::info("term {}: {} jobs and {} records read", term, stored.jobs.size(),
                  stored.intents.size() + stored.progress.size() + stored.earlier.size());
     cloud_.entered_office();
     desk_.settle_early();
-    if (on_wake_at) on_wake_at();
+    if (on_wake_at)
+        on_wake_at();
 }
 
 void Controller::left() {
@@ -84,7 +90,8 @@
 }
 
 void Controller::jobs_seen(std::vector<codec::StoredJob>&& jobs) {
-    for (auto& j : jobs) push(job_stored(std::move(j), later_.wall()));
+    for (auto& j : jobs)
+        push(job_stored(std::move(j), later_.wall()));
 }
 
 void Controller::committed(TxnOutcome outcome) {
@@ -92,22 +99,26 @@
 }
 
 void Controller::stored(JobStored&& j) {
-    if (!core_) return;
+    if (!core_)
+        return;
     took_.first_launches.known(j.spec.id, later_.now());
     push(std::move(j));
 }
 
 void Controller::run_core() {
-    if (!core_ || running_core_) return;
+    if (!core_ || running_core_)
+        return;
     const double t = later_.now();
-    if ((queue_.empty() || !office_.valid()) && t < core_->wake_at()) return;
+    if ((queue_.empty() || !office_.valid()) && t < core_->wake_at())
+        return;
     running_core_ = true;
     std::vector<Command> batch;
     batch.swap(queue_);
     const auto commands = batch.size();
     const double wall_now = later_.wall();
     const bool entitled = office_.valid();
-    if (log_) log_->commands(batch, t, wall_now, entitled);
+    if (log_)
+        log_->commands(batch, t, wall_now, entitled);
     auto effects = core_->step(batch, t, wall_now, entitled);
     if (log_) {
         log_->effects(effects);
@@ -123,16 +134,19 @@
     queue_.insert(queue_.begin(), std::make_move_iterator(batch.begin()), std::make_move_iterator(batch.end()));
     const auto life = life_;
     for (auto& e : effects) {
-        if (life != life_) break; // stepped down meanwhile
+        if (life != life_)
+            break; // stepped down meanwhile
         perform(e);
     }
     running_core_ = false;
-    if (on_wake_at) on_wake_at();
+    if (on_wake_at)
+        on_wake_at();
 }
 
 void Controller::perform(Effect& effect) {
     const auto to_core = [this, life = life_](auto&& c) {
-        if (life == life_) push(std::forward<decltype(c)>(c));
+        if (life == life_)
+            push(std::forward<decltype(c)>(c));
     };
     std::visit(Each{
                    [this](Commit& e) { office_.commit(std::move(e)); },
@@ -154,12 +168,17 @@
 }
 
 void Controller::serve_peer(HttpRequest&& r, Responder res) {
-    if (!r.path.starts_with(peer_prefix)) return res.send(404, codec::error_answer("no such path"));
+    if (!r.path.starts_with(peer_prefix))
+        return res.send(404, codec::error_answer("no such path"));
     r.path.erase(0, std::string_view(peer_prefix).size());
-    if (r.path == "/view") return members_.exchanged(r, res);
-    if (r.path == "/promise") return office_.asked_to_promise(r, res);
-    if (r.path == "/take") return office_.asked_to_take(r, res);
-    if (r.path == "/relay") return desk_.pass_on(std::move(r), res);
+    if (r.path == "/view")
+        return members_.exchanged(r, res);
+    if (r.path == "/promise")
+        return office_.asked_to_promise(r, res);
+    if (r.path == "/take")
+        return office_.asked_to_take(r, res);
+    if (r.path == "/relay")
+        return desk_.pass_on(std::move(r), res);
     if (r.path == "/office") // for versions without views
         return res.send(200, codec::Json{{"holder", office_.holder()}, {"term", office_.holder_term()}}.dump());
     serve(std::move(r), std::move(res), true);
@@ -174,19 +193,24 @@
     const std::string_view path = r.path;
     const bool get = r.method == "GET", post = r.method == "POST";
     auto wrong_method = [&] { res.send(405, codec::error_answer("wrong method")); };
-    if (path == codec::path_report) return post ? desk_.beat(std::move(r), res, passed_on) : wrong_method();
+    if (path == codec::path_report)
+        return post ? desk_.beat(std::move(r), res, passed_on) : wrong_method();
     if (path == codec::path_health) {
-        if (!get) return wrong_method();
+        if (!get)
+            return wrong_method();
         const bool of_use = !types().empty() && members_.of_use();
         return of_use ? res.send(200, "{}") : res.send(503, codec::not_now, retry_soon_s);
     }
-    if (path == "/metrics") return get ? res.send(200, metrics()) : wrong_method();
-    if (path.starts_with(codec::path_jobs)) return gateway_.serve(std::move(r), std::move(res), passed_on);
+    if (path == "/metrics")
+        return get ? res.send(200, metrics()) : wrong_method();
+    if (path.starts_with(codec::path_jobs))
+        return gateway_.serve(std::move(r), std::move(res), passed_on);
     res.send(404, codec::error_answer("no such path"));
 }
 
 std::string Controller::zone_of(const std::string& machine) const {
-    if (!core_) return {};
+    if (!core_)
+        return {};
     const auto& all = core_->state().machines;
     const auto it = all.find(machine);
     return it == all.end() ? "" : it->second->zone_name;
@@ -196,13 +220,15 @@
     std::map<std::string, std::size_t> out;
     if (core_)
         for (const auto& [id, m] : core_->state().machines)
-            if (m->status == ledger::Status::up && !m->releasing) ++out[m->zone_name];
+            if (m->status == ledger::Status::up && !m->releasing)
+                ++out[m->zone_name];
     return out;
 }
 
 std::string Controller::metrics() const {
     auto values = core_ ? core_->metrics() : std::vector<metrics::Value>{};
-    for (auto&& part : {office_.metrics(), members_.metrics()}) values.insert(values.end(), part.begin(), part.end());
+    for (auto&& part : {office_.metrics(), members_.metrics()})
+        values.insert(values.end(), part.begin(), part.end());
     values.push_back(
         {"heronshift_relayed_total", "reports and orders passed on for others", static_cast<double>(took_.relayed)});
     values.push_back({"heronshift_sent_by_others_total", "orders that another passed on for this controller",
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -14,10 +14,14 @@
 } // namespace
 
 Node::Parts Node::whole(uv_loop_t* loop, const Settings& s, Parts parts) {
-    if (!parts.clock) parts.clock = std::make_shared<Clock>();
-    if (!parts.state) parts.state = std::make_unique<store::RemoteStore>(loop, s.state);
-    if (!parts.executor) parts.executor = std::make_unique<HttpExecutor>(loop, s.cloud);
-    if (!parts.peers) parts.peers = std::make_unique<HttpPeers>(loop, s.peers);
+    if (!parts.clock)
+        parts.clock = std::make_shared<Clock>();
+    if (!parts.state)
+        parts.state = std::make_unique<store::RemoteStore>(loop, s.state);
+    if (!parts.executor)
+        parts.executor = std::make_unique<HttpExecutor>(loop, s.cloud);
+    if (!parts.peers)
+        parts.peers = std::make_unique<HttpPeers>(loop, s.peers);
     return parts;
 }
 
@@ -27,13 +31,15 @@
 }
 
 Node::~Node() {
-    if (handles_ == nullptr) return;
+    if (handles_ == nullptr)
+        return;
     for (auto* h : {reinterpret_cast<uv_handle_t*>(&handles_->tick), reinterpret_cast<uv_handle_t*>(&handles_->wake),
                     reinterpret_cast<uv_handle_t*>(&handles_->check)}) {
         h->data = handles_;
         uv_close(h, [](uv_handle_t* x) {
             auto* all = static_cast<Handles*>(x->data);
-            if (--all->open == 0) delete all;
+            if (--all->open == 0)
+                delete all;
         });
     }
 }
@@ -51,7 +57,8 @@
     });
     for (const auto& [server, at] : {std::pair{users_.get(), &s.listen}, std::pair{peers_.get(), &s.peer_listen}})
         if (!at->host.empty())
-            if (const int e = server->listen(*at); e != 0) return e;
+            if (const int e = server->listen(*at); e != 0)
+                return e;
     handles_ = new Handles;
     handles_->open = 3;
     uv_timer_init(loop_, &handles_->tick);
@@ -78,7 +85,8 @@
 }
 
 void Node::arm() {
-    if (handles_ == nullptr) return;
+    if (handles_ == nullptr)
+        return;
     const double now = controller_.later().now();
     const double in = std::clamp(controller_.wake_at() - now, 0.0, longest_sleep_s);
     uv_timer_start(
@@ -93,7 +101,8 @@
 }
 
 void Node::tick() {
-    if (on_tick_) on_tick_();
+    if (on_tick_)
+        on_tick_();
     const double t = controller_.later().now();
     if (t >= next_sweep_) {
         next_sweep_ = t + 1;
--- a/src/office/commits.cpp
+++ b/src/office/commits.cpp
@@ -21,7 +21,8 @@
     writes.push_back({round_key, codec::Json{{"term", term_}, {"n", count_ + 1}}, 0});
     store_.transact({{office_key, office_stamp_}, {round_key, round_stamp_}}, writes, s_.report_s / 3,
                     [this, gen, c = std::move(c), tries, began = later_.now()](store::Answer&& r) mutable {
-                        if (gen != generation_) return;
+                        if (gen != generation_)
+                            return;
                         if (r.status == 200) {
                             took_.commit.add(later_.now() - began);
                             return applied(r.epoch);
@@ -32,7 +33,8 @@
                                 spdlog::error("the state service calls a transaction malformed: {}", r.error);
                             const auto outcome = r.status == 400 ? TxnOutcome::too_large : TxnOutcome::refused;
                             return later_.after(s_.report_s / 20, [this, gen, outcome] {
-                                if (gen == generation_) ends_.done(outcome);
+                                if (gen == generation_)
+                                    ends_.done(outcome);
                             });
                         }
                         resolve(std::move(c), tries + 1);
@@ -43,15 +45,20 @@
 void Commits::resolve(Commit c, int tries) {
     const auto gen = generation_;
     store_.get(round_key, s_.report_s / 3, [this, gen, c = std::move(c), tries](store::Answer&& r) mutable {
-        if (gen != generation_) return;
+        if (gen != generation_)
+            return;
         const auto& item = r.item;
         if (!item || !item->value.is_object())
             return later_.after(s_.report_s / 10, [this, gen, c = std::move(c), tries]() mutable {
-                if (gen == generation_) resolve(std::move(c), tries);
+                if (gen == generation_)
+                    resolve(std::move(c), tries);
             });
-        if (item->value.value("term", std::uint64_t{0}) != term_) return ends_.over("another term has begun");
-        if (item->value.value("n", std::uint64_t{0}) == count_ + 1) return applied(item->stamp);
-        if (tries > most_tries && !ends_.valid()) return ends_.over("no office and no answer");
+        if (item->value.value("term", std::uint64_t{0}) != term_)
+            return ends_.over("another term has begun");
+        if (item->value.value("n", std::uint64_t{0}) == count_ + 1)
+            return applied(item->stamp);
+        if (tries > most_tries && !ends_.valid())
+            return ends_.over("no office and no answer");
         send(std::move(c), tries);
     });
 }
