--- a/tests/test_crowded.cpp
+++ b/tests/test_crowded.cpp
@@ -17,7 +17,8 @@
     int n = 0;
     std::string ask(Shape shape, std::uint32_t tasks, double cpus, const std::function<void(JobSpec&)>& more = {}) {
         auto j = job(++n, shape, tasks, cpus);
-        if (more) more(j);
+        if (more)
+            more(j);
         submit(j);
         return j.id;
     }
@@ -25,7 +26,8 @@
     void keep_busy(double seconds, double every_s, double cpus = 2, const std::function<void(JobSpec&)>& more = {}) {
         double next = now;
         for (const double end = now + seconds; now < end && broken.empty(); step()) {
-            if (now < next) continue;
+            if (now < next)
+                continue;
             next += every_s;
             ask(Shape::array, 4, cpus, more);
         }
@@ -35,7 +37,8 @@
     int run_controllers() override {
         for (const auto& [id, w] : workers)
             for (const auto& t : w.tasks)
-                if (t.state == TaskState::running) began.emplace(t.job, now - submitted[t.job]);
+                if (t.state == TaskState::running)
+                    began.emplace(t.job, now - submitted[t.job]);
         return World::run_controllers();
     }
     double began_after(const std::string& id) const {
@@ -47,7 +50,8 @@
     }
     std::uint64_t counted(const std::string& name) const {
         for (const auto& v : core->metrics())
-            if (v.name == name) return static_cast<std::uint64_t>(v.value);
+            if (v.name == name)
+                return static_cast<std::uint64_t>(v.value);
         return 0;
     }
 };
@@ -107,7 +111,8 @@
     c.settings.objectives = {{"wait", "urgent", 12, 0.9, 0}};
     c.take_office();
     const auto small = [&] { c.keep_busy(6, 0.3); };
-    for (int k = 0; k < 8; ++k) small();
+    for (int k = 0; k < 8; ++k)
+        small();
     const auto before = c.stopped();
     std::vector<std::string> list;
     for (int k = 0; k < 10; ++k) {
--- a/tests/test_cuts.cpp
+++ b/tests/test_cuts.cpp
@@ -13,7 +13,8 @@
 std::vector<Left> all_cuts(std::size_t n, int holder) {
     std::vector<Left> out;
     std::function<void(Left)> add = [&](Left l) {
-        if (l.size() == n) return out.push_back(l);
+        if (l.size() == n)
+            return out.push_back(l);
         for (int k = l.size() < 2 ? 0 : l.back(); k < 4; ++k) {
             l.push_back(k);
             add(l);
@@ -39,10 +40,13 @@
 // out, what users ask is answered, jobs are done. Once healed, all that was accepted is.
 std::string after_cut(const Left& left, Mode m, unsigned seed) {
     Working f(seed, left.size(), 24);
-    if (!f.settle()) return "no holder before the cut";
+    if (!f.settle())
+        return "no holder before the cut";
     for (std::size_t k = 0; k < left.size(); ++k) {
-        if (left[k] == 1 || left[k] == 3) f.all_zones(f.name(k), m);
-        if (left[k] == 2 || left[k] == 3) f.both(f.name(k), Fleet::state, m);
+        if (left[k] == 1 || left[k] == 3)
+            f.all_zones(f.name(k), m);
+        if (left[k] == 2 || left[k] == 3)
+            f.both(f.name(k), Fleet::state, m);
     }
     f.look_for_paths();
     const bool path = f.path_since >= 0;
@@ -50,15 +54,20 @@
     const int lapses = f.lapses;
     f.bound_s = 1e9; // said below
     f.work(f.leases(4));
-    if (!f.broken.empty()) return first(f);
-    if (path && in_time && f.lapses > lapses) return fmt::format("{} leases ran out", f.lapses - lapses);
+    if (!f.broken.empty())
+        return first(f);
+    if (path && in_time && f.lapses > lapses)
+        return fmt::format("{} leases ran out", f.lapses - lapses);
     // The first that takes over may have had no time yet to see that it is cut off, too.
-    if (path && !f.hasty().empty()) return f.hasty();
+    if (path && !f.hasty().empty())
+        return f.hasty();
     const double late_s = f.leases(in_time ? 2 : 3);
-    if (path && f.unfinished(late_s) > 0) return fmt::format("{} jobs not done in {} s", f.unfinished(late_s), late_s);
+    if (path && f.unfinished(late_s) > 0)
+        return fmt::format("{} jobs not done in {} s", f.unfinished(late_s), late_s);
     f.heal();
     f.work(f.leases(4.5));
-    if (!f.broken.empty()) return first(f) + ", healed";
+    if (!f.broken.empty())
+        return first(f) + ", healed";
     if (const int left_over = f.unfinished(f.leases(3)); left_over > 0)
         return fmt::format("{} jobs not done, healed", left_over);
     return {};
@@ -71,11 +80,15 @@
     std::string wrong;
     int k = 0;
     for (const auto& left : all_cuts(5, holder)) {
-        if (sanitized && k++ % 7 != 0) continue;
+        if (sanitized && k++ % 7 != 0)
+            continue;
         std::string name;
-        for (const int l : left) name += std::to_string(l);
-        if (const char* only = std::getenv("ONLY"); only != nullptr && name != only) continue;
-        if (const auto why = after_cut(left, mode, 7 + other_seeds()); !why.empty()) wrong += name + ": " + why + "\n";
+        for (const int l : left)
+            name += std::to_string(l);
+        if (const char* only = std::getenv("ONLY"); only != nullptr && name != only)
+            continue;
+        if (const auto why = after_cut(left, mode, 7 + other_seeds()); !why.empty())
+            wrong += name + ": " + why + "\n";
     }
     EXPECT_EQ(wrong, "");
 }
@@ -132,7 +145,8 @@
     for (unsigned seed = 1; seed <= 12; ++seed) {
         Working f(seed, 5, 24);
         ASSERT_TRUE(f.settle(25 + 0.3 * seed)) << seed;
-        for (const auto& n : f.nodes) f.both(n.name, Fleet::cloud, seed % 2 == 0 ? Mode::drop : Mode::refuse);
+        for (const auto& n : f.nodes)
+            f.both(n.name, Fleet::cloud, seed % 2 == 0 ? Mode::drop : Mode::refuse);
         f.work(f.leases(3));
         EXPECT_EQ(first(f), "") << seed;
         EXPECT_EQ(f.changes.size(), 1U) << seed;
@@ -144,7 +158,8 @@
     Working f(3, 5, 24);
     ASSERT_TRUE(f.settle(40));
     for (std::size_t k = 0; k < 5; ++k)
-        if (k != 2) f.both(f.name(k), Fleet::cloud, Mode::refuse);
+        if (k != 2)
+            f.both(f.name(k), Fleet::cloud, Mode::refuse);
     f.work(f.leases(3));
     EXPECT_EQ(first(f), "");
     EXPECT_EQ(f.changes.size(), 2U);
@@ -172,7 +187,8 @@
             f.withdraw(fmt::format("wk-{:06}", 1 + f.pick(static_cast<std::size_t>(f.n))));
         // Troubles, then time in which those that last a while longer must have become harmless.
         const double in_round = std::fmod(f.now, 120);
-        if (f.now < next_trouble || in_round < 25 || in_round > 65 || f.now > 240) return;
+        if (f.now < next_trouble || in_round < 25 || in_round > 65 || f.now > 240)
+            return;
         next_trouble = f.now + f.between(1, 4);
         f.trouble(f.chance() < 0.7 ? f.between(2, 30) : 100);
     };
--- a/tests/test_day.cpp
+++ b/tests/test_day.cpp
@@ -50,7 +50,8 @@
     auto day = a_good_day();
     int n = 0;
     for (auto& j : day)
-        if (j.team == "blue" && j.size < 30 && ++n > 3) j.done_at = -1, j.running = true;
+        if (j.team == "blue" && j.size < 30 && ++n > 3)
+            j.done_at = -1, j.running = true;
     EXPECT_EQ(wrong(day), "team blue: 8 of 20 served");
 }
 
@@ -73,13 +74,16 @@
     std::mt19937 rng(5);
     gateway::Turns turns(10, 16, 40);
     std::vector<double> next(300), served(300);
-    for (auto& t : next) t = std::uniform_real_distribution<double>(0, 5)(rng);
+    for (auto& t : next)
+        t = std::uniform_real_distribution<double>(0, 5)(rng);
     double longest = 0;
     for (double now = 0; now < 400; now += 0.05)
         for (std::size_t i = 0; i < next.size(); ++i) {
-            if (now < next[i]) continue;
+            if (now < next[i])
+                continue;
             next[i] = now + std::uniform_real_distribution<double>(4, 6)(rng);
-            if (!turns.take(std::to_string(i), now)) continue;
+            if (!turns.take(std::to_string(i), now))
+                continue;
             longest = std::max(longest, now - served[i]);
             served[i] = now;
         }
@@ -91,16 +95,19 @@
 // A day with services, small and wide arrays, and gangs, of two teams.
 struct Day : Troubled {
     Day(unsigned seed, std::size_t controllers, int machines) : Troubled(seed + other_seeds(), controllers, machines) {
-        for (auto& [id, u] : asks) u.seen.job_class = jobs[id].job_class = "serve";
+        for (auto& [id, u] : asks)
+            u.seen.job_class = jobs[id].job_class = "serve";
         before_step = [this] {
-            if (std::fmod(now, 12) < 0.1) ask_also(job(900'000 + ++others, Shape::array, 30, 2), "wide");
+            if (std::fmod(now, 12) < 0.1)
+                ask_also(job(900'000 + ++others, Shape::array, 30, 2), "wide");
             if (std::fmod(now + 6, 12) < 0.1) {
                 auto gang = job(900'000 + ++others, Shape::gang, 4, 4);
                 gang.one_zone = others % 4 == 0;
                 gang.spot = true;
                 ask_also(gang, "gang");
             }
-            if (more) more();
+            if (more)
+                more();
         };
     }
     void ask_also(JobSpec spec, const std::string& job_class) {
@@ -118,14 +125,16 @@
     const ledger::Machine* known(const std::string& id) {
         const auto& c = nodes[holder().value_or(0)].controller;
         const auto* term = c ? c->core() : nullptr;
-        if (term == nullptr) return nullptr;
+        if (term == nullptr)
+            return nullptr;
         const auto it = term->state().machines.find(id);
         return it == term->state().machines.end() ? nullptr : it->second.get();
     }
     std::vector<std::string> busy() const {
         std::vector<std::string> out;
         for (const auto& [id, w] : workers)
-            if (!w.tasks.empty()) out.push_back(id);
+            if (!w.tasks.empty())
+                out.push_back(id);
         return out;
     }
 };
@@ -138,7 +147,8 @@
     std::string id; // one that stays: with replicas
     for (const auto& [name, w] : f.workers)
         for (const auto& t : w.tasks)
-            if (f.jobs[t.job].shape == Shape::service) id = name;
+            if (f.jobs[t.job].shape == Shape::service)
+                id = name;
     if (orders_reach)
         f.misses_answers.insert(id);
     else
@@ -152,9 +162,12 @@
             known_at = f.now;
             known_there = f.nodes[*f.holder()].clock->now();
         }
-        if (gone_at < 0 && !f.workers.contains(id)) gone_at = f.now;
-        if (known_at < 0 || m == nullptr) return;
-        for (const auto& e : m->entries) placed += e->placed_at > known_there;
+        if (gone_at < 0 && !f.workers.contains(id))
+            gone_at = f.now;
+        if (known_at < 0 || m == nullptr)
+            return;
+        for (const auto& e : m->entries)
+            placed += e->placed_at > known_there;
     };
     f.work(f.leases(gone_after));
     EXPECT_EQ(first(f), "");
@@ -179,7 +192,8 @@
         std::vector<std::string> some = f.busy();
         some.resize(5);
         const int before = f.lapses;
-        for (const auto& id : some) f.deafen(id, {f.nodes[*f.holder()].name});
+        for (const auto& id : some)
+            f.deafen(id, {f.nodes[*f.holder()].name});
         f.work(f.leases(4));
         EXPECT_EQ(first(f), "") << seed;
         EXPECT_EQ(f.lapses, before) << seed;
@@ -203,7 +217,8 @@
     ASSERT_TRUE(f.settle(60));
     f.deafen_some(GetParam().share, GetParam().zone, f.all_nodes(), f.leases(3));
     for (const auto& [id, u] : f.asks)
-        if (f.chance() < 0.1 && u.seen.done_at < 0) f.withdraw(id);
+        if (f.chance() < 0.1 && u.seen.done_at < 0)
+            f.withdraw(id);
     f.work(f.leases(4));
     EXPECT_EQ(first(f), "");
     f.work(f.leases(2)); // they hear again, and are used again
@@ -222,7 +237,8 @@
         ASSERT_TRUE(f.settle(60)) << seed;
         for (int k = 0; k < 3; ++k) {
             for (auto& [id, w] : f.workers)
-                if (f.chance() < 0.2) w.dead = true; // taken without notice, while copies go on coming
+                if (f.chance() < 0.2)
+                    w.dead = true; // taken without notice, while copies go on coming
             f.crash(*f.holder(), k == 0 ? 0.2 : 3);
             f.work(f.leases(1.5));
             ASSERT_TRUE(f.holder()) << seed;
@@ -250,7 +266,8 @@
     for (int k = 0; k < 60 && freed_at < 0; ++k) {
         f.work(1);
         const auto* m = f.known(id);
-        if (m == nullptr || m->entries.empty()) freed_at = f.now;
+        if (m == nullptr || m->entries.empty())
+            freed_at = f.now;
     }
     EXPECT_EQ(first(f), "");
     EXPECT_GT(freed_at, 0);
@@ -276,9 +293,12 @@
     const auto h = *f.holder();
     const double for_s = p.leases * f.settings.lease_s;
     std::vector<std::size_t> cut;
-    if (p.who != 1) cut.push_back(h);
-    if (p.who != 0) cut.push_back((h + 2) % 5);
-    for (const auto i : cut) f.isolate(i, p.mode, for_s);
+    if (p.who != 1)
+        cut.push_back(h);
+    if (p.who != 0)
+        cut.push_back((h + 2) % 5);
+    for (const auto i : cut)
+        f.isolate(i, p.mode, for_s);
     const int lapses = f.lapses;
     f.work(std::min(for_s - 1, 8.0)); // a hold, and what it takes to know
     if (for_s > 9)
@@ -335,16 +355,19 @@
         ASSERT_TRUE(f.settle(60)) << seed;
         int times = 0;
         f.on_sent = [&](std::size_t from, std::size_t to, const std::string& what) {
-            if (times >= 10 || !what.starts_with(p.when)) return;
+            if (times >= 10 || !what.starts_with(p.when))
+                return;
             const auto i = p.other ? to : from;
-            if (i >= f.nodes.size()) return;
+            if (i >= f.nodes.size())
+                return;
             ++times;
             f.send(f.between(0, 0.3), [&f, i] { f.crash(i, f.moment()); });
         };
         // What makes the controllers say it: changes of office, an outage, a zone that its holder does not reach.
         f.more = [&] {
             const bool handovers = p.when == "/peer/take"; // no other changes within a lease before
-            if (!handovers && std::fmod(f.now, 20) < 0.1) f.crash(f.holder().value_or(0), f.moment());
+            if (!handovers && std::fmod(f.now, 20) < 0.1)
+                f.crash(f.holder().value_or(0), f.moment());
             if (std::fmod(f.now + 5, 40) < 0.1) {
                 f.store_down = true;
                 f.send(4, [&f] { f.end_outage(); });
@@ -400,7 +423,8 @@
     f.more = [&] {
         if (f.n > 0 && f.chance() < 0.01)
             f.withdraw(fmt::format("wk-{:06}", 1 + f.pick(static_cast<std::size_t>(f.n))));
-        if (f.now < next_trouble || f.now > 200) return;
+        if (f.now < next_trouble || f.now > 200)
+            return;
         next_trouble = f.now + f.between(2, 10);
         const double for_s = f.chance() < 0.8 ? f.between(1, 20) : 45;
         f.chance() < 0.6 ? f.new_trouble(for_s) : f.trouble(for_s);
--- a/tests/test_gap.cpp
+++ b/tests/test_gap.cpp
@@ -20,20 +20,24 @@
 
     // Users cancel what runs, ten a second.
     void every_step() {
-        if (now > cancel_until || now < next_cancel) return;
+        if (now > cancel_until || now < next_cancel)
+            return;
         next_cancel = now + 0.1;
         std::vector<std::string> running;
         for (const auto& [id, w] : workers)
             for (const auto& t : w.tasks)
                 if (t.state == TaskState::running && jobs[t.job].shape != Shape::service && !asks[t.job].cancels)
                     running.push_back(t.job);
-        if (running.empty()) return;
+        if (running.empty())
+            return;
         withdraw(running[pick(running.size())]);
         ++cancels;
     }
     std::string what_is_wrong() {
-        if (!broken.empty()) return first(*this);
-        if (started_cancelled > 0) return fmt::format("{} tasks started after their cancellation", started_cancelled);
+        if (!broken.empty())
+            return first(*this);
+        if (started_cancelled > 0)
+            return fmt::format("{} tasks started after their cancellation", started_cancelled);
         return {};
     }
 };
@@ -55,7 +59,8 @@
         for (const double after : {0.1, 0.5, 1.0, 1.5, 2.0, 5.0, 8.0})
             for (const auto b : {Besides::nothing, Besides::answers_lost, Besides::leader_ends, Besides::machines_hang,
                                  Besides::machines_cut, Besides::peers_cut})
-                if (!sanitized || (out.size() + static_cast<std::size_t>(b)) % 5 == 0) out.push_back({n, after, b});
+                if (!sanitized || (out.size() + static_cast<std::size_t>(b)) % 5 == 0)
+                    out.push_back({n, after, b});
     return out;
 }
 
@@ -64,23 +69,29 @@
     const auto leader = *f.holder();
     const auto n = f.nodes.size();
     // At the old leader, at the others in turn, or wherever the balancer sends them.
-    if (asked_at < n) f.cancels_at = (leader + asked_at) % n;
+    if (asked_at < n)
+        f.cancels_at = (leader + asked_at) % n;
     f.cancel_until = f.now + s.after_s;
     f.nodes[leader].refused_by_store = true;
-    if (s.besides == Besides::answers_lost) f.lost_answers = 0.5;
+    if (s.besides == Besides::answers_lost)
+        f.lost_answers = 0.5;
     if (s.besides == Besides::peers_cut)
         for (std::size_t o = 0; o < n; ++o)
-            if (o != leader) f.both(f.nodes[leader].name, f.nodes[o].name, Mode::drop);
-    if (s.besides == Besides::leader_ends) f.send(s.after_s * f.chance(), [&f, leader] { f.crash(leader, 1); });
+            if (o != leader)
+                f.both(f.nodes[leader].name, f.nodes[o].name, Mode::drop);
+    if (s.besides == Besides::leader_ends)
+        f.send(s.after_s * f.chance(), [&f, leader] { f.crash(leader, 1); });
     if (s.besides == Besides::machines_hang || s.besides == Besides::machines_cut)
         for (auto& [id, w] : f.workers)
-            if (f.chance() < 0.3) (s.besides == Besides::machines_hang ? w.hung : w.cut) = true;
+            if (f.chance() < 0.3)
+                (s.besides == Besides::machines_hang ? w.hung : w.cut) = true;
     f.work(s.after_s);
     f.store_down = true;
     f.lost_answers = 0;
     f.lapses_before = f.lapses;
     f.send(f.between(5, f.settings.lease_s * 0.8), [&f] {
-        for (auto& [id, w] : f.workers) w.hung = w.cut = false;
+        for (auto& [id, w] : f.workers)
+            w.hung = w.cut = false;
     });
     f.work(0.5);
     f.in_handover = !f.holder();
@@ -111,7 +122,8 @@
     }
     f.work(f.leases(2));
     ASSERT_TRUE(f.holder());
-    if (s.after_s >= 2) pass(f, s, 99); // once more on the same day, asked anywhere
+    if (s.after_s >= 2)
+        pass(f, s, 99); // once more on the same day, asked anywhere
     EXPECT_EQ(f.what_is_wrong(), "");
     f.takes = {};
     EXPECT_EQ(f.day_end(f.leases(5), f.settings.cancel_s * 2), "");
--- a/tests/test_late_commands.cpp
+++ b/tests/test_late_commands.cpp
@@ -12,9 +12,11 @@
 
 void hang_some(FaultyFleet& f, double share, double for_s) {
     for (auto& [id, machine] : f.workers)
-        if (!machine.dead && f.chance() < share) machine.hung = true;
+        if (!machine.dead && f.chance() < share)
+            machine.hung = true;
     f.send(for_s, [&f] {
-        for (auto& [id, machine] : f.workers) machine.hung = false;
+        for (auto& [id, machine] : f.workers)
+            machine.hung = false;
     });
 }
 
@@ -23,7 +25,8 @@
     list.push_back({"UnderTheSameTokenAfterStopsAndNewerLaunches", [](FaultyFleet& f) {
                         hold_commands(f, 0.4);
                         f.on_step = [&f] {
-                            if (f.every(3)) some_cancel(f, 0.15);
+                            if (f.every(3))
+                                some_cancel(f, 0.15);
                         };
                     }});
     list.back().took_place = [](const FaultyFleet& f) {
@@ -32,8 +35,10 @@
     list.push_back({"OfALeaderThatHasEnded", [](FaultyFleet& f) {
                         hold_commands(f, 0.6);
                         f.on_step = [&f] {
-                            if (f.every(8)) end_leader(f, f.between(0.1, 3));
-                            if (f.every(2)) some_cancel(f, 0.1);
+                            if (f.every(8))
+                                end_leader(f, f.between(0.1, 3));
+                            if (f.every(2))
+                                some_cancel(f, 0.1);
                         };
                     }});
     list.back().took_place = [](const FaultyFleet& f) {
@@ -42,32 +47,42 @@
     list.push_back({"OfALeaderThatIsDeposed", [](FaultyFleet& f) {
                         hold_commands(f, 0.4);
                         f.on_step = [&f] {
-                            if (f.every(20)) f.isolate(f.holder().value_or(0), Mode::drop, f.between(8, 16));
-                            if (f.every(2)) some_cancel(f, 0.1);
+                            if (f.every(20))
+                                f.isolate(f.holder().value_or(0), Mode::drop, f.between(8, 16));
+                            if (f.every(2))
+                                some_cancel(f, 0.1);
                         };
                     }});
     list.back().took_place = [](const FaultyFleet& f) { return f.changes.size() > 1 && f.late_commands.held > 0; };
     list.push_back({"AtMachinesThatHangAndGoOn", [](FaultyFleet& f) {
                         hold_commands(f, 0.2);
                         f.on_step = [&f] {
-                            if (f.every(25)) hang_some(f, 0.4, f.between(4, 18));
-                            if (f.every(25, -5)) end_leader(f);
-                            if (f.every(2)) some_cancel(f, 0.1);
+                            if (f.every(25))
+                                hang_some(f, 0.4, f.between(4, 18));
+                            if (f.every(25, -5))
+                                end_leader(f);
+                            if (f.every(2))
+                                some_cancel(f, 0.1);
                         };
                     }});
     list.back().took_place = [](const FaultyFleet& f) { return f.late_commands.held_by_hang > 0; };
-    list.push_back({"MinutesLateInANewSession", [](FaultyFleet& f) {
+    list.push_back({"MinutesLateInANewSession",
+                    [](FaultyFleet& f) {
                         hold_commands(f, 0.3);
                         f.late_commands.shortest_s = f.leases(1);
                         f.late_commands.longest_s = f.leases(5);
                         f.on_step = [&f] {
                             if (f.every(17))
                                 for (auto& [id, machine] : f.workers)
-                                    if (f.chance() < 0.3) f.restart(id);
-                            if (f.every(29)) end_leader(f);
-                            if (f.every(4)) some_cancel(f, 0.1);
+                                    if (f.chance() < 0.3)
+                                        f.restart(id);
+                            if (f.every(29))
+                                end_leader(f);
+                            if (f.every(4))
+                                some_cancel(f, 0.1);
                         };
-                    }, 150});
+                    },
+                    150});
     list.back().took_place = [](const FaultyFleet& f) {
         return f.late_commands.refused_by_session > 0 && f.late_commands.refused_by_token > 0;
     };
@@ -77,7 +92,8 @@
 class LateCommands : public ::testing::TestWithParam<Scenario> {};
 
 TEST_P(LateCommands, BreakNoRule) {
-    for (unsigned seed = 1; seed <= (sanitized ? 1 : 3); ++seed) play(GetParam(), 800 + seed);
+    for (unsigned seed = 1; seed <= (sanitized ? 1 : 3); ++seed)
+        play(GetParam(), 800 + seed);
 }
 
 INSTANTIATE_TEST_SUITE_P(Held, LateCommands, ::testing::ValuesIn(scenarios()),
--- a/tests/test_ledger.cpp
+++ b/tests/test_ledger.cpp
@@ -29,7 +29,8 @@
     Desk() {
         ledger.keep(books);
         ledger.types_known(small_types());
-        for (const auto* id : {"a1", "a2", "b1", "s1"}) up(id);
+        for (const auto* id : {"a1", "a2", "b1", "s1"})
+            up(id);
     }
     void up(const std::string& id) {
         Report r{id, id, "m8", id[0] == 'b' ? "b" : "a", id[0] == 's', 1, ++counter, 0, -1, {}};
@@ -89,8 +90,10 @@
     EXPECT_EQ(d.refusal(big, "a1"), "no room");
     // The team's limit is 40 CPUs; what may be on a machine counts, reported or not.
     d.settings.teams[0].cpus_max = 40;
-    for (int i = 0; i < 8; ++i) d.up(fmt::format("a{}", 10 + i));
-    for (int i = 0; i < 7; ++i) EXPECT_EQ(d.refusal(big, fmt::format("a{}", 10 + i)), "") << i;
+    for (int i = 0; i < 8; ++i)
+        d.up(fmt::format("a{}", 10 + i));
+    for (int i = 0; i < 7; ++i)
+        EXPECT_EQ(d.refusal(big, fmt::format("a{}", 10 + i)), "") << i;
     EXPECT_EQ(d.refusal(big, "a17"), "the team's limit");
     EXPECT_EQ(d.ledger.view().teams[0].used.cpus, 40);
 }
--- a/tests/test_local.cpp
+++ b/tests/test_local.cpp
@@ -42,7 +42,8 @@
 
 TEST_F(Told, AboveTheLimit) {
     h.submitted(array("wk-1", 9));
-    for (std::uint32_t i = 0; i < 4; ++i) h.on_machine("wk-1", i, here, 1);
+    for (std::uint32_t i = 0; i < 4; ++i)
+        h.on_machine("wk-1", i, here, 1);
     EXPECT_EQ(first(), "");
     h.on_machine("wk-1", 4, here, 1);
     EXPECT_EQ(first(), "quota");
@@ -168,7 +169,8 @@
         ASSERT_EQ(r.status, 200);
         while (machine.empty()) {
             const auto page = codec::machine_page(ask(cloud, "GET", "/rentals?most=500").body);
-            if (page && page->machines.at(0).status == "running") machine = page->machines.at(0).addr;
+            if (page && page->machines.at(0).status == "running")
+                machine = page->machines.at(0).addr;
         }
     }
     Report command(std::uint64_t fence, std::uint64_t tenure, const std::vector<Order>& list, int status = 200) {
@@ -230,7 +232,8 @@
     }
     EXPECT_EQ(given_up, 2);
     EXPECT_EQ(platform->sum().fence, 0U); // nothing has arrived
-    while (platform->sum().fence == 0) uv_run(&loop, UV_RUN_ONCE);
+    while (platform->sum().fence == 0)
+        uv_run(&loop, UV_RUN_ONCE);
     const auto r = command(7, 1, {});
     ASSERT_EQ(r.tasks.size(), 1U);
     EXPECT_EQ(r.tasks[0].index, 0U);
--- a/tests/test_meetings.cpp
+++ b/tests/test_meetings.cpp
@@ -12,7 +12,8 @@
     const auto one = [](std::initializer_list<std::tuple<double, double, int, std::string_view>> list) {
         Answers h;
         h.submitted("j");
-        for (const auto& [asked, now, status, state] : list) h.answered("j", "x", asked, now, status, state);
+        for (const auto& [asked, now, status, state] : list)
+            h.answered("j", "x", asked, now, status, state);
         return fmt::format("{}", fmt::join(h.broken(), "; "));
     };
     EXPECT_EQ(one({{0, 1, 201, "pending"}, {2, 3, 200, "running"}, {4, 5, 200, "done"}, {6, 7, 200, "done"}}), "");
@@ -45,7 +46,8 @@
         f.lost_answers = 0.4;
         f.on_step = [&f] { // repeated submissions are answered from the store, at every controller
             for (auto& [id, u] : f.asks)
-                if (u.accepted() && u.seen.done_at < 0 && f.chance() < 0.05) u.repeat_at = u.next_at = f.now;
+                if (u.accepted() && u.seen.done_at < 0 && f.chance() < 0.05)
+                    u.repeat_at = u.next_at = f.now;
         };
         f.work(60);
         EXPECT_EQ(f.violation(), "") << seed;
@@ -60,15 +62,18 @@
     ASSERT_TRUE(f.settle(40));
     std::string done, open;
     for (const auto& [id, u] : f.asks) {
-        if (const auto t = f.told.find(id); t != f.told.end() && t->second == codec::status_done) done = id;
-        if (f.jobs[id].shape == Shape::service && u.accepted()) open = id;
+        if (const auto t = f.told.find(id); t != f.told.end() && t->second == codec::status_done)
+            done = id;
+        if (f.jobs[id].shape == Shape::service && u.accepted())
+            open = id;
     }
     ASSERT_FALSE(done.empty() || open.empty());
     const std::string runs(codec::path_jobs);
     const auto body = [](JobSpec spec, const std::string& id, const char* without) {
         spec.id = id;
         auto j = codec::parse(codec::to_body(spec));
-        if (without != nullptr) j.erase(without);
+        if (without != nullptr)
+            j.erase(without);
         return j.dump();
     };
     auto huge = job(1, Shape::array, 1, 99);
@@ -114,11 +119,13 @@
 void small_jobs(FaultyFleet& f) {
     f.every_s = 1e9;
     f.on_step = [&f, n = 0]() mutable {
-        if (!f.every(0.25)) return;
+        if (!f.every(0.25))
+            return;
         const auto id = add(f, job(0, Shape::array, 1, 1), n);
         if (n % 4 == 0)
             f.send(f.between(0.5, 8), [&f, id] {
-                if (f.asks[id].accepted() && f.asks[id].seen.done_at < 0) f.withdraw(id);
+                if (f.asks[id].accepted() && f.asks[id].seen.done_at < 0)
+                    f.withdraw(id);
             });
     };
 }
@@ -128,9 +135,12 @@
         {"TenLeadersInTwoMinutesAlsoInAnOutage",
          [](FaultyFleet& f) {
              f.on_step = [&f] {
-                 if (f.every(12)) end_leader(f, f.between(0.2, 4));
-                 if (f.every(50)) outage(f, 14);
-                 if (f.every(5)) some_cancel(f, 0.1);
+                 if (f.every(12))
+                     end_leader(f, f.between(0.2, 4));
+                 if (f.every(50))
+                     outage(f, 14);
+                 if (f.every(5))
+                     some_cancel(f, 0.1);
              };
          },
          120},
@@ -149,15 +159,18 @@
                      add(f, array, n);
                  }
                  if (f.every(15))
-                     for (auto& [id, w] : f.workers) w.dead = w.dead || f.chance() < 0.2;
-                 if (f.every(31)) end_leader(f);
+                     for (auto& [id, w] : f.workers)
+                         w.dead = w.dead || f.chance() < 0.2;
+                 if (f.every(31))
+                     end_leader(f);
              };
          }},
         {"TeamsAtTheirLimitWithCancelledJobsOnMachinesThatCannotBeAsked",
          [](FaultyFleet& f) {
              f.takes = [&f](std::uint32_t) { return f.between(20, 60); };
              f.on_step = [&f, n = 0]() mutable {
-                 if (f.every(1)) add(f, job(0, Shape::array, 8, 2, n % 2 == 0 ? "red" : "blue"), n);
+                 if (f.every(1))
+                     add(f, job(0, Shape::array, 8, 2, n % 2 == 0 ? "red" : "blue"), n);
                  if (f.every(30)) {
                      unreachable(f, 0.5, f.between(5, 35));
                      some_cancel(f, 0.4);
@@ -175,8 +188,10 @@
                      const auto& name = f.nodes[f.holder_or(f.pick(f.nodes.size()))].name;
                      f.cut(name, zone, Mode::hold, f.chance() < 0.5, f.between(3, 9));
                  }
-                 if (f.every(5)) some_cancel(f, 0.1);
-                 if (f.every(40)) end_leader(f);
+                 if (f.every(5))
+                     some_cancel(f, 0.1);
+                 if (f.every(40))
+                     end_leader(f);
              };
          }},
         {"MoreWorkThanRoomOverSlowLinks",
@@ -193,7 +208,8 @@
                  if (f.every(10))
                      f.cut(f.nodes[f.holder_or(f.pick(f.nodes.size()))].name, Fleet::zone(f.settings.zones[f.pick(3)]),
                            Mode::slow, false, 6);
-                 if (f.every(5)) some_cancel(f, 0.1);
+                 if (f.every(5))
+                     some_cancel(f, 0.1);
              };
          }},
         {"TasksOfAJobEndFarApartAcrossLeaders",
@@ -201,7 +217,8 @@
              f.takes = [](std::uint32_t index) { return 3.0 + 14 * index; };
              f.close_looks = true;
              f.on_step = [&f] {
-                 if (f.every(11)) end_leader(f, f.between(0.1, 3));
+                 if (f.every(11))
+                     end_leader(f, f.between(0.1, 3));
              };
          }},
         {"OneTaskJobsFourASecondAQuarterCancelledAt35ChangesASecond", small_jobs, 150, 35},
@@ -209,7 +226,8 @@
         {"AllControllersEndAndOneReturns",
          [](FaultyFleet& f) {
              f.on_step = [&f] {
-                 if (!f.every(17)) return;
+                 if (!f.every(17))
+                     return;
                  const auto first = f.pick(f.nodes.size());
                  for (std::size_t i = 0; i < f.nodes.size(); ++i)
                      f.crash(i, i == first ? f.moment() : f.between(1, 12));
@@ -221,10 +239,13 @@
              f.kept_copies = 0.3;
              f.copies = 0.2;
              f.on_step = [&f] {
-                 if (f.every(13)) end_leader(f, f.between(0.1, 3));
+                 if (f.every(13))
+                     end_leader(f, f.between(0.1, 3));
                  if (f.every(13, 6))
-                     for (auto& [id, w] : f.workers) w.dead = w.dead || f.chance() < 0.1;
-                 if (f.every(5)) some_cancel(f, 0.1);
+                     for (auto& [id, w] : f.workers)
+                         w.dead = w.dead || f.chance() < 0.1;
+                 if (f.every(5))
+                     some_cancel(f, 0.1);
              };
          }},
         {"CancellationsMeetTheEndOfTheLastTask",
@@ -238,7 +259,8 @@
                      std::uint32_t done = 0;
                      for (std::uint32_t i = 0; i < f.jobs[id].tasks; ++i)
                          done += f.done_tasks.contains(fmt::format("{}/{}", id, i));
-                     if (done + 1 < f.jobs[id].tasks || f.chance() < 0.7) continue;
+                     if (done + 1 < f.jobs[id].tasks || f.chance() < 0.7)
+                         continue;
                      f.chance() < 0.5 ? f.withdraw(id) : (void)(u.repeat_at = u.next_at = f.now);
                      u.next_at = f.now;
                  }
@@ -248,7 +270,8 @@
          [](FaultyFleet& f) {
              f.takes = [&f](std::uint32_t) { return f.between(30, 70); };
              f.on_step = [&f] {
-                 if (!f.every(35)) return;
+                 if (!f.every(35))
+                     return;
                  unreachable(f, 0.5, f.between(10, 40));
                  end_leader(f, f.between(0.5, 10));
                  f.send(3, [&f] { some_cancel(f, 0.3); });
@@ -257,10 +280,12 @@
         {"AllControllersAwayForLongerThanALease",
          [](FaultyFleet& f) {
              f.on_step = [&f] {
-                 if (!f.every(45)) return;
+                 if (!f.every(45))
+                     return;
                  some_cancel(f, 0.2);
                  f.send(1, [&f] {
-                     for (std::size_t i = 0; i < f.nodes.size(); ++i) f.crash(i, f.leases(f.between(1.05, 1.3)));
+                     for (std::size_t i = 0; i < f.nodes.size(); ++i)
+                         f.crash(i, f.leases(f.between(1.05, 1.3)));
                  });
              };
          }},
@@ -268,22 +293,28 @@
          [](FaultyFleet& f) {
              f.takes = [&f](std::uint32_t) { return f.between(20, 60); };
              f.on_step = [&f] {
-                 if (f.every(12, 0.5)) some_cancel(f, 0.2);
+                 if (f.every(12, 0.5))
+                     some_cancel(f, 0.2);
                  if (f.every(12)) { // by its end, a handover, or a cut
                      const auto h = f.holder().value_or(0);
                      const auto k = f.pick(3);
-                     if (k == 0) f.crash(h, f.moment());
-                     if (k == 1) f.nodes[h].refused_by_store = true;
-                     if (k == 2) f.isolate(h, Mode::hold, 8);
+                     if (k == 0)
+                         f.crash(h, f.moment());
+                     if (k == 1)
+                         f.nodes[h].refused_by_store = true;
+                     if (k == 2)
+                         f.isolate(h, Mode::hold, 8);
                      f.send(8, [&f, h] { f.nodes[h].refused_by_store = false; });
                  }
-                 if (f.every(12, -0.5) || f.every(12, -2)) some_cancel(f, 0.2);
+                 if (f.every(12, -0.5) || f.every(12, -2))
+                     some_cancel(f, 0.2);
              };
          }},
         {"AZoneWithAControllerIsCutOffForLongerThanALease",
          [](FaultyFleet& f) {
              f.on_step = [&f] {
-                 if (!f.every(50)) return;
+                 if (!f.every(50))
+                     return;
                  const auto in = f.holder_or(f.pick(f.nodes.size()));
                  const auto zone = f.settings.zones[in % 3];
                  const double for_s = f.leases(1.3);
@@ -292,7 +323,8 @@
                          f.cut(f.nodes[o].name, Fleet::state, Mode::drop, false, for_s);
                          f.cut(f.nodes[o].name, Fleet::cloud, Mode::drop, false, for_s);
                          for (const auto& z : f.settings.zones)
-                             if (z != zone) f.cut(f.nodes[o].name, Fleet::zone(z), Mode::drop, false, for_s);
+                             if (z != zone)
+                                 f.cut(f.nodes[o].name, Fleet::zone(z), Mode::drop, false, for_s);
                      } else {
                          f.cut(f.nodes[o].name, Fleet::zone(zone), Mode::drop, false, for_s);
                      }
@@ -309,10 +341,13 @@
              f.late_writes = 0.2;
              f.on_step = [&f, n = 0]() mutable {
                  if (f.every(15))
-                     for (int k = 0; k < 2; ++k) add(f, job(0, Shape::array, 12, 4, "blue"), n);
-                 if (f.every(15, -2.5)) end_leader(f);
+                     for (int k = 0; k < 2; ++k)
+                         add(f, job(0, Shape::array, 12, 4, "blue"), n);
+                 if (f.every(15, -2.5))
+                     end_leader(f);
                  if (f.every(15, -8))
-                     for (auto& [id, w] : f.workers) w.dead = w.dead || f.chance() < 0.3;
+                     for (auto& [id, w] : f.workers)
+                         w.dead = w.dead || f.chance() < 0.3;
              };
          }},
         {"ALeaderCutFromStoreAndControllersWhileOthersCancel",
@@ -322,8 +357,10 @@
                  // Not slow ones: renewals that take 8 s to arrive keep the leadership from others for so long that
                  // leases run out, whoever gives way when.
                  const auto mode = std::array{Mode::drop, Mode::hold, Mode::refuse}[f.pick(3)];
-                 if (f.every(30)) f.isolate(f.holder().value_or(0), mode, f.between(8, 26));
-                 if (f.every(4)) some_cancel(f, 0.15);
+                 if (f.every(30))
+                     f.isolate(f.holder().value_or(0), mode, f.between(8, 26));
+                 if (f.every(4))
+                     some_cancel(f, 0.15);
              };
          }},
         {"TheStoreIsSlowThenRefusesTheLeaderThenEverybody",
@@ -333,10 +370,14 @@
              f.on_step = [&f, t0 = f.now] {
                  const double t = f.now - t0;
                  if (t < 0.1)
-                     for (const auto& n : f.nodes) f.cut(n.name, Fleet::state, Mode::slow, false, 10);
-                 if (std::abs(t - 25) < 0.05) f.nodes[f.holder().value_or(0)].refused_by_store = true;
-                 if (std::abs(t - 25.9) < 0.05) outage(f, f.settings.cancel_s + 5);
-                 if (f.every(3)) some_cancel(f, 0.1);
+                     for (const auto& n : f.nodes)
+                         f.cut(n.name, Fleet::state, Mode::slow, false, 10);
+                 if (std::abs(t - 25) < 0.05)
+                     f.nodes[f.holder().value_or(0)].refused_by_store = true;
+                 if (std::abs(t - 25.9) < 0.05)
+                     outage(f, f.settings.cancel_s + 5);
+                 if (f.every(3))
+                     some_cancel(f, 0.1);
              };
          },
          90},
@@ -346,7 +387,8 @@
              f.close_looks = true;
              f.looks_cancel = 0.1;
              f.on_step = [&f] {
-                 if (f.every(14)) end_leader(f, f.between(0.1, 3));
+                 if (f.every(14))
+                     end_leader(f, f.between(0.1, 3));
              };
          }},
         {"WorkersReachNoControllerWhileCommandsReachThem",
@@ -356,14 +398,17 @@
                  if (f.every(40)) {
                      std::vector<std::string> list;
                      for (const auto& [id, w] : f.workers)
-                         if (f.chance() < 0.4) list.push_back(id);
+                         if (f.chance() < 0.4)
+                             list.push_back(id);
                      f.mute.insert(list.begin(), list.end());
                      f.send(f.leases(f.between(0.4, 1.4)), [&f, list] {
-                         for (const auto& id : list) f.mute.erase(id);
+                         for (const auto& id : list)
+                             f.mute.erase(id);
                      });
                      f.send(2, [&f] { some_cancel(f, 0.3); });
                  }
-                 if (f.every(40, -5)) end_leader(f);
+                 if (f.every(40, -5))
+                     end_leader(f);
              };
          }},
     };
@@ -372,7 +417,8 @@
 class FaultScenarios : public ::testing::TestWithParam<Scenario> {};
 
 TEST_P(FaultScenarios, BreakNoRule) {
-    for (unsigned seed = 1; seed <= (sanitized ? 1 : 2); ++seed) play(GetParam(), 600 + seed);
+    for (unsigned seed = 1; seed <= (sanitized ? 1 : 2); ++seed)
+        play(GetParam(), 600 + seed);
 }
 
 INSTANTIATE_TEST_SUITE_P(All, FaultScenarios, ::testing::ValuesIn(scenarios()),
@@ -393,8 +439,10 @@
         b.begin(f);
         f.on_step = [&f, first_one, second = f.on_step] {
             f.hard_at = f.now;
-            if (first_one) first_one();
-            if (second) second();
+            if (first_one)
+                first_one();
+            if (second)
+                second();
         };
         f.work(90);
         EXPECT_EQ(f.violation(), "") << k << ' ' << a << ' ' << b;
--- a/tests/test_placement.cpp
+++ b/tests/test_placement.cpp
@@ -43,11 +43,14 @@
 
 // All ways to place few tasks, counted by hand, against the dynamic program.
 int most_by_trying(const std::vector<Group>& g, std::vector<Bin> bins, std::size_t group, int left) {
-    if (group == g.size()) return 0;
-    if (left == 0) return most_by_trying(g, bins, group + 1, group + 1 < g.size() ? g[group + 1].count : 0);
+    if (group == g.size())
+        return 0;
+    if (left == 0)
+        return most_by_trying(g, bins, group + 1, group + 1 < g.size() ? g[group + 1].count : 0);
     int best = most_by_trying(g, bins, group, left - 1);
     for (std::size_t b = 0; b < bins.size(); ++b) {
-        if (g[group].cost[b] < 0 || !g[group].each.fits(bins[b].free)) continue;
+        if (g[group].cost[b] < 0 || !g[group].each.fits(bins[b].free))
+            continue;
         auto next = bins;
         next[b].free -= g[group].each;
         best = std::max(best, 1 + most_by_trying(g, next, group, left - 1));
@@ -67,7 +70,8 @@
         std::vector<Group> groups;
         for (int g = 0; g < 3; ++g) {
             Group x{{double(pick(1, 4)), double(pick(0, 3) == 0), double(pick(1, 4))}, pick(1, 2), {}};
-            for (int b = 0; b < 3; ++b) x.cost.push_back(pick(0, 5) == 0 ? -1 : pick(0, 9));
+            for (int b = 0; b < 3; ++b)
+                x.cost.push_back(pick(0, 5) == 0 ? -1 : pick(0, 9));
             groups.push_back(x);
         }
         const auto plan = match_batch(groups, bins, {2, 0, 2});
--- a/tests/test_records.cpp
+++ b/tests/test_records.cpp
@@ -11,7 +11,8 @@
                                           {"n-1", "a", 1, "wk-000001", 5, 71}, {"n-1", "a", 2, "wk-000002", 0, 71},
                                           {"n-2", "", 1, "wk-000002", 1, 71},  {"n-2", "", 1, "wk-000002", 3, 71}};
     intents::Writer w;
-    for (const auto& i : in) w.add(i.machine, i.zone, i.tenure, i.job, i.index, i.try_no);
+    for (const auto& i : in)
+        w.add(i.machine, i.zone, i.tenure, i.job, i.index, i.try_no);
     const auto text = w.take();
     EXPECT_EQ(text, "n-1 a 1 wk-000001/3-4:70 wk-000001/5:71\nn-1 a 2 wk-000002/0:71\n"
                     "n-2 - 1 wk-000002/1:71 wk-000002/3:71");
@@ -63,20 +64,23 @@
     bool stored = false;
 
     int give(std::vector<Command> q) {
-        if (stored) q.insert(q.begin(), Committed{});
+        if (stored)
+            q.insert(q.begin(), Committed{});
         stored = false;
         int n = 0;
         for (const auto& e : step(core, now, std::move(q))) {
             stored = stored || std::holds_alternative<Commit>(e);
             if (const auto* o = std::get_if<SendOrders>(&e))
-                for (const auto& x : o->orders) n += x.verb == Verb::launch;
+                for (const auto& x : o->orders)
+                    n += x.verb == Verb::launch;
         }
         now += 0.05;
         return n;
     }
     int within(double seconds) {
         int n = 0;
-        for (const double end = now + seconds; now < end;) n += give({});
+        for (const double end = now + seconds; now < end;)
+            n += give({});
         return n;
     }
 };
@@ -106,15 +110,18 @@
         {"c/0", codec::parse(R"({"names":[["other",1],["img",0.5]],"held":{"n-2":[1],"n-1":[0,7]}})"), 1, false});
     Core core(settings, 7, stored, 0, 0);
     std::vector<Command> q{TypesKnown{small_types()}};
-    for (const auto* id : {"n-1", "n-2", "n-3"}) q.emplace_back(Beat{beat(id, 1, std::uint64_t{7} << fence_bits), 1});
+    for (const auto* id : {"n-1", "n-2", "n-3"})
+        q.emplace_back(Beat{beat(id, 1, std::uint64_t{7} << fence_bits), 1});
     std::string where;
     bool stored_now = false;
     for (double t = 0.1; t < 2; t += 0.05) {
-        if (stored_now) q.emplace_back(Committed{});
+        if (stored_now)
+            q.emplace_back(Committed{});
         stored_now = false;
         for (const auto& e : step(core, t, std::move(q))) {
             stored_now = stored_now || std::holds_alternative<Commit>(e);
-            if (const auto* o = std::get_if<SendOrders>(&e)) where += o->machine;
+            if (const auto* o = std::get_if<SendOrders>(&e))
+                where += o->machine;
         }
         q.clear();
     }
@@ -175,7 +182,8 @@
     w.settings.fd_limit = 4000;
     w.capacity = 300;
     w.take_office();
-    for (int i = 1; i <= 20; ++i) w.submit(job(i, Shape::service, 100, 1));
+    for (int i = 1; i <= 20; ++i)
+        w.submit(job(i, Shape::service, 100, 1));
     std::size_t writes = 0;
     w.on_commit = [&](const std::vector<codec::Write>& list) {
         std::size_t bytes = 0;
@@ -191,12 +199,14 @@
     w.run(60);
     EXPECT_TRUE(w.broken.empty());
     std::size_t live = 0;
-    for (int i = 1; i <= 20; ++i) live += w.core->live_tasks(fmt::format("wk-{:06}", i));
+    for (int i = 1; i <= 20; ++i)
+        live += w.core->live_tasks(fmt::format("wk-{:06}", i));
     EXPECT_EQ(live, 2000U);
     EXPECT_LT(writes, 500U);
     w.take_office();
     std::size_t known = 0;
-    for (int i = 1; i <= 20; ++i) known += w.core->live_tasks(fmt::format("wk-{:06}", i));
+    for (int i = 1; i <= 20; ++i)
+        known += w.core->live_tasks(fmt::format("wk-{:06}", i));
     EXPECT_EQ(known, 2000U);
 }
 
@@ -214,8 +224,10 @@
         for (double now = 0.05; now < 15; now += 0.5) {
             q.emplace_back(Beat{beat("n-1", ++counter, std::uint64_t{7} << fence_bits), counter});
             for (const auto& e : core.step(q, now, 100 + now)) {
-                if (std::holds_alternative<Release>(e)) return now;
-                if (std::holds_alternative<Commit>(e)) q.emplace_back(Committed{});
+                if (std::holds_alternative<Release>(e))
+                    return now;
+                if (std::holds_alternative<Commit>(e))
+                    q.emplace_back(Committed{});
             }
         }
         return -1.0;
@@ -224,7 +236,8 @@
     EXPECT_LT(returned(learned), 0);
     auto damaged = learned;
     damaged["offered"] = "much";
-    for (const auto& none : {codec::Json(), codec::Json::array(), damaged}) EXPECT_GT(returned(none), settings.lease_s);
+    for (const auto& none : {codec::Json(), codec::Json::array(), damaged})
+        EXPECT_GT(returned(none), settings.lease_s);
 }
 
 } // namespace
--- a/tests/test_replay.cpp
+++ b/tests/test_replay.cpp
@@ -108,7 +108,8 @@
     const auto damaged = [&](const std::string& from, const std::string& to) {
         auto t = text;
         const auto at = t.find(from, t.find("\"commands\""));
-        if (at == std::string::npos) return std::string("nothing to damage");
+        if (at == std::string::npos)
+            return std::string("nothing to damage");
         f.write(t.replace(at, from.size(), to));
         return error_of(f.path);
     };
@@ -161,7 +162,8 @@
     World w(15);
     {
         CommandLog log(f.path, 1 << 30);
-        for (int i = 0; i < 1000 && log.open(); ++i) log.begin(w.settings, 1, {}, 0, 0);
+        for (int i = 0; i < 1000 && log.open(); ++i)
+            log.begin(w.settings, 1, {}, 0, 0);
         EXPECT_FALSE(log.open());
         EXPECT_EQ(log.why(), "File too large");
         log.begin(w.settings, 1, {}, 0, 0); // and after that, nothing
--- a/tests/test_same.cpp
+++ b/tests/test_same.cpp
@@ -74,20 +74,25 @@
         s.spot = s.shape == Shape::array && roll(2) == 0;
         s.one_zone = s.shape == Shape::gang && roll(2) == 0;
         s.spread = s.shape == Shape::service && s.tasks > 1 && roll(2) == 0;
-        if (roll(10) == 0) s.zone = roll(2) == 0 ? "a" : "b";
-        if (roll(10) == 0 && s.each.gpus == 0) s.types = {"m16"};
+        if (roll(10) == 0)
+            s.zone = roll(2) == 0 ? "a" : "b";
+        if (roll(10) == 0 && s.each.gpus == 0)
+            s.types = {"m16"};
         s.estimate_s = s.shape == Shape::service ? 0 : 20 + roll(300);
-        if (s.shape == Shape::array && roll(3) == 0) s.checkpoint_s = 20, s.save_s = 4;
+        if (s.shape == Shape::array && roll(3) == 0)
+            s.checkpoint_s = 20, s.save_s = 4;
         if (finite.size() > 5 && roll(5) == 0) // a chain
             for (auto k = 1 + roll(2); k > 0; --k) {
                 const auto& need = finite[finite.size() - 1 - roll(5)];
-                if (std::find(s.needs.begin(), s.needs.end(), need) == s.needs.end()) s.needs.push_back(need);
+                if (std::find(s.needs.begin(), s.needs.end(), need) == s.needs.end())
+                    s.needs.push_back(need);
             }
         if (s.shape == Shape::service)
             w.cancel_after = 60 + static_cast<int>(roll(200));
         else if (roll(10) == 0)
             w.cancel_after = 1 + static_cast<int>(roll(60));
-        if (s.shape != Shape::service) finite.push_back(s.id);
+        if (s.shape != Shape::service)
+            finite.push_back(s.id);
         out.push_back(std::move(w));
     }
     return out;
@@ -151,19 +156,22 @@
     void step(const std::function<void()>& ask = {}) {
         clock->at += (1 - reports_after) * step_s;
         settle(false);
-        if (ask) ask();
+        if (ask)
+            ask();
         settle(false);
         clock->at += reports_after * step_s;
         settle(true);
         std::sort(now_launched.begin(), now_launched.end());
-        for (auto& l : now_launched) out.launches.push_back(fmt::format("step {}: {}", out.steps, l));
+        for (auto& l : now_launched)
+            out.launches.push_back(fmt::format("step {}: {}", out.steps, l));
         now_launched.clear();
         ++out.steps;
     }
     void settle(bool machines) { // until nothing passes between anyone any more
         for (int quiet = 0; quiet < quiet_turns;) {
             const auto before = messages() + platform->messages();
-            if (machines) platform->turn();
+            if (machines)
+                platform->turn();
             turn();
             uv_run(&loop, UV_RUN_NOWAIT);
             quiet = messages() + platform->messages() == before ? quiet + 1 : 0;
@@ -173,12 +181,15 @@
         return [this, id](int status, const std::string& state) {
             ++answered;
             history->told(id, status, state, clock->at);
-            if (status != 200 && status != 201) out.refused.push_back(fmt::format("{}: {}", id, status));
-            if (state == codec::status_done || state == codec::status_cancelled) over.insert(id);
+            if (status != 200 && status != 201)
+                out.refused.push_back(fmt::format("{}: {}", id, status));
+            if (state == codec::status_done || state == codec::status_cancelled)
+                over.insert(id);
         };
     }
     Outcome run(const std::vector<Wanted>& jobs) {
-        for (int i = 0; i < 20; ++i) step(); // the office is taken, types are learned
+        for (int i = 0; i < 20; ++i)
+            step(); // the office is taken, types are learned
         std::multimap<int, std::string> cancels;
         for (std::size_t i = 0; i < jobs.size() || (over.size() < jobs.size() && out.steps < most_steps); ++i) {
             step([&] {
@@ -187,15 +198,18 @@
                     platform->know(w.spec);
                     history->submitted(w.spec);
                     submit(w.spec, heard(w.spec.id));
-                    if (w.cancel_after >= 0) cancels.emplace(out.steps + w.cancel_after, w.spec.id);
+                    if (w.cancel_after >= 0)
+                        cancels.emplace(out.steps + w.cancel_after, w.spec.id);
                 }
                 for (; !cancels.empty() && cancels.begin()->first <= out.steps; cancels.erase(cancels.begin())) {
                     history->cancel_asked(cancels.begin()->second);
                     cancel(cancels.begin()->second, heard(cancels.begin()->second));
                 }
-                if (out.steps % 50 != 0) return;
+                if (out.steps % 50 != 0)
+                    return;
                 for (std::size_t k = 0; k < std::min(i, jobs.size()); ++k)
-                    if (!over.contains(jobs[k].spec.id)) get(jobs[k].spec.id, heard(jobs[k].spec.id));
+                    if (!over.contains(jobs[k].spec.id))
+                        get(jobs[k].spec.id, heard(jobs[k].spec.id));
             });
         }
         out.unfinished = history->unfinished();
@@ -274,7 +288,8 @@
             mine.listen = {"127.0.0.1", ports[i].number()};
             mine.peer_listen = {"127.0.0.1", peer_ports[i].number()};
             for (int k = 0; k < count; ++k)
-                if (k != i) mine.peers.push_back({name(k), "a", {"127.0.0.1", peer_ports[k].number()}});
+                if (k != i)
+                    mine.peers.push_back({name(k), "a", {"127.0.0.1", peer_ports[k].number()}});
             mine.state = {"127.0.0.1", state->port()};
             mine.cloud = {"127.0.0.1", platform->port()};
             settings.push_back(std::move(mine));
@@ -320,12 +335,14 @@
         }
     }
     ~Daemons() override {
-        for (auto& n : nodes) n->stop();
+        for (auto& n : nodes)
+            n->stop();
         nodes.clear();
         end_all();
     }
     void turn() override {
-        for (auto& n : nodes) n->turn();
+        for (auto& n : nodes)
+            n->turn();
         state->poll();
     }
     std::vector<std::unique_ptr<Node>> nodes;
@@ -357,7 +374,8 @@
         shared->now = clock->at;
         for (int i = 0; i < count; ++i) {
             const pid_t child = fork();
-            if (child == 0) serve(i);
+            if (child == 0)
+                serve(i);
             children.push_back(child);
         }
         turn(); // all have begun before time passes: when they may take the office counts from there
@@ -380,7 +398,8 @@
         uv_loop_init(&own);
         Node node(&own, settings[static_cast<std::size_t>(i)],
                   Node::Parts{{}, {}, {}, std::make_shared<SharedSteps>(*shared)});
-        if (node.start() != 0) _exit(1);
+        if (node.start() != 0)
+            _exit(1);
         for (;;) {
             node.turn();
             uv_run(&own, UV_RUN_NOWAIT);
@@ -391,10 +410,12 @@
     void turn() override { // until each has turned once more as a whole
         shared->now = clock->at;
         std::uint64_t before[count];
-        for (int i = 0; i < count; ++i) before[i] = shared->turns[i];
+        for (int i = 0; i < count; ++i)
+            before[i] = shared->turns[i];
         const auto give_up = uv_hrtime() + 60'000'000'000ULL;
         for (int i = 0; i < count; ++i)
-            while (shared->turns[i] < before[i] + 2 && uv_hrtime() < give_up) usleep(10);
+            while (shared->turns[i] < before[i] + 2 && uv_hrtime() < give_up)
+                usleep(10);
         state->poll();
     }
     Shared* shared = nullptr;
@@ -431,7 +452,8 @@
 }
 
 TEST(SameProcesses, TheLibraryPlacesAsThreeProcessesDo) {
-    if (sanitized) GTEST_SKIP();
+    if (sanitized)
+        GTEST_SKIP();
     constexpr unsigned seed = 412;
     const auto jobs = stream(seed, jobs_a_stream);
     const auto library = Library({}).run(jobs);
@@ -444,7 +466,8 @@
 
 // So that the comparison above can fail: another weight in the payoff must show in it.
 TEST_P(Same, AnotherPayoffShows) {
-    if (sanitized) GTEST_SKIP();
+    if (sanitized)
+        GTEST_SKIP();
     const auto jobs = stream(GetParam(), jobs_a_stream);
     OperatorSettings other;
     other.alpha *= 200;
--- a/tests/test_scheduler.cpp
+++ b/tests/test_scheduler.cpp
@@ -63,7 +63,8 @@
     Embedded(const Embedded&) = delete;
     Embedded& operator=(const Embedded&) = delete;
     void remove() const {
-        for (const auto* end : {"", "-wal", "-shm"}) std::remove((file + end).c_str());
+        for (const auto* end : {"", "-wal", "-shm"})
+            std::remove((file + end).c_str());
     }
     SchedulerOptions options() {
         SchedulerOptions o;
@@ -101,7 +102,8 @@
     void submit(Scheduler& s, const JobSpec& j, Reply* into) {
         s.submit(j, [this, &s, j, into](const Reply& r) {
             *into = r;
-            if (r.status == 503 || r.status == 429) submit(s, j, into);
+            if (r.status == 503 || r.status == 429)
+                submit(s, j, into);
         });
     }
     std::unique_ptr<store::StoreServer> state_service() {
@@ -120,12 +122,14 @@
     // A program that embeds the scheduler, as a process of its own.
     static pid_t program(const SchedulerOptions& o) {
         const pid_t child = fork();
-        if (child != 0) return child;
+        if (child != 0)
+            return child;
         close_range(3, ~0U, 0); // the parent's sockets
         spdlog::set_level(spdlog::level::off);
         try {
             const Scheduler s(o);
-            for (;;) pause();
+            for (;;)
+                pause();
         } catch (...) {
             _exit(1);
         }
@@ -161,7 +165,8 @@
                 u.spec.shape = Shape::gang;
                 u.spec.tasks = 2;
             }
-            if (n % 7 == 0) u.spec.needs = {job(n - 1).id};
+            if (n % 7 == 0)
+                u.spec.needs = {job(n - 1).id};
             e_.want(u.spec);
             list_.push_back(std::move(u));
         }
@@ -170,7 +175,8 @@
         const double t = e_.platform->now();
         for (std::size_t i = 0; i < list_.size(); ++i) {
             auto& u = list_[i];
-            if (u.asking || u.state == "done" || t < u.next || (i > 0 && !list_[i - 1].accepted)) continue;
+            if (u.asking || u.state == "done" || t < u.next || (i > 0 && !list_[i - 1].accepted))
+                continue;
             u.asking = true;
             const auto path = std::string(codec::path_jobs) + (u.accepted ? "/" + u.spec.id : "");
             client_->request(addresses_[asked_++ % addresses_.size()], u.accepted ? "GET" : "POST", path,
@@ -192,8 +198,10 @@
         x.asking = false;
         x.next = e_.platform->now() + 0.1;
         const auto a = codec::job_answer_of(r.body);
-        if (r.status != 0) e_.history.told(x.spec.id, r.status, a ? a->status : "", e_.platform->now());
-        if ((r.status != 200 && r.status != 201) || !a) return;
+        if (r.status != 0)
+            e_.history.told(x.spec.id, r.status, a ? a->status : "", e_.platform->now());
+        if ((r.status != 200 && r.status != 201) || !a)
+            return;
         x.accepted = true;
         x.state = a->status;
     }
@@ -261,7 +269,8 @@
     auto s = std::make_unique<Scheduler>(options());
     reports_to(*s);
     constexpr int callers = 4, each = 5;
-    for (int n = 0; n < callers * each; ++n) want(job(n + 1, 1));
+    for (int n = 0; n < callers * each; ++n)
+        want(job(n + 1, 1));
     std::atomic<int> accepted = 0;
     std::vector<std::thread> threads;
     for (int c = 0; c < callers; ++c)
@@ -273,11 +282,13 @@
                     const int status = p.get_future().get();
                     done = status == 201 || status == 200;
                     accepted += done;
-                    if (!done) usleep(20'000);
+                    if (!done)
+                        usleep(20'000);
                 }
         });
     ASSERT_TRUE(until([&] { return accepted == callers * each; }));
-    for (auto& t : threads) t.join();
+    for (auto& t : threads)
+        t.join();
     int done = 0;
     for (int n = 0; n < callers * each; ++n)
         EXPECT_TRUE(
@@ -357,7 +368,8 @@
     Users users(*this, {fmt::format("127.0.0.1:{}", one.port()), fmt::format("127.0.0.1:{}", two->port())}, 6);
     ASSERT_TRUE(until([&] { return users.serve(), history.starts() > 0; }));
     const auto end = uv_hrtime() + 30'000'000'000ULL;
-    while (!two->acts() && uv_hrtime() < end) usleep(1000); // the loop stands still
+    while (!two->acts() && uv_hrtime() < end)
+        usleep(1000); // the loop stands still
     EXPECT_TRUE(two->acts());
     EXPECT_FALSE(one.acts());
     ASSERT_TRUE(until([&] { return users.serve(); }));
@@ -527,7 +539,8 @@
         until([&] { return users.serve(), platform->now() >= next; });
     }
     EXPECT_TRUE(until([&] { return users.serve(); }));
-    for (const auto pid : copies) kill_program(pid);
+    for (const auto pid : copies)
+        kill_program(pid);
     EXPECT_GE(platform->sum().fence >> ledger::fence_bits, 2U) << "nobody ever took over";
     EXPECT_EQ(history.broken(), std::vector<std::string>{});
     EXPECT_TRUE(history.unfinished().empty());
@@ -554,16 +567,19 @@
                     client.request(fmt::format("127.0.0.1:{}", server.port()), "POST", "/", mine, 30,
                                    [&](HttpReply&& r) {
                                        ++(r.status == 200 && r.body == mine ? right : wrong);
-                                       if (--left > 0) next();
+                                       if (--left > 0)
+                                           next();
                                    });
                 };
                 next();
-                while (left > 0) uv_run(&loop, UV_RUN_ONCE);
+                while (left > 0)
+                    uv_run(&loop, UV_RUN_ONCE);
             }
             uv_run(&loop, UV_RUN_DEFAULT);
             uv_loop_close(&loop);
         });
-    for (auto& t : list) t.join();
+    for (auto& t : list)
+        t.join();
     EXPECT_EQ(wrong, 0);
     EXPECT_EQ(right, threads * requests);
 }
--- a/tests/test_store.cpp
+++ b/tests/test_store.cpp
@@ -37,7 +37,8 @@
 }
 
 void remove_file(const std::string& path) {
-    for (const auto* end : {"", "-wal", "-shm"}) std::remove((path + end).c_str());
+    for (const auto* end : {"", "-wal", "-shm"})
+        std::remove((path + end).c_str());
 }
 
 struct Loop {
@@ -118,7 +119,8 @@
     ~Rig() {
         store.reset();
         server.reset();
-        if (!path.empty()) remove_file(path);
+        if (!path.empty())
+            remove_file(path);
     }
     Rig(const Rig&) = delete;
     Rig& operator=(const Rig&) = delete;
@@ -173,7 +175,8 @@
     for (bool more = true; more;) {
         const auto page = s.list("j/", since, 7);
         ASSERT_EQ(page.status, 200);
-        for (const auto& i : page.items) EXPECT_EQ(i.value, Json(n++));
+        for (const auto& i : page.items)
+            EXPECT_EQ(i.value, Json(n++));
         more = page.more;
         ASSERT_FALSE(page.items.empty());
         since = page.items.back().key;
@@ -233,7 +236,8 @@
     const auto start = s.txn({}, {{"a", Json(0), 0}}).epoch;
     for (int i = 0; i < 12; ++i) {
         std::vector<Write> many;
-        for (int k = 0; k < 1000; ++k) many.push_back({fmt::format("k{}", k), Json(i), 0});
+        for (int k = 0; k < 1000; ++k)
+            many.push_back({fmt::format("k{}", k), Json(i), 0});
         ASSERT_EQ(s.txn({}, many).status, 200);
     }
     EXPECT_EQ(s.follow("", start - 1, 0).status, 410);
@@ -255,7 +259,8 @@
     Rig r(GetParam(), {5, 2, 16, 16});
     auto s = r.easy();
     int refused = 0;
-    for (int i = 0; i < 40; ++i) refused += s.txn({}, {{"a", Json(i), 0}}).status == 429;
+    for (int i = 0; i < 40; ++i)
+        refused += s.txn({}, {{"a", Json(i), 0}}).status == 429;
     EXPECT_GT(refused, 0);
     EXPECT_LT(refused, 40);
 }
@@ -364,7 +369,8 @@
         std::atomic<bool> go = false;
         for (int n = 0; n < openers; ++n)
             list.emplace_back([&] {
-                while (!go) std::this_thread::yield();
+                while (!go)
+                    std::this_thread::yield();
                 const auto why = why_not(path);
                 const std::lock_guard l(lock);
                 if (why == "opened")
@@ -373,7 +379,8 @@
                     said.insert(why);
             });
         go = true;
-        for (auto& t : list) t.join();
+        for (auto& t : list)
+            t.join();
     }
     EXPECT_EQ(said, std::set<std::string>{});
     EXPECT_EQ(opened, rounds * openers);
@@ -415,7 +422,8 @@
     {
         auto d = file_data(path);
         d->begin();
-        for (int i = 0; i < 2000; ++i) d->put(fmt::format("key/{}", i), {std::string(100, 'v'), 1, 0});
+        for (int i = 0; i < 2000; ++i)
+            d->put(fmt::format("key/{}", i), {std::string(100, 'v'), 1, 0});
         ASSERT_TRUE(d->commit());
     }
     std::fstream f(path, std::ios::in | std::ios::out | std::ios::binary);
@@ -526,7 +534,8 @@
                 const auto row = e.data().get("n");
                 const std::uint32_t n = row ? static_cast<std::uint32_t>(std::stoul(row->data)) + 1 : 1;
                 const auto a = e.transact({{"n", row ? row->stamp : 0}}, {{"n", Json(n), 0}}, 0);
-                if (a.status != 200 || !e.data().commit() || write(out[1], &n, sizeof n) != sizeof n) _exit(1);
+                if (a.status != 200 || !e.data().commit() || write(out[1], &n, sizeof n) != sizeof n)
+                    _exit(1);
             }
         }
         close(out[1]);
@@ -535,12 +544,14 @@
         while (read(out[0], &n, sizeof n) == sizeof n) {
             EXPECT_EQ(n, std::max(said, last) + 1);
             said = n;
-            if (n < stop_after) continue;
+            if (n < stop_after)
+                continue;
             usleep(std::uniform_int_distribution<useconds_t>(0, 3000)(rng));
             kill(child, SIGKILL);
             break;
         }
-        while (read(out[0], &n, sizeof n) == sizeof n) said = n; // said before it died
+        while (read(out[0], &n, sizeof n) == sizeof n)
+            said = n; // said before it died
         close(out[0]);
         int status = 0;
         waitpid(child, &status, 0);
--- a/tests/test_world.cpp
+++ b/tests/test_world.cpp
@@ -69,10 +69,12 @@
     w.run(14);
     ASSERT_FALSE(w.workers.empty());
     w.workers.begin()->second.sick = true;
-    for (int i = 2; i < 8; ++i) w.submit(job(i, Shape::array, 12, 2, "blue"));
+    for (int i = 2; i < 8; ++i)
+        w.submit(job(i, Shape::array, 12, 2, "blue"));
     w.run(200);
     EXPECT_EQ(first(w), "");
-    for (int i = 1; i < 8; ++i) EXPECT_EQ(w.told[fmt::format("wk-{:06}", i)], codec::status_done) << i;
+    for (int i = 1; i < 8; ++i)
+        EXPECT_EQ(w.told[fmt::format("wk-{:06}", i)], codec::status_done) << i;
 }
 
 // Restarted elsewhere for ever, the last task of a job never ended, nor did what waited for the job.
@@ -117,16 +119,19 @@
             const auto shape = w.chance() < 0.5 ? Shape::array : w.chance() < 0.5 ? Shape::gang : Shape::service;
             auto j = job(++n, shape, 1 + static_cast<std::uint32_t>(w.between(0, 7)), 1 + std::floor(w.between(0, 3)),
                          w.chance() < 0.5 ? "red" : "blue");
-            if (shape == Shape::service) j.tasks = 1 + j.tasks % 3;
+            if (shape == Shape::service)
+                j.tasks = 1 + j.tasks % 3;
             j.spread = shape == Shape::service && w.chance() < 0.5;
             j.one_zone = shape == Shape::gang && w.chance() < 0.5;
             w.submit(j);
         }
-        if (n > 0 && w.chance() < 0.01) w.cancel(fmt::format("wk-{:06}", 1 + static_cast<int>(w.between(0, n))));
+        if (n > 0 && w.chance() < 0.01)
+            w.cancel(fmt::format("wk-{:06}", 1 + static_cast<int>(w.between(0, n))));
         if (w.now >= next_trouble) {
             next_trouble = w.now + w.between(3, 20);
             auto pick = [&]() -> World::Worker* {
-                if (w.workers.empty()) return nullptr;
+                if (w.workers.empty())
+                    return nullptr;
                 auto it = w.workers.begin();
                 std::advance(it, static_cast<long>(w.between(0, static_cast<double>(w.workers.size()) - 0.01)));
                 return &it->second;
@@ -139,12 +144,14 @@
             } else if (c < 0.5 && x != nullptr) {
                 x->cut = true;
                 w.send(w.between(1, 25), [&w, id = x->id] {
-                    if (w.workers.contains(id)) w.workers[id].cut = false;
+                    if (w.workers.contains(id))
+                        w.workers[id].cut = false;
                 });
             } else if (c < 0.65 && x != nullptr) {
                 x->hung = true;
                 w.send(w.between(1, 25), [&w, id = x->id] {
-                    if (w.workers.contains(id)) w.workers[id].hung = false;
+                    if (w.workers.contains(id))
+                        w.workers[id].hung = false;
                 });
             } else if (c < 0.75 && x != nullptr) {
                 x->dead = true;
--- a/tests/troubles.hpp
+++ b/tests/troubles.hpp
@@ -20,7 +20,8 @@
     }
     void cut(const std::string& a, const std::string& b, Mode mode, bool one_way, double for_s) {
         set(a, b, mode);
-        if (!one_way) set(b, a, mode);
+        if (!one_way)
+            set(b, a, mode);
         send(for_s, [this, a, b] { both(a, b, Mode::open); });
     }
 
@@ -38,13 +39,15 @@
         if (c < 0.2) {
             cut_off(name, state);
         } else if (c < 0.4) {
-            for (const auto& z : settings.zones) cut_off(name, zone(z));
+            for (const auto& z : settings.zones)
+                cut_off(name, zone(z));
         } else if (c < 0.5) {
             cut_off(name, zone(settings.zones[pick(3)]));
         } else if (c < 0.65) {
             const auto k = pick(nodes.size());
             for (std::size_t o = 0; o < nodes.size(); ++o)
-                if (o != i && (o == k || chance() < 0.3)) cut_off(name, nodes[o].name);
+                if (o != i && (o == k || chance() < 0.3))
+                    cut_off(name, nodes[o].name);
         } else if (c < 0.7) {
             cut_off(name, cloud);
         } else if (c < 0.75) {
@@ -61,9 +64,11 @@
             send(std::min(for_s, 30.0), [this] { end_outage(); });
         } else {
             for (auto& [id, w] : workers)
-                if (chance() < 0.05) (chance() < 0.3 ? w.dead : chance() < 0.5 ? w.hung : w.cut) = true;
+                if (chance() < 0.05)
+                    (chance() < 0.3 ? w.dead : chance() < 0.5 ? w.hung : w.cut) = true;
             send(for_s, [this] {
-                for (auto& [id, w] : workers) w.hung = w.cut = false;
+                for (auto& [id, w] : workers)
+                    w.hung = w.cut = false;
             });
         }
     }
@@ -73,26 +78,32 @@
     // Reports of these machines arrive; what these controllers say to them does not.
     void deafen_some(double share, const std::string& zone_only, const std::vector<std::size_t>& to, double for_s) {
         std::vector<std::string> names, list;
-        for (const auto i : to) names.push_back(nodes[i].name);
+        for (const auto i : to)
+            names.push_back(nodes[i].name);
         for (const auto& [id, w] : workers)
-            if ((zone_only.empty() || w.zone == zone_only) && chance() < share) list.push_back(id);
+            if ((zone_only.empty() || w.zone == zone_only) && chance() < share)
+                list.push_back(id);
         if (list.empty() && !workers.empty())
             list.push_back(std::next(workers.begin(), static_cast<long>(pick(workers.size())))->first);
-        for (const auto& id : list) deafen(id, names);
+        for (const auto& id : list)
+            deafen(id, names);
         send(for_s, [this, list] {
-            for (const auto& id : list) deaf.erase(id);
+            for (const auto& id : list)
+                deaf.erase(id);
         });
     }
     std::vector<std::size_t> all_nodes() const {
         std::vector<std::size_t> out(nodes.size());
-        for (std::size_t i = 0; i < out.size(); ++i) out[i] = i;
+        for (std::size_t i = 0; i < out.size(); ++i)
+            out[i] = i;
         return out;
     }
     // No store and no other controllers, but workers and users.
     void isolate(std::size_t i, Mode mode, double for_s) {
         cut(nodes[i].name, state, mode, false, for_s);
         for (std::size_t o = 0; o < nodes.size(); ++o)
-            if (o != i) cut(nodes[i].name, nodes[o].name, mode, false, for_s);
+            if (o != i)
+                cut(nodes[i].name, nodes[o].name, mode, false, for_s);
     }
     double moment() {
         return between(0.05, 0.5);
@@ -110,17 +121,21 @@
             send(2 * for_s, [this] { copies = 0; });
         } else if (c < 0.5) {
             isolate(holder_or(i), some_mode(), for_s);
-            if (chance() < 0.3) isolate(pick(nodes.size()), some_mode(), for_s);
+            if (chance() < 0.3)
+                isolate(pick(nodes.size()), some_mode(), for_s);
         } else if (c < 0.7) {
             crash(holder_or(i), moment());
         } else if (c < 0.8) {
-            for (std::size_t o = 0; o < nodes.size(); ++o) send(between(0, 1), [this, o] { crash(o, moment()); });
+            for (std::size_t o = 0; o < nodes.size(); ++o)
+                send(between(0, 1), [this, o] { crash(o, moment()); });
         } else if (c < 0.9) {
             for (auto& [id, w] : workers)
-                if (chance() < 0.3) restart(id);
+                if (chance() < 0.3)
+                    restart(id);
         } else {
             for (auto& [id, w] : workers)
-                if (w.spot && chance() < 0.3) w.dead = true;
+                if (w.spot && chance() < 0.3)
+                    w.dead = true;
         }
     }
     // A machine that is back within a moment: it stood still, or its process is a new one with a tenure of its own.
@@ -129,7 +144,8 @@
         if (chance() < 0.5) {
             w.hung = true;
             send(moment(), [this, id] {
-                if (const auto it = workers.find(id); it != workers.end()) it->second.hung = false;
+                if (const auto it = workers.find(id); it != workers.end())
+                    it->second.hung = false;
             });
             return;
         }
--- a/tests/working.hpp
+++ b/tests/working.hpp
@@ -49,9 +49,12 @@
     std::function<void()> before_step;
     void work(double seconds) {
         for (const double end = now + seconds; now < end && broken.empty(); step(0.1)) {
-            if (level != nullptr) spdlog::set_pattern(fmt::format("{:.1f} %v", now));
-            if (before_step) before_step();
-            if (now < next_job) continue;
+            if (level != nullptr)
+                spdlog::set_pattern(fmt::format("{:.1f} %v", now));
+            if (before_step)
+                before_step();
+            if (now < next_job)
+                continue;
             next_job = now + every_s;
             ++n;
             ask(job(n, Shape::array, 3, 2, n % 2 == 0 ? "red" : "blue"));
--- a/tests/world.hpp
+++ b/tests/world.hpp
@@ -34,7 +34,8 @@
         : Machines(seed), controllers(count), core(controllers[0].core) {
         for (std::size_t i = 0; i < count; ++i) {
             controllers[i].name = fmt::format("berth-{}", i);
-            if (count == 1) continue;
+            if (count == 1)
+                continue;
             controllers[i].rate = between(0.9995, 1.0005); // steady clocks drift apart
             controllers[i].tenancy.emplace(ttl_s(), count - 1, 0);
         }
@@ -94,17 +95,25 @@
         Snapshot s;
         for (const auto& [k, v] : store) {
             // It takes a record without a spec for no job, and knows nothing of some keys.
-            if (c.old && (k.starts_with("q/") || (k.starts_with("j/") && !v.contains("spec")))) continue;
+            if (c.old && (k.starts_with("q/") || (k.starts_with("j/") && !v.contains("spec"))))
+                continue;
             codec::Item i{k, v, 1, false};
-            if (k.starts_with("j/")) s.jobs.push_back(i);
-            if (k.starts_with("i/")) s.intents.push_back(i);
-            if (k.starts_with("p/") || k.starts_with("q/")) s.progress.push_back(i);
-            if (k.starts_with("c/")) s.images.push_back(i);
-            if (k.starts_with("l/")) s.learned.push_back(i);
-            if (k.starts_with("m/") || k.starts_with("d/")) s.earlier.push_back(i);
+            if (k.starts_with("j/"))
+                s.jobs.push_back(i);
+            if (k.starts_with("i/"))
+                s.intents.push_back(i);
+            if (k.starts_with("p/") || k.starts_with("q/"))
+                s.progress.push_back(i);
+            if (k.starts_with("c/"))
+                s.images.push_back(i);
+            if (k.starts_with("l/"))
+                s.learned.push_back(i);
+            if (k.starts_with("m/") || k.starts_with("d/"))
+                s.earlier.push_back(i);
         }
         c.queue.clear();
-        if (log != nullptr) log->begin(settings, c.term, s, now * c.rate, now);
+        if (log != nullptr)
+            log->begin(settings, c.term, s, now * c.rate, now);
         c.core = std::make_unique<Core>(c.old ? old_settings : settings, c.term, s, now * c.rate, now);
         c.queue.push_back(TypesKnown{small_types()});
         c.queue.push_back(list());
@@ -112,7 +121,8 @@
 
     bool rent_one(bool spot) {
         auto& left = kind(spot);
-        if (left <= 0) return false;
+        if (left <= 0)
+            return false;
         --left;
         return true;
     }
@@ -121,7 +131,8 @@
     }
     void give_back(const std::string& id) {
         const auto it = workers.find(id);
-        if (it == workers.end()) return;
+        if (it == workers.end())
+            return;
         ++kind(it->second.spot);
         workers.erase(it);
     }
@@ -129,7 +140,8 @@
     Listed list() const {
         Listed l;
         for (const auto& [id, w] : workers)
-            if (!w.dead) l.machines.push_back({w.id, w.addr, "m8", w.zone, "running", w.spot, now - w.rented_at});
+            if (!w.dead)
+                l.machines.push_back({w.id, w.addr, "m8", w.zone, "running", w.spot, now - w.rented_at});
         return l;
     }
 
@@ -141,15 +153,18 @@
         for (auto& c : controllers)
             if (c.core && !(c.old && waits))
                 send(between(0, 0.3), [this, &c, life = c.life, spec, at = now, waits] {
-                    if (c.life == life && c.core) c.queue.push_back(JobStored{spec, now - at, -1, waits});
+                    if (c.life == life && c.core)
+                        c.queue.push_back(JobStored{spec, now - at, -1, waits});
                 });
     }
 
     void cancel(const std::string& id) {
-        if (store.contains("f/" + id)) return;
+        if (store.contains("f/" + id))
+            return;
         asked.insert(id);
         for (auto& c : controllers) {
-            if (!entitled(c)) continue;
+            if (!entitled(c))
+                continue;
             const auto h = ++handles;
             cancels[h] = id;
             c.queue.push_back(CancelAsked{id, h});
@@ -165,7 +180,8 @@
 
     void end_store_outage() {
         store_down = false;
-        for (auto& [id, until] : holds) until = now + ttl_s(); // all have their full time again
+        for (auto& [id, until] : holds)
+            until = now + ttl_s(); // all have their full time again
     }
 
     std::optional<codec::Json> stored(const std::string& key) override {
@@ -174,13 +190,16 @@
     }
 
     void report_if_due(Worker& w) override {
-        if (now < w.next_beat) return;
+        if (now < w.next_beat)
+            return;
         w.next_beat = now + settings.report_s * between(0.75, 1.25);
-        if (w.cut) return;
+        if (w.cut)
+            return;
         const double sent = now;
         auto r = report(w);
         const double delay = chance() < late ? between(5, 60) : between(0, 0.2);
-        if (chance() < beat_loss) return;
+        if (chance() < beat_loss)
+            return;
         send(delay, [this, id = w.id, r, sent, tenure = w.tenure, node = w.node] {
             auto& c = controllers[node];
             auto refused = [this, id] {
@@ -188,15 +207,19 @@
                     it->second.node =
                         chance() < 0.5 || !office ? (it->second.node + 1) % controllers.size() : office->node;
             };
-            if (!c.core || c.no_workers) return refused();
+            if (!c.core || c.no_workers)
+                return refused();
             const auto h = ++handles;
             beats[h] = [this, id, sent, tenure, refused](int status, std::uint64_t fence, std::vector<Order> orders) {
-                if (status != 200) return refused();
+                if (status != 200)
+                    return refused();
                 send(between(0, 0.2), [this, id, sent, tenure, fence, orders] {
                     auto it = workers.find(id);
-                    if (it == workers.end() || it->second.dead || it->second.hung || it->second.cut) return;
+                    if (it == workers.end() || it->second.dead || it->second.hung || it->second.cut)
+                        return;
                     auto& x = it->second;
-                    if (now > sent + 4 || x.tenure != tenure || fence < x.fence) return;
+                    if (now > sent + 4 || x.tenure != tenure || fence < x.fence)
+                        return;
                     x.fence = fence;
                     x.lease_from = std::max(x.lease_from, sent);
                     execute(x, orders);
@@ -208,25 +231,31 @@
 
     void perform(Controller& c, const Effect& effect) {
         auto tell = [this, &c, life = c.life](Command a) {
-            if (c.life == life && c.core) c.queue.push_back(std::move(a));
+            if (c.life == life && c.core)
+                c.queue.push_back(std::move(a));
         };
         if (const auto* commit = std::get_if<Commit>(&effect)) {
-            if (on_commit) on_commit(commit->writes);
+            if (on_commit)
+                on_commit(commit->writes);
             send(between(0.01, 0.5), [this, &c, tell, t = c.term, writes = commit->writes] {
-                if (t != term || (several() && (!office || office->term != t))) return; // the guards fail
+                if (t != term || (several() && (!office || office->term != t)))
+                    return; // the guards fail
                 TxnOutcome out = TxnOutcome::refused;
                 if (!store_down && !c.no_store) {
                     out = TxnOutcome::applied;
-                    if (writes.size() + 1 > static_cast<std::size_t>(settings.txn_ops)) out = TxnOutcome::too_large;
+                    if (writes.size() + 1 > static_cast<std::size_t>(settings.txn_ops))
+                        out = TxnOutcome::too_large;
                     for (const auto& w : writes)
-                        if (w.value && w.value->dump().size() > settings.value_kb * 1024) out = TxnOutcome::too_large;
+                        if (w.value && w.value->dump().size() > settings.value_kb * 1024)
+                            out = TxnOutcome::too_large;
                     if (out == TxnOutcome::too_large && strict) {
                         broken.push_back("too large a transaction");
                         return tell(Committed{out});
                     }
                     out = TxnOutcome::applied;
                     for (const auto& w : writes) {
-                        if (c.old && w.key.starts_with("q/")) continue;
+                        if (c.old && w.key.starts_with("q/"))
+                            continue;
                         if (w.value)
                             store[w.key] = *w.value;
                         else
@@ -242,7 +271,8 @@
             if (!lost && !c.no_workers)
                 send(delay, [this, o = *o, answer, held] {
                     auto it = workers.find(o.machine);
-                    if (it == workers.end() || it->second.dead || it->second.hung || it->second.cut) return;
+                    if (it == workers.end() || it->second.dead || it->second.hung || it->second.cut)
+                        return;
                     auto& w = it->second;
                     OrdersAnswered a{o.machine, o.batch, 409, true, std::nullopt};
                     if (o.fence >= w.fence && o.tenure == w.tenure) {
@@ -251,7 +281,8 @@
                         a.status = 200;
                     }
                     a.report = report(w);
-                    if (!held) send(between(0, 0.1), [answer, a] { answer(a); });
+                    if (!held)
+                        send(between(0, 0.1), [answer, a] { answer(a); });
                 });
             send(1.0, [answer, o = *o] { answer({o.machine, o.batch, 0, true, std::nullopt}); });
         } else if (const auto* b = std::get_if<BeatAnswer>(&effect)) {
@@ -260,12 +291,15 @@
                 beats.erase(it);
             }
         } else if (const auto* a = std::get_if<CancelAnswer>(&effect)) {
-            if (a->status.empty()) return;
+            if (a->status.empty())
+                return;
             const auto& id = cancels[a->handle];
             hear(id, a->status);
-            if (a->status == codec::status_cancelled) cancelled.emplace(id, now);
+            if (a->status == codec::status_cancelled)
+                cancelled.emplace(id, now);
         } else if (const auto* r = std::get_if<Rent>(&effect)) {
-            if (!claims.insert(r->claim).second) broken.push_back("claim reused " + r->claim);
+            if (!claims.insert(r->claim).second)
+                broken.push_back("claim reused " + r->claim);
             Rented out{r->claim, RentOutcome::no_capacity, {}};
             for (int i = 0; i < r->count && rent_one(r->spot); ++i) {
                 out.outcome = RentOutcome::rented;
@@ -285,17 +319,20 @@
             send(0.2, [tell, out] { tell(out); });
         } else if (const auto* r = std::get_if<Release>(&effect)) {
             send(0.2, [this, tell, list = r->machines] {
-                for (const auto& m : list) give_back(m);
+                for (const auto& m : list)
+                    give_back(m);
                 tell(Released{list, true});
             });
         } else if (const auto* f = std::get_if<FindJob>(&effect)) {
             send(between(0, 0.1), [this, &c, tell, id = f->id] {
                 JobFound found{id, Known::no_answer, std::nullopt};
-                if (store_down || c.no_store) return tell(found);
+                if (store_down || c.no_store)
+                    return tell(found);
                 const auto j = store.find("j/" + id);
                 found.state = j == store.end() ? Known::never : Known::open;
                 if (j != store.end())
-                    if (auto r = codec::stored_job(j->second, now); r) found.job = job_stored(std::move(*r), now);
+                    if (auto r = codec::stored_job(j->second, now); r)
+                        found.job = job_stored(std::move(*r), now);
                 if (const auto x = store.find("f/" + id); x != store.end())
                     found.state = x->second["s"] == codec::status_done ? Known::done : Known::cancelled;
                 tell(found);
@@ -311,13 +348,15 @@
         auto& c = controllers[i];
         const double t = now * c.rate;
         if (!c.alive) {
-            if (now < c.back_at) return;
+            if (now < c.back_at)
+                return;
             c.alive = true;
             c.tenancy.emplace(ttl_s(), controllers.size() - 1, t);
         }
         for (auto it = holds.begin(); it != holds.end();) {
             const bool ended = !store_down && now > it->second + 0.05;
-            if (ended && office && office->hold == it->first) office.reset();
+            if (ended && office && office->hold == it->first)
+                office.reset();
             it = ended ? holds.erase(it) : std::next(it);
         }
         const bool served = !store_down && !c.no_store;
@@ -335,10 +374,12 @@
                 ask_for_promises(i, t);
             }
         }
-        if (c.core || c.acquiring || now < c.next_look) return;
+        if (c.core || c.acquiring || now < c.next_look)
+            return;
         c.next_look = now + between(0.1, 0.3);
         c.tenancy->store_read(served, t);
-        if (!served) return;
+        if (!served)
+            return;
         if (office && office->node == i) { // the process before
             holds.erase(office->hold);
             office.reset();
@@ -355,16 +396,20 @@
         holds[hold] = now + ttl_s();
         const double delay = chance() < late ? between(1, 20) : between(0.02, 0.2);
         send(std::min(delay, 1.0), [this, &c, life = c.life, delay] {
-            if (c.life != life || !c.acquiring || delay < 1) return;
+            if (c.life != life || !c.acquiring || delay < 1)
+                return;
             c.acquiring = false;
             c.tenancy->attempt_unresolved(); // it may still be applied
         });
         send(delay, [this, i, &c, life = c.life, hold, sent, read = term] {
             const bool applied = !store_down && !c.no_store && !office && holds.contains(hold) && term == read;
-            if (applied) office = Held{i, hold, ++term};
-            if (c.life != life || !c.acquiring) return;
+            if (applied)
+                office = Held{i, hold, ++term};
+            if (c.life != life || !c.acquiring)
+                return;
             c.acquiring = false;
-            if (!applied) return;
+            if (!applied)
+                return;
             c.hold = hold;
             c.tenancy->begin();
             c.tenancy->hold_extended(sent);
@@ -375,16 +420,20 @@
     void ask_for_promises(std::size_t i, double sent) {
         auto& c = controllers[i];
         for (std::size_t k = 0; k < controllers.size(); ++k) {
-            if (k == i || c.no_peers) continue;
+            if (k == i || c.no_peers)
+                continue;
             send(between(0, 0.1), [this, k, &c, life = c.life, sent] {
                 auto& p = controllers[k];
-                if (!p.alive || p.no_peers) return;
+                if (!p.alive || p.no_peers)
+                    return;
                 const double t = now * p.rate;
                 const bool failed = store_down || p.no_store;
                 p.tenancy->store_read(!failed, t);
-                if (!p.tenancy->promise(c.tenancy->promise_s(), t, !p.core && !p.acquiring, failed)) return;
+                if (!p.tenancy->promise(c.tenancy->promise_s(), t, !p.core && !p.acquiring, failed))
+                    return;
                 send(between(0, 0.1), [this, &c, life, sent, name = p.name] {
-                    if (c.life == life && c.core) c.tenancy->promised(name, sent, now * c.rate);
+                    if (c.life == life && c.core)
+                        c.tenancy->promised(name, sent, now * c.rate);
                 });
             });
         }
@@ -400,16 +449,19 @@
             const auto n = stack.back();
             stack.pop_back();
             any = any || asked.contains(n);
-            if (const auto t = cancelled.find(n); t != cancelled.end()) since = std::min(since, t->second);
+            if (const auto t = cancelled.find(n); t != cancelled.end())
+                since = std::min(since, t->second);
             if (const auto j = jobs.find(n); j != jobs.end())
                 for (const auto& k : j->second.needs)
-                    if (seen.insert(k).second) stack.push_back(k);
+                    if (seen.insert(k).second)
+                        stack.push_back(k);
         }
         return any;
     }
 
     void hear(const std::string& id, std::string_view status) {
-        if (told.contains(id) && told[id] == status) return;
+        if (told.contains(id) && told[id] == status)
+            return;
         double since = 1e18;
         const bool taken_along = !asked.empty() && !jobs[id].needs.empty() && doomed(id, since);
         if (status == codec::status_cancelled && !asked.contains(id) && !taken_along)
@@ -418,14 +470,17 @@
             now > std::max(since, submitted[id]) + settings.cancel_s)
             broken.push_back("orphaned " + id);
         if (status != codec::status_done && status != codec::status_cancelled) {
-            if (told.contains(id)) broken.push_back("went_back " + id);
+            if (told.contains(id))
+                broken.push_back("went_back " + id);
             return;
         }
         const auto [it, fresh] = told.emplace(id, status);
-        if (!fresh && it->second != status) broken.push_back("went_back " + id);
+        if (!fresh && it->second != status)
+            broken.push_back("went_back " + id);
         if (status == codec::status_done)
             for (std::uint32_t i = 0; i < jobs[id].tasks; ++i)
-                if (!done_tasks.contains(fmt::format("{}/{}", id, i))) broken.push_back("not_done " + id);
+                if (!done_tasks.contains(fmt::format("{}/{}", id, i)))
+                    broken.push_back("not_done " + id);
     }
 
     void step(double dt = 0.05) {
@@ -441,12 +496,15 @@
             messages.pop_back();
         }
         std::shuffle(due.begin(), due.end(), rng);
-        for (auto& m : due) m.f();
+        for (auto& m : due)
+            m.f();
         run_machines();
         const int holders = run_controllers();
         // Any node answers from the store.
-        if (!store_down && ++steps % 20 == 0) read_all();
-        if (holders > 1) broken.push_back("two holders");
+        if (!store_down && ++steps % 20 == 0)
+            read_all();
+        if (holders > 1)
+            broken.push_back("two holders");
         for (const auto& [id, w] : workers)
             for (const auto& t : w.tasks)
                 if (!w.dead && (t.state == TaskState::running || t.state == TaskState::waiting) &&
@@ -458,19 +516,26 @@
         int holders = 0;
         for (std::size_t i = 0; i < controllers.size(); ++i) {
             auto& c = controllers[i];
-            if (several()) run_tenancy(i);
-            if (!c.core) continue;
+            if (several())
+                run_tenancy(i);
+            if (!c.core)
+                continue;
             const bool may = entitled(c);
             holders += may;
             carried += may && several() && store_down;
-            if (log != nullptr) log->commands(c.queue, now * c.rate, now, may);
+            if (log != nullptr)
+                log->commands(c.queue, now * c.rate, now, may);
             const auto effects = c.core->step(c.queue, now * c.rate, now, may);
-            if (log != nullptr) log->effects(effects);
+            if (log != nullptr)
+                log->effects(effects);
             for (const auto& e : effects)
-                if (c.core) perform(c, e);
-            if (!c.core || !may) continue;
+                if (c.core)
+                    perform(c, e);
+            if (!c.core || !may)
+                continue;
             for (const auto& [id, spec] : jobs)
-                if (const auto v = c.core->view(id); v) hear(id, v->status);
+                if (const auto v = c.core->view(id); v)
+                    hear(id, v->status);
         }
         return holders;
     }
@@ -488,7 +553,8 @@
     }
 
     void run(double seconds) {
-        for (const double end = now + seconds; now < end && broken.empty();) step();
+        for (const double end = now + seconds; now < end && broken.empty();)
+            step();
     }
 };
 
--- a/tools/measure.cpp
+++ b/tools/measure.cpp
@@ -78,11 +78,13 @@
 }
 
 void remove_file(const std::string& path) {
-    for (const auto* end : {"", "-wal", "-shm"}) std::remove((path + end).c_str());
+    for (const auto* end : {"", "-wal", "-shm"})
+        std::remove((path + end).c_str());
 }
 
 double share(std::vector<double> v, double q) {
-    if (v.empty()) return 0;
+    if (v.empty())
+        return 0;
     std::sort(v.begin(), v.end());
     return v[std::min(v.size() - 1, static_cast<std::size_t>(q * static_cast<double>(v.size())))];
 }
@@ -127,11 +129,13 @@
         }
         users_ = std::make_unique<HttpClient>(&loop_, in_flight, 4096);
         child_ = fork();
-        if (child_ != 0) return;
+        if (child_ != 0)
+            return;
         close_range(3, ~0U, 0);
         try {
             const Scheduler s(o);
-            for (;;) pause();
+            for (;;)
+                pause();
         } catch (...) {
             _exit(1);
         }
@@ -157,7 +161,8 @@
         const double began = now();
         int next = 2;
         wait([&] {
-            while (next <= burst + 1 && static_cast<std::size_t>(next - 1 - accepted_) < in_flight) submit(next++);
+            while (next <= burst + 1 && static_cast<std::size_t>(next - 1 - accepted_) < in_flight)
+                submit(next++);
             return accepted_ == burst + 1;
         });
         const double burst_s = now() - began;
@@ -167,13 +172,15 @@
         const int first = next;
         wait([&] {
             const double t = now() - steady;
-            while (next - first < rate * std::min(t, seconds)) submit(next++);
+            while (next - first < rate * std::min(t, seconds))
+                submit(next++);
             return t >= seconds && asked_.empty();
         });
         std::cout << fmt::format("{:22} {:8.0f} {:10.1f} {:10.1f} {:8.1f}\n", name_, burst / burst_s,
                                  share(waits_, 0.5) * 1000, share(waits_, 0.99) * 1000,
                                  resident_mb(child_ > 0 ? std::to_string(child_).c_str() : "self"));
-        if (retries_ > 0) std::cout << fmt::format("  {} were sent away and tried again\n", retries_);
+        if (retries_ > 0)
+            std::cout << fmt::format("  {} were sent away and tried again\n", retries_);
     }
     std::string name_;
 
@@ -182,7 +189,8 @@
         const auto s = job(n);
         platform_->know(s);
         history_.submitted(s);
-        if (n > 1) asked_[s.id] = now();
+        if (n > 1)
+            asked_[s.id] = now();
         attempt(s);
     }
     void attempt(const JobSpec& s) {
@@ -201,22 +209,28 @@
             ++accepted_;
             return;
         }
-        if (accepted_ > 0) ++retries_; // until the first it only starts
+        if (accepted_ > 0)
+            ++retries_; // until the first it only starts
         again_.push_back(s);
     }
     void wait(const std::function<bool()>& over) {
         const double end = now() + patience_s;
         while (!over()) {
-            if (now() > end) throw std::runtime_error(name_ + ": it takes too long");
-            if (uv_run(&loop_, UV_RUN_NOWAIT) == 0 || answers_.empty()) usleep(200);
+            if (now() > end)
+                throw std::runtime_error(name_ + ": it takes too long");
+            if (uv_run(&loop_, UV_RUN_NOWAIT) == 0 || answers_.empty())
+                usleep(200);
             std::vector<std::pair<JobSpec, int>> got;
             {
                 const std::lock_guard l(lock_);
                 got.swap(answers_);
             }
-            for (const auto& [s, status] : got) answered(s, status);
-            for (const auto& s : std::exchange(again_, {})) attempt(s);
-            if (users_) users_->sweep();
+            for (const auto& [s, status] : got)
+                answered(s, status);
+            for (const auto& s : std::exchange(again_, {}))
+                attempt(s);
+            if (users_)
+                users_->sweep();
         }
     }
 
@@ -264,7 +278,8 @@
             for (; i < n && writes.size() < 100; ++i)
                 writes.push_back({"j/" + job(i + 1).id, codec::to_record({job(i + 1), 1.7e9, -1, false, {}}), 0});
             engine.data().begin();
-            if (engine.transact({}, writes, 0).status != 200) throw std::runtime_error("the store takes no jobs");
+            if (engine.transact({}, writes, 0).status != 200)
+                throw std::runtime_error("the store takes no jobs");
             engine.data().commit();
         }
     }
@@ -290,15 +305,19 @@
         usleep(200);
         at = now();
     };
-    while (!s->acts()) turn();
+    while (!s->acts())
+        turn();
     const double acts_s = now() - began;
     s->get(job(std::max(1, n)).id, [&](const Reply& r) { status = r.status; });
-    while (status == 0) turn();
+    while (status == 0)
+        turn();
     const double answers_s = now() - began, cpu = cpu_s(), from = now();
-    while (now() < from + 5) turn();
+    while (now() < from + 5)
+        turn();
     std::cout << fmt::format("{:8} {:9.2f} {:9.2f} {:9.1f} {:9.2f} {:9.0f}\n", n, acts_s, answers_s,
                              resident_mb() - before_mb, (cpu_s() - cpu) / (now() - from), longest * 1000);
-    if (status != (n == 0 ? 404 : 200)) throw std::runtime_error(fmt::format("the last job was answered {}", status));
+    if (status != (n == 0 ? 404 : 200))
+        throw std::runtime_error(fmt::format("the last job was answered {}", status));
     s.reset();
     uv_run(&loop, UV_RUN_NOWAIT);
     platform.reset();
@@ -330,7 +349,8 @@
     spdlog::set_level(spdlog::level::err);
     std::signal(SIGPIPE, SIG_IGN);
     try {
-        if (compare->parsed()) heronshift::compare(folder, jobs, rate, seconds);
+        if (compare->parsed())
+            heronshift::compare(folder, jobs, rate, seconds);
         if (restart->parsed()) {
             std::cout << fmt::format("{:>8} {:>9} {:>9} {:>9} {:>9} {:>9}\n", "jobs", "acts s", "answers s", "MB",
                                      "cores", "turn ms");
@@ -349,7 +369,8 @@
                 }
                 int status = 0;
                 waitpid(child, &status, 0);
-                if (status != 0) return 1;
+                if (status != 0)
+                    return 1;
             }
         }
     } catch (const std::exception& e) {
