--- /dev/null
+++ b/src/codec/store.cpp
@@ -0,0 +1,223 @@
+// The state service: items, transactions, leases and watches, both as client and as stand-in.
+#include "fields.hpp"
+
+#include <fmt/format.h>
+
+namespace heronshift::codec {
+
+using fields::count;
+using fields::field;
+using fields::flag;
+using fields::number;
+using fields::text;
+
+std::string txn(const std::vector<Guard>& guards, const std::vector<Write>& writes) {
+    Json g = Json::array(), w = Json::array();
+    for (const auto& x : guards)
+        g.push_back({{"k", x.key}, {"stamp", x.stamp}});
+    for (const auto& x : writes) {
+        if (!x.value) {
+            w.push_back({{"delete", x.key}});
+            continue;
+        }
+        Json e{{"set", x.key}, {"data", *x.value}};
+        if (x.hold != 0)
+            e["lease"] = x.hold;
+        w.push_back(std::move(e));
+    }
+    Json j{{"guards", std::move(g)}};
+    if (!writes.empty())
+        j["writes"] = std::move(w);
+    return j.dump();
+}
+
+std::optional<std::uint64_t> epoch_of(std::string_view body) {
+    const auto j = parse(body);
+    std::uint64_t e = 0;
+    if (!j.is_object() || !count(j, "epoch", e))
+        return {};
+    return e;
+}
+
+std::optional<std::vector<std::string>> failed_guards(std::string_view body) {
+    const auto j = parse(body);
+    if (!j.is_object())
+        return {};
+    const auto* list = field(j, "failed");
+    if (list == nullptr || !list->is_array())
+        return {};
+    std::vector<std::string> out;
+    for (const auto& e : *list)
+        if (e.is_string())
+            out.push_back(e.get<std::string>());
+    return out;
+}
+
+namespace {
+std::optional<Item> read_item(const Json& e, const char* key_name) {
+    if (!e.is_object())
+        return {};
+    Item i;
+    i.key = text(e, key_name);
+    if (i.key.empty() || !count(e, "stamp", i.stamp))
+        return {};
+    if (const auto* v = field(e, "data"); v != nullptr)
+        i.value = *v;
+    count(e, "lease", i.hold);
+    return i;
+}
+} // namespace
+
+std::optional<Item> item(std::string_view body) {
+    return read_item(parse(body), "k");
+}
+
+std::optional<Page> page(std::string_view body) {
+    const auto j = parse(body);
+    if (!j.is_object())
+        return {};
+    const auto* list = field(j, "entries");
+    Page p;
+    if (list == nullptr || !list->is_array() || !count(j, "epoch", p.epoch))
+        return {};
+    p.more = flag(j, "more");
+    for (const auto& e : *list) {
+        auto i = read_item(e, "k");
+        if (!i)
+            return {};
+        p.items.push_back(std::move(*i));
+    }
+    return p;
+}
+
+std::optional<Page> events(std::string_view body) {
+    const auto j = parse(body);
+    if (!j.is_object())
+        return {};
+    const auto* list = field(j, "events");
+    Page p;
+    if (!count(j, "epoch", p.epoch))
+        return {};
+    if (list == nullptr)
+        return p;
+    if (!list->is_array())
+        return {};
+    for (const auto& e : *list) {
+        const bool gone = e.is_object() && e.contains("delete");
+        auto i = read_item(e, gone ? "delete" : "set");
+        if (!i)
+            return {};
+        i->deleted = gone;
+        p.items.push_back(std::move(*i));
+    }
+    return p;
+}
+
+std::string hold_request(double ttl_s) {
+    return Json{{"ttlMs", static_cast<std::uint64_t>(ttl_s * 1000)}}.dump();
+}
+
+std::optional<std::uint64_t> hold_of(std::string_view body) {
+    const auto j = parse(body);
+    std::uint64_t h = 0;
+    if (!j.is_object() || !count(j, "lease", h))
+        return {};
+    return h;
+}
+
+namespace {
+Json item_json(const Item& i) {
+    Json j{{"k", i.key}, {"data", i.value}, {"stamp", i.stamp}};
+    if (i.hold != 0)
+        j["lease"] = i.hold;
+    return j;
+}
+} // namespace
+
+std::string item_answer(const Item& i) {
+    return item_json(i).dump();
+}
+
+std::string page_answer(const Page& p) {
+    auto list = Json::array();
+    for (const auto& i : p.items)
+        list.push_back(item_json(i));
+    return Json{{"entries", std::move(list)}, {"more", p.more}, {"epoch", p.epoch}}.dump();
+}
+
+std::string events_answer(const Page& p) {
+    auto list = Json::array();
+    for (const auto& i : p.items) {
+        if (i.deleted)
+            list.push_back({{"delete", i.key}, {"stamp", i.stamp}});
+        else
+            list.push_back({{"set", i.key}, {"data", i.value}, {"stamp", i.stamp}});
+    }
+    return Json{{"epoch", p.epoch}, {"events", std::move(list)}}.dump();
+}
+
+std::string epoch_answer(std::uint64_t epoch) {
+    return Json{{"epoch", epoch}}.dump();
+}
+
+std::string failed_answer(const std::vector<std::string>& failed, std::uint64_t epoch) {
+    return Json{{"failed", failed}, {"epoch", epoch}}.dump();
+}
+
+std::string hold_answer(std::uint64_t hold) {
+    return Json{{"lease", hold}}.dump();
+}
+
+std::optional<TxnRequest> txn_request(std::string_view body) {
+    const auto j = parse(body);
+    if (!j.is_object())
+        return {};
+    TxnRequest t;
+    if (const auto* list = field(j, "guards"); list != nullptr) {
+        if (!list->is_array())
+            return {};
+        for (const auto& e : *list) {
+            Guard g;
+            if (!e.is_object() || !count(e, "stamp", g.stamp))
+                return {};
+            g.key = text(e, "k");
+            t.guards.push_back(std::move(g));
+        }
+    }
+    if (const auto* list = field(j, "writes"); list != nullptr) {
+        if (!list->is_array())
+            return {};
+        for (const auto& e : *list) {
+            if (!e.is_object())
+                return {};
+            Write w;
+            if (e.contains("delete")) {
+                w.key = text(e, "delete");
+            } else {
+                if (!e.contains("data"))
+                    return {};
+                w.key = text(e, "set");
+                w.value = e["data"];
+                if (e.contains("lease") && !count(e, "lease", w.hold))
+                    return {};
+            }
+            t.writes.push_back(std::move(w));
+        }
+    }
+    return t;
+}
+
+std::optional<std::int64_t> ttl_ms_of(std::string_view body) {
+    const auto j = parse(body);
+    std::uint64_t n = 0;
+    if (!j.is_object() || !count(j, "ttlMs", n) || n > 1'000'000'000)
+        return {};
+    return static_cast<std::int64_t>(n);
+}
+
+std::string store_error(std::string_view body) {
+    const auto j = parse(body);
+    return j.is_object() ? text(j, "error") : std::string();
+}
+
+} // namespace heronshift::codec
--- /dev/null
+++ b/src/records/load.cpp
@@ -0,0 +1,247 @@
+// Reading what the store holds of the core's state, whole, at a takeover.
+#include "heronshift/records/records.hpp"
+
+#include "layout.hpp"
+
+#include <algorithm>
+#include <charconv>
+#include <fmt/format.h>
+#include <utility>
+
+namespace heronshift {
+
+using ledger::fence_bits;
+using ledger::Final;
+using ledger::Phase;
+using ledger::Status;
+using records::first_slots;
+using records::progress_records;
+
+namespace {
+
+// The number behind a prefix, or nothing.
+std::optional<std::size_t> number_of(const std::string& key) {
+    std::size_t n = 0;
+    const auto* end = key.data() + key.size();
+    const auto [p, ec] = std::from_chars(key.data() + 2, end, n);
+    if (key.size() < 3 || ec != std::errc() || p != end || n > 100'000)
+        return {};
+    return n;
+}
+
+} // namespace
+
+void Records::load(const Snapshot& stored, double wall) {
+    ring_.resize(first_slots);
+    buckets_.resize(progress_records);
+    for (const auto& i : stored.jobs) {
+        auto r = codec::stored_job(i.value, wall);
+        if (!r)
+            continue;
+        const auto id = r->spec.id;
+        auto c = job_stored(std::move(*r), wall);
+        l_.add_job(c);
+        if (auto* j = l_.find_job(id); j != nullptr && !r->final.empty()) {
+            j->final = r->final == codec::status_done ? Final::done : Final::cancelled;
+            j->final_stored = true;
+        }
+    }
+    for (const auto& i : stored.images)
+        load_images(i);
+    for (const auto& i : stored.progress) {
+        // Those of the version before are left as they are: its processes may take office again, and
+        // what was done stays done.
+        if (!i.value.is_object())
+            continue;
+        for (const auto& [id, ranges] : i.value.items())
+            if (auto* j = l_.find_job(id); j != nullptr && ranges.is_string())
+                load_done(*j, ranges.get<std::string>());
+    }
+    for (const auto& i : stored.intents) {
+        const auto n = number_of(i.key);
+        const bool text = i.value.is_object() && i.value.contains("t") && i.value["t"].is_string();
+        intents::Read r;
+        if (text)
+            r = intents::read(i.value["t"].get_ref<const std::string&>());
+        else
+            r.damaged = true;
+        if (n && *n >= ring_.size())
+            ring_.resize(*n + 1);
+        for (const auto& x : r.intents)
+            load_intent(x, n ? static_cast<int>(*n) : -1);
+        for (const auto& m : r.unproven)
+            hold_unproven(m);
+        if (r.damaged)
+            hold_unproven("");
+        if (n) {
+            ring_[*n].stale += 1; // written again before long, whatever it named
+            ring_[*n].size = text ? i.value["t"].get_ref<const std::string&>().size() : 0;
+            ring_[*n].written = std::max<std::size_t>(1, r.intents.size());
+        } else {
+            gone_records_.push_back(i.key);
+        }
+    }
+    load_earlier(stored);
+    for (const auto& i : stored.learned)
+        load_learned(i, wall);
+    for (auto& [id, j] : l_.st_.jobs) {
+        // What runs or is done does not wait: on a day with many takeovers machines were rented for it.
+        std::erase_if(j->pending, [&](std::uint32_t i) {
+            auto& t = j->tasks[i];
+            if (!t.done && t.live == 0)
+                return false;
+            t.queued = false;
+            return true;
+        });
+        if (j->spec.shape == Shape::gang && j->live > 0) {
+            for (const auto& e : j->entries)
+                j->gang_try = std::max(j->gang_try, e->try_no);
+            if (j->live < j->spec.tasks - j->done)
+                l_.break_gang(*j);
+        }
+        if (j->final == Final::none && j->done == j->spec.tasks)
+            l_.finalize(*j, Final::done);
+        if (j->final == Final::none)
+            continue;
+        for (auto& e : j->entries)
+            l_.stop_entry(*e, 0);
+        if (j->live == 0)
+            final_due(*j, Urgency::done);
+    }
+    l_.dirty_ = true;
+}
+
+void Records::load_done(Job& j, std::string_view ranges) {
+    intents::each_in_ranges(ranges, [&](std::uint32_t k) {
+        if (k >= j.tasks.size() || j.tasks[k].done)
+            return;
+        j.tasks[k].done = j.tasks[k].stored = true;
+        ++j.done;
+        j.had_success = true; // else a faulty machine is told from a bad job too late
+    });
+}
+
+void Records::load_intent(const intents::Intent& i, int slot) {
+    auto* j = l_.find_job(i.job);
+    // The record of a job goes only when none of its tasks is left anywhere.
+    if (j == nullptr || i.index >= j->tasks.size())
+        return;
+    auto& m = l_.learn_machine(i.machine, "", "", i.zone, false);
+    m.tenure = std::max(m.tenure, i.tenure);
+    // Whoever was entitled before us may have answered this machine until the moment we took
+    // office, so its lease counts from there.
+    m.last_seen = l_.st_.now;
+    m.status = Status::up;
+    for (const auto& e : m.entries)
+        if (e->job == j && e->index == i.index && e->try_no == i.try_no)
+            return;
+    auto& e = l_.add_entry(m, *j, i.index, i.try_no);
+    e.phase = Phase::sent;
+    e.recorded = slot >= 0;
+    // Only a report that has seen our own term proves anything: one from before the launch
+    // may arrive late, and we have no count of this machine's to tell.
+    e.fence = (l_.st_.term << fence_bits) - 1;
+    e.tenure = i.tenure;
+    leave_slot(e);
+    put_in_slot(e, slot);
+}
+
+// A record that cannot be read may have named any task there was. The machine's own word under our
+// term, or its lapsed lease, ends the doubt; where not even its name is known, only time does.
+void Records::hold_unproven(const std::string& machine) {
+    note(2, fmt::format("a damaged record{}{}", machine.empty() ? "" : " of machine ", machine));
+    l_.st_.unproven_until = l_.st_.now + l_.lease_surely_s();
+    l_.st_.unproven_machines.insert(machine);
+    if (machine.empty())
+        return;
+    auto& m = l_.learn_machine(machine, "", "", "", false);
+    m.last_seen = l_.st_.now;
+    m.status = Status::up;
+}
+
+// The layout before this one: "m/ID" named what is on a machine, "d/ID" what is done of a job.
+void Records::load_earlier(const Snapshot& stored) {
+    for (const auto& i : stored.earlier) {
+        gone_records_.push_back(i.key);
+        const auto id = i.key.substr(2);
+        const auto& v = i.value;
+        if (i.key.starts_with("d/")) {
+            auto* j = l_.find_job(id);
+            if (j == nullptr || !v.is_object())
+                continue;
+            load_done(*j, v.value("done", std::string()));
+            const auto f = v.value("final", std::string());
+            if (f.empty())
+                continue;
+            j->final = f == codec::status_done ? Final::done : Final::cancelled;
+            j->final_stored = true;
+            continue;
+        }
+        bool good = v.is_object() && v.contains("tasks") && v["tasks"].is_array();
+        const auto text = [&](const char* name) {
+            return good && v.contains(name) && v[name].is_string() ? v[name].get<std::string>() : std::string();
+        };
+        const auto number = [&](const char* name) {
+            return good && v.contains(name) && v[name].is_number_integer() ? v[name].get<std::uint64_t>() : 0;
+        };
+        if (good)
+            for (const auto& e : v["tasks"]) {
+                const auto line =
+                    e.is_string() ? fmt::format("{} {} {} {}", id, text("yard"), number("tenure"), e.get<std::string>())
+                                  : std::string();
+                const auto r = intents::read(line);
+                good = good && r.intents.size() == 1;
+                for (const auto& x : r.intents)
+                    load_intent(x, -1);
+            }
+        if (!good)
+            hold_unproven(id);
+    }
+}
+
+void Records::load_images(const codec::Item& i) {
+    if (const auto n = number_of(i.key); n)
+        image_parts_ = std::max(image_parts_, *n + 1);
+    if (!i.value.is_object() || !i.value.contains("names") || !i.value.contains("held"))
+        return;
+    const auto& names = i.value["names"];
+    const auto& held = i.value["held"];
+    if (!names.is_array() || !held.is_object())
+        return;
+    std::vector<int> ids;
+    for (const auto& n : names) {
+        const bool good = n.is_array() && n.size() == 2 && n[0].is_string() && n[1].is_number();
+        ids.push_back(good ? l_.image_id(n[0].get<std::string>(), n[1].get<double>()) : -1);
+    }
+    for (const auto& [id, list] : held.items()) {
+        if (!list.is_array())
+            continue;
+        for (const auto& k : list)
+            if (k.is_number_unsigned() && k.get<std::size_t>() < ids.size() && ids[k.get<std::size_t>()] >= 0)
+                l_.image_hints_[id].push_back(ids[k.get<std::size_t>()]);
+    }
+}
+
+void Records::load_learned(const codec::Item& i, double wall) {
+    const auto number = [&](const char* name) {
+        const auto it = i.value.is_object() ? i.value.find(name) : i.value.end();
+        const double v = it != i.value.end() && it->is_number() ? it->get<double>() : -1;
+        return std::isfinite(v) && v >= 0 && v < 1e12 ? v : -1;
+    };
+    const double at = number("at"), offered = number("offered"), ran = number("ran"), estimated = number("estimated"),
+                 losses = number("spotLosses");
+    if (at < 0 || offered < 0 || ran <= 0 || estimated <= 0 || losses < 0)
+        return;
+    const double left = std::exp(-std::max(0.0, wall - at) / l_.st_.average_s());
+    l_.st_.learned.offered =
+        std::max(l_.st_.learned.offered, offered * left); // jobs read from the store are part of it
+    l_.st_.learned.spot_losses = losses * left;
+    // The versions before do not say it.
+    l_.st_.learned.offered_ordinary =
+        std::max(l_.st_.learned.offered_ordinary, std::max(0.0, number("offeredOrdinary")) * left);
+    l_.st_.learned.offered_at = l_.st_.learned.spot_losses_at = l_.st_.now;
+    l_.st_.learned.ran_s = ran;
+    l_.st_.learned.estimated_s = estimated;
+}
+
+} // namespace heronshift
