--- a/apps/heronshift/main.cpp
+++ b/apps/heronshift/main.cpp
@@ -128,6 +128,7 @@
 
 } // namespace
 
+// NOLINTNEXTLINE(bugprone-exception-escape): what is thrown here ends the program with its text
 int main(int argc, char** argv) {
     CLI::App app{"heronshift, a cluster scheduler"};
     std::string config, operators;
--- a/include/heronshift/each.hpp
+++ b/include/heronshift/each.hpp
@@ -4,5 +4,6 @@
 namespace heronshift {
 
 template <class... F> struct Each : F... { using F::operator()...; };
+template <class... F> Each(F...) -> Each<F...>; // for compilers without aggregate deduction
 
 } // namespace heronshift
--- a/include/heronshift/gateway/gateway.hpp
+++ b/include/heronshift/gateway/gateway.hpp
@@ -49,7 +49,7 @@
 
 private:
     void submit(HttpRequest&& r, Responder res, bool passed_on);
-    void poll(const std::string& id, Responder res);
+    void poll(const std::string& id, const Responder& res);
     [[nodiscard]] std::optional<JobView> known_here(const std::string& id) const;
     void cancel(const std::string& id, HttpRequest&& r, Responder res, bool passed_on);
     void ask_core_to_cancel(const std::string& id, Responder res);
--- a/include/heronshift/node/node.hpp
+++ b/include/heronshift/node/node.hpp
@@ -13,8 +13,8 @@
     // What is left out is the daemon's: the state service and the cloud that the settings name, the peers
     // over HTTP, and the system's time.
     using Parts = Controller::Parts;
-    Node(uv_loop_t* loop, Settings settings, Parts parts);
-    Node(uv_loop_t* loop, Settings settings) : Node(loop, std::move(settings), Parts{}) {}
+    Node(uv_loop_t* loop, const Settings& settings, Parts parts);
+    Node(uv_loop_t* loop, const Settings& settings) : Node(loop, settings, Parts{}) {}
     ~Node();
     Node(const Node&) = delete;
     Node& operator=(const Node&) = delete;
--- a/include/heronshift/office/reader.hpp
+++ b/include/heronshift/office/reader.hpp
@@ -17,7 +17,7 @@
 public:
     Reader(const Settings& s, Later& later, store::StateStore& store) : s_(s), later_(later), store_(store) {}
 
-    void read_all(std::function<void(Snapshot&&)> done);
+    void read_all(const std::function<void(Snapshot&&)>& done);
     void follow_jobs(std::function<void(std::vector<codec::StoredJob>&&)> seen); // after read_all
     void stop() {
         ++generation_;
@@ -26,7 +26,7 @@
 
 private:
     void load(const std::string& prefix, const std::string& since, std::vector<codec::Item>* into,
-              std::function<void()> next);
+              const std::function<void()>& next);
     void follow();
     void tell(const std::vector<codec::Item>& items);
 
--- a/src/config.cpp
+++ b/src/config.cpp
@@ -193,9 +193,9 @@
         const auto name = atom(e->list);
         const auto* value = e->list != nullptr ? e->list->next : nullptr;
         if (value == nullptr || value->next != nullptr)
-            throw SettingsError(path + ": " + name + ": must be (name value)");
+            throw SettingsError(fmt::format("{}: {}: must be (name value)", path, name));
         if (!seen.insert(name).second)
-            throw SettingsError(path + ": " + name + ": is given twice");
+            throw SettingsError(fmt::format("{}: {}: is given twice", path, name));
         out.emplace_back(name, atom(value));
     }
     return out;
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -136,7 +136,7 @@
         return done({});
     }
     ++lookups_;
-    auto end = [this, id, done = std::move(done)](Found f) {
+    auto end = [this, id, done = std::move(done)](const Found& f) {
         --lookups_;
         if (f.known)
             remember_final(id, f.status);
@@ -187,10 +187,10 @@
 }
 
 // The store's answer is as new as any: what was told was stored before.
-void Gateway::poll(const std::string& id, Responder res) {
+void Gateway::poll(const std::string& id, const Responder& res) {
     if (const auto v = known_here(id); v)
         return res.send(200, codec::job_answer(id, v->status, v->done, v->running));
-    look_up(id, [id, res](Found f) {
+    look_up(id, [id, res](const Found& f) {
         if (!f.known)
             return res.send(503, not_now, retry_soon_s);
         if (f.status.empty())
@@ -205,7 +205,7 @@
             return res.send(503, not_now, retry_soon_s);
         // Only the holder decides, so that its answers from memory are never old.
         return pass_on(std::make_shared<HttpRequest>(std::move(r)), std::move(res), ways(true, false), look_up_s,
-                       [](Responder x) { x.send(503, not_now, retry_soon_s); });
+                       [](const Responder& x) { x.send(503, not_now, retry_soon_s); });
     }
     ask_core_to_cancel(id, std::move(res));
 }
@@ -224,7 +224,7 @@
     cancels_.erase(it);
     if (!a.status.empty())
         return open.res.send(200, codec::job_answer(open.id, a.status));
-    look_up(open.id, [this, gen = generation_, open](Found f) {
+    look_up(open.id, [this, gen = generation_, open](const Found& f) {
         if (!f.known || gen != generation_)
             return open.res.send(503, not_now, retry_soon_s);
         if (f.status.empty())
@@ -241,7 +241,7 @@
 }
 
 void Gateway::find(const std::string& id, std::function<void(JobFound&&)> done) {
-    look_up(id, [this, id, done = std::move(done)](Found f) {
+    look_up(id, [this, id, done = std::move(done)](const Found& f) {
         JobFound c{id, Known::no_answer, std::nullopt};
         if (f.known)
             c.state = f.status.empty()                      ? Known::never
@@ -288,7 +288,7 @@
     // Where the store is known not to serve this node, nothing can be found out here.
     if (const auto others = passed_on ? std::vector<std::string>() : ways(false, true); !others.empty())
         return pass_on(std::make_shared<HttpRequest>(std::move(r)), std::move(res), others, submit_s,
-                       [](Responder x) { x.send(503, not_now, retry_soon_s); });
+                       [](const Responder& x) { x.send(503, not_now, retry_soon_s); });
     auto parsed = codec::submission(r.body);
     std::string refusal;
     int status = 0;
@@ -325,7 +325,7 @@
 
 // A known id gets its state, whatever else is wrong.
 void Gateway::refuse_unless_known(const std::string& id, int status, const std::string& why, const Responder& res) {
-    look_up(id, [id, res, status, why](Found f) {
+    look_up(id, [id, res, status, why](const Found& f) {
         if (!f.known)
             return res.send(503, not_now, retry_soon_s);
         if (!f.status.empty())
@@ -370,7 +370,7 @@
             }
             return later_.after(s_.report_s / 60, [this, s] { check_needs(s); });
         }
-        return look_up(id, [this, s, id, refuse](Found f) {
+        return look_up(id, [this, s, id, refuse](const Found& f) {
             if (!f.known)
                 return s->res.send(503, not_now, retry_soon_s);
             if (f.status.empty())
@@ -408,7 +408,7 @@
         return s->res.send(201, codec::job_answer(id, codec::status_pending));
     }
     if (r.status == 409)
-        return look_up(id, [id, res = s->res](Found f) {
+        return look_up(id, [id, res = s->res](const Found& f) {
             if (!f.known || f.status.empty())
                 return res.send(503, not_now, retry_soon_s);
             res.send(200, codec::job_answer(id, f.status));
--- a/src/http.cpp
+++ b/src/http.cpp
@@ -6,9 +6,9 @@
 namespace heronshift {
 namespace {
 
-constexpr std::size_t most_body = 64 * 1024;
-constexpr std::size_t most_head = 16 * 1024;
-constexpr std::size_t most_reply = 8 * 1024 * 1024;
+constexpr std::size_t most_body = 64UL * 1024;
+constexpr std::size_t most_head = 16UL * 1024;
+constexpr std::size_t most_reply = 8UL * 1024 * 1024;
 
 const char* reason(int status) {
     switch (status) {
@@ -230,6 +230,7 @@
 HttpServer::HttpServer(uv_loop_t* loop, std::size_t most, double idle_s, Handler handler)
     : loop_(loop), most_(most), idle_s_(idle_s), handler_(std::move(handler)) {}
 
+// NOLINTNEXTLINE(bugprone-exception-escape): closing a connection throws only when memory is exhausted
 HttpServer::~HttpServer() {
     auto all = std::move(conns_);
     conns_.clear();
--- a/src/local/cloud.cpp
+++ b/src/local/cloud.cpp
@@ -22,7 +22,7 @@
                              double up_at)
     : p_(p), id_(std::move(id)), zone_(std::move(zone)), type_(type), spot_(spot), rented_at_(p.now()), up_at_(up_at),
       lease_from_(up_at), next_beat_(up_at), speed_(p.between(0.95, 1.05)),
-      server_(p.loop_, 64, 600, [this](HttpRequest&& r, Responder res) { handle(std::move(r), res); }) {}
+      server_(p.loop_, 64, 600, [this](HttpRequest&& r, const Responder& res) { handle(std::move(r), res); }) {}
 
 int StandInWorker::start() {
     if (p_.direct_) {
@@ -313,7 +313,7 @@
 
 Platform::Platform(uv_loop_t* loop, PlatformPlan plan, History& history)
     : loop_(loop), plan_(std::move(plan)), history_(history), rng_(plan_.seed),
-      server_(loop, 64, 600, [this](HttpRequest&& r, Responder res) { handle(std::move(r), res); }),
+      server_(loop, 64, 600, [this](HttpRequest&& r, const Responder& res) { handle(std::move(r), res); }),
       client_(loop, 128, 4096) {
     if (!plan_.clock)
         plan_.clock = std::make_shared<Clock>();
--- a/src/local/local.cpp
+++ b/src/local/local.cpp
@@ -208,6 +208,7 @@
             return false;
         std::vector<std::string> words{program, "--config", c.config};
         std::vector<char*> args;
+        args.reserve(words.size() + 1);
         for (auto& w : words)
             args.push_back(w.data());
         args.push_back(nullptr);
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -275,7 +275,7 @@
         o.asking = true;
         ++exchanges_;
         peers_.request(Lane::control, name, "POST", peer_view, body, exchange_wait * s_.report_s,
-                       [this, name, sent = later_.now()](HttpReply&& r) {
+                       [this, name = name, sent = later_.now()](HttpReply&& r) {
                            auto& to = others_.at(name);
                            to.asking = false;
                            if (r.status != 200)
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -25,7 +25,7 @@
     return parts;
 }
 
-Node::Node(uv_loop_t* loop, Settings settings, Parts parts)
+Node::Node(uv_loop_t* loop, const Settings& settings, Parts parts)
     : loop_(loop), controller_(settings, whole(loop, settings, std::move(parts))) {
     controller_.on_wake_at = [this] { arm(); };
 }
--- a/src/office/reader.cpp
+++ b/src/office/reader.cpp
@@ -10,20 +10,14 @@
 
 } // namespace
 
-void Reader::read_all(std::function<void(Snapshot&&)> done) {
+void Reader::read_all(const std::function<void(Snapshot&&)>& done) {
     ++generation_;
     stored_ = {};
     // All at once: only jobs can still change, by other nodes, and those changes are followed.
     const std::pair<const char*, std::vector<codec::Item>*> prefixes[] = {
-        {"j/", &stored_.jobs},
-        {"i/", &stored_.intents},
-        {"p/", &stored_.progress}, // as the versions before wrote
-                                   // it
-        {"q/", &stored_.progress},
-        {"c/", &stored_.images},
-        {"l/", &stored_.learned},
-        {"m/", &stored_.earlier},
-        {"d/", &stored_.earlier},
+        {"j/", &stored_.jobs},     {"i/", &stored_.intents}, {"p/", &stored_.progress}, // of the versions before
+        {"q/", &stored_.progress}, {"c/", &stored_.images},  {"l/", &stored_.learned},
+        {"m/", &stored_.earlier},  {"d/", &stored_.earlier},
     };
     left_ = static_cast<int>(std::size(prefixes));
     for (const auto& [prefix, into] : prefixes)
@@ -35,7 +29,7 @@
 
 // Everything below a prefix, page by page.
 void Reader::load(const std::string& prefix, const std::string& since, std::vector<codec::Item>* into,
-                  std::function<void()> next) {
+                  const std::function<void()>& next) {
     const auto gen = generation_;
     store_.list(prefix, since, records_a_page, page_s, [=, this](store::Answer&& page) {
         if (gen != generation_)
--- a/src/policies/capacity.cpp
+++ b/src/policies/capacity.cpp
@@ -251,7 +251,8 @@
 }
 
 void Capacity::queue_rentals(std::map<std::string, Pending>& wanted) {
-    for (auto& [key, w] : wanted) {
+    for (auto& [key, pending] : wanted) {
+        auto& w = pending;
         const bool busy = std::any_of(v_.rentals.begin(), v_.rentals.end(), [&](const auto& r) {
             return r.second.type == w.type && r.second.zone == w.zone && r.second.spot == w.spot;
         });
--- a/src/policies/matching.cpp
+++ b/src/policies/matching.cpp
@@ -85,7 +85,7 @@
                     room = digit(s, g) + c.n[g] <= groups[g].count;
                 if (!room)
                     continue;
-                const auto to = static_cast<std::size_t>(s + c.code);
+                const auto to = static_cast<std::size_t>(s) + static_cast<std::size_t>(c.code);
                 if (best[static_cast<std::size_t>(s)] + c.value > next[to]) {
                     next[to] = best[static_cast<std::size_t>(s)] + c.value;
                     taken[b][to] = static_cast<std::int16_t>(c.code);
--- a/src/records/load.cpp
+++ b/src/records/load.cpp
@@ -84,7 +84,8 @@
     load_earlier(stored);
     for (const auto& i : stored.learned)
         load_learned(i, wall);
-    for (auto& [id, j] : l_.st_.jobs) {
+    for (auto& [id, job] : l_.st_.jobs) {
+        auto& j = job;
         // What runs or is done does not wait: on a day with many takeovers machines were rented for it.
         std::erase_if(j->pending, [&](std::uint32_t i) {
             auto& t = j->tasks[i];
--- a/src/records/records.cpp
+++ b/src/records/records.cpp
@@ -19,7 +19,7 @@
 constexpr double record_share = 0.92; // of the longest value, the rest is for names and quoting
 
 constexpr double progress_share = 0.15;                 // of the store's changes, at the most
-constexpr std::size_t most_txn_bytes = 48 * 1024;       // of 64 KiB
+constexpr std::size_t most_txn_bytes = 48UL * 1024;     // of 64 KiB
 constexpr double fewest_writes = 5;                     // saved up before a transaction, its own count included
 constexpr double carried_share = 0.25;                  // of a record, written again with what is new
 constexpr std::size_t few_placements = 16;              // not stored yet
--- a/src/replay/command_log.cpp
+++ b/src/replay/command_log.cpp
@@ -80,7 +80,7 @@
 // On standard error, which collectors of logs cut into lines of a few KiB: "@+ " before a part that goes
 // on, "@ " before the last one.
 constexpr std::size_t part_bytes = 4000;
-constexpr std::uint64_t flush_bytes = 64 * 1024; // before compression: the most that a kill loses
+constexpr std::uint64_t flush_bytes = 64UL * 1024; // before compression: the most that a kill loses
 
 std::string dump(const Json& j) {
     return j.dump(-1, ' ', false, Json::error_handler_t::replace);
--- a/src/store/server.cpp
+++ b/src/store/server.cpp
@@ -33,7 +33,7 @@
 
 StoreServer::StoreServer(uv_loop_t* loop, std::unique_ptr<Engine> engine)
     : loop_(loop), store_(loop, std::move(engine)),
-      server_(loop, 10'000, 600, [this](HttpRequest&& r, Responder res) { handle(std::move(r), res); }) {}
+      server_(loop, 10'000, 600, [this](HttpRequest&& r, const Responder& res) { handle(std::move(r), res); }) {}
 
 int StoreServer::start(const Endpoint& at) {
     if (const int e = server_.listen(at); e != 0)
--- a/tests/test_chains.cpp
+++ b/tests/test_chains.cpp
@@ -6,7 +6,7 @@
 namespace heronshift::testing {
 namespace {
 
-JobSpec after(int n, std::vector<int> needs, std::uint32_t tasks = 2) {
+JobSpec after(int n, const std::vector<int>& needs, std::uint32_t tasks = 2) {
     auto j = job(n, Shape::array, tasks, 1);
     for (const int k : needs)
         j.needs.push_back(fmt::format("wk-{:06}", k));
--- a/tests/test_core.cpp
+++ b/tests/test_core.cpp
@@ -304,6 +304,7 @@
 double passes_with(int waiting) {
     OneTask t;
     std::vector<Command> q;
+    q.reserve(static_cast<std::size_t>(waiting));
     for (int i = 0; i < waiting; ++i)
         q.emplace_back(JobStored{job(100 + i, Shape::array, 1, 500), 0});
     std::vector<Effect> out;
--- a/tests/test_cuts.cpp
+++ b/tests/test_cuts.cpp
@@ -88,7 +88,7 @@
         if (const char* only = std::getenv("ONLY"); only != nullptr && name != only)
             continue;
         if (const auto why = after_cut(left, mode, 7 + other_seeds()); !why.empty())
-            wrong += name + ": " + why + "\n";
+            wrong += fmt::format("{}: {}\n", name, why);
     }
     EXPECT_EQ(wrong, "");
 }
--- a/tests/test_loops.cpp
+++ b/tests/test_loops.cpp
@@ -16,6 +16,7 @@
     constexpr std::size_t length = 40'000;
     std::atomic<int> wrong = 0, right = 0;
     std::vector<std::thread> list;
+    list.reserve(threads);
     for (int n = 0; n < threads; ++n)
         list.emplace_back([&, n] {
             uv_loop_t loop;
--- a/tests/test_scheduler.cpp
+++ b/tests/test_scheduler.cpp
@@ -273,6 +273,7 @@
         want(job(n + 1, 1));
     std::atomic<int> accepted = 0;
     std::vector<std::thread> threads;
+    threads.reserve(callers);
     for (int c = 0; c < callers; ++c)
         threads.emplace_back([&, c] {
             for (int i = 0; i < each; ++i)
--- a/tests/test_store.cpp
+++ b/tests/test_store.cpp
@@ -236,6 +236,7 @@
     const auto start = s.txn({}, {{"a", Json(0), 0}}).epoch;
     for (int i = 0; i < 12; ++i) {
         std::vector<Write> many;
+        many.reserve(1000);
         for (int k = 0; k < 1000; ++k)
             many.push_back({fmt::format("k{}", k), Json(i), 0});
         ASSERT_EQ(s.txn({}, many).status, 200);
@@ -366,6 +367,7 @@
     for (int r = 0; r < rounds; ++r) {
         remove_file(path);
         std::vector<std::thread> list;
+        list.reserve(openers);
         std::atomic<bool> go = false;
         for (int n = 0; n < openers; ++n)
             list.emplace_back([&] {
@@ -463,7 +465,7 @@
     rlimit before{};
     getrlimit(RLIMIT_FSIZE, &before);
     auto* const handler = std::signal(SIGXFSZ, SIG_IGN);
-    const rlimit small{64 * 1024, before.rlim_max};
+    const rlimit small{64UL * 1024, before.rlim_max};
     setrlimit(RLIMIT_FSIZE, &small);
     int told = 0, refused = 0;
     for (int i = 0; i < 40; ++i) {
--- a/tools/measure.cpp
+++ b/tools/measure.cpp
@@ -329,6 +329,7 @@
 } // namespace
 } // namespace heronshift
 
+// NOLINTNEXTLINE(bugprone-exception-escape): what is thrown here ends the program with its text
 int main(int argc, char** argv) {
     CLI::App app{"heronshift-measure: the library against the daemon, and what stored jobs cost"};
     app.require_subcommand(1);
