--- a/include/heronshift/ledger/ledger.hpp
+++ b/include/heronshift/ledger/ledger.hpp
@@ -6,6 +6,7 @@
 // store holds: Bookkeeping (records/) is told of what has to go there.
 #pragma once
 
+#include "heronshift/ledger/departed.hpp"
 #include "heronshift/ledger/proposals.hpp"
 #include "heronshift/ledger/state.hpp"
 #include "heronshift/remembered.hpp"
@@ -172,7 +173,8 @@
     Machine& learn_machine(const std::string& id, const std::string& addr, const std::string& type,
                            const std::string& zone, bool spot);
     void bind_type(Machine& m);
-    bool outdated(const Machine& m, const Report& r);
+    bool outdated(const Report& r);
+    bool copy_of_departed(const Report& r);
     void apply_report(Machine& m, const Report& r, std::vector<Order>& reaps);
     void began_anew(Machine& m);
     void listen(Machine& m, const Report& r);
@@ -184,8 +186,10 @@
     static CachedImage* cached(Machine& m, int image);
     void use_image(Machine& m, int image, bool ready);
     void want_orders(Machine& m);
-    void forget_machine(const std::string& id);
+    void want_report(Machine& m);
+    void forget_machine(const std::string& id, bool released);
     void dispatch(Machine& m);
+    [[nodiscard]] std::size_t max_asked_at_once() const;
     void ask_machines();
     std::vector<Order> standing_orders(Machine& m);
     void note_spot_loss();
@@ -210,10 +214,9 @@
     std::size_t finding_ = 0;
     // Final states are immutable, so old ones may be answered from here. It holds more jobs than
     // a watch can lag behind, so a late event never brings a finished job back.
-    Remembered<Final> recent_{5000};
-    Remembered<double> released_{2000}; // surely gone, whatever a late list or report says
-    // Of machines that were forgotten, tenure and counter of the last that was heard: copies are not news.
-    Remembered<std::pair<std::uint64_t, std::uint64_t>> last_words_{2000};
+    Remembered<Final> recent_;
+    DepartedMachines departed_;
+    std::size_t releases_under_way_ = 0; // machines
     double copies_noted_at_ = -1e18;
     std::vector<Machine*> to_dispatch_;
     std::deque<std::string> to_ask_; // machines asked for a report
--- a/include/heronshift/ledger/state.hpp
+++ b/include/heronshift/ledger/state.hpp
@@ -22,8 +22,12 @@
 // A pointer that is as const as what holds it, so that a const view cannot be written through.
 template <class T> using Deep = std::experimental::propagate_const<T>;
 
-inline constexpr int fence_bits = 24; // fence = term << fence_bits | raises within the term
-inline constexpr int try_bits = 32;   // attempt = term << try_bits | passes within the term
+// fence = term << fence_bits | raises within the term. Each machine's are its own, whatever their number: one for each
+// launch whose outcome is open or lease that ran out, so one in report_s / 2 at most. 2^24 of them take nine months of
+// one term with report_s 3; terms have 40 bits.
+inline constexpr int fence_bits = 24;
+// attempt = term << try_bits | passes within the term, one in report_s / 60 at most: seven years of a term.
+inline constexpr int try_bits = 32;
 
 enum class Phase : std::uint8_t { intent, storing, stored, sent, fetching, waiting, running, saving };
 enum class Final : std::uint8_t { none, done, cancelled };
@@ -133,6 +137,7 @@
     std::uint64_t batch = 0; // in flight, 0: none
     bool asked = false;      // it is a question, without orders
     bool wants_orders = false;
+    bool to_be_asked = false;           // waits to be asked for a report
     const void* reserved_for = nullptr; // room is being made for this job; only compared
     Rank reserved_rank = Rank::low;
     double reserved_until = -1;
--- a/include/heronshift/remembered.hpp
+++ b/include/heronshift/remembered.hpp
@@ -1,9 +1,9 @@
-// What was learned lately, by name. Bounded: of too many, the oldest is forgotten.
+// What was learned lately, by name. Bounded: of too many, the oldest is forgotten. Only for what may be
+// forgotten; see ledger/departed.hpp for what may not.
 #pragma once
 
 #include <cstddef>
-#include <cstdint>
-#include <deque>
+#include <list>
 #include <string>
 #include <unordered_map>
 #include <utility>
@@ -12,7 +12,7 @@
 
 template <class V> class Remembered {
 public:
-    explicit Remembered(std::size_t most) : most_(most) {}
+    explicit Remembered(std::size_t max_size) : max_size_(max_size) {}
 
     [[nodiscard]] const V* find(const std::string& name) const {
         const auto it = known_.find(name);
@@ -27,15 +27,26 @@
     }
     // False: it is known, and stays as it was.
     bool add(const std::string& name, V value) {
-        if (!known_.try_emplace(name, Known{std::move(value), seq_}).second)
+        if (known_.contains(name))
             return false;
-        order_.emplace_back(seq_++, name);
-        while (known_.size() > most_ || order_.size() > 2 * most_)
-            drop_oldest();
+        const auto place = order_.insert(order_.end(), name);
+        known_.emplace(name, Known{std::move(value), place});
+        limit(max_size_);
         return true;
     }
     void erase(const std::string& name) {
-        known_.erase(name);
+        const auto it = known_.find(name);
+        if (it == known_.end())
+            return;
+        order_.erase(it->second.place);
+        known_.erase(it);
+    }
+    void limit(std::size_t max_size) {
+        max_size_ = max_size;
+        while (known_.size() > max_size_) {
+            known_.erase(order_.front());
+            order_.pop_front();
+        }
     }
     [[nodiscard]] std::size_t size() const {
         return known_.size();
@@ -44,18 +55,11 @@
 private:
     struct Known {
         V value;
-        std::uint64_t seq;
+        std::list<std::string>::iterator place;
     };
-    void drop_oldest() {
-        const auto it = known_.find(order_.front().second);
-        if (it != known_.end() && it->second.seq == order_.front().first)
-            known_.erase(it); // else it was erased
-        order_.pop_front();
-    }
-    std::size_t most_;
-    std::uint64_t seq_ = 0;
+    std::size_t max_size_;
     std::unordered_map<std::string, Known> known_;
-    std::deque<std::pair<std::uint64_t, std::string>> order_;
+    std::list<std::string> order_; // the oldest first
 };
 
 } // namespace heronshift
--- a/src/ledger/ledger.cpp
+++ b/src/ledger/ledger.cpp
@@ -1,6 +1,8 @@
 // Jobs and their tasks: what comes, goes, is done or lost, and the entries that tie tasks to machines.
 #include "heronshift/ledger/ledger.hpp"
 
+#include "heronshift/memory_share.hpp"
+
 #include <algorithm>
 #include <cmath>
 #include <fmt/format.h>
@@ -10,10 +12,25 @@
 
 constexpr double most_gaps = 50; // between arrays that come, averaged
 
+// A job takes three changes of the store (its record, its final state, the end of its record), so no more than
+// a third of write_rps finish in a second. What a watch tells is no older than any other message; besides, a store
+// that keeps its last 10,000 changes for watchers (store/engine.hpp) has those of some 3,300 jobs. Where memory
+// bounds the table instead, at 14,745 jobs with 72 MB, an event older than all of these would bring a finished job
+// back: that takes more than 70 changes a second for all of max_message_age_s with a lease of 20 s.
+constexpr double changes_per_job = 3;
+constexpr double finals_memory_share = 1.0 / 32;
+constexpr std::size_t final_bytes = 160;
+
+std::size_t max_recent_finals(const Settings& settings) {
+    const double in_time = settings.state_write_rps / changes_per_job * max_message_age_s(settings);
+    const auto in_memory = entries_in_share(settings.memory_mb, finals_memory_share, final_bytes);
+    return std::clamp(static_cast<std::size_t>(in_time), min_table_entries, in_memory);
+}
+
 } // namespace
 
 Ledger::Ledger(const Settings& settings, std::uint64_t term, double now, double wall, std::vector<Effect>& out)
-    : st_(settings), out_(out) {
+    : st_(settings), out_(out), recent_(max_recent_finals(settings)), departed_(settings) {
     st_.term = term;
     st_.now = st_.started = now;
     st_.wall = wall;
--- a/src/ledger/machines.cpp
+++ b/src/ledger/machines.cpp
@@ -12,9 +12,10 @@
 // Steady clocks drift apart by up to 0.05%; twice that, and some for timer steps.
 constexpr double drift = 1.001;
 constexpr double lapse_margin_reports = 0.05; // of report_s
-constexpr std::size_t most_orders = 200;      // to a machine at once
-constexpr int surely_unheard = 2;             // reports; one may have been on the way
-constexpr double trusted_leases = 1.5;        // in which a lease must not run out again
+// To a machine at once; the rest follow its answer. A machine runs tens of tasks, however many machines there are.
+constexpr std::size_t max_orders = 200;
+constexpr int surely_unheard = 2;      // reports; one may have been on the way
+constexpr double trusted_leases = 1.5; // in which a lease must not run out again
 
 } // namespace
 
@@ -50,10 +51,11 @@
         slot->id = id;
         slot->known_since = st_.now;
         slot->fence = st_.term << fence_bits;
-        if (const auto* last = last_words_.find(id); last != nullptr) {
-            std::tie(slot->tenure, slot->counter) = *last;
-            slot->beat_counter = slot->counter;
-            last_words_.erase(id);
+        if (const auto* last = departed_.find(id); last != nullptr) {
+            slot->tenure = last->tenure;
+            slot->counter = slot->beat_counter = last->counter;
+            if (!last->released)
+                departed_.erase(id);
         }
         if (const auto hint = image_hints_.find(id); hint != image_hints_.end()) {
             for (const auto image : hint->second)
@@ -121,15 +123,15 @@
     to_dispatch_.push_back(&m);
 }
 
-void Ledger::forget_machine(const std::string& id) {
+void Ledger::forget_machine(const std::string& id, bool released) {
     const auto it = st_.machines.find(id);
     if (it == st_.machines.end())
         return;
     if (it->second->asked)
         --asking_;
     std::erase(to_dispatch_, it->second.get());
-    if (it->second->tenure > 0)
-        last_words_.add(id, {it->second->tenure, it->second->counter});
+    if (released || it->second->tenure > 0)
+        departed_.add(id, {it->second->tenure, it->second->counter, released, st_.now});
     st_.machines.erase(it);
 }
 
@@ -157,11 +159,11 @@
 }
 
 // Another holder has come: however old the report is.
-bool Ledger::outdated(const Machine& m, const Report& r) {
+bool Ledger::outdated(const Report& r) {
     if (r.fence >> fence_bits <= st_.term)
         return false;
     stepped_down_ = true;
-    out_.push_back(StepDown{fmt::format("{} has seen fence {} above ours", m.id, r.fence)});
+    out_.push_back(StepDown{fmt::format("{} has seen fence {} above ours", r.machine, r.fence)});
     return true;
 }
 
@@ -318,19 +320,29 @@
     return out;
 }
 
+// Of a machine that was lost and forgotten: what is no newer than its last heartbeat is no sign of life.
+bool Ledger::copy_of_departed(const Report& r) {
+    const auto* last = departed_.find(r.machine);
+    if (last == nullptr || std::tie(r.tenure, r.counter) > std::tie(last->tenure, last->counter))
+        return false;
+    ++counters_.old_reports;
+    note_copies();
+    return true;
+}
+
 // Copies of reports may come late, from seconds to well over a lease, and in any order: they count for nothing,
 // not even as a sign of life. Else a machine that is long gone would keep its tasks for as long as they come.
 void Ledger::heard(const Beat& c) {
     const auto& r = c.report;
     const auto refuse = [&] { out_.push_back(BeatAnswer{c.handle, 503, 0, {}}); };
-    if (released_.contains(r.machine)) {
+    if (departed_.released(r.machine)) {
         ++counters_.gone_reports;
         note_copies();
         return refuse();
     }
-    auto& m = learn_machine(r.machine, r.addr, r.type, r.zone, r.spot);
-    if (outdated(m, r))
+    if (outdated(r) || copy_of_departed(r))
         return refuse();
+    auto& m = learn_machine(r.machine, r.addr, r.type, r.zone, r.spot);
     if (r.tenure < m.tenure || (r.tenure == m.tenure && r.counter <= m.beat_counter)) {
         ++counters_.old_reports;
         note_copies();
@@ -349,7 +361,7 @@
         m.told_at = st_.now;
     }
     if (!m.proven)
-        to_ask_.push_back(m.id); // an answer to empty orders proves that it is there
+        want_report(m); // an answer to empty orders proves that it is there
     auto stops = standing_orders(m);
     orders.insert(orders.end(), stops.begin(), stops.end());
     out_.push_back(BeatAnswer{c.handle, 200, m.fence, std::move(orders)});
@@ -358,7 +370,7 @@
 void Ledger::dispatch(Machine& m) {
     SendOrders o;
     for (auto& e : m.entries) {
-        if (o.orders.size() >= most_orders) {
+        if (o.orders.size() >= max_orders) {
             want_orders(m);
             break;
         }
@@ -376,7 +388,7 @@
             remove_entry(e);
             continue;
         }
-        if (o.orders.size() >= most_orders) {
+        if (o.orders.size() >= max_orders) {
             want_orders(m);
             continue;
         }
@@ -397,31 +409,12 @@
     out_.push_back(std::move(o));
 }
 
-// After a takeover workers find us one by one as their reports to others fail. Asked directly they
-// tell at once what they run, and having seen our term they prove what they do not run.
-void Ledger::ask_machines() {
-    constexpr std::size_t at_once = 40;
-    while (!to_ask_.empty() && asking_ < at_once) {
-        auto* m = find_machine(to_ask_.front());
-        to_ask_.pop_front();
-        if (m == nullptr || m->batch != 0 || m->addr.empty())
-            continue;
-        if (m->proven && st_.now - m->heard < st_.settings.report_s)
-            continue;
-        ++asking_;
-        m->asked = true;
-        m->batch = ++batch_seq_;
-        out_.push_back(SendOrders{
-            m->id, m->addr, m->batch, m->fence, std::max<std::uint64_t>(1, m->tenure), {}, st_.now < m->around_until});
-    }
-}
-
 void Ledger::answered(const OrdersAnswered& c) {
     auto* m = find_machine(c.machine);
     if (m == nullptr || m->batch != c.batch)
         return;
     m->batch = 0;
-    if (c.report && outdated(*m, *c.report))
+    if (c.report && outdated(*c.report))
         return;
     // The other way next time: this one may be cut though reports come.
     if (c.status == 0)
@@ -493,8 +486,10 @@
         if (m.status != Status::up && m.entries.empty() && unlisted && m.batch == 0)
             remove.push_back(id);
     }
+    // Without room for what was last heard of it, a machine stays tracked as lost until there is.
+    remove.resize(departed_.room_for(remove.size(), st_.now));
     for (const auto& id : remove)
-        forget_machine(id);
+        forget_machine(id, false);
 }
 
 void Ledger::rented(const Rented& c) {
@@ -526,6 +521,7 @@
 }
 
 void Ledger::released(const Released& c) {
+    releases_under_way_ -= std::min(releases_under_way_, c.machines.size());
     for (const auto& id : c.machines) {
         auto* m = find_machine(id);
         if (m == nullptr)
@@ -539,8 +535,7 @@
         lose_entries(*m);
         if (!m->entries.empty())
             continue; // asked again once the store has answered
-        released_.add(id, st_.now);
-        forget_machine(id);
+        forget_machine(id, true);
     }
     dirty_ = true;
 }
@@ -548,7 +543,7 @@
 void Ledger::listed(const Listed& c) {
     for (const auto& l : c.machines) {
         // The list lags: what was released may still be in it for a while.
-        if (released_.contains(l.id))
+        if (departed_.released(l.id))
             continue;
         auto& m = learn_machine(l.id, l.addr, l.type, l.zone, l.spot);
         m.listed_at = st_.now;
@@ -562,7 +557,7 @@
             m.bad = true;
         }
         if (!st_.asked_all && l.status == "running")
-            to_ask_.push_back(l.id);
+            want_report(m);
     }
     st_.asked_all = true;
     dirty_ = true;
--- a/src/ledger/proposals.cpp
+++ b/src/ledger/proposals.cpp
@@ -1,6 +1,7 @@
 // What policies propose, checked and entered.
 #include "heronshift/ledger/ledger.hpp"
 
+#include <algorithm>
 #include <fmt/format.h>
 
 namespace heronshift::ledger {
@@ -155,7 +156,23 @@
                         m.entries.size()));
 }
 
+// A machine that is given back must stay known as gone for as long as late messages may name it. Without room for
+// that it stays rented, takes no work, and is asked for again.
 void Ledger::release(std::vector<std::string> machines) {
+    const auto room = departed_.room_for(releases_under_way_ + machines.size(), st_.now);
+    const auto may_go = std::min(machines.size(), room - std::min(room, releases_under_way_));
+    for (auto i = may_go; i < machines.size(); ++i)
+        if (auto* m = find_machine(machines[i]); m != nullptr) {
+            m->release_asked = false;
+            m->release_retry = st_.now + st_.settings.report_s;
+        }
+    if (may_go < machines.size())
+        note(2, fmt::format("{} machines stay rented for now: {} departed lately", machines.size() - may_go,
+                            departed_.size()));
+    machines.resize(may_go);
+    if (machines.empty())
+        return;
+    releases_under_way_ += machines.size();
     out_.emplace_back(Release{std::move(machines)});
 }
 
--- /dev/null
+++ b/src/ledger/report_requests.cpp
@@ -0,0 +1,56 @@
+// Machines that are asked for a report: after a takeover, and those that have not shown the leader's term yet.
+#include "heronshift/ledger/ledger.hpp"
+
+#include <algorithm>
+
+namespace heronshift::ledger {
+namespace {
+
+constexpr std::size_t min_asked_at_once = 40; // machines asked for a report
+constexpr int sockets_per_asked = 16;         // of fd_limit; a fifth of it is free for outgoing requests
+
+} // namespace
+
+// Once in the queue, however often it reports before its turn: machines that do not hear us stay unproven, and
+// 2,000 of them would queue up faster than they can be asked.
+void Ledger::want_report(Machine& m) {
+    if (m.to_be_asked)
+        return;
+    m.to_be_asked = true;
+    to_ask_.push_back(m.id);
+}
+
+// All machines within a lease, if each takes its whole time to answer, as far as there are sockets: 64 at once with
+// fd_limit 1024, for which 2,000 machines that do not answer take two leases and a half. Machines that can reach
+// us need no question: they report by themselves within report_s.
+std::size_t Ledger::max_asked_at_once() const {
+    const auto& s = st_.settings;
+    const double answer_s = s.report_s / 2;
+    const auto within_lease = static_cast<std::size_t>(static_cast<double>(st_.machines.size()) * answer_s / s.lease_s);
+    const auto sockets = static_cast<std::size_t>(s.fd_limit / sockets_per_asked);
+    return std::max(min_asked_at_once, std::min(within_lease, sockets));
+}
+
+// After a takeover workers find us one by one as their reports to others fail. Asked directly they
+// tell at once what they run, and having seen our term they prove what they do not run.
+void Ledger::ask_machines() {
+    const auto max_asked = max_asked_at_once();
+    while (!to_ask_.empty() && asking_ < max_asked) {
+        auto* m = find_machine(to_ask_.front());
+        to_ask_.pop_front();
+        if (m == nullptr)
+            continue;
+        m->to_be_asked = false;
+        if (m->batch != 0 || m->addr.empty())
+            continue;
+        if (m->proven && st_.now - m->heard < st_.settings.report_s)
+            continue;
+        ++asking_;
+        m->asked = true;
+        m->batch = ++batch_seq_;
+        out_.push_back(SendOrders{
+            m->id, m->addr, m->batch, m->fence, std::max<std::uint64_t>(1, m->tenure), {}, st_.now < m->around_until});
+    }
+}
+
+} // namespace heronshift::ledger
--- /dev/null
+++ b/tests/test_large_fleet.cpp
@@ -0,0 +1,275 @@
+// The rules at 6,000 machines: what a leader knows of machines that are gone must outlast every message
+// about them, however many go at once.
+#include "heronshift/core/core.hpp"
+#include "heronshift/ledger/ledger.hpp"
+#include "machines.hpp"
+
+#include <gtest/gtest.h>
+
+namespace heronshift::testing {
+namespace {
+
+using ledger::Ledger;
+using ledger::Status;
+
+constexpr int fleet_size = 6300;          // 4,000 and half as many more, and some
+constexpr int lost_size = fleet_size / 3; // lost within a lease
+
+struct IgnoredRecords final : ledger::Bookkeeping {
+    void added(ledger::Job& /*j*/) override {}
+    void added(ledger::Entry& /*e*/) override {}
+    void removed(ledger::Entry& /*e*/) override {}
+    void final_due(ledger::Job& /*j*/, Urgency /*u*/) override {}
+    void progressed(ledger::Job& /*j*/) override {}
+    void became_ready(ledger::Job& /*j*/) override {}
+};
+
+// One leader of a fleet in which every machine runs one task of one job. Machines of the first third are to be lost.
+struct LargeFleet {
+    Settings settings = small_settings();
+    std::vector<Effect> out;
+    IgnoredRecords records;
+    Ledger ledger;
+    double now = 0;
+
+    explicit LargeFleet(std::uint64_t term = 1, const Settings& s = small_settings())
+        : settings(s), ledger(settings, term, 0, 0, out) {
+        ledger.keep(records);
+        ledger.types_known(small_types());
+        JobStored stored{job(1, Shape::array, fleet_size, 1), 0, -1, false};
+        ledger.add_job(stored);
+    }
+    static std::string name(int machine) {
+        return fmt::format("n-{:06}", machine);
+    }
+    static Report report_of(int machine, std::uint64_t counter) {
+        const auto id = name(machine);
+        const ReportedTask task{
+            "wk-000001", static_cast<std::uint32_t>(machine), 7, TaskState::running, ExitCause::none, false};
+        return {id, id, "m8", "a", false, 1, counter, 0, -1, {task}};
+    }
+    // The status of the answer.
+    int hear(int machine, std::uint64_t counter) {
+        out.clear();
+        ledger.heard(Beat{report_of(machine, counter), counter});
+        for (const auto& effect : out)
+            if (const auto* answer = std::get_if<BeatAnswer>(&effect))
+                return answer->status;
+        return 0;
+    }
+    void hear_all(int from, std::uint64_t counter) {
+        for (int i = from; i < fleet_size; ++i)
+            EXPECT_EQ(hear(i, counter), 200) << i;
+    }
+    void pass(double seconds) {
+        now += seconds;
+        ledger.set_time(now, now);
+        ledger.lapse_machines();
+    }
+    void give_back(const std::string& id) {
+        ledger.give_back(*ledger.view().machines.at(id));
+        ledger.released(Released{{id}, true});
+    }
+    void list(int from, int to) {
+        Listed all;
+        for (int i = from; i < to; ++i)
+            all.machines.push_back({name(i), name(i), "m8", "a", "running", false, 1});
+        ledger.listed(all);
+    }
+    const ledger::Job& whole_job() {
+        return *ledger.view().find_job("wk-000001");
+    }
+    std::size_t known() {
+        return ledger.view().machines.size();
+    }
+    std::size_t up() {
+        const auto& all = ledger.view().machines;
+        return static_cast<std::size_t>(
+            std::count_if(all.begin(), all.end(), [](const auto& m) { return m.second->status == Status::up; }));
+    }
+};
+
+// Within a lease a third of the fleet is given back; its heartbeats and the list are late.
+TEST(LargeFleet, AThirdGivenBackWithinALeaseStaysGoneWhateverLateHeartbeatsAndListsSay) {
+    LargeFleet fleet;
+    fleet.hear_all(0, 10);
+    ASSERT_EQ(fleet.up(), fleet_size);
+    for (int i = 0; i < lost_size; ++i)
+        fleet.give_back(LargeFleet::name(i));
+    ASSERT_EQ(fleet.known(), fleet_size - lost_size);
+    ASSERT_EQ(fleet.whole_job().live, fleet_size - lost_size);
+
+    fleet.pass(fleet.settings.lease_s);
+    int refused = 0;
+    for (int i = 0; i < lost_size; ++i)
+        refused += fleet.hear(i, 11) == 503; // newer than what was heard, sent before the machine went
+    fleet.list(0, fleet_size);
+    EXPECT_EQ(refused, lost_size);
+    EXPECT_EQ(fleet.ledger.counters().gone_reports, lost_size);
+    EXPECT_EQ(fleet.known(), fleet_size - lost_size);
+    EXPECT_EQ(fleet.whole_job().live, fleet_size - lost_size);
+}
+
+// Within a lease a third of the fleet falls silent, and is forgotten as the list no longer names it; then
+// copies of what it said come.
+TEST(LargeFleet, AThirdLostAndForgottenIsNotBroughtBackByCopiesOfItsOldHeartbeats) {
+    LargeFleet fleet;
+    const auto& s = fleet.settings;
+    fleet.hear_all(0, 10);
+    for (double silent = 0; silent <= 5 * s.list_lag_s + 3 * s.lease_s; silent += s.report_s) {
+        fleet.pass(s.report_s);
+        fleet.hear_all(lost_size, 11 + static_cast<std::uint64_t>(silent));
+    }
+    ASSERT_EQ(fleet.known(), fleet_size - lost_size); // they lapsed and were forgotten
+    ASSERT_EQ(fleet.ledger.counters().lost, lost_size);
+    ASSERT_EQ(fleet.whole_job().live, fleet_size - lost_size);
+
+    int refused = 0;
+    for (int i = 0; i < lost_size; ++i)
+        refused += fleet.hear(i, 10 - static_cast<std::uint64_t>(i % 3)) == 503;
+    fleet.list(0, fleet_size);
+    EXPECT_EQ(refused, lost_size);
+    EXPECT_EQ(fleet.ledger.counters().old_reports, lost_size);
+    EXPECT_EQ(fleet.up(), fleet_size - lost_size);
+    EXPECT_EQ(fleet.whole_job().live, fleet_size - lost_size);
+    // One of them is back: its next heartbeat is news.
+    EXPECT_EQ(fleet.hear(5, 11), 200);
+}
+
+// The next leader knows of none of it: what an old heartbeat names is occupied until its lease has surely expired.
+TEST(LargeFleet, AfterAFailoverAThirdKnownByOldHeartbeatsOnlyIsOccupiedUntilItsLeaseHasSurelyExpired) {
+    LargeFleet next(2);
+    next.hear_all(lost_size, 12);
+    next.list(0, fleet_size);
+    ASSERT_EQ(next.up(), fleet_size - lost_size);
+    ASSERT_EQ(next.whole_job().live, fleet_size - lost_size);
+    for (int i = 0; i < lost_size; ++i)
+        EXPECT_EQ(next.hear(i, 10), 200);
+    EXPECT_EQ(next.whole_job().live, fleet_size);
+    // Copies of the same or older ones count as no sign of life.
+    next.pass(next.settings.lease_s * 0.9);
+    next.hear_all(lost_size, 13);
+    for (int i = 0; i < lost_size; ++i)
+        EXPECT_EQ(next.hear(i, 9 + static_cast<std::uint64_t>(i % 2)), 503);
+    EXPECT_EQ(next.whole_job().live, fleet_size);
+    next.pass(next.ledger.lease_surely_s() - next.settings.lease_s * 0.9 + 0.01);
+    EXPECT_EQ(next.whole_job().live, fleet_size - lost_size);
+    EXPECT_EQ(next.up(), fleet_size - lost_size);
+}
+
+// The table of departed machines is full of records that late messages may still need: one more machine stays
+// rented and one more lost machine stays known, until the oldest records are older than any message.
+TEST(LargeFleet, WithoutRoomForDepartedMachinesNoneIsGivenBackOrForgottenUntilTheOldestRecordsHaveExpired) {
+    auto small = small_settings();
+    small.memory_mb = 16;
+    LargeFleet fleet(1, small);
+    const auto room = static_cast<int>(ledger::DepartedMachines(small).capacity());
+    ASSERT_GE(room, 6000);
+    const auto lost = LargeFleet::name(room), last = LargeFleet::name(room + 1);
+    for (int i = 0; i < room + 2; ++i)
+        ASSERT_EQ(fleet.hear(i, 10), 200);
+    const auto release = [&](const std::vector<std::string>& machines) {
+        fleet.out.clear();
+        for (const auto& id : machines)
+            fleet.ledger.give_back(*fleet.ledger.view().machines.at(id));
+        fleet.ledger.release(machines);
+        std::vector<std::string> asked;
+        for (const auto& effect : fleet.out)
+            if (const auto* r = std::get_if<Release>(&effect))
+                asked = r->machines;
+        return asked;
+    };
+    std::vector<std::string> first;
+    for (int i = 0; i < room; ++i)
+        first.push_back(LargeFleet::name(i));
+    ASSERT_EQ(release(first).size(), first.size());
+    EXPECT_TRUE(release({last}).empty()); // the room is taken by those on their way
+    fleet.ledger.released(Released{first, true});
+    ASSERT_EQ(fleet.known(), 2U);
+
+    // The condition: full, and the oldest record is young.
+    fleet.pass(5 * small.list_lag_s + 3 * small.lease_s);
+    ASSERT_EQ(fleet.ledger.view().machines.at(lost)->status, Status::lost);
+    EXPECT_TRUE(release({last}).empty());
+    EXPECT_TRUE(fleet.ledger.view().machines.contains(last));
+    EXPECT_FALSE(fleet.ledger.view().machines.at(last)->release_asked); // so it is asked for again
+    EXPECT_TRUE(fleet.ledger.view().machines.at(last)->releasing);
+    EXPECT_EQ(fleet.hear(room, 10), 503); // a copy, still known as one
+    EXPECT_EQ(fleet.hear(0, 11), 503);
+    EXPECT_EQ(fleet.hear(room - 1, 11), 503);
+    EXPECT_EQ(fleet.up(), 0U);
+
+    fleet.pass(ledger::max_message_age_s(small));
+    EXPECT_EQ(fleet.known(), 0U); // both were lost by then
+    EXPECT_EQ(fleet.hear(room, 10), 503);
+    EXPECT_EQ(fleet.hear(room - 1, 11), 503);
+    // What was forgotten is unknown, and what is unknown is occupied.
+    ASSERT_EQ(fleet.whole_job().live, 0U);
+    EXPECT_EQ(fleet.hear(0, 11), 200);
+    EXPECT_EQ(fleet.whole_job().live, 1U);
+}
+
+// The store takes values of 1 KiB: the placements of the whole fleet need hundreds of records.
+TEST(LargeFleet, WithTheShortestRecordsEveryPlacementIsLaunchedAndFoundByTheNextLeader) {
+    constexpr int machines = 6000;
+    auto s = small_settings();
+    s.value_kb = 1;
+    s.teams[0].cpus_max = 0;
+    auto whole = job(1, Shape::array, machines, 8); // as much as a machine has
+    whole.estimate_s = 1000;
+    const codec::Item stored_job{"j/wk-000001", codec::Json{{"spec", codec::to_json(whole)}, {"at", 0.0}}, 1, false};
+    Snapshot empty;
+    empty.jobs.push_back(stored_job);
+    Core leader(s, 1, empty, 0, 0);
+    std::vector<Command> commands{TypesKnown{small_types()}};
+    std::map<std::string, Report> reports;
+    for (int i = 0; i < machines; ++i) {
+        const auto id = LargeFleet::name(i);
+        reports[id] = {id, id, "m8", i % 2 == 0 ? "a" : "b", false, 1, 0, std::uint64_t{1} << fence_bits, -1, {}};
+    }
+    std::map<std::string, codec::Json> records; // of placements, as stored
+    std::size_t launched = 0, longest = 0;
+    double now = 0, next_report = 0;
+    for (; now < 60 && launched < machines; now += 0.05) {
+        if (now >= next_report) {
+            next_report += s.report_s;
+            for (auto& [id, report] : reports) {
+                ++report.counter;
+                commands.emplace_back(Beat{report, 1});
+            }
+        }
+        bool stored = false;
+        for (const auto& effect : leader.step(commands, now, now)) {
+            if (const auto* commit = std::get_if<Commit>(&effect)) {
+                stored = true;
+                for (const auto& w : commit->writes)
+                    if (w.key.starts_with("i/") && w.value) {
+                        records[w.key] = *w.value;
+                        longest = std::max(longest, w.value->dump().size());
+                    }
+            }
+            if (const auto* to = std::get_if<SendOrders>(&effect))
+                for (const auto& order : to->orders) {
+                    ASSERT_EQ(order.verb, Verb::launch);
+                    ++launched;
+                    reports[to->machine].tasks.push_back(
+                        {order.job, order.index, order.try_no, TaskState::running, ExitCause::none, false});
+                }
+        }
+        commands.clear();
+        if (stored)
+            commands.emplace_back(Committed{});
+    }
+    EXPECT_EQ(launched, machines) << "after " << now << " s";
+    EXPECT_LE(longest, 1024U);
+    ASSERT_GT(records.size(), 200U); // the condition: far more than the ring begins with
+
+    Snapshot left = empty;
+    for (const auto& [key, value] : records)
+        left.intents.push_back({key, value, 1, false});
+    const Core next(s, 2, left, now, now);
+    EXPECT_EQ(next.live_tasks("wk-000001"), machines);
+}
+
+} // namespace
+} // namespace heronshift::testing
