--- a/include/heronshift/agents/desk.hpp
+++ b/include/heronshift/agents/desk.hpp
@@ -57,8 +57,11 @@
         double since = 0;
         std::optional<Whole> whole; // none: it may not be passed on, or was already
         std::string refused_by;     // a holder that did not take it
+        [[nodiscard]] std::size_t bytes() const;
     };
     void take(Early&& e);
+    void keep_waiting(Early&& e);
+    bool make_room_for_sent_away();
     [[nodiscard]] ReportAnswer elsewhere() const; // what a report is told that this node must not take
     enum class Way : std::uint8_t { holder, relay, next };
     [[nodiscard]] Way way_of(const Report& r);
@@ -82,12 +85,16 @@
     };
     std::map<std::uint64_t, Open> open_;
     std::vector<Early> early_;
-    struct SentAway { // to whom, when (below zero: it came back since), and until when it is relayed
+    std::size_t early_bytes_ = 0;
+    // To whom, when (below zero: it came back since), until when it is relayed, and its last report.
+    struct SentAway {
         std::string holder;
-        double at = -1, relay_until = -1;
+        double at = -1, relay_until = -1, came_at = -1;
     };
     std::unordered_map<std::string, SentAway> sent_away_;
-    std::size_t most_relays_, relaying_ = 0; // reports and orders of others, under way
+    double next_sent_away_sweep_ = 0;
+    std::size_t max_sent_away_, max_early_bytes_;
+    std::size_t max_relays_, relaying_ = 0; // reports and orders of others, under way
 };
 
 } // namespace heronshift::agents
--- a/include/heronshift/gateway/gateway.hpp
+++ b/include/heronshift/gateway/gateway.hpp
@@ -93,7 +93,7 @@
     metrics::Timings& took_;
     Host& host_;
     Turns reads_, submissions_;
-    std::size_t lookups_ = 0; // under way
+    std::size_t max_lookups_, lookups_ = 0; // under way
     std::uint64_t handle_seq_ = 0, generation_ = 0;
     struct Cancel {
         Responder res;
--- a/include/heronshift/gateway/turns.hpp
+++ b/include/heronshift/gateway/turns.hpp
@@ -4,6 +4,7 @@
 #pragma once
 
 #include "heronshift/budget.hpp"
+#include "heronshift/memory_share.hpp"
 #include "heronshift/remembered.hpp"
 
 #include <string>
@@ -13,8 +14,9 @@
 class Turns {
 public:
     // patience_s: who has been refused for so long may spend the last of it.
-    Turns(double per_s, double burst, double patience_s)
-        : budget_(per_s, burst), burst_(burst), patience_s_(patience_s), refused_(most_refused) {}
+    // max_refused: of more that are refused, the oldest counts as new when it comes again.
+    Turns(double per_s, double burst, double patience_s, std::size_t max_refused = min_table_entries)
+        : budget_(per_s, burst), burst_(burst), patience_s_(patience_s), refused_(max_refused) {}
 
     // n is what it will surely spend; more is taken by spend().
     bool take(const std::string& who, double now, double n = 1) {
@@ -43,7 +45,6 @@
 private:
     static constexpr double kept = 0.5;    // of the burst, for those that were refused before
     static constexpr double forgotten = 4; // times the patience
-    static constexpr std::size_t most_refused = 4096;
     RateBudget budget_;
     double burst_, patience_s_;
     Remembered<double> refused_; // since when
--- a/include/heronshift/metrics/metrics.hpp
+++ b/include/heronshift/metrics/metrics.hpp
@@ -2,6 +2,8 @@
 // by prometheus-cpp). Times in seconds, in Boost.Histogram, from a millisecond to a minute and beyond.
 #pragma once
 
+#include "heronshift/memory_share.hpp"
+
 #include <boost/histogram.hpp>
 #include <cstdint>
 #include <deque>
@@ -41,8 +43,10 @@
 public:
     void known(const std::string& job, double now);
     void launched(const std::string& job, double now, Latency& into);
+    void limit(std::size_t max_jobs);
 
 private:
+    std::size_t max_jobs_ = min_table_entries;
     std::unordered_map<std::string, double> since_;
     std::deque<std::string> order_;
 };
--- a/src/agents/desk.cpp
+++ b/src/agents/desk.cpp
@@ -1,6 +1,7 @@
 #include "heronshift/agents/desk.hpp"
 
 #include "heronshift/codec.hpp"
+#include "heronshift/memory_share.hpp"
 
 #include <algorithm>
 #include <spdlog/spdlog.h>
@@ -10,9 +11,21 @@
 
 constexpr double worker_waits_s = 4;               // for the answer to a report, says the protocol
 constexpr double relay_s = worker_waits_s / 2;     // so that there is time for both ways
-constexpr std::size_t most_remembered = 4096;      // machines that were sent to the holder
-constexpr std::size_t most_early = 1000;           // reports that wait while the office changes hands,
-constexpr double early_s = worker_waits_s * 3 / 4; // and for how long since they came
+constexpr double early_s = worker_waits_s * 3 / 4; // how long reports wait while the leader changes
+// Reports that wait through a failover, by the memory they hold: 9 MB of 72, some 10,000 with five tasks each. A
+// report beyond is answered 503 at once, and its machine tries the next controller.
+constexpr double early_memory_share = 1.0 / 8;
+// Machines that were sent to the leader: 9,437 at 72 MB. Of more, those are forgotten that were sent to an earlier
+// leader or longer than a lease ago; without any such, a further machine is sent to the leader each time that it comes.
+constexpr double sent_away_memory_share = 1.0 / 32;
+constexpr std::size_t sent_away_bytes = 256;
+// Jobs whose first launch is timed: 9,216 at 72 MB. Beyond, launches of the oldest are missing from the histogram.
+constexpr double timed_jobs_memory_share = 1.0 / 64;
+constexpr std::size_t timed_job_bytes = 128;
+// Relays under way, of fd_limit: 51 at 1024. A third of 6,000 machines, relayed by four controllers with report_s 3,
+// are 167 reports a second each, so the bound holds if the leader answers within 0.3 s on average. Beyond, a report is
+// answered 503 and its machine tries the next controller.
+constexpr int sockets_per_relay = 20;
 constexpr double relayed_until_s = worker_waits_s * 3 / 4, answered_by_s = worker_waits_s * 7 / 8; // since they came
 constexpr std::string_view peer_relay = "/peer/relay?to=";
 
@@ -21,7 +34,10 @@
 Desk::Desk(const Settings& s, Later& later, Executor& executor, Peers& peers, membership::Membership& members,
            metrics::Timings& took, Host& host)
     : s_(s), later_(later), executor_(executor), peers_(peers), members_(members), took_(took), host_(host),
-      most_relays_(static_cast<std::size_t>(s.fd_limit) / 20) {
+      max_sent_away_(entries_in_share(s.memory_mb, sent_away_memory_share, sent_away_bytes)),
+      max_early_bytes_(bytes_in_share(s.memory_mb, early_memory_share)),
+      max_relays_(static_cast<std::size_t>(s.fd_limit / sockets_per_relay)) {
+    took_.first_launches.limit(entries_in_share(s.memory_mb, timed_jobs_memory_share, timed_job_bytes));
     executor_.reports_to([this](Report&& r, Executor::ReportDone done) {
         if (!host_.acts())
             return done(elsewhere());
@@ -70,14 +86,21 @@
     take({std::move(*read), relayed, answer_to(res), later_.now(), std::move(whole), ""});
 }
 
+std::size_t Desk::Early::bytes() const {
+    std::size_t n = sizeof(Early) + (whole ? whole->body.size() : 0);
+    for (const auto& t : report.tasks)
+        n += sizeof(t) + t.job.size();
+    return n;
+}
+
 // While the office passes from one to another, a report waits for a moment: sent away, its machine might
 // find no other node that it reaches before its lease has run out.
 void Desk::take(Early&& e) {
     if (!host_.acts()) {
         // Cut off from the store and from all others, this node would not hear who has it.
-        if (early_.size() >= most_early || !members_.in_touch())
+        if (early_bytes_ + e.bytes() > max_early_bytes_ || !members_.in_touch())
             return e.done({});
-        early_.push_back(std::move(e));
+        keep_waiting(std::move(e));
         return;
     }
     const auto h = ++handle_seq_;
@@ -91,6 +114,7 @@
     if (early_.empty())
         return;
     const bool late_too = !host_.acts() && !host_.taking();
+    early_bytes_ = 0;
     for (auto& e : std::exchange(early_, {})) {
         const auto other = elsewhere();
         const bool elsewhere_now = late_too && other.status == 421 && other.holder != e.refused_by;
@@ -101,10 +125,30 @@
         else if (elsewhere_now || later_.now() - e.since > early_s)
             e.done(other);
         else
-            early_.push_back(std::move(e));
+            keep_waiting(std::move(e));
     }
 }
 
+void Desk::keep_waiting(Early&& e) {
+    early_bytes_ += e.bytes();
+    early_.push_back(std::move(e));
+}
+
+// Room for one more machine. False: all of them were sent to this leader within a lease.
+bool Desk::make_room_for_sent_away() {
+    if (sent_away_.size() < max_sent_away_)
+        return true;
+    const double t = later_.now();
+    if (t < next_sent_away_sweep_)
+        return false;
+    next_sent_away_sweep_ = t + s_.report_s;
+    std::erase_if(sent_away_, [&](const auto& entry) {
+        const auto& sent = entry.second;
+        return sent.holder != host_.holder() || t - sent.came_at > s_.lease_s;
+    });
+    return sent_away_.size() < max_sent_away_;
+}
+
 // A report goes through this node if the holder says that it does not hear from there, or if its machine
 // was sent to the holder and is back: once if that went fast (refused, or not ready), for a lease if it
 // waited there in vain. Where the holder cannot be reached from here either, the machine tries the next
@@ -116,9 +160,10 @@
     if (reached && !members_.holder_reaches(holder, r.zone))
         return Way::relay;
     const double t = later_.now();
-    if (sent_away_.size() >= most_remembered)
-        sent_away_.clear();
+    if (!sent_away_.contains(r.machine) && !make_room_for_sent_away())
+        return Way::holder;
     auto& last = sent_away_[r.machine];
+    last.came_at = t;
     const bool known = last.holder == holder;
     if (known) {
         const double since = t - last.at;
@@ -130,7 +175,7 @@
             return reached ? Way::relay : Way::next;
         }
     }
-    last = {holder, t, -1};
+    last = {holder, t, -1, t};
     // It has heard this holder and left it all the same: answers from there do not reach it any more.
     if (known || !host_.of_its_term(r.fence))
         return Way::holder;
@@ -141,7 +186,7 @@
 
 void Desk::relay(Report&& r, Whole&& whole, double since) {
     const auto res = whole.res;
-    if (relaying_ >= most_relays_) {
+    if (relaying_ >= max_relays_) {
         ++took_.refused;
         return res.send(503, "{}");
     }
@@ -227,7 +272,7 @@
         return res.send(405, codec::error_answer("wrong method"));
     if (!r.query.starts_with(to))
         return res.send(400, codec::error_answer("to: the machine's address is needed"));
-    if (relaying_ >= most_relays_) {
+    if (relaying_ >= max_relays_) {
         ++took_.refused;
         return res.send(503, codec::not_now);
     }
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -1,5 +1,7 @@
 #include "heronshift/gateway/gateway.hpp"
 
+#include "heronshift/memory_share.hpp"
+
 #include <algorithm>
 #include <fmt/format.h>
 #include <spdlog/spdlog.h>
@@ -10,23 +12,35 @@
 using codec::error_answer;
 using codec::not_now;
 
-constexpr std::size_t most_lookups = 100;     // under way
-constexpr std::size_t most_remembered = 2000; // jobs accepted lately
-constexpr std::size_t most_finals = 10'000;   // final states told lately
+// Look-ups under way: those that the budget of reads lets begin while one waits for its three reads in vain. So the
+// budget binds first, and the same happens then: 503 with Retry-After.
+constexpr std::size_t min_lookups = 100;
+constexpr double reads_per_lookup = 3;
+// What is remembered of jobs; what was forgotten is read from the store again, within the budget of reads. At
+// 72 MB 9,216 accepted jobs, 14,745 final states, and for each of the two budgets 9,216 who were refused: beyond, the
+// one who has waited longest is treated like one who comes for the first time.
+constexpr double accepted_memory_share = 1.0 / 64, finals_memory_share = 1.0 / 32, refused_memory_share = 1.0 / 64;
+constexpr std::size_t job_bytes = 128, final_bytes = 160;
 constexpr double patience_leases = 2;         // then who asks in vain has its turn
 constexpr int most_store_tries = 3;           // while the store's budget is spent
 constexpr double look_up_s = 2, submit_s = 5; // that a user waits, says the protocol
 constexpr double share_of_wait = 0.8;         // for the others that are asked
 
+std::size_t max_refused(const Settings& s) {
+    return entries_in_share(s.memory_mb, refused_memory_share, job_bytes);
+}
+
 } // namespace
 
 Gateway::Gateway(const Settings& s, Later& later, store::StateStore& store, Peers& peers,
                  const membership::Membership& members, metrics::Timings& took, Host& host)
     : s_(s), later_(later), store_(store), peers_(peers), members_(members), took_(took), host_(host),
       // What a user's read may take when this node is alone with the store.
-      reads_(s.state_rps / 4, s.state_rps / 6, patience_leases * s.lease_s),
-      submissions_(s.state_write_rps / 5, s.state_write_rps / 3, s.lease_s), accepted_(most_remembered),
-      finals_(most_finals) {}
+      reads_(s.state_rps / 4, s.state_rps / 6, patience_leases * s.lease_s, max_refused(s)),
+      submissions_(s.state_write_rps / 5, s.state_write_rps / 3, s.lease_s, max_refused(s)),
+      max_lookups_(std::max(min_lookups, static_cast<std::size_t>(s.state_rps / 4 * reads_per_lookup * look_up_s))),
+      accepted_(entries_in_share(s.memory_mb, accepted_memory_share, job_bytes)),
+      finals_(entries_in_share(s.memory_mb, finals_memory_share, final_bytes)) {}
 
 void Gateway::serve(HttpRequest&& r, Responder res, bool passed_on) {
     const bool get = r.method == "GET", post = r.method == "POST";
@@ -129,7 +143,7 @@
 void Gateway::look_up(const std::string& id, std::function<void(Found)> done) {
     const double t = later_.now();
     const bool lost = members_.store() == membership::Reach::lost;
-    if (lost || lookups_ > most_lookups || !reads_.take(id, t)) {
+    if (lost || lookups_ > max_lookups_ || !reads_.take(id, t)) {
         if (!lost)
             reads_.refused(id, t);
         ++took_.refused;
@@ -363,7 +377,7 @@
                 return refuse(id + " is a service");
             continue;
         }
-        if (!reads_.would_take(id, later_.now(), 1) || lookups_ > most_lookups) {
+        if (!reads_.would_take(id, later_.now(), 1) || lookups_ > max_lookups_) {
             if (later_.now() - s->since > s_.report_s / 2) {
                 ++took_.refused;
                 return s->res.send(503, not_now, retry_soon_s);
--- a/src/metrics/metrics.cpp
+++ b/src/metrics/metrics.cpp
@@ -10,7 +10,6 @@
 
 constexpr double least_s = 0.001, most_s = 65.536;
 constexpr unsigned bins = 16; // each twice the one before
-constexpr std::size_t most_waiting = 2000;
 
 } // namespace
 
@@ -40,10 +39,15 @@
     if (!since_.emplace(job, now).second)
         return;
     order_.push_back(job);
-    if (order_.size() <= most_waiting)
-        return;
-    since_.erase(order_.front());
-    order_.pop_front();
+    limit(max_jobs_);
+}
+
+void FirstLaunches::limit(std::size_t max_jobs) {
+    max_jobs_ = max_jobs;
+    while (order_.size() > max_jobs_) {
+        since_.erase(order_.front());
+        order_.pop_front();
+    }
 }
 
 void FirstLaunches::launched(const std::string& job, double now, Latency& into) {
--- a/tests/test_cli.cpp
+++ b/tests/test_cli.cpp
@@ -208,6 +208,7 @@
     f.launched("wk-2", 20, l); // accepted before this term
     EXPECT_EQ(l.count(), 1U);
     EXPECT_DOUBLE_EQ(l.sum(), 2.5);
+    f.limit(4999);
     for (int i = 0; i < 5000; ++i)
         f.known(std::to_string(i), 30);
     f.launched("0", 40, l); // forgotten: there is a bound
