--- a/include/heronshift/membership/view.hpp
+++ b/include/heronshift/membership/view.hpp
@@ -14,7 +14,9 @@
 namespace heronshift::membership {
 
 inline constexpr const char* peer_view = "/peer/view";
-inline constexpr std::size_t most_samples = 4; // of the machines of a zone, to be asked whether they answer
+// Machines of a zone that are asked whether they answer: a sample, no larger for a larger fleet. One answer shows that
+// the zone can be reached.
+inline constexpr std::size_t most_samples = 4;
 
 struct View {
     std::string node;
--- a/include/heronshift/store/engine.hpp
+++ b/include/heronshift/store/engine.hpp
@@ -21,7 +21,10 @@
     double value_kb = 16;
 };
 
-inline constexpr std::size_t kept_changes = 10'000; // for follow
+// For follow. Changes come at write_rps whatever the number of machines: at 40 a second a reader may lag by 250 s.
+// One that lags further is answered 410 and reads all keys again.
+inline constexpr std::size_t kept_changes = 10'000;
+// most_items and most_page bound a page; who lists goes on with the next until there is no more.
 inline constexpr std::size_t most_key = 200, most_txn = 64 * 1024, most_page = 512 * 1024, most_items = 1000;
 inline constexpr std::int64_t shortest_hold_ms = 100, longest_hold_ms = 600'000;
 
--- a/src/membership/view.cpp
+++ b/src/membership/view.cpp
@@ -7,7 +7,9 @@
 
 using codec::Json;
 
-constexpr std::size_t most_entries = 64; // of each list, whatever a peer says
+// Of each list, whatever a peer says: zones and controllers, of which there are a handful for any number of machines.
+// What is beyond counts as not said.
+constexpr std::size_t most_entries = 64;
 
 // Bounds on what comes from outside: names are short.
 constexpr std::size_t longest_name = 128;
--- a/src/records/load.cpp
+++ b/src/records/load.cpp
@@ -19,12 +19,17 @@
 
 namespace {
 
+// Records of the ring grow with the tasks on machines: 60,000 on 6,000 machines take some 200 of 15 KiB, or 5,000
+// of the smallest size (records.cpp). A larger number is not ours: what its record names is held all the same, and
+// the record is removed once it is stored elsewhere.
+constexpr std::size_t max_record_number = 100'000;
+
 // The number behind a prefix, or nothing.
 std::optional<std::size_t> number_of(const std::string& key) {
     std::size_t n = 0;
     const auto* end = key.data() + key.size();
     const auto [p, ec] = std::from_chars(key.data() + 2, end, n);
-    if (key.size() < 3 || ec != std::errc() || p != end || n > 100'000)
+    if (key.size() < 3 || ec != std::errc() || p != end || n > max_record_number)
         return {};
     return n;
 }
--- a/src/store/local.cpp
+++ b/src/store/local.cpp
@@ -35,8 +35,10 @@
     return !is_follow(c) && !std::holds_alternative<Get>(c) && !std::holds_alternative<List>(c);
 }
 
-constexpr std::size_t most_waiting = 1000; // calls; beyond, 503 at once
-constexpr std::size_t most_batch = 200;
+// Calls of one controller, beyond which the next is answered 503 at once. Machines do not call the store: the leader
+// has one transaction under way, and look-ups and submissions of users have their own bounds (gateway/gateway.cpp).
+constexpr std::size_t most_waiting = 1000;
+constexpr std::size_t most_batch = 200; // for one commit of the file; the rest goes into the next
 
 } // namespace
 
