--- a/include/heronshift/http.hpp
+++ b/include/heronshift/http.hpp
@@ -95,15 +95,19 @@
 
     void request(const std::string& addr, const char* method, const std::string& path, std::string body,
                  double timeout_s, Callback done);
-    void sweep(); // times requests out; call about ten times a second
+    // Ends the requests that have waited for too long. Call it about ten times a second, after the loop has read its
+    // sockets (in a uv_check): an answer that lies unread is none that is missing.
+    void sweep();
 
     struct Connection;
 
 private:
     struct Waiting {
         std::string method, path, body;
-        double deadline = 0;
+        double timeout_s = 0, deadline = 0;
+        bool extended = false; // the deadline, by time in which the loop did not turn
         Callback done;
+        bool overdue(double now);
     };
     struct Pool {
         std::vector<Connection*> conns;
--- a/include/heronshift/node/node.hpp
+++ b/include/heronshift/node/node.hpp
@@ -54,6 +54,9 @@
 
 private:
     static Parts whole(uv_loop_t* loop, const Settings& s, Parts parts);
+    void start_timers();
+    void look_at_sockets_first();
+    void after_sockets();
     void arm();
     void tick();
     void wake();
@@ -63,10 +66,12 @@
     // Outlives the node by a moment: libuv closes handles in a later turn of the loop.
     struct Handles {
         uv_timer_t tick{}, wake{};
+        uv_idle_t idle{};
         uv_check_t check{};
         int open = 0;
     };
     Handles* handles_ = nullptr;
+    bool tick_due_ = false, wake_due_ = false;
     std::unique_ptr<HttpServer> users_, peers_;
     double next_sweep_ = 0;
     std::function<void()> on_tick_;
--- a/include/heronshift/office/office.hpp
+++ b/include/heronshift/office/office.hpp
@@ -118,6 +118,7 @@
     std::uint64_t generation_ = 0; // of what this node is to the office: late answers of an earlier one are dropped
     double hold_sent_ = 0, next_renew_ = 0, taken_at_ = 0, next_look_ = 0;
     double seen_at_ = -1, known_at_ = -1, free_since_ = -1, fitter_since_ = -1; // below zero: not so
+    double failed_renewal_sent_ = -1;      // the newest renewal that was refused, or not answered in time
     std::map<std::string, double> served_; // by the store, as they said themselves: when they were asked
     bool carried_ = false;                 // by promises, said once a term
     std::uint64_t takes_ = 0, handovers_ = 0, deaf_ends_ = 0;
--- a/src/http.cpp
+++ b/src/http.cpp
@@ -9,6 +9,13 @@
 constexpr std::size_t most_body = 64UL * 1024;
 constexpr std::size_t most_head = 16UL * 1024;
 constexpr std::size_t most_reply = 8UL * 1024 * 1024;
+// Of a time-out: what is found overdue later than that was kept waiting by our own loop.
+constexpr double punctual = 0.25;
+
+// The time of this moment; steady_now() is that of the beginning of the loop's turn, which a long turn leaves behind.
+double precise_now() {
+    return static_cast<double>(uv_hrtime()) * 1e-9;
+}
 
 const char* reason(int status) {
     switch (status) {
@@ -373,7 +380,8 @@
         done({});
         return;
     }
-    pool.waiting.push_back({method, path, std::move(body), steady_now(loop_) + timeout_s, std::move(done)});
+    pool.waiting.push_back(
+        {method, path, std::move(body), timeout_s, precise_now() + timeout_s, false, std::move(done)});
     pump(addr);
 }
 
@@ -453,16 +461,30 @@
     pump(addr);
 }
 
+// Time in which the loop did not turn is not counted as waited, once and for at most the time-out itself: the answer
+// may have come in it, and may need another turn to be read. So a server that is silent is still found out within twice
+// the time-out, and on a loop that turns as it should within the time-out.
+bool HttpClient::Waiting::overdue(double now) {
+    const double late = now - deadline;
+    if (late <= 0)
+        return false;
+    if (extended || late <= punctual * timeout_s)
+        return true;
+    extended = true;
+    deadline = now + std::min(late, timeout_s);
+    return false;
+}
+
 void HttpClient::sweep() {
-    const double now = steady_now(loop_);
+    const double now = steady_now(loop_), precise = precise_now();
     std::vector<Connection*> late;
     std::vector<Waiting> unsent;
     for (auto it = pools_.begin(); it != pools_.end();) {
         auto& pool = it->second;
         for (auto* c : pool.conns)
-            if (c->busy ? now > c->job.deadline : now - c->idle_since > 30)
+            if (c->busy ? c->job.overdue(precise) : now - c->idle_since > 30)
                 late.push_back(c);
-        while (!pool.waiting.empty() && now > pool.waiting.front().deadline) {
+        while (!pool.waiting.empty() && pool.waiting.front().overdue(precise)) {
             unsent.push_back(std::move(pool.waiting.front()));
             pool.waiting.pop_front();
         }
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -4,6 +4,7 @@
 #include "heronshift/store/remote.hpp"
 
 #include <algorithm>
+#include <utility>
 
 namespace heronshift {
 namespace {
@@ -33,8 +34,9 @@
 Node::~Node() {
     if (handles_ == nullptr)
         return;
-    for (auto* h : {reinterpret_cast<uv_handle_t*>(&handles_->tick), reinterpret_cast<uv_handle_t*>(&handles_->wake),
-                    reinterpret_cast<uv_handle_t*>(&handles_->check)}) {
+    for (auto* h :
+         {reinterpret_cast<uv_handle_t*>(&handles_->tick), reinterpret_cast<uv_handle_t*>(&handles_->wake),
+          reinterpret_cast<uv_handle_t*>(&handles_->idle), reinterpret_cast<uv_handle_t*>(&handles_->check)}) {
         h->data = handles_;
         uv_close(h, [](uv_handle_t* x) {
             auto* all = static_cast<Handles*>(x->data);
@@ -59,25 +61,53 @@
         if (!at->host.empty())
             if (const int e = server->listen(*at); e != 0)
                 return e;
+    start_timers();
+    controller_.start();
+    return 0;
+}
+
+// A turn of the loop: the timers only mark what is due, then the sockets are read, and only then does the controller do
+// what is due and the core take the commands that have gathered. (libuv runs timers before it reads. After a long step
+// the controller took the answers that lay unread for missing, time-outs among them, and a leader resigned that the
+// store had served all along.) Within a turn the leader's renewals and its timers go before planning.
+void Node::start_timers() {
     handles_ = new Handles;
-    handles_->open = 3;
+    handles_->open = 4;
     uv_timer_init(loop_, &handles_->tick);
     uv_timer_init(loop_, &handles_->wake);
+    uv_idle_init(loop_, &handles_->idle);
     uv_check_init(loop_, &handles_->check);
-    handles_->tick.data = handles_->wake.data = handles_->check.data = this;
-    uv_timer_start(
-        &handles_->tick, [](uv_timer_t* t) { static_cast<Node*>(t->data)->tick(); }, 1,
-        static_cast<std::uint64_t>(s.report_s * 1000 / ticks_a_report));
-    // Commands gather while the loop handles what has arrived, then the core takes them at once.
-    uv_check_start(&handles_->check, [](uv_check_t* c) { static_cast<Node*>(c->data)->controller_.run_core(); });
-    controller_.start();
-    return 0;
+    handles_->tick.data = handles_->wake.data = handles_->idle.data = handles_->check.data = this;
+    const auto on_tick = [](uv_timer_t* t) {
+        auto* node = static_cast<Node*>(t->data);
+        node->tick_due_ = true;
+        node->look_at_sockets_first();
+    };
+    const double every_ms = controller_.settings().report_s * 1000 / ticks_a_report;
+    uv_timer_start(&handles_->tick, on_tick, 1, static_cast<std::uint64_t>(every_ms));
+    uv_check_start(&handles_->check, [](uv_check_t* c) { static_cast<Node*>(c->data)->after_sockets(); });
+}
+
+// While an idle handle is active, libuv looks at the sockets without waiting for any.
+void Node::look_at_sockets_first() {
+    uv_idle_start(&handles_->idle, [](uv_idle_t*) {});
+}
+
+void Node::after_sockets() {
+    uv_idle_stop(&handles_->idle);
+    if (std::exchange(tick_due_, false))
+        tick();
+    if (std::exchange(wake_due_, false))
+        wake();
+    else
+        controller_.run_core();
 }
 
 void Node::stop() {
     controller_.stop();
     if (handles_ != nullptr) {
         uv_timer_stop(&handles_->tick);
+        uv_idle_stop(&handles_->idle);
         uv_check_stop(&handles_->check);
     }
     users_.reset();
@@ -89,10 +119,16 @@
         return;
     const double now = controller_.later().now();
     const double in = std::clamp(controller_.wake_at() - now, 0.0, longest_sleep_s);
-    uv_timer_start(
-        &handles_->wake, [](uv_timer_t* t) { static_cast<Node*>(t->data)->wake(); },
-        // Never 0: libuv runs a timer that is due again at once for ever.
-        std::max<std::uint64_t>(1, static_cast<std::uint64_t>(in * 1000 + 0.999)), 0);
+    const auto on_wake = [](uv_timer_t* t) {
+        auto* node = static_cast<Node*>(t->data);
+        if (uv_is_active(reinterpret_cast<uv_handle_t*>(&node->handles_->check)) == 0)
+            return node->wake(); // stopped: nothing is concluded any more
+        node->wake_due_ = true;
+        node->look_at_sockets_first();
+    };
+    // Never 0: libuv runs a timer that is due again at once for ever.
+    uv_timer_start(&handles_->wake, on_wake, std::max<std::uint64_t>(1, static_cast<std::uint64_t>(in * 1000 + 0.999)),
+                   0);
 }
 
 void Node::wake() {
--- a/src/office/office.cpp
+++ b/src/office/office.cpp
@@ -255,6 +255,7 @@
     taken_at_ = later_.now();
     tenancy_.begin();
     served_.clear();
+    failed_renewal_sent_ = -1;
     tenancy_.hold_extended(hold_sent_); // counted from when it was asked for
     carried_ = false;
     next_renew_ = 0;
@@ -279,8 +280,9 @@
         if (r.status == 200 || r.status == 503 || r.status == 0)
             tenancy_.store_read(r.status == 200, later_.now());
         if (r.status == 200)
-            tenancy_.hold_extended(sent);
-        else if (r.status == 404)
+            return tenancy_.hold_extended(sent);
+        failed_renewal_sent_ = std::max(failed_renewal_sent_, sent);
+        if (r.status == 404)
             step_down("the hold has ended");
     });
     if (!held() || !tenancy_.wants_promises(sent))
@@ -320,9 +322,14 @@
 // served must be news of this moment. (A view of 0.3 s ago said so when an outage had just begun: the leader that all
 // others had promised to wait for gave its office up, nobody could take it for a minute, and 13,000 tasks were killed
 // by their leases.)
+// Nor does an old renewal alone say that the store refuses this node: its own loop may have been late, and no renewal
+// was sent in that time or its answer lies unread. So a renewal that was sent after the last successful one must have
+// failed. That is known long before the hold is old enough: renewals go out six times a hold and end within a fifth of
+// it. Staying on is no risk: whether this node acts is decided by the hold's end alone (Tenancy::valid).
 void Office::yield_to_served() {
     const double t = later_.now();
-    if (t - tenancy_.renewed_at() <= unserved_holds * tenancy_.ttl_s())
+    const double renewed_at = tenancy_.renewed_at();
+    if (t - renewed_at <= unserved_holds * tenancy_.ttl_s() || failed_renewal_sent_ <= renewed_at)
         return;
     std::vector<std::string> to;
     for (const auto& [name, at] : served_)
--- a/tests/fleet.hpp
+++ b/tests/fleet.hpp
@@ -21,6 +21,8 @@
         std::uint64_t life = 0; // of the process: what was meant for an earlier one is dropped
         bool frozen = false, refused_by_store = false, healthy = false;
         double back_at = -1, frozen_until = -1;
+        double late_s = 0;                        // its loop stands still for so long after every turn
+        int late_turns = 0;                       // how often it has
         std::vector<std::function<void()>> inbox; // while it stands still
         int good = 0, bad = 0;                    // answers of /up in a row
     };
@@ -320,6 +322,11 @@
         n.controller->tick();
         for (int k = 0; k < 4 && n.controller->wake_at() <= n.clock->now(); ++k)
             n.controller->wake();
+        if (n.late_s > 0) {
+            ++n.late_turns;
+            n.frozen = true;
+            n.frozen_until = now + n.late_s;
+        }
     }
     bool acts(std::size_t i) const {
         const auto& n = nodes[i];
--- /dev/null
+++ b/tests/test_late_loop.cpp
@@ -0,0 +1,296 @@
+// A controller whose event loop turns late: what it has not read yet is not taken for missing, so a slow leader is not
+// mistaken for one that the store refuses, and a refusal is still seen.
+#include "heronshift/embed/scheduler.hpp"
+#include "heronshift/http.hpp"
+#include "heronshift/local/port.hpp"
+#include "heronshift/store/server.hpp"
+
+#include "troubles.hpp"
+
+#include <atomic>
+#include <gtest/gtest.h>
+#include <thread>
+#include <unistd.h>
+
+namespace heronshift {
+namespace {
+
+double seconds() {
+    return static_cast<double>(uv_hrtime()) * 1e-9;
+}
+void stand_still(double for_s) {
+    usleep(static_cast<useconds_t>(for_s * 1e6));
+}
+
+// A loop that ends with the object; handles close in its last turns.
+struct Loop {
+    uv_loop_t loop{};
+    Loop() {
+        uv_loop_init(&loop);
+    }
+    ~Loop() {
+        uv_run(&loop, UV_RUN_DEFAULT);
+        uv_loop_close(&loop);
+    }
+    Loop(const Loop&) = delete;
+    Loop& operator=(const Loop&) = delete;
+    void turn() {
+        uv_run(&loop, UV_RUN_NOWAIT);
+    }
+};
+
+// A server on a loop and thread of its own, so that it answers while the loop of the test stands still.
+class OnAThread {
+public:
+    using Begin = std::function<std::function<int()>(uv_loop_t*)>; // starts the server, which lives in the result
+    explicit OnAThread(const Begin& begin)
+        : thread_([this, begin] {
+              Loop l;
+              auto port = begin(&l.loop);
+              port_ = port();
+              while (!ended_) {
+                  l.turn();
+                  usleep(500);
+              }
+              port = {};
+          }) {
+        while (port_ == 0)
+            usleep(500);
+    }
+    ~OnAThread() {
+        ended_ = true;
+        thread_.join();
+    }
+    OnAThread(const OnAThread&) = delete;
+    OnAThread& operator=(const OnAThread&) = delete;
+    [[nodiscard]] int port() const {
+        return port_;
+    }
+
+private:
+    std::atomic<int> port_ = 0;
+    std::atomic<bool> ended_ = false;
+    std::thread thread_;
+};
+
+OnAThread::Begin http_server(const HttpServer::Handler& handler) {
+    return [handler](uv_loop_t* l) {
+        auto s = std::make_shared<HttpServer>(l, 8, 60, handler);
+        EXPECT_EQ(s->listen({"127.0.0.1", 0}), 0);
+        return [s] { return s->port(); };
+    };
+}
+
+OnAThread::Begin state_service() {
+    return [](uv_loop_t* l) {
+        auto s = std::make_shared<store::StoreServer>(
+            l, std::make_unique<store::Engine>(store::memory_data(), store::Limits{}));
+        EXPECT_EQ(s->start({"127.0.0.1", 0}), 0);
+        return [s] { return s->port(); };
+    };
+}
+
+// One request on a loop that stands still for so long after each turn; the client is swept before each.
+struct LateRequest {
+    HttpReply reply;
+    double took_s = -1;
+};
+LateRequest ask_on_late_loop(int port, double timeout_s, double still_s) {
+    Loop l;
+    LateRequest out;
+    HttpClient client(&l.loop, 1, 4);
+    const double began = seconds();
+    client.request(fmt::format("127.0.0.1:{}", port), "GET", "/", "", timeout_s, [&](HttpReply&& r) {
+        out.reply = std::move(r);
+        out.took_s = seconds() - began;
+    });
+    while (out.took_s < 0 && seconds() < began + 20) {
+        l.turn();
+        stand_still(still_s);
+        uv_update_time(&l.loop); // as at the beginning of its next turn
+        client.sweep();
+    }
+    return out;
+}
+
+TEST(LateLoop, AnAnswerThatLiesUnreadIsNotMissing) {
+    OnAThread server(http_server([](HttpRequest&&, const Responder& res) { res.send(200, "{}"); }));
+    const auto r = ask_on_late_loop(server.port(), 0.2, 0.35);
+    EXPECT_EQ(r.reply.status, 200);
+    EXPECT_GT(r.took_s, 0.2); // later than its time-out: the loop was late
+}
+
+// The time-out begins when the request is made, not with the turn of the loop in which that happens.
+TEST(LateLoop, ATimeOutBeginsWithTheRequest) {
+    OnAThread server(http_server([](HttpRequest&&, const Responder& res) { res.send(200, "{}"); }));
+    Loop l;
+    l.turn();
+    stand_still(0.5); // the loop's time is that of its last turn
+    HttpClient client(&l.loop, 1, 4);
+    int status = -1;
+    client.request(fmt::format("127.0.0.1:{}", server.port()), "GET", "/", "", 0.4,
+                   [&](HttpReply&& r) { status = r.status; });
+    for (int turn = 0; turn < 200 && status < 0; ++turn) {
+        uv_update_time(&l.loop);
+        client.sweep();
+        l.turn();
+        usleep(1000);
+    }
+    EXPECT_EQ(status, 200);
+}
+
+TEST(LateLoop, ASilentServerIsFoundOut) {
+    std::vector<Responder> open;
+    OnAThread server(http_server([&](HttpRequest&&, const Responder& res) { open.push_back(res); }));
+    constexpr double timeout_s = 0.4, still_s = 0.6, ample = 0.3; // for a busy machine
+    const auto punctual = ask_on_late_loop(server.port(), timeout_s, 0.01);
+    EXPECT_EQ(punctual.reply.status, 0);
+    EXPECT_TRUE(punctual.reply.sent);
+    EXPECT_GE(punctual.took_s, timeout_s);
+    EXPECT_LT(punctual.took_s, timeout_s + ample);
+    const auto late = ask_on_late_loop(server.port(), timeout_s, still_s);
+    EXPECT_EQ(late.reply.status, 0);
+    EXPECT_TRUE(late.reply.sent);
+    EXPECT_LT(late.took_s, 2 * timeout_s + still_s + ample);
+}
+
+// Three copies on a state service; the loop of the one that acts stands still for a third of its lease on the
+// leadership after every turn.
+TEST(LateLoop, ALeaderLateByAThirdOfItsLeaseStays) {
+    spdlog::set_level(spdlog::level::off);
+    constexpr double lease_s = 1.5, still_s = lease_s / 3;
+    OnAThread service(state_service());
+    const std::vector<std::string> names{"one", "two", "three"};
+    std::vector<local::Port> ports(names.size());
+    const auto options = [&](std::size_t i) {
+        SchedulerOptions o;
+        auto& s = o.settings;
+        s.name = names[i];
+        s.zones = {"a"};
+        s.teams = {{"red", 0, 0, 0, 0}};
+        s.listen = {"127.0.0.1", 0};
+        s.peer_listen = {"127.0.0.1", ports[i].number()};
+        for (std::size_t k = 0; k < names.size(); ++k)
+            if (k != i)
+                s.peers.push_back({names[k], "a", {"127.0.0.1", ports[k].number()}});
+        s.cloud = {"127.0.0.1", 1}; // refuses all of them alike
+        s.state = {"127.0.0.1", service.port()};
+        s.report_s = lease_s; // the lease on the leadership is as long
+        s.lease_s = 10;
+        return o;
+    };
+    Loop l;
+    Scheduler leader(&l.loop, options(0));
+    const auto run = [&](double for_s, const std::function<bool()>& over) {
+        for (const double end = seconds() + for_s; seconds() < end && !over(); usleep(1000))
+            l.turn();
+    };
+    run(30, [&] { return leader.acts(); });
+    ASSERT_TRUE(leader.acts());
+    Scheduler two(options(1)), three(options(2));
+    run(2 * lease_s, [] { return false; }); // they have told each other how they are
+    ASSERT_TRUE(leader.acts());
+
+    int late_turns = 0, not_acting = 0, others = 0;
+    for (const double end = seconds() + 5 * lease_s; seconds() < end;) {
+        const double began = seconds();
+        l.turn();
+        stand_still(still_s);
+        late_turns += seconds() - began >= still_s;
+        not_acting += !leader.acts();
+        others += two.acts() || three.acts();
+    }
+    EXPECT_GE(late_turns, 10);
+    EXPECT_EQ(not_acting, 0);
+    EXPECT_EQ(others, 0);
+    spdlog::set_level(spdlog::level::info);
+}
+
+} // namespace
+
+namespace testing {
+namespace {
+
+struct LateFleet : Troubled {
+    explicit LateFleet(unsigned seed) : Troubled(seed + other_seeds(), 5, 24) {}
+    // The lease on the leadership.
+    [[nodiscard]] double hold_s() const {
+        return std::min(settings.report_s, settings.lease_s / 5);
+    }
+    // How long the leader goes on acting from now, at most.
+    double acts_on(std::size_t leader, double at_most_s) {
+        const double began = now;
+        while (now < began + at_most_s && acts(leader))
+            work(0.1);
+        return now - began;
+    }
+};
+
+TEST(LateFleets, ALeaderLateByAThirdOfItsLeaseStays) {
+    for (unsigned k = 0; k < (sanitized ? 2 : 8); ++k) {
+        LateFleet f(800 + k);
+        ASSERT_TRUE(f.settle(45)) << k;
+        const auto leader = *f.holder();
+        const int lapses = f.lapses;
+        auto& node = f.nodes[leader];
+        node.late_s = f.hold_s() / 3;
+        f.work(f.leases(3));
+        EXPECT_GE(node.late_turns, 40) << k;
+        node.late_s = 0;
+        f.work(f.leases(1));
+        EXPECT_EQ(first(f), "") << k;
+        EXPECT_EQ(f.holder(), leader) << k;
+        EXPECT_EQ(f.changes.size(), 1U) << k;
+        EXPECT_EQ(f.lapses, lapses) << k;
+    }
+}
+
+// Its last renewal is old since its loop stood still; the answer to the next one takes a moment, and the others say at
+// once that the store serves them.
+TEST(LateFleets, AnOldRenewalAloneIsNoRefusal) {
+    for (unsigned k = 0; k < (sanitized ? 2 : 8); ++k) {
+        LateFleet f(820 + k);
+        ASSERT_TRUE(f.settle(45)) << k;
+        const auto leader = *f.holder();
+        const auto& name = f.nodes[leader].name;
+        std::size_t asked = 0; // promises, since it goes on
+        f.on_sent = [&](std::size_t from, std::size_t, const std::string& what) {
+            asked += from == leader && what == "/peer/promise";
+        };
+        f.freeze(leader, 0.6 * f.hold_s());
+        f.work(0.5 * f.hold_s());
+        f.set(Fleet::state, name, Mode::hold);
+        f.work(0.28 * f.hold_s());
+        f.set(Fleet::state, name, Mode::open);
+        EXPECT_GT(asked, 0U) << k;
+        f.work(f.leases(1));
+        EXPECT_EQ(first(f), "") << k;
+        EXPECT_EQ(f.holder(), leader) << k;
+        EXPECT_EQ(f.changes.size(), 1U) << k;
+    }
+}
+
+// A refusal is seen within three quarters of the lease on the leadership, by a leader that is late as by one that is
+// not.
+TEST(LateFleets, ARefusalIsSeenAsSoon) {
+    for (unsigned k = 0; k < (sanitized ? 2 : 8); ++k)
+        for (const bool late : {false, true}) {
+            LateFleet f(840 + k);
+            ASSERT_TRUE(f.settle(45)) << k;
+            const auto leader = *f.holder();
+            if (late)
+                f.nodes[leader].late_s = f.hold_s() / 3;
+            f.work(f.hold_s());
+            f.nodes[leader].refused_by_store = true;
+            const double took = f.acts_on(leader, f.leases(1));
+            EXPECT_LE(took, 0.75 * f.hold_s()) << k << late;
+            f.work(f.hold_s() * 2);
+            ASSERT_TRUE(f.holder()) << k << late;
+            EXPECT_NE(*f.holder(), leader) << k << late;
+            EXPECT_EQ(first(f), "") << k << late;
+        }
+}
+
+} // namespace
+} // namespace testing
+} // namespace heronshift
