--- a/tools/check.sh
+++ b/tools/check.sh
@@ -1,16 +1,18 @@
 #!/bin/bash
-# The gates that every change passes: formatting and file sizes. Exits 1 if one of them fails.
+# The gates that every change passes before it is built. Each prints its name with "ok" or "FAILED"; exits 1 if one
+# of them fails.
 set -uo pipefail
 cd "$(dirname "$0")/.." || exit 2
 
-longest_file=600 # lines
 failed=0
 
-report() { # the gate's name and its exit status
-    if [ "$2" -eq 0 ]; then
-        echo "$1: ok"
+gate() { # its name, then its command
+    local name=$1
+    shift
+    if "$@"; then
+        echo "$name: ok"
     else
-        echo "$1: FAILED"
+        echo "$name: FAILED"
         failed=1
     fi
 }
@@ -20,18 +22,10 @@
     echo "no sources found"
     exit 2
 fi
+mapfile -t scripts < <(git ls-files '*.sh' .ci/run)
 
-clang-format --dry-run -Werror "${sources[@]}"
-report "formatting" $?
-
-too_long=0
-for file in "${sources[@]}"; do
-    lines=$(wc -l <"$file")
-    if [ "$lines" -gt "$longest_file" ]; then
-        echo "$file: $lines lines, $longest_file at most"
-        too_long=1
-    fi
-done
-report "file sizes" $too_long
+gate "formatting" clang-format --dry-run -Werror "${sources[@]}"
+gate "shell scripts" shellcheck "${scripts[@]}"
+gate "retired names" tools/check_names.sh
 
 exit $failed
