--- /dev/null
+++ b/tests/test_golden_controller.cpp
@@ -0,0 +1,287 @@
+// What one controller sends and answers, held against golden files: the answers of its user and worker ports, its
+// leadership records, and what it asks of its peer while the store does not answer.
+#include "golden.hpp"
+#include "machines.hpp"
+
+#include "heronshift/node/controller.hpp"
+#include "heronshift/store/engine.hpp"
+
+namespace heronshift::testing {
+namespace {
+
+struct ManualClock final : Clock {
+    [[nodiscard]] double now() const override {
+        return time;
+    }
+    [[nodiscard]] double wall() const override {
+        return 1'700'000'000 + time;
+    }
+    double time = 0;
+};
+
+// Answers are called back by deliver(), never before the call returns.
+struct EngineStore final : store::StateStore {
+    EngineStore(const ManualClock& clock, bool& down) : clock(clock), down(down) {}
+
+    void call(store::Call&& c, double, store::Callback done) override {
+        if (std::holds_alternative<store::Follow>(c)) {
+            follows.push_back(std::move(done)); // nothing changes but by this controller
+            return;
+        }
+        store::Answer answer;
+        if (down) {
+            answer.status = 503;
+        } else {
+            engine.data().begin();
+            answer = engine.run(c, static_cast<std::int64_t>(clock.now() * 1000));
+            engine.data().commit();
+        }
+        answers.push_back([done = std::move(done), answer]() mutable { done(std::move(answer)); });
+    }
+    void deliver() {
+        for (auto& answer : std::exchange(answers, {}))
+            answer();
+    }
+    void put(const std::string& key, const std::string& value) {
+        engine.data().begin();
+        engine.data().put(key, {value, engine.data().next_epoch(), 0});
+        engine.data().commit();
+    }
+    std::string value(const std::string& key) {
+        engine.data().begin();
+        const auto row = engine.data().get(key);
+        engine.data().abandon();
+        return row ? row->data : "none";
+    }
+    const ManualClock& clock;
+    bool& down;
+    store::Engine engine{store::memory_data(), store::Limits{0, 0, 24, 16}};
+    std::vector<std::function<void()>> answers;
+    std::vector<store::Callback> follows;
+};
+
+struct RecordingPeers final : Peers {
+    void request(Lane, const std::string&, const char* method, const std::string& path, std::string body, double,
+                 Done done) override {
+        if (path != membership::peer_view)
+            sent.emplace(std::string(method) + ' ' + path, body);
+        const auto it = replies.find(path);
+        done(it == replies.end() ? HttpReply{0, "", true} : it->second);
+    }
+    std::map<std::string, std::string> sent; // the first of each kind
+    std::map<std::string, HttpReply> replies;
+};
+
+struct RecordingExecutor final : Executor {
+    void command(const SendOrders& o, double, std::function<void(OrdersAnswered&&)> done) override {
+        done({o.machine, o.batch, 0, true, std::nullopt});
+    }
+    void rent(const Rent& ask, double, std::function<void(Rented&&)> done) override {
+        done({ask.claim, RentOutcome::no_capacity, {}});
+    }
+    void release(const Release& ask, double, std::function<void(Released&&)> done) override {
+        done({ask.machines, true});
+    }
+    void list(const std::string&, double, std::function<void(std::optional<codec::MachinePage>&&)> done) override {
+        done(codec::MachinePage{});
+    }
+    void types(double, std::function<void(std::optional<std::vector<MachineType>>&&)> done) override {
+        done(types_known ? std::optional(small_types()) : std::nullopt);
+    }
+    void pass_on(const std::string&, std::string, double, std::function<void(HttpReply&&)> done) override {
+        done({0, "", passes_on});
+    }
+    bool types_known = true, passes_on = true;
+};
+
+// One controller of two, alone with its store.
+struct LoneController {
+    explicit LoneController(bool types_known = true) {
+        Settings s = small_settings();
+        s.peers = {{"berth-1", "b", {}}};
+        Controller::Parts parts;
+        auto own_store = std::make_unique<EngineStore>(*clock, store_down);
+        auto own_peers = std::make_unique<RecordingPeers>();
+        auto own_executor = std::make_unique<RecordingExecutor>();
+        own_executor->types_known = types_known;
+        state = own_store.get();
+        peers = own_peers.get();
+        executor = own_executor.get();
+        parts.state = std::move(own_store);
+        parts.peers = std::move(own_peers);
+        parts.executor = std::move(own_executor);
+        parts.clock = clock;
+        controller = std::make_unique<Controller>(s, std::move(parts));
+        controller->start();
+    }
+    void run(double seconds) {
+        for (const double until = clock->time + seconds; clock->time < until; clock->time += 0.0625) {
+            controller->tick();
+            for (int k = 0; k < 8; ++k) {
+                controller->wake();
+                state->deliver();
+            }
+        }
+    }
+    // "POST /v2/runs BODY", or with /peer; the answer as it goes out: status, body and Retry-After.
+    std::string ask(const std::string& method, const std::string& path, const std::string& body = "") {
+        auto answer = std::make_shared<std::string>("no answer");
+        Responder res([answer](int status, std::string_view text, int retry_after_s) {
+            *answer = fmt::format("{} {}", status, text);
+            if (retry_after_s > 0)
+                *answer += fmt::format(" Retry-After: {}", retry_after_s);
+        });
+        const auto query = path.find('?');
+        HttpRequest r{method, path.substr(0, query), query == std::string::npos ? "" : path.substr(query + 1), body};
+        path.starts_with("/peer") ? controller->serve_peer(std::move(r), std::move(res))
+                                  : controller->serve(std::move(r), std::move(res));
+        for (int k = 0; k < 40 && *answer == "no answer"; ++k)
+            run(0.0625);
+        return fmt::format("{} {} {}\n  {}\n", method, path, body, *answer);
+    }
+    bool store_down = false;
+    std::shared_ptr<ManualClock> clock = std::make_shared<ManualClock>();
+    EngineStore* state = nullptr;
+    RecordingPeers* peers = nullptr;
+    RecordingExecutor* executor = nullptr;
+    std::unique_ptr<Controller> controller;
+};
+
+std::string report_of(std::uint64_t counter, const std::vector<ReportedTask>& tasks = {}) {
+    return codec::to_body({"n-1", "10.1.0.1:9000", "m8", "a", false, 1, counter, 0, -1, tasks});
+}
+
+std::string without_last_line_end(std::string text) {
+    text.pop_back();
+    return text;
+}
+
+TEST_F(Golden, LeadershipRecords) {
+    LoneController c;
+    for (int k = 0; k < 100 && c.state->value("office") == "none"; ++k)
+        c.run(0.0625);
+    expect_golden("records/office.json", c.state->value("office"));
+    expect_golden("records/round.json", c.state->value("round"));
+}
+
+TEST_F(Golden, AnswersToUsers) {
+    LoneController c;
+    c.run(6);
+    const std::string jobs(codec::path_jobs);
+    const auto body = [](
+                          int n, const std::function<void(JobSpec&)>& change = [](JobSpec&) {}) {
+        auto spec = job(n, Shape::array, 2, 1);
+        change(spec);
+        return codec::to_body(spec);
+    };
+    std::string said;
+    said += c.ask("POST", jobs, body(1));
+    said += c.ask("POST", jobs, body(1));
+    said += c.ask("GET", jobs + "/wk-000001");
+    said += c.ask("POST", jobs, body(2, [](JobSpec& s) { s.needs = {"wk-000001"}; }));
+    said += c.ask("POST", jobs, body(3, [](JobSpec& s) { s.needs = {"wk-000099"}; }));
+    said += c.ask("POST", jobs, body(4, [](JobSpec& s) { s.needs = {s.id}; }));
+    said += c.ask("POST", jobs, body(5, [](JobSpec& s) { s.team = "green"; }));
+    said += c.ask("POST", jobs, body(6, [](JobSpec& s) { s.each.cpus = 9; }));
+    said += c.ask("POST", jobs, body(7, [](JobSpec& s) { s.each.cpus = 41; }));
+    said += c.ask("POST", jobs, R"({"id":"wk-000008"})");
+    said += c.ask("POST", jobs, "{");
+    said += c.ask("GET", jobs + "/wk-000099");
+    said += c.ask("GET", jobs + "/job-1");
+    said += c.ask("POST", jobs + "/wk-000001/cancel");
+    said += c.ask("GET", jobs + "/wk-000002");
+    said += c.ask("POST", jobs, body(1));
+    said += c.ask("POST", jobs + "/wk-000099/cancel");
+    said += c.ask("GET", jobs);
+    said += c.ask("GET", jobs + "/wk-000001/cancel");
+    said += c.ask("POST", jobs + "/wk-000001/stop");
+    said += c.ask("GET", "/nowhere");
+    said += c.ask("GET", std::string(codec::path_health));
+    expect_golden("users/answers.txt", without_last_line_end(said));
+}
+
+TEST_F(Golden, AnswersToUsersBeforeItKnowsAnything) {
+    LoneController c(false);
+    const std::string jobs(codec::path_jobs);
+    std::string said = c.ask("POST", jobs, codec::to_body(job(1, Shape::array, 2, 1)));
+    said += c.ask("POST", jobs + "/wk-000001/cancel");
+    said += c.ask("GET", std::string(codec::path_health));
+    c.store_down = true;
+    said += c.ask("GET", jobs + "/wk-000001");
+    expect_golden("users/answers_early.txt", without_last_line_end(said));
+}
+
+TEST_F(Golden, AnswersToWorkers) {
+    LoneController c;
+    const std::string path(codec::path_report);
+    std::string said = c.ask("POST", path, report_of(1));
+    c.run(6);
+    said += c.ask("POST", path, report_of(2));
+    c.ask("POST", std::string(codec::path_jobs), codec::to_body(job(1, Shape::array, 1, 1)));
+    c.run(2);
+    said += c.ask("POST", path, report_of(3));
+    said += c.ask("POST", path, report_of(4, {{"wk-000777", 0, 1, TaskState::running, ExitCause::none, false}}));
+    said += c.ask("POST", path, "{}");
+    said += c.ask("GET", path);
+    expect_golden("workers/answers.txt", without_last_line_end(said));
+}
+
+// The store names berth-1, which answers nobody.
+TEST_F(Golden, AnswersOfAStandby) {
+    LoneController c;
+    c.state->put("office", golden("records/office_of_peer.json"));
+    c.run(1);
+    const std::string jobs(codec::path_jobs);
+    std::string said = c.ask("POST", std::string(codec::path_report), report_of(1));
+    said += c.ask("POST", jobs, codec::to_body(job(1, Shape::array, 2, 1)));
+    said += c.ask("GET", jobs + "/wk-000001");
+    said += c.ask("POST", jobs + "/wk-000001/cancel");
+    said += c.ask("GET", "/peer/office");
+    said += c.ask("POST", "/peer" + jobs + "/wk-000001/cancel");
+    said += c.ask("POST", "/peer" + std::string(codec::path_report), report_of(2));
+    expect_golden("peers/answers_of_a_standby.txt", without_last_line_end(said));
+}
+
+TEST_F(Golden, AnswerToAWorkerWhileNobodyLeads) {
+    LoneController c;
+    c.store_down = true;
+    c.run(6);
+    expect_golden("workers/answers_no_leader.txt",
+                  without_last_line_end(c.ask("POST", std::string(codec::path_report), report_of(1))));
+}
+
+TEST_F(Golden, AnswersToPeers) {
+    LoneController c;
+    std::string said = c.ask("POST", "/peer/take", R"({"node":"berth-1","term":1,"hold":1})"); // a standby: it tries
+    c.run(6);
+    said += c.ask("GET", "/peer/office");
+    said += c.ask("POST", "/peer/promise", "{}");
+    said += c.ask("POST", "/peer/promise", R"({"node":"berth-1","term":1,"forS":0.5})");
+    said += c.ask("POST", "/peer/take", "{}");
+    said += c.ask("POST", "/peer/take", R"({"node":"berth-1","term":1,"hold":1})");
+    said += c.ask("POST", "/peer/view", "{}");
+    said += c.ask("POST", "/peer/relay", codec::commands(1, 1, {}));
+    said += c.ask("POST", "/peer/relay?to=10.1.0.1:9000", codec::commands(1, 1, {}));
+    c.executor->passes_on = false;
+    said += c.ask("POST", "/peer/relay?to=10.1.0.1:9000", codec::commands(1, 1, {}));
+    said += c.ask("GET", "/peer/nowhere");
+    expect_golden("peers/answers.txt", without_last_line_end(said));
+}
+
+// The store fails and does not come back: first the peer is asked to wait, then, since the store serves it, to lead.
+TEST_F(Golden, RequestsToPeersInAnOutage) {
+    LoneController c;
+    c.run(6);
+    c.peers->replies["/peer/promise"] = {409, R"({"error":"the store answers here","served":true})", true};
+    c.peers->replies["/peer/take"] = {200, "{}", true};
+    c.store_down = true;
+    c.run(3);
+    std::string said;
+    for (const auto& [what, body] : c.peers->sent)
+        said += what + ' ' + body + '\n';
+    ASSERT_FALSE(said.empty());
+    expect_golden("peers/requests.txt", without_last_line_end(said));
+}
+
+} // namespace
+} // namespace heronshift::testing
