--- a/include/heronshift/policies/capacity.hpp
+++ b/include/heronshift/policies/capacity.hpp
@@ -22,7 +22,16 @@
     [[nodiscard]] Cpus array_need() const;
     [[nodiscard]] Cpus offered() const;
     static double price_per_cpu(const MachineType& t, bool spot);
-    std::string cheapest_source(const Job& j, const std::map<std::string, int>& in_zone, bool dear, Pending& out) const;
+    struct Source { // a kind of machine to rent
+        std::string key;
+        const MachineType* type;
+        const std::string* zone;
+        bool spot;
+        bool refused; // none to be had a moment ago
+        int* in_zone; // how many machines there are in its zone
+    };
+    void list_sources(std::map<std::string, int>& in_zone);
+    [[nodiscard]] const Source* cheapest_source(const Job& j, bool dear) const;
     const Machine* keep_again(const Job& j);
     static bool is_ready(const Machine& m);
     [[nodiscard]] bool deaf_for_long(const Machine& m, const std::map<int, std::pair<int, int>>& deaf_of) const;
@@ -32,6 +41,9 @@
     const Settings& s_;
     ledger::Proposals& out_;
     double keep_ready_ = 0, next_silent_ = 0;
+    // Of one plan:
+    std::vector<Source> sources_;
+    std::vector<const Machine*> leaving_; // to become empty, and not given back yet
 };
 
 } // namespace heronshift::policies
--- a/include/heronshift/policies/common.hpp
+++ b/include/heronshift/policies/common.hpp
@@ -15,6 +15,8 @@
 using ledger::State;
 using ledger::Status;
 
+inline constexpr std::uint32_t few_runs = 3; // of a job, before they say how long its tasks take
+
 // May a task of the job be placed there now? Besides the rules, what makes it unwise: silence, a
 // machine on its way out, slow or kept for others. Room is not looked at.
 bool usable(const State& v, const Machine& m, const Job& j, bool also_retiring = false);
--- a/include/heronshift/policies/placement.hpp
+++ b/include/heronshift/policies/placement.hpp
@@ -4,12 +4,13 @@
 
 #include "heronshift/ledger/proposals.hpp"
 #include "heronshift/policies/common.hpp"
+#include "heronshift/policies/room_index.hpp"
 
 namespace heronshift::policies {
 
 class Placement {
 public:
-    Placement(const State& view, ledger::Proposals& out) : v_(view), s_(view.settings), out_(out) {}
+    Placement(const State& view, ledger::Proposals& out) : v_(view), s_(view.settings), out_(out), index_(view) {}
     void schedule();
     [[nodiscard]] std::size_t waiting() const { // jobs, at the last pass
         return waiting_;
@@ -25,16 +26,37 @@
         bool ready = false; // there already
         double cost = 0;
     };
+    // What a machine takes again when one of its tasks ends.
+    struct Release {
+        double rest_s;
+        Resources each;
+    };
+    // Work that found no room in this pass: nothing of its kind that is as large will.
+    struct NoRoom {
+        Resources each;
+        bool spot;
+    };
     void choose_pool();
-    [[nodiscard]] bool fits_in(const Machine& m, const Job& j) const; // a task, and it is wise
+    void begin_pass();
+    void place(const Job& j, const Machine& m);
+    void room_changed(const Machine& m);
+    int place_waiting(const std::vector<const Job*>& jobs, std::size_t at, int budget);
+    [[nodiscard]] bool covers(const NoRoom& f, const Job& j) const;
+    void note_no_room(std::vector<NoRoom>& list, const Job& j) const;
+    void ask_for_room(const Job& j);
+    [[nodiscard]] std::vector<std::uint32_t> find_room(const Job& j) const; // positions in the index
     [[nodiscard]] bool left_to_others(const Machine& m, const Job& j) const;
     int place_single(const Job& j, double cap);
     int place_service(const Job& j);
     bool place_gang(const Job& j);
+    [[nodiscard]] double batch_cost(const Machine& m, const Job& j) const;
     int place_batch(const std::vector<const Job*>& batch, int most, double cap);
     [[nodiscard]] Room room_on(const Machine& m, const Job& j, int most, double loss_weight) const;
     void take_room(const Room& r, const Job& j);
     int make_room(const Job& j, double cap);
+    const std::vector<Release>& releases_on(std::size_t position);
+    [[nodiscard]] bool may_await(const Machine& m, const Job& j) const;
+    void await_first(const Job& j, double within_s, Rank against);
     void await_room(const Job& j, int most, double within_s, Rank against);
     void begin_waiting(const std::vector<const Job*>& jobs);
     [[nodiscard]] int quota_left(const Job& j) const;
@@ -49,6 +71,10 @@
     std::vector<const Job*> first_of_team_; // whose limit is left to this one until it has begun; by team
     bool ordinary_waits_ = false;           // an array that may not use spot machines
     double next_slow_ = 0;
+    // Of one pass:
+    RoomIndex index_;
+    std::vector<std::vector<Release>> releases_; // by position in the index, the soonest first
+    std::vector<char> releases_known_;
 };
 
 } // namespace heronshift::policies
--- a/src/policies/capacity.cpp
+++ b/src/policies/capacity.cpp
@@ -82,39 +82,49 @@
     return (spot ? t.spot_price : t.price) / t.room.cpus;
 }
 
-// The cheapest kind of machine that a job's task may use and that may be had.
-std::string Capacity::cheapest_source(const Job& j, const std::map<std::string, int>& in_zone, bool dear,
-                                      Pending& out) const {
-    double best = 1e18, lowest = 1e18;
-    std::string key;
-    for (const auto& t : v_.types) {
-        if (!allows(j.spec.types, t.name) || !j.spec.each.fits(t.room))
-            continue;
-        const double fit = fit_of(j.spec.each, t.room);
+// All kinds of machines that may be had at all, in the order of types, zones and spot first.
+void Capacity::list_sources(std::map<std::string, int>& in_zone) {
+    sources_.clear();
+    for (const auto& t : v_.types)
         for (const auto& z : t.zones)
             for (const bool spot : {true, false}) {
-                if ((spot && !j.spec.spot) || (!j.spec.zone.empty() && j.spec.zone != z))
-                    continue;
                 if (std::find(s_.zones.begin(), s_.zones.end(), z) == s_.zones.end())
                     continue;
-                const double each = (spot ? t.spot_price : t.price) / fit;
-                lowest = std::min(lowest, each);
-                const auto k = fmt::format("{}/{}/{}", t.name, z, spot);
-                const auto blocked = v_.no_capacity.find(k);
-                if (blocked != v_.no_capacity.end() && v_.now < blocked->second)
-                    continue;
-                const auto crowd = in_zone.find(z);
-                const double cost = each * (1 + 0.001 * (crowd == in_zone.end() ? 0 : crowd->second));
-                if (cost < best) {
-                    best = cost;
-                    key = k;
-                    out = {t.name, z, spot, 0, v_.now, true};
-                }
+                auto key = fmt::format("{}/{}/{}", t.name, z, spot);
+                const auto blocked = v_.no_capacity.find(key);
+                const bool refused = blocked != v_.no_capacity.end() && v_.now < blocked->second;
+                sources_.push_back({std::move(key), &t, &z, spot, refused, &in_zone[z]});
             }
+}
+
+// The cheapest kind of machine that a job's task may use and that may be had.
+const Capacity::Source* Capacity::cheapest_source(const Job& j, bool dear) const {
+    double best = 1e18, lowest = 1e18;
+    const Source* cheapest = nullptr;
+    const MachineType* type = nullptr;
+    bool suitable = false;
+    double fit = 0;
+    for (const auto& s : sources_) {
+        if (s.type != type) {
+            type = s.type;
+            suitable = allows(j.spec.types, type->name) && j.spec.each.fits(type->room);
+            fit = suitable ? fit_of(j.spec.each, type->room) : 0;
+        }
+        if (!suitable || (s.spot && !j.spec.spot) || (!j.spec.zone.empty() && j.spec.zone != *s.zone))
+            continue;
+        const double each = (s.spot ? type->spot_price : type->price) / fit;
+        lowest = std::min(lowest, each);
+        if (s.refused)
+            continue;
+        const double cost = each * (1 + 0.001 * *s.in_zone);
+        if (cost < best) {
+            best = cost;
+            cheapest = &s;
+        }
     }
     if (!dear && best > lowest * cheap_ratio)
-        return {};
-    return key;
+        return nullptr;
+    return cheapest;
 }
 
 // What waits and finds no place on machines that are up, booting or asked for is rented for: one
@@ -133,7 +143,10 @@
     std::map<std::string, int> in_zone;
     double have = 0, have_ordinary = 0; // CPUs that arrays have or will have
     int ready = 0;                      // machines that a gang may have, if need be by taking the place of arrays
+    leaving_.clear();
     for (const auto& [id, m] : v_.machines) {
+        if (m->retiring && !m->releasing)
+            leaving_.push_back(m.get());
         if (m->status != Status::lost)
             ++in_zone[m->zone_name];
         const auto* t = v_.type_of(m->type_name);
@@ -162,6 +175,7 @@
         return have < need.all * spare || (!j.spec.spot && have_ordinary < need.ordinary * spare);
     };
 
+    list_sources(in_zone);
     std::map<std::string, Pending> wanted;
     auto source_for = [&](const Job& j, int left) {
         const bool array = j.spec.shape == Shape::array;
@@ -189,22 +203,21 @@
             }
             if (left <= 0)
                 break;
-            Pending source;
-            const auto key = cheapest_source(j, in_zone, !array || short_of(j), source);
-            if (key.empty())
+            const auto* source = cheapest_source(j, !array || short_of(j));
+            if (source == nullptr)
                 break;
-            auto& w = wanted[key];
+            auto& w = wanted[source->key];
             if (w.type.empty())
-                w = source;
+                w = {source->type->name, *source->zone, source->spot, 0, v_.now, true};
             if (w.count >= most_rented)
                 break;
             ++w.count;
-            ++in_zone[source.zone];
-            const auto* t = v_.type_of(source.type);
+            ++*source->in_zone;
+            const auto* t = source->type;
             have += t->room.cpus;
-            if (!source.spot && t->room.gpus <= 0)
+            if (!source->spot && t->room.gpus <= 0)
                 have_ordinary += t->room.cpus;
-            coming.push_back({t->room, t, source.zone, source.spot});
+            coming.push_back({t->room, t, *source->zone, source->spot});
         }
     };
     auto shape = v_.common_shape;
@@ -237,16 +250,16 @@
 // The fullest machine on its way out that can take a task of the job is kept after all.
 const Machine* Capacity::keep_again(const Job& j) {
     const Machine* best = nullptr;
-    for (const auto& [id, m] : v_.machines) {
-        if (!m->retiring || m->releasing)
-            continue;
-        const bool gang = j.spec.shape == Shape::gang;
-        const bool good = usable(v_, *m, j, true) && j.spec.each.fits(m->whole - (gang ? m->firm : m->used));
+    const bool gang = j.spec.shape == Shape::gang;
+    for (const auto* m : leaving_) {
+        const bool good = j.spec.each.fits(m->whole - (gang ? m->firm : m->used)) && usable(v_, *m, j, true);
         if (good && (best == nullptr || m->used.cpus > best->used.cpus))
-            best = m.get();
+            best = m;
     }
-    if (best != nullptr)
-        out_.retire(*best, false);
+    if (best == nullptr)
+        return nullptr;
+    out_.retire(*best, false);
+    std::erase(leaving_, best);
     return best;
 }
 
--- a/src/policies/matching.cpp
+++ b/src/policies/matching.cpp
@@ -34,72 +34,79 @@
 std::vector<std::vector<int>> match_batch(const std::vector<Group>& groups, const std::vector<Bin>& bins,
                                           const Resources& shape) {
     // A state says how many tasks of each group are placed so far, in mixed radix.
-    std::vector<int> step(groups.size());
-    int states = 1;
-    for (std::size_t g = 0; g < groups.size(); ++g) {
-        step[g] = states;
-        states *= groups[g].count + 1;
+    const std::size_t width = groups.size();
+    std::size_t states = 1;
+    for (const auto& g : groups)
+        states *= static_cast<std::size_t>(g.count) + 1;
+    std::vector<int> digits(states * width); // of each state, by group
+    for (std::size_t g = 0, step = 1; g < width; ++g) {
+        const auto radix = static_cast<std::size_t>(groups[g].count) + 1;
+        for (std::size_t s = 0; s < states; ++s)
+            digits[s * width + g] = static_cast<int>(s / step % radix);
+        step *= radix;
     }
     constexpr double never = -std::numeric_limits<double>::infinity();
     constexpr double per_task = 1e9; // one more task outweighs any cost
-    std::vector<double> best(static_cast<std::size_t>(states), never);
+    std::vector<double> best(states, never), next;
     best[0] = 0;
-    std::vector<std::vector<std::int16_t>> taken(bins.size());
-    auto digit = [&](int state, std::size_t g) { return state / step[g] % (groups[g].count + 1); };
+    std::vector<std::int16_t> taken(bins.size() * states); // by bin and state
 
     struct Choice {
-        int code;
+        std::size_t code;
         double value;
-        std::vector<int> n;
     };
-    for (std::size_t b = 0; b < bins.size(); ++b) {
+    std::vector<Choice> choices;
+    const auto list_choices = [&](std::size_t b) {
+        choices.clear();
         const double before = fragmentation(bins[b].free, bins[b].whole, shape);
-        std::vector<Choice> choices;
-        for (int code = 1; code < states; ++code) {
-            Choice c{code, 0, std::vector<int>(groups.size())};
+        for (std::size_t code = 1; code < states; ++code) {
+            Choice c{code, 0};
             Resources need;
             bool allowed = true;
-            for (std::size_t g = 0; g < groups.size() && allowed; ++g) {
-                c.n[g] = digit(code, g);
-                if (c.n[g] == 0)
+            for (std::size_t g = 0; g < width && allowed; ++g) {
+                const int n = digits[code * width + g];
+                if (n == 0)
                     continue;
                 allowed = groups[g].cost[b] >= 0;
-                need += groups[g].each * c.n[g];
-                c.value += c.n[g] * (per_task - groups[g].cost[b]);
+                need += groups[g].each * n;
+                c.value += n * (per_task - groups[g].cost[b]);
             }
             if (!allowed || !need.fits(bins[b].free))
                 continue;
             c.value -= fragmentation(bins[b].free - need, bins[b].whole, shape) - before;
-            choices.push_back(std::move(c));
+            choices.push_back(c);
         }
-        taken[b].assign(static_cast<std::size_t>(states), 0);
+    };
+    const auto fits_beside = [&](std::size_t state, std::size_t code) {
+        for (std::size_t g = 0; g < width; ++g)
+            if (digits[state * width + g] + digits[code * width + g] > groups[g].count)
+                return false;
+        return true;
+    };
+    for (std::size_t b = 0; b < bins.size(); ++b) {
+        list_choices(b);
         if (choices.empty())
             continue;
-        auto next = best;
-        for (int s = 0; s < states; ++s) {
-            if (best[static_cast<std::size_t>(s)] == never)
+        next = best;
+        for (std::size_t s = 0; s < states; ++s) {
+            if (best[s] == never)
                 continue;
             for (const auto& c : choices) {
-                bool room = true;
-                for (std::size_t g = 0; g < groups.size() && room; ++g)
-                    room = digit(s, g) + c.n[g] <= groups[g].count;
-                if (!room)
+                const auto to = s + c.code;
+                if (to >= states || best[s] + c.value <= next[to] || !fits_beside(s, c.code))
                     continue;
-                const auto to = static_cast<std::size_t>(s) + static_cast<std::size_t>(c.code);
-                if (best[static_cast<std::size_t>(s)] + c.value > next[to]) {
-                    next[to] = best[static_cast<std::size_t>(s)] + c.value;
-                    taken[b][to] = static_cast<std::int16_t>(c.code);
-                }
+                next[to] = best[s] + c.value;
+                taken[b * states + to] = static_cast<std::int16_t>(c.code);
             }
         }
-        best = std::move(next);
+        best.swap(next);
     }
-    std::vector<std::vector<int>> out(groups.size(), std::vector<int>(bins.size()));
-    int state = static_cast<int>(std::max_element(best.begin(), best.end()) - best.begin());
+    std::vector<std::vector<int>> out(width, std::vector<int>(bins.size()));
+    auto state = static_cast<std::size_t>(std::max_element(best.begin(), best.end()) - best.begin());
     for (std::size_t b = bins.size(); b-- > 0;) {
-        const int code = taken[b][static_cast<std::size_t>(state)];
-        for (std::size_t g = 0; g < groups.size(); ++g)
-            out[g][b] = digit(code, g);
+        const auto code = static_cast<std::size_t>(taken[b * states + state]);
+        for (std::size_t g = 0; g < width; ++g)
+            out[g][b] = digits[code * width + g];
         state -= code;
     }
     return out;
--- a/src/policies/placement.cpp
+++ b/src/policies/placement.cpp
@@ -10,16 +10,7 @@
 namespace heronshift::policies {
 namespace {
 
-// Seconds that a task may wait for each CPU second of other work not lost.
-constexpr double chosen_already = 1000;
-constexpr double replica_loss_weight = 0.05, gang_loss_weight = 0.01;
-constexpr std::uint32_t few_runs = 3;                          // of a job, before they say how long its tasks take
-constexpr double too_long = 1.5;                               // of its longest run
-constexpr double long_if_most_through = 1.2, most_through = 4; // times as many as still run
-constexpr double sure_of_one = 1.3;
-constexpr double most_slow = 0.15;  // of all machines: beyond, it is something else
 constexpr double begin_share = 0.5; // of the time in which each job should begin
-constexpr double least_rest = 0.1;  // of a task's time: it may be longer than others
 constexpr double good_place_s = 18; // cost of a place that is good enough not to look further
 
 } // namespace
@@ -48,10 +39,10 @@
         ++total;
     }
     for (auto& [z, list] : by_zone)
-        std::sort(list.begin(), list.end(), [](const Machine* x, const Machine* y) {
-            // By age, which the list tells every holder alike; ids are in the order of creation.
-            return x->id.size() != y->id.size() ? x->id.size() < y->id.size() : x->id < y->id;
-        });
+        // By age, which the list tells every leader alike: ids are in the order of creation, and here those of
+        // one length are sorted already.
+        std::stable_sort(list.begin(), list.end(),
+                         [](const Machine* x, const Machine* y) { return x->id.size() < y->id.size(); });
     for (std::size_t k = 0; k < total; ++k)
         for (auto& [z, list] : by_zone) {
             if (k >= list.size())
@@ -70,8 +61,22 @@
     return ordinary_waits_ && j.spec.spot && plain(m);
 }
 
-bool Placement::fits_in(const Machine& m, const Job& j) const {
-    return j.spec.each.fits(m.whole - m.used) && usable(v_, m, j) && !left_to_others(m, j);
+// The machines with room for a task where it is wise to place it now.
+std::vector<std::uint32_t> Placement::find_room(const Job& j) const {
+    const bool leave_plain = ordinary_waits_ && j.spec.spot;
+    return index_.find(j, leave_plain ? RoomIndex::PlainMachines::left_out : RoomIndex::PlainMachines::included);
+}
+
+void Placement::place(const Job& j, const Machine& m) {
+    out_.place(j, m);
+    room_changed(m);
+}
+
+// A task came, one was stopped or a reservation made: what this pass knows of the machine is outdated.
+void Placement::room_changed(const Machine& m) {
+    index_.update(m);
+    if (const auto at = index_.position(m); at != RoomIndex::none)
+        releases_known_[at] = 0;
 }
 
 // How many more tasks the team's limit allows, unless it is kept for another of its jobs.
@@ -110,10 +115,18 @@
     }
 }
 
+// The payoff of one more task on the pool counts before everything but the number.
+double Placement::batch_cost(const Machine& m, const Job& j) const {
+    const double cost = placement_cost(v_, m, j);
+    if (!m.pool || j.spec.shape != Shape::service)
+        return cost;
+    const placement::Payoff f{s_.ops.alpha, s_.ops.beta, s_.ops.gamma};
+    const double gain = placement::pool_gain(f, j.on_pool, j.spec.tasks, s_.ops.target_share);
+    return std::max(0.0, cost + 1 - gain / s_.ops.gamma);
+}
+
 // New tasks go in batches of at most eight, without moves, placing the most, none above the cap.
 int Placement::place_batch(const std::vector<const Job*>& batch, int most, double cap) {
-    std::vector<placement::Bin> bins;
-    std::vector<const Machine*> machines;
     std::vector<placement::Group> groups;
     std::map<int, int> team_left;
     int left = most;
@@ -137,40 +150,41 @@
     }
     if (groups.empty())
         return 0;
-    for (const auto& [id, m] : v_.machines) {
-        bool any = false;
-        const auto free = m->whole - m->used;
-        for (auto* j : jobs)
-            any = any || fits_in(*m, *j);
-        if (!any)
-            continue;
-        machines.push_back(m.get());
-        bins.push_back({free, m->whole});
+    std::vector<std::vector<std::uint32_t>> rooms;
+    std::vector<std::uint32_t> positions; // of all of them
+    for (const auto* j : jobs) {
+        rooms.push_back(find_room(*j));
+        positions.insert(positions.end(), rooms.back().begin(), rooms.back().end());
     }
-    if (bins.empty())
+    if (positions.empty())
         return 0;
-    for (std::size_t g = 0; g < groups.size(); ++g)
-        for (auto* m : machines) {
-            // The payoff of one more task on the pool counts before everything but the number.
-            double cost = -1;
-            if (fits_in(*m, *jobs[g])) {
-                cost = placement_cost(v_, *m, *jobs[g]);
-                if (m->pool && jobs[g]->spec.shape == Shape::service) {
-                    const placement::Payoff f{s_.ops.alpha, s_.ops.beta, s_.ops.gamma};
-                    cost = std::max(
-                        0.0, cost + 1 -
-                                 placement::pool_gain(f, jobs[g]->on_pool, jobs[g]->spec.tasks, s_.ops.target_share) /
-                                     s_.ops.gamma);
-                }
-            }
-            groups[g].cost.push_back(cost < cap ? cost : -1);
+    std::sort(positions.begin(), positions.end());
+    positions.erase(std::unique(positions.begin(), positions.end()), positions.end());
+    std::vector<placement::Bin> bins;
+    std::vector<const Machine*> machines;
+    for (const auto p : positions) {
+        const auto* m = index_.machines()[p];
+        machines.push_back(m);
+        bins.push_back({m->whole - m->used, m->whole});
+    }
+    for (std::size_t g = 0; g < groups.size(); ++g) {
+        groups[g].cost.assign(bins.size(), -1);
+        auto allowed = rooms[g].begin();
+        for (std::size_t b = 0; b < bins.size() && allowed != rooms[g].end(); ++b) {
+            if (positions[b] != *allowed)
+                continue;
+            ++allowed;
+            const double cost = batch_cost(*machines[b], *jobs[g]);
+            if (cost < cap)
+                groups[g].cost[b] = cost;
         }
+    }
     const auto plan = placement::match_batch(groups, bins, v_.common_shape);
     int placed = 0;
     for (std::size_t g = 0; g < groups.size(); ++g)
         for (std::size_t b = 0; b < bins.size(); ++b)
             for (int k = 0; k < plan[g][b]; ++k, ++placed)
-                out_.place(*jobs[g], *machines[b]);
+                place(*jobs[g], *machines[b]);
     return placed;
 }
 
@@ -183,22 +197,21 @@
             break;
         const Machine* best = nullptr;
         double best_cost = cap;
-        for (const auto& [id, m] : v_.machines) {
+        for (const auto p : find_room(j)) {
+            const auto* m = index_.machines()[p];
             const auto free = m->whole - m->used;
-            if (!fits_in(*m, j))
-                continue;
             double cost = placement_cost(v_, *m, j);
             if (j.spec.spread)
                 cost += j.zone_live[static_cast<std::size_t>(m->zone)];
             cost += placement::fragmentation(free - j.spec.each, m->whole, v_.common_shape);
             if (cost < best_cost) {
                 best_cost = cost;
-                best = m.get();
+                best = m;
             }
         }
         if (best == nullptr)
             break;
-        out_.place(j, *best);
+        place(j, *best);
         ++placed;
     }
     return placed;
@@ -221,9 +234,8 @@
     if (v_.now < j.room_until && j.good_room)
         return placed; // being made
     double free_cost = 1e18;
-    for (const auto& [id, m] : v_.machines)
-        if (j.spec.each.fits(m->whole - m->used) && usable(v_, *m, j))
-            free_cost = std::min(free_cost, placement_cost(v_, *m, j));
+    for (const auto p : index_.find(j, RoomIndex::PlainMachines::included))
+        free_cost = std::min(free_cost, placement_cost(v_, *index_.machines()[p], j));
     out_.good_room(j, v_.now >= j.room_until && make_room(j, free_cost) > 0);
     if (j.good_room)
         out_.room_asked(j, v_.now + s_.report_s / 6);
@@ -232,205 +244,10 @@
     return placed;
 }
 
-// What is lost when a task is stopped now, in CPU seconds.
-double Placement::loss_of(const Entry& e) const {
-    const auto& s = e.job->spec;
-    double run = e.running_at >= 0 ? v_.now - e.running_at : 0;
-    if (s.checkpoint_s > 0)
-        run = std::min(run, s.save_s);
-    return (run + 1) * s.each.cpus;
-}
-
-// Room for some tasks on one machine: what is free, else what stopping work of lower rank would make,
-// lowest loss first. Each CPU second lost counts as so many seconds of delay.
-Placement::Room Placement::room_on(const Machine& m, const Job& j, int most, double loss_weight) const {
-    Room r;
-    r.machine = &m;
-    if (!j.spec.each.fits(m.whole - m.firm) || !usable(v_, m, j) || left_to_others(m, j))
-        return r;
-    if (m.reserved_for != nullptr && m.reserved_for != &j && v_.now < m.reserved_until)
-        return r;
-    const auto fits = [&](Resources left) {
-        int n = 0;
-        for (; n < most && j.spec.each.fits(left); ++n)
-            left -= j.spec.each;
-        return n;
-    };
-    auto free = m.whole - m.used;
-    double loss = 0;
-    r.tasks = fits(free);
-    r.ready = r.tasks > 0;
-    if (!r.ready) {
-        std::vector<std::pair<double, const Entry*>> order;
-        for (const auto& e : m.entries) {
-            const auto& v = e->job->spec;
-            if (e->stop)
-                free += v.each;
-            else if (e->job->rank > j.rank && v.shape == Shape::array)
-                order.emplace_back(loss_of(*e), e.get());
-        }
-        std::sort(order.begin(), order.end(), [](const auto& a, const auto& b) { return a.first < b.first; });
-        r.tasks = fits(free);
-        for (const auto& [l, e] : order) {
-            if (r.tasks >= most)
-                break;
-            free += e->job->spec.each;
-            loss += l;
-            r.victims.push_back(e);
-            r.tasks = fits(free);
-        }
-    }
-    if (r.tasks > 0)
-        r.cost = placement_cost(v_, m, j) + loss_weight * loss / r.tasks +
-                 placement::fragmentation(free - j.spec.each, m.whole, v_.common_shape);
-    // Room that is being made stays the choice, or work would be stopped on ever more machines.
-    if (m.reserved_for == &j && v_.now < m.reserved_until)
-        r.cost -= chosen_already;
-    return r;
-}
-
-void Placement::take_room(const Room& r, const Job& j) {
-    for (const auto* e : r.victims)
-        out_.preempt(*e);
-    if (!r.victims.empty())
-        out_.note(0,
-                  fmt::format("job {} takes the place of {} tasks on {}", j.spec.id, r.victims.size(), r.machine->id));
-    out_.reserve(*r.machine, j, r.tasks, v_.now + s_.report_s, j.rank);
-}
-
-// How long a task will go on, as far as its siblings tell.
-double Placement::rest_of(const Entry& e) const {
-    const auto& j = *e.job;
-    if (e.stop)
-        return 0;
-    if (j.spec.shape != Shape::array)
-        return 1e18;
-    const double whole = j.runs >= few_runs ? j.run_sum / j.runs : std::max(1.0, j.spec.estimate_s) * v_.learned.bias();
-    const double ran = e.running_at >= 0 ? v_.now - e.running_at : 0;
-    return std::max(whole - ran, whole * least_rest);
-}
-
-// Where tasks end all the time, room comes by itself: the machines where it comes first are kept for the job,
-// or smaller tasks would fill each hole before it is large enough. Stopping work costs what it has done: on
-// the ferries' days half of the largest arrays' tasks were begun twice, a fifth of all.
-void Placement::await_room(const Job& j, int most, double within_s, Rank against) {
-    struct Slot {
-        double at;
-        const Machine* machine;
-    };
-    std::vector<Slot> slots;
-    std::vector<std::pair<double, const Entry*>> order;
-    for (const auto& [id, m] : v_.machines) {
-        if (!j.spec.each.fits(m->whole - m->firm) || !usable(v_, *m, j) || left_to_others(*m, j))
-            continue;
-        if (m->reserved_for != nullptr && m->reserved_for != &j && v_.now < m->reserved_until)
-            continue;
-        order.clear();
-        for (const auto& e : m->entries)
-            if (const double rest = rest_of(*e); rest <= within_s)
-                order.emplace_back(rest, e.get());
-        // Neither addresses nor the order in which reports came may decide: processes differ in both.
-        std::sort(order.begin(), order.end(), [](const auto& a, const auto& b) {
-            const auto key = [](const auto& x) { return std::tie(x.first, x.second->job->spec.id, x.second->index); };
-            return key(a) < key(b);
-        });
-        auto free = m->whole - m->used;
-        const double cost = placement_cost(v_, *m, j);
-        for (const auto& [rest, e] : order) {
-            free += e->job->spec.each;
-            for (; j.spec.each.fits(free); free -= j.spec.each)
-                slots.push_back({rest + cost, m.get()});
-        }
-    }
-    const auto wanted = static_cast<std::size_t>(std::min({most, static_cast<int>(j.pending.size()), quota_left(j)}));
-    std::stable_sort(slots.begin(), slots.end(), [](const Slot& a, const Slot& b) { return a.at < b.at; });
-    if (slots.size() > wanted)
-        slots.resize(wanted);
-    std::map<const Machine*, int> tasks;
-    for (const auto& s : slots)
-        ++tasks[s.machine];
-    for (const auto& [m, n] : tasks)
-        out_.reserve(*m, j, n, v_.now + s_.report_s, against);
-}
-
-// Stops work of lower rank where that costs least, below the given cost a task. Returns for how
-// many tasks there will be room.
-int Placement::make_room(const Job& j, double cap) {
-    int left = std::min(static_cast<int>(j.pending.size()), quota_left(j)), made = 0;
-    std::vector<Room> rooms;
-    for (const auto& [id, m] : v_.machines)
-        if (auto r = room_on(*m, j, left, replica_loss_weight); r.tasks > 0 && !r.victims.empty() && r.cost < cap)
-            rooms.push_back(std::move(r));
-    std::sort(rooms.begin(), rooms.end(), [](const Room& a, const Room& b) { return a.cost < b.cost; });
-    for (const auto& r : rooms) {
-        if (left <= 0)
-            break;
-        if (j.spec.spread) {
-            // Each zone takes a part only; which, the placement decides.
-            if (made >= static_cast<int>(half_up(j.spec.tasks)))
-                break;
-        }
-        take_room(r, j);
-        left -= r.tasks;
-        made += r.tasks;
-    }
-    return made;
-}
-
-// A gang goes whole or waits; with one_zone, into the zone that takes all of it at least cost. Where
-// work of lower rank is in the way, all its room is made or none: half of it would help nobody and
-// keep it from others.
-bool Placement::place_gang(const Job& j) {
-    const int tasks = static_cast<int>(j.spec.tasks);
-    if (j.live > 0 || v_.now < j.room_until || quota_left(j) < tasks)
-        return false;
-    out_.room_asked(j, v_.now + s_.report_s / 10); // looking at all machines takes time
-    std::vector<Room> best;
-    double best_cost = 1e18;
-    const bool may_stop = j.rank <= Rank::high;
-    const int tries = j.spec.one_zone ? static_cast<int>(s_.zones.size()) : 1;
-    for (int z = 0; z < tries; ++z) {
-        std::vector<Room> rooms;
-        for (const auto& [id, m] : v_.machines)
-            if (!j.spec.one_zone || m->zone == z)
-                if (auto r = room_on(*m, j, tasks, gang_loss_weight); r.tasks > 0 && (r.ready || may_stop))
-                    rooms.push_back(std::move(r));
-        std::sort(rooms.begin(), rooms.end(), [](const Room& a, const Room& b) { return a.cost < b.cost; });
-        std::vector<std::uint32_t> zone(s_.zones.size());
-        std::vector<Room> chosen;
-        int left = tasks;
-        double cost = 0;
-        for (auto& r : rooms) {
-            auto& in_zone = zone[static_cast<std::size_t>(r.machine->zone)];
-            const int most = j.spec.spread ? static_cast<int>(half_up(j.spec.tasks) - in_zone) : left;
-            r.tasks = std::min({r.tasks, left, most});
-            if (r.tasks <= 0)
-                continue;
-            in_zone += static_cast<std::uint32_t>(r.tasks);
-            left -= r.tasks;
-            cost += r.cost * r.tasks;
-            chosen.push_back(std::move(r));
-            if (left == 0)
-                break;
-        }
-        if (left > 0 || cost >= best_cost)
-            continue;
-        best = std::move(chosen);
-        best_cost = cost;
-    }
-    if (best.empty())
-        return false;
-    const bool ready = std::all_of(best.begin(), best.end(), [](const Room& r) { return r.ready; });
-    if (!ready) {
-        for (const auto& r : best)
-            take_room(r, j);
-        return false;
-    }
-    out_.gang_whole(j);
-    for (const auto& r : best)
-        for (int n = 0; n < r.tasks; ++n)
-            out_.place(j, *r.machine);
-    return true;
+void Placement::begin_pass() {
+    index_.rebuild();
+    releases_.resize(std::max(releases_.size(), index_.machines().size()));
+    releases_known_.assign(releases_.size(), 0);
 }
 
 void Placement::schedule() {
@@ -438,6 +255,7 @@
         return;
     out_.mark_guarantees();
     choose_pool();
+    begin_pass();
     auto shape = v_.common_shape;
     const auto jobs = waiting_jobs(v_, shape);
     waiting_ = jobs.size();
@@ -446,139 +264,79 @@
         return j->spec.shape == Shape::array && !j->spec.spot && quota_left(*j) > 0;
     });
     out_.set_common_shape(shape);
-    struct Failed {
-        Resources each;
-        bool spot;
-    };
-    std::vector<Failed> failed;
+    std::vector<NoRoom> failed;
     int budget = 64; // placements a pass, so that beats and users are not kept waiting
     for (std::size_t k = 0; k < jobs.size() && budget > 0; ++k) {
-        auto& j = *jobs[k];
-        const bool plain = j.spec.types.empty() && j.spec.zone.empty() && !j.spec.spread && !j.spec.one_zone;
-        // If a smaller task found no place, a larger one won't.
-        const bool hopeless = std::any_of(failed.begin(), failed.end(),
-                                          [&](const Failed& f) {
-                                              const bool no_less =
-                                                  f.spot ? j.spec.spot || !ordinary_waits_ : !j.spec.spot;
-                                              return f.each.fits(j.spec.each) && no_less;
-                                          }) &&
-                              j.rank > Rank::high; // room may have been made for those
-        if (!hopeless) {
-            if (j.spec.shape == Shape::gang) {
-                if (place_gang(j))
-                    budget -= static_cast<int>(j.spec.tasks);
-            } else if (j.spec.shape == Shape::service) {
-                budget -= place_service(j);
-            } else if (j.spec.spread || j.spec.one_zone) {
-                budget -= place_single(j, 1e18);
-            } else {
-                std::vector<const Job*> batch{&j};
-                std::size_t total = j.pending.size();
-                for (std::size_t i = k + 1; i < jobs.size() && total < static_cast<std::size_t>(s_.ops.batch); ++i) {
-                    const auto& o = jobs[i]->spec;
-                    if (o.shape == Shape::gang || o.spread || o.one_zone || jobs[i]->rank != j.rank)
-                        break;
-                    batch.push_back(jobs[i]);
-                    total += jobs[i]->pending.size();
-                }
-                int n = 0;
-                while (budget > 0 && (n = place_batch(batch, s_.ops.batch, 1e18)) > 0)
-                    budget -= n;
-            }
-        }
+        const auto& j = *jobs[k];
+        const bool hopeless = j.rank > Rank::high && // room may have been made for those
+                              std::any_of(failed.begin(), failed.end(), [&](const NoRoom& f) { return covers(f, j); });
+        if (!hopeless)
+            budget -= place_waiting(jobs, k, budget);
         if (j.pending.empty() || j.live == j.spec.tasks)
             continue;
         if (budget <= 0)
             break;
-        if (plain && j.spec.shape != Shape::gang && quota_left(j) > 0)
-            failed.push_back({j.spec.each, j.spec.spot});
-        if (j.spec.shape != Shape::gang && j.rank <= Rank::high && v_.now >= j.room_until) {
-            out_.room_asked(j, v_.now + s_.report_s / 2);
-            const double left = j.ready + patience_s(v_, j) - v_.now;
-            if (left > 0)
-                await_room(j, static_cast<int>(j.spec.tasks), left, j.rank);
-            else
-                make_room(j, 1e18);
-        }
+        note_no_room(failed, j);
+        ask_for_room(j);
     }
     if (budget <= 0)
         out_.touch();
 }
 
-// A machine that is taken back: what saves is told to save, what cannot end in time is stopped
-// so that it starts elsewhere at once.
-void Placement::drain_noticed() {
-    for (const auto& [id, m] : v_.machines) {
-        if (!m->draining || m->entries.empty())
-            continue;
-        for (auto& owned : m->entries) {
-            auto& e = *owned;
-            const auto& s = e.job->spec;
-            if (e.stop || e.phase < Phase::sent)
-                continue;
-            const double left = m->notice_until - v_.now;
-            const double rest = s.estimate_s > 0 && e.running_at >= 0 ? s.estimate_s - (v_.now - e.running_at) : 1e9;
-            if (s.checkpoint_s <= 0 && rest > 0 && rest < left / 2)
-                continue;
-            out_.stop(e, s.checkpoint_s > 0 ? s.save_s + 1 : 0);
-        }
-    }
+// If a smaller task found no place, a larger one won't.
+bool Placement::covers(const NoRoom& f, const Job& j) const {
+    const bool no_less = f.spot ? j.spec.spot || !ordinary_waits_ : !j.spec.spot;
+    return f.each.fits(j.spec.each) && no_less;
 }
 
-void Placement::find_slow() {
-    if (v_.now < next_slow_)
+// What is covered already adds nothing: only the smallest are kept.
+void Placement::note_no_room(std::vector<NoRoom>& list, const Job& j) const {
+    const auto& spec = j.spec;
+    const bool anywhere = spec.types.empty() && spec.zone.empty() && !spec.spread && !spec.one_zone;
+    if (!anywhere || spec.shape == Shape::gang || quota_left(j) <= 0)
         return;
-    next_slow_ = v_.now + s_.report_s / 3;
-    for (const auto& [id, m] : v_.machines) {
-        if (!serves(v_, *m) || v_.now < m->slow_until)
-            continue;
-        int over = 0;
-        for (const auto& e : m->entries) {
-            const auto& j = *e->job;
-            if (e->phase != Phase::running || e->stop || j.spec.shape != Shape::array)
-                continue;
-            // The more of those that have started are through, the more the longest of them says.
-            if (j.runs < few_runs || j.runs < j.running)
-                continue;
-            const double much = j.runs < most_through * j.running ? too_long : long_if_most_through;
-            // Where it is as slow elsewhere, the task is long, not the machine: from a day on which the last
-            // task of an import was restarted every 35 s for ever, and its pipeline with it.
-            const int blamed = e->job->tasks[e->index].blamed;
-            const double limit = much * j.longest_run * (1 << (2 * blamed)) + s_.report_s / 3;
-            const double ran = v_.now - e->running_at;
-            // One task may be longer than its siblings by itself, even the longest of thousands: two are the
-            // machine's doing, or one that goes on and on. From quiet days on which each hour 70 machines were
-            // taken for slow and the last task of a job, nearly through, began anew.
-            if (ran < limit || (++over < 2 && ran < sure_of_one * limit))
-                continue;
-            out_.blame(*e);
-            mark_slow(*m);
+    const auto known = [&](const NoRoom& f) {
+        return f.spot == spec.spot && f.each.cpus <= spec.each.cpus && f.each.gpus <= spec.each.gpus &&
+               f.each.memory_gb <= spec.each.memory_gb;
+    };
+    if (std::none_of(list.begin(), list.end(), known))
+        list.push_back({spec.each, spec.spot});
+}
+
+// Places what it can of the job at that place of the list, and of those that share a batch with it.
+int Placement::place_waiting(const std::vector<const Job*>& jobs, std::size_t at, int budget) {
+    const auto& j = *jobs[at];
+    if (j.spec.shape == Shape::gang)
+        return place_gang(j) ? static_cast<int>(j.spec.tasks) : 0;
+    if (j.spec.shape == Shape::service)
+        return place_service(j);
+    if (j.spec.spread || j.spec.one_zone)
+        return place_single(j, 1e18);
+    std::vector<const Job*> batch{&j};
+    std::size_t total = j.pending.size();
+    for (std::size_t i = at + 1; i < jobs.size() && total < static_cast<std::size_t>(s_.ops.batch); ++i) {
+        const auto& o = jobs[i]->spec;
+        if (o.shape == Shape::gang || o.spread || o.one_zone || jobs[i]->rank != j.rank)
             break;
-        }
+        batch.push_back(jobs[i]);
+        total += jobs[i]->pending.size();
     }
+    int placed = 0, n = 0;
+    while (placed < budget && (n = place_batch(batch, s_.ops.batch, 1e18)) > 0)
+        placed += n;
+    return placed;
 }
 
-// A machine that is slow takes no work that has a speed for a while, longer each time; what has not
-// run for long there starts again elsewhere.
-void Placement::mark_slow(const Machine& m) {
-    if (v_.now < m.slow_until)
+// Urgent work keeps the machines where room comes first, or once it has waited for too long takes it.
+void Placement::ask_for_room(const Job& j) {
+    if (j.spec.shape == Shape::gang || j.rank > Rank::high || v_.now < j.room_until)
         return;
-    const auto slow = std::count_if(v_.machines.begin(), v_.machines.end(),
-                                    [this](const auto& x) { return v_.now < x.second->slow_until; });
-    if (static_cast<double>(slow) > most_slow * static_cast<double>(v_.machines.size()))
-        return; // it is not them
-    out_.slow(m, v_.now + 2 * s_.lease_s * (1 << std::min(m.slow_seen, 4)));
-    out_.note(1, fmt::format("machine {} is slow", m.id));
-    for (const auto& e : m.entries) {
-        const auto& j = *e->job;
-        if (e->stop || j.spec.shape != Shape::array || e->phase < Phase::sent)
-            continue;
-        const double whole = j.runs >= few_runs ? j.longest_run : std::max(1.0, j.spec.estimate_s) * v_.learned.bias();
-        const double ran = e->phase == Phase::running ? v_.now - e->running_at : 0;
-        if (ran > 2 * whole)
-            continue; // nearly through all the same
-        out_.stop(*e, j.spec.checkpoint_s > 0 ? 4 * j.spec.save_s + 1 : 0);
-    }
+    out_.room_asked(j, v_.now + s_.report_s / 2);
+    const double left = j.ready + patience_s(v_, j) - v_.now;
+    if (left > 0)
+        await_room(j, static_cast<int>(j.spec.tasks), left, j.rank);
+    else
+        make_room(j, 1e18);
 }
 
 } // namespace heronshift::policies
--- /dev/null
+++ b/src/policies/slow_machines.cpp
@@ -0,0 +1,93 @@
+// Placement's part that takes work off machines: those that are taken back and those that are slow.
+#include "heronshift/policies/placement.hpp"
+
+#include <algorithm>
+#include <fmt/format.h>
+
+namespace heronshift::policies {
+namespace {
+
+constexpr double too_long = 1.5;                               // of its longest run
+constexpr double long_if_most_through = 1.2, most_through = 4; // times as many as still run
+constexpr double sure_of_one = 1.3;
+constexpr double most_slow = 0.15; // of all machines: beyond, it is something else
+
+} // namespace
+
+// A machine that is taken back: what saves is told to save, what cannot end in time is stopped
+// so that it starts elsewhere at once.
+void Placement::drain_noticed() {
+    for (const auto& [id, m] : v_.machines) {
+        if (!m->draining || m->entries.empty())
+            continue;
+        for (auto& owned : m->entries) {
+            auto& e = *owned;
+            const auto& s = e.job->spec;
+            if (e.stop || e.phase < Phase::sent)
+                continue;
+            const double left = m->notice_until - v_.now;
+            const double rest = s.estimate_s > 0 && e.running_at >= 0 ? s.estimate_s - (v_.now - e.running_at) : 1e9;
+            if (s.checkpoint_s <= 0 && rest > 0 && rest < left / 2)
+                continue;
+            out_.stop(e, s.checkpoint_s > 0 ? s.save_s + 1 : 0);
+        }
+    }
+}
+
+void Placement::find_slow() {
+    if (v_.now < next_slow_)
+        return;
+    next_slow_ = v_.now + s_.report_s / 3;
+    for (const auto& [id, m] : v_.machines) {
+        if (!serves(v_, *m) || v_.now < m->slow_until)
+            continue;
+        int over = 0;
+        for (const auto& e : m->entries) {
+            const auto& j = *e->job;
+            if (e->phase != Phase::running || e->stop || j.spec.shape != Shape::array)
+                continue;
+            // The more of those that have started are through, the more the longest of them says.
+            if (j.runs < few_runs || j.runs < j.running)
+                continue;
+            const double much = j.runs < most_through * j.running ? too_long : long_if_most_through;
+            // Where it is as slow elsewhere, the task is long, not the machine: from a day on which the last
+            // task of an import was restarted every 35 s for ever, and its pipeline with it.
+            const int blamed = e->job->tasks[e->index].blamed;
+            const double limit = much * j.longest_run * (1 << (2 * blamed)) + s_.report_s / 3;
+            const double ran = v_.now - e->running_at;
+            // One task may be longer than its siblings by itself, even the longest of thousands: two are the
+            // machine's doing, or one that goes on and on. From quiet days on which each hour 70 machines were
+            // taken for slow and the last task of a job, nearly through, began anew.
+            if (ran < limit || (++over < 2 && ran < sure_of_one * limit))
+                continue;
+            out_.blame(*e);
+            mark_slow(*m);
+            break;
+        }
+    }
+}
+
+// A machine that is slow takes no work that has a speed for a while, longer each time; what has not
+// run for long there starts again elsewhere.
+void Placement::mark_slow(const Machine& m) {
+    if (v_.now < m.slow_until)
+        return;
+    const auto slow = std::count_if(v_.machines.begin(), v_.machines.end(),
+                                    [this](const auto& x) { return v_.now < x.second->slow_until; });
+    if (static_cast<double>(slow) > most_slow * static_cast<double>(v_.machines.size()))
+        return; // it is not them
+    out_.slow(m, v_.now + 2 * s_.lease_s * (1 << std::min(m.slow_seen, 4)));
+    out_.note(1, fmt::format("machine {} is slow", m.id));
+    for (const auto& e : m.entries) {
+        const auto& j = *e->job;
+        if (e->stop || j.spec.shape != Shape::array || e->phase < Phase::sent)
+            continue;
+        const double whole = j.runs >= few_runs ? j.longest_run : std::max(1.0, j.spec.estimate_s) * v_.learned.bias();
+        const double ran = e->phase == Phase::running ? v_.now - e->running_at : 0;
+        if (ran > 2 * whole)
+            continue; // nearly through all the same
+        out_.stop(*e, j.spec.checkpoint_s > 0 ? 4 * j.spec.save_s + 1 : 0);
+    }
+}
+
+} // namespace heronshift::policies
