--- a/include/heronshift/policies/common.hpp
+++ b/include/heronshift/policies/common.hpp
@@ -20,8 +20,23 @@
 // May a task of the job be placed there now? Besides the rules, what makes it unwise: silence, a
 // machine on its way out, slow or kept for others. Room is not looked at.
 bool usable(const State& v, const Machine& m, const Job& j, bool also_retiring = false);
-// In seconds of delay or their like; fragmentation (below 1) is the tie-break on top.
-double placement_cost(const State& v, const Machine& m, const Job& j);
+// What a place on a machine costs a task of one job, in seconds of delay or their like; fragmentation (below 1) is
+// the tie-break on top. For one decision: what all machines share is computed once.
+class PlacementCost {
+public:
+    PlacementCost(const State& v, const Job& j) : v_(v), j_(j) {}
+    [[nodiscard]] double operator()(const Machine& m) const;
+
+private:
+    [[nodiscard]] double spot_risk() const;
+
+    const State& v_;
+    const Job& j_;
+    mutable double spot_risk_ = -1; // below zero: not known yet
+};
+inline double placement_cost(const State& v, const Machine& m, const Job& j) {
+    return PlacementCost(v, j)(m);
+}
 // What counts as capacity: a machine that is up, heard of and not on its way out.
 bool serves(const State& v, const Machine& m);
 double spot_loss_rate(const State& v); // of one machine, a second
--- a/include/heronshift/policies/placement.hpp
+++ b/include/heronshift/policies/placement.hpp
@@ -49,7 +49,7 @@
     int place_single(const Job& j, double cap);
     int place_service(const Job& j);
     bool place_gang(const Job& j);
-    [[nodiscard]] double batch_cost(const Machine& m, const Job& j) const;
+    [[nodiscard]] double batch_cost(const PlacementCost& cost_of, const Machine& m, const Job& j) const;
     int place_batch(const std::vector<const Job*>& batch, int most, double cap);
     [[nodiscard]] Room room_on(const Machine& m, const Job& j, int most, double loss_weight) const;
     void take_room(const Room& r, const Job& j);
--- a/src/policies/common.cpp
+++ b/src/policies/common.cpp
@@ -32,9 +32,23 @@
     return v.allowed_there(j, m);
 }
 
-// In seconds of delay or their like; fragmentation (below 1) is the tie-break on top.
-double placement_cost(const State& v, const Machine& m, const Job& j) {
-    const auto& s = v.settings;
+// What a loss costs: a lease until it is known, and the run once more. A job that would be late by that keeps off
+// spot machines on days when many are taken; so does one that others wait for, since each of its tasks may hold
+// them all up.
+double PlacementCost::spot_risk() const {
+    if (spot_risk_ >= 0)
+        return spot_risk_;
+    const auto& s = v_.settings;
+    const double run = std::max(1.0, j_.spec.estimate_s) * v_.learned.bias();
+    const double due = v_.due_at(j_);
+    const bool tight = j_.latest >= 0 || (due >= 0 && due - v_.now < 2 * run + s.lease_s);
+    spot_risk_ = spot_loss_rate(v_) * run * (tight ? tight_loss_s : s.lease_s);
+    return spot_risk_;
+}
+
+double PlacementCost::operator()(const Machine& m) const {
+    const auto& v = v_;
+    const auto& j = j_;
     const auto& t = v.types[static_cast<std::size_t>(m.type)];
     double cost = 0;
     bool coming = false, ready = false;
@@ -57,15 +71,8 @@
     }
     if (j.spec.spot && !m.spot)
         cost += 2;
-    if (m.spot) {
-        // What a loss costs: a lease until it is known, and the run once more. A job that would be
-        // late by that keeps off spot machines on days when many are taken; so does one that others
-        // wait for, since each of its tasks may hold them all up.
-        const double run = std::max(1.0, j.spec.estimate_s) * v.learned.bias();
-        const double due = v.due_at(j);
-        const bool tight = j.latest >= 0 || (due >= 0 && due - v.now < 2 * run + s.lease_s);
-        cost += spot_loss_rate(v) * run * (tight ? tight_loss_s : s.lease_s);
-    }
+    if (m.spot)
+        cost += spot_risk();
     const bool lasting = j.spec.shape == Shape::service;
     if (lasting != m.pool)
         cost += lasting ? 15 : 4;
--- a/src/policies/making_room.cpp
+++ b/src/policies/making_room.cpp
@@ -137,12 +137,13 @@
         const Machine* machine;
     };
     std::vector<Slot> slots;
+    const PlacementCost cost_of(v_, j);
     for (std::size_t p = 0; p < index_.machines().size(); ++p) {
         const auto* m = index_.machines()[p];
         if (!may_await(*m, j))
             continue;
         auto free = m->whole - m->used;
-        const double cost = placement_cost(v_, *m, j);
+        const double cost = cost_of(*m);
         for (const auto& r : releases_on(p)) {
             if (r.rest_s > within_s)
                 break;
@@ -167,6 +168,7 @@
 void Placement::await_first(const Job& j, double within_s, Rank against) {
     const Machine* best = nullptr;
     double best_at = std::numeric_limits<double>::infinity();
+    const PlacementCost cost_of(v_, j);
     for (std::size_t p = 0; p < index_.machines().size(); ++p) {
         const auto& releases = releases_on(p);
         if (releases.empty() || releases.front().rest_s >= best_at)
@@ -181,7 +183,7 @@
             free += r.each;
             if (!j.spec.each.fits(free))
                 continue;
-            const double at = r.rest_s + placement_cost(v_, *m, j);
+            const double at = r.rest_s + cost_of(*m);
             if (at < best_at) {
                 best_at = at;
                 best = m;
@@ -200,8 +202,9 @@
 int Placement::make_room(const Job& j, double cap) {
     int left = std::min(static_cast<int>(j.pending.size()), quota_left(j)), made = 0;
     std::vector<Room> rooms;
+    const PlacementCost cost_of(v_, j);
     for (const auto* m : index_.machines()) {
-        if (j.spec.each.fits(m->whole - m->used) || (m->reserved_for != &j && placement_cost(v_, *m, j) >= cap))
+        if (j.spec.each.fits(m->whole - m->used) || (m->reserved_for != &j && cost_of(*m) >= cap))
             continue; // nothing has to be stopped there, or it costs too much as it is
         if (auto r = room_on(*m, j, left, replica_loss_weight); r.tasks > 0 && !r.victims.empty() && r.cost < cap)
             rooms.push_back(std::move(r));
--- a/src/policies/placement.cpp
+++ b/src/policies/placement.cpp
@@ -116,8 +116,8 @@
 }
 
 // The payoff of one more task on the pool counts before everything but the number.
-double Placement::batch_cost(const Machine& m, const Job& j) const {
-    const double cost = placement_cost(v_, m, j);
+double Placement::batch_cost(const PlacementCost& cost_of, const Machine& m, const Job& j) const {
+    const double cost = cost_of(m);
     if (!m.pool || j.spec.shape != Shape::service)
         return cost;
     const placement::Payoff f{s_.ops.alpha, s_.ops.beta, s_.ops.gamma};
@@ -170,11 +170,12 @@
     for (std::size_t g = 0; g < groups.size(); ++g) {
         groups[g].cost.assign(bins.size(), -1);
         auto allowed = rooms[g].begin();
+        const PlacementCost cost_of(v_, *jobs[g]);
         for (std::size_t b = 0; b < bins.size() && allowed != rooms[g].end(); ++b) {
             if (positions[b] != *allowed)
                 continue;
             ++allowed;
-            const double cost = batch_cost(*machines[b], *jobs[g]);
+            const double cost = batch_cost(cost_of, *machines[b], *jobs[g]);
             if (cost < cap)
                 groups[g].cost[b] = cost;
         }
@@ -197,10 +198,11 @@
             break;
         const Machine* best = nullptr;
         double best_cost = cap;
+        const PlacementCost cost_of(v_, j);
         for (const auto p : find_room(j)) {
             const auto* m = index_.machines()[p];
             const auto free = m->whole - m->used;
-            double cost = placement_cost(v_, *m, j);
+            double cost = cost_of(*m);
             if (j.spec.spread)
                 cost += j.zone_live[static_cast<std::size_t>(m->zone)];
             cost += placement::fragmentation(free - j.spec.each, m->whole, v_.common_shape);
@@ -234,8 +236,9 @@
     if (v_.now < j.room_until && j.good_room)
         return placed; // being made
     double free_cost = 1e18;
+    const PlacementCost cost_of(v_, j);
     for (const auto p : index_.find(j, RoomIndex::PlainMachines::included))
-        free_cost = std::min(free_cost, placement_cost(v_, *index_.machines()[p], j));
+        free_cost = std::min(free_cost, cost_of(*index_.machines()[p]));
     out_.good_room(j, v_.now >= j.room_until && make_room(j, free_cost) > 0);
     if (j.good_room)
         out_.room_asked(j, v_.now + s_.report_s / 6);
--- a/tests/test_placement.cpp
+++ b/tests/test_placement.cpp
@@ -1,5 +1,6 @@
 #include "heronshift/policies/matching.hpp"
 
+#include <algorithm>
 #include <gtest/gtest.h>
 #include <random>
 
@@ -89,5 +90,86 @@
     }
 }
 
+// The dynamic program over every bin, without what match_batch() passes over: alike bins that change nothing.
+std::vector<std::vector<int>> match_with_every_bin(const std::vector<Group>& groups, const std::vector<Bin>& bins,
+                                                   const Resources& shape) {
+    std::vector<int> step(groups.size());
+    int states = 1;
+    for (std::size_t g = 0; g < groups.size(); ++g) {
+        step[g] = states;
+        states *= groups[g].count + 1;
+    }
+    const auto digit = [&](int state, std::size_t g) { return state / step[g] % (groups[g].count + 1); };
+    const auto at = [](int state) { return static_cast<std::size_t>(state); };
+    std::vector<double> best(at(states), -1e300);
+    best[0] = 0;
+    std::vector<std::vector<int>> taken(bins.size(), std::vector<int>(at(states)));
+    for (std::size_t b = 0; b < bins.size(); ++b) {
+        auto next = best;
+        for (int from = 0; from < states; ++from)
+            for (int code = 1; code < states && best[at(from)] > -1e299; ++code) {
+                double value = 0;
+                Resources need;
+                bool allowed = true;
+                for (std::size_t g = 0; g < groups.size(); ++g) {
+                    const int n = digit(code, g);
+                    allowed = allowed && digit(from, g) + n <= groups[g].count && (n == 0 || groups[g].cost[b] >= 0);
+                    need += groups[g].each * n;
+                    if (n > 0)
+                        value += n * (1e9 - groups[g].cost[b]);
+                }
+                if (!allowed || !need.fits(bins[b].free))
+                    continue;
+                value -= fragmentation(bins[b].free - need, bins[b].whole, shape) -
+                         fragmentation(bins[b].free, bins[b].whole, shape);
+                if (best[at(from)] + value > next[at(from + code)]) {
+                    next[at(from + code)] = best[at(from)] + value;
+                    taken[b][at(from + code)] = code;
+                }
+            }
+        best = next;
+    }
+    std::vector<std::vector<int>> out(groups.size(), std::vector<int>(bins.size()));
+    int state = static_cast<int>(std::max_element(best.begin(), best.end()) - best.begin());
+    for (std::size_t b = bins.size(); b-- > 0;) {
+        const int code = taken[b][at(state)];
+        for (std::size_t g = 0; g < groups.size(); ++g)
+            out[g][b] = digit(code, g);
+        state -= code;
+    }
+    return out;
+}
+
+TEST(Batch, PassesOverAlikeBinsWithoutAnotherResult) {
+    std::mt19937 rng(11);
+    auto pick = [&](int a, int b) { return std::uniform_int_distribution<int>(a, b)(rng); };
+    for (int round = 0; round < 200; ++round) {
+        std::vector<Bin> kinds;
+        for (int k = 0; k < 4; ++k) {
+            const Resources whole{double(pick(4, 16)), double(pick(0, 1)), double(pick(4, 32))};
+            kinds.push_back({whole * (0.1 * pick(1, 10)), whole});
+        }
+        std::vector<Group> groups(static_cast<std::size_t>(pick(1, 3)));
+        std::vector<std::vector<double>> costs; // by group and kind
+        for (auto& g : groups) {
+            g.each = {0.7 * pick(1, 4), 0, 0.9 * pick(1, 4)};
+            g.count = pick(1, groups.size() == 1 ? 8 : 2);
+            std::vector<double> of_kinds;
+            for (std::size_t k = 0; k < kinds.size(); ++k)
+                of_kinds.push_back(pick(0, 5) == 0 ? -1 : 0.37 * pick(0, 9));
+            costs.push_back(of_kinds);
+        }
+        std::vector<Bin> bins;
+        for (int b = pick(1, 60); b > 0; --b) {
+            const auto kind = static_cast<std::size_t>(pick(0, 3));
+            bins.push_back(kinds[kind]);
+            for (std::size_t g = 0; g < groups.size(); ++g)
+                groups[g].cost.push_back(costs[g][kind]);
+        }
+        const Resources shape{1.5, 0, 2};
+        EXPECT_EQ(match_batch(groups, bins, shape), match_with_every_bin(groups, bins, shape));
+    }
+}
+
 } // namespace
 } // namespace heronshift::placement
