--- a/src/policies/matching.cpp
+++ b/src/policies/matching.cpp
@@ -4,6 +4,7 @@
 #include <cmath>
 #include <cstdint>
 #include <limits>
+#include <map>
 
 namespace heronshift::placement {
 
@@ -31,78 +32,151 @@
     return std::max(0.0, free.cpus - used) / whole.cpus;
 }
 
-std::vector<std::vector<int>> match_batch(const std::vector<Group>& groups, const std::vector<Bin>& bins,
-                                          const Resources& shape) {
-    // A state says how many tasks of each group are placed so far, in mixed radix.
-    std::vector<int> step(groups.size());
-    int states = 1;
-    for (std::size_t g = 0; g < groups.size(); ++g) {
-        step[g] = states;
-        states *= groups[g].count + 1;
+namespace {
+
+constexpr double never = -std::numeric_limits<double>::infinity();
+constexpr double per_task = 1e9; // one more task outweighs any cost
+
+// The dynamic program over bins. A state says how many tasks of each group are placed so far, in mixed radix.
+class Matcher {
+public:
+    Matcher(const std::vector<Group>& groups, const std::vector<Bin>& bins, const Resources& shape)
+        : groups_(groups), bins_(bins), shape_(shape) {
+        list_digits();
+        best_.assign(states_, never);
+        best_[0] = 0;
+        taken_.resize(bins.size() * states_);
     }
-    constexpr double never = -std::numeric_limits<double>::infinity();
-    constexpr double per_task = 1e9; // one more task outweighs any cost
-    std::vector<double> best(static_cast<std::size_t>(states), never);
-    best[0] = 0;
-    std::vector<std::vector<std::int16_t>> taken(bins.size());
-    auto digit = [&](int state, std::size_t g) { return state / step[g] % (groups[g].count + 1); };
-
-    struct Choice {
-        int code;
+    std::vector<std::vector<int>> run() {
+        for (std::size_t b = 0; b < bins_.size(); ++b)
+            try_bin(b);
+        return plan();
+    }
+
+private:
+    struct Choice { // so many tasks of each group in one bin
+        std::size_t code;
         double value;
-        std::vector<int> n;
     };
-    for (std::size_t b = 0; b < bins.size(); ++b) {
-        const double before = fragmentation(bins[b].free, bins[b].whole, shape);
+    // Bins with the same room and costs have the same choices. Where those last changed nothing, and nothing
+    // has changed since, they change nothing again: of many empty machines only a few have to be tried.
+    struct Alike {
         std::vector<Choice> choices;
-        for (int code = 1; code < states; ++code) {
-            Choice c{code, 0, std::vector<int>(groups.size())};
+        std::uint64_t useless_at = 0; // the version of best_
+    };
+
+    void list_digits() {
+        width_ = groups_.size();
+        for (const auto& g : groups_)
+            states_ *= static_cast<std::size_t>(g.count) + 1;
+        digits_.resize(states_ * width_);
+        std::size_t step = 1;
+        for (std::size_t g = 0; g < width_; ++g) {
+            const auto radix = static_cast<std::size_t>(groups_[g].count) + 1;
+            for (std::size_t s = 0; s < states_; ++s)
+                digits_[s * width_ + g] = static_cast<int>(s / step % radix);
+            step *= radix;
+        }
+    }
+
+    [[nodiscard]] std::vector<Choice> list_choices(std::size_t b) const {
+        std::vector<Choice> choices;
+        const auto& bin = bins_[b];
+        const double before = fragmentation(bin.free, bin.whole, shape_);
+        for (std::size_t code = 1; code < states_; ++code) {
+            Choice c{code, 0};
             Resources need;
             bool allowed = true;
-            for (std::size_t g = 0; g < groups.size() && allowed; ++g) {
-                c.n[g] = digit(code, g);
-                if (c.n[g] == 0)
+            for (std::size_t g = 0; g < width_ && allowed; ++g) {
+                const int n = digits_[code * width_ + g];
+                if (n == 0)
                     continue;
-                allowed = groups[g].cost[b] >= 0;
-                need += groups[g].each * c.n[g];
-                c.value += c.n[g] * (per_task - groups[g].cost[b]);
+                allowed = groups_[g].cost[b] >= 0;
+                need += groups_[g].each * n;
+                c.value += n * (per_task - groups_[g].cost[b]);
             }
-            if (!allowed || !need.fits(bins[b].free))
+            if (!allowed || !need.fits(bin.free))
                 continue;
-            c.value -= fragmentation(bins[b].free - need, bins[b].whole, shape) - before;
-            choices.push_back(std::move(c));
+            c.value -= fragmentation(bin.free - need, bin.whole, shape_) - before;
+            choices.push_back(c);
         }
-        taken[b].assign(static_cast<std::size_t>(states), 0);
-        if (choices.empty())
-            continue;
-        auto next = best;
-        for (int s = 0; s < states; ++s) {
-            if (best[static_cast<std::size_t>(s)] == never)
+        return choices;
+    }
+
+    Alike& alike(std::size_t b) {
+        const auto& [free, whole] = bins_[b];
+        key_.assign({free.cpus, free.gpus, free.memory_gb, whole.cpus, whole.gpus, whole.memory_gb});
+        for (const auto& g : groups_)
+            key_.push_back(g.cost[b]);
+        const auto [it, fresh] = alike_.try_emplace(key_);
+        if (fresh)
+            it->second.choices = list_choices(b);
+        return it->second;
+    }
+
+    [[nodiscard]] bool fits_beside(std::size_t state, std::size_t code) const {
+        for (std::size_t g = 0; g < width_; ++g)
+            if (digits_[state * width_ + g] + digits_[code * width_ + g] > groups_[g].count)
+                return false;
+        return true;
+    }
+
+    void try_bin(std::size_t b) {
+        auto& a = alike(b);
+        if (a.choices.empty() || a.useless_at == version_)
+            return;
+        next_ = best_;
+        bool changed = false;
+        for (std::size_t s = 0; s < states_; ++s) {
+            if (best_[s] == never)
                 continue;
-            for (const auto& c : choices) {
-                bool room = true;
-                for (std::size_t g = 0; g < groups.size() && room; ++g)
-                    room = digit(s, g) + c.n[g] <= groups[g].count;
-                if (!room)
+            for (const auto& c : a.choices) {
+                const auto to = s + c.code;
+                if (to >= states_ || best_[s] + c.value <= next_[to] || !fits_beside(s, c.code))
                     continue;
-                const auto to = static_cast<std::size_t>(s) + static_cast<std::size_t>(c.code);
-                if (best[static_cast<std::size_t>(s)] + c.value > next[to]) {
-                    next[to] = best[static_cast<std::size_t>(s)] + c.value;
-                    taken[b][to] = static_cast<std::int16_t>(c.code);
-                }
+                next_[to] = best_[s] + c.value;
+                taken_[b * states_ + to] = static_cast<std::int16_t>(c.code);
+                changed = true;
             }
         }
-        best = std::move(next);
+        if (changed) {
+            best_.swap(next_);
+            ++version_;
+        } else {
+            a.useless_at = version_;
+        }
     }
-    std::vector<std::vector<int>> out(groups.size(), std::vector<int>(bins.size()));
-    int state = static_cast<int>(std::max_element(best.begin(), best.end()) - best.begin());
-    for (std::size_t b = bins.size(); b-- > 0;) {
-        const int code = taken[b][static_cast<std::size_t>(state)];
-        for (std::size_t g = 0; g < groups.size(); ++g)
-            out[g][b] = digit(code, g);
-        state -= code;
+
+    // Back from the best state: what each bin took.
+    [[nodiscard]] std::vector<std::vector<int>> plan() const {
+        std::vector<std::vector<int>> out(width_, std::vector<int>(bins_.size()));
+        auto state = static_cast<std::size_t>(std::max_element(best_.begin(), best_.end()) - best_.begin());
+        for (std::size_t b = bins_.size(); b-- > 0;) {
+            const auto code = static_cast<std::size_t>(taken_[b * states_ + state]);
+            for (std::size_t g = 0; g < width_; ++g)
+                out[g][b] = digits_[code * width_ + g];
+            state -= code;
+        }
+        return out;
     }
-    return out;
+
+    const std::vector<Group>& groups_;
+    const std::vector<Bin>& bins_;
+    const Resources& shape_;
+    std::size_t width_ = 0, states_ = 1;
+    std::vector<int> digits_; // of each state, by group
+    std::vector<double> best_, next_;
+    std::uint64_t version_ = 1;       // of best_
+    std::vector<std::int16_t> taken_; // by bin and state
+    std::map<std::vector<double>, Alike> alike_;
+    std::vector<double> key_;
+};
+
+} // namespace
+
+std::vector<std::vector<int>> match_batch(const std::vector<Group>& groups, const std::vector<Bin>& bins,
+                                          const Resources& shape) {
+    return Matcher(groups, bins, shape).run();
 }
 
 } // namespace heronshift::placement
