--- /dev/null
+++ b/include/heronshift/connection_shares.hpp
@@ -0,0 +1,106 @@
+// Who may have how many of a server's connections, and which idle one makes room for another. No sockets and no clock.
+#pragma once
+
+#include <array>
+#include <cstddef>
+#include <cstdint>
+#include <iterator>
+#include <list>
+#include <utility>
+
+namespace heronshift {
+
+// Whose connection it is: told by its first request.
+enum class ClientKind : std::uint8_t { unknown, worker, user };
+inline constexpr std::size_t client_kinds = 3;
+
+// One share for each kind; together they may be more than there is, so that what one leaves free another can use.
+struct ConnectionLimits {
+    std::size_t total = 0;
+    std::size_t workers = 0, users = 0;
+};
+
+// Counts connections by kind and keeps the idle ones in the order in which they became so. Every operation takes
+// constant time. A connection is a pointer that is not followed here.
+template <class Connection> class ConnectionShares {
+    using Idle = std::list<std::pair<Connection*, std::uint64_t>>; // with the turn in
+                                                                   // which it became idle
+
+public:
+    // What is kept of a connection, by the connection itself.
+    class Entry {
+        friend class ConnectionShares;
+        ClientKind kind_ = ClientKind::unknown;
+        bool idle_ = false;
+        typename Idle::iterator at_;
+
+    public:
+        [[nodiscard]] ClientKind kind() const {
+            return kind_;
+        }
+    };
+
+    explicit ConnectionShares(ConnectionLimits limits) : limits_(limits) {}
+
+    void opened() {
+        ++counts_[index(ClientKind::unknown)];
+    }
+    void closed(Entry& e) {
+        busy(e);
+        --counts_[index(e.kind_)];
+    }
+    void idle(Entry& e, Connection* c) {
+        busy(e);
+        auto& list = idle_[index(e.kind_)];
+        list.emplace_back(c, ++turns_);
+        e.at_ = std::prev(list.end());
+        e.idle_ = true;
+    }
+    void busy(Entry& e) {
+        if (e.idle_)
+            idle_[index(e.kind_)].erase(e.at_);
+        e.idle_ = false;
+    }
+    // Its first request has come.
+    void classify(Entry& e, ClientKind kind) {
+        busy(e);
+        --counts_[index(e.kind_)];
+        e.kind_ = kind;
+        ++counts_[index(kind)];
+    }
+
+    [[nodiscard]] bool over_total() const {
+        return count(ClientKind::unknown) + count(ClientKind::worker) + count(ClientKind::user) > limits_.total;
+    }
+    [[nodiscard]] bool over_share(ClientKind kind) const {
+        return kind != ClientKind::unknown &&
+               count(kind) > (kind == ClientKind::worker ? limits_.workers : limits_.users);
+    }
+    [[nodiscard]] std::size_t count(ClientKind kind) const {
+        return counts_[index(kind)];
+    }
+    // The one of this kind that has been idle for longest; null: none is.
+    [[nodiscard]] Connection* longest_idle(ClientKind kind) const {
+        const auto& list = idle_[index(kind)];
+        return list.empty() ? nullptr : list.front().first;
+    }
+    // The same of all kinds.
+    [[nodiscard]] Connection* longest_idle() const {
+        const typename Idle::value_type* out = nullptr;
+        for (const auto& list : idle_)
+            if (!list.empty() && (out == nullptr || list.front().second < out->second))
+                out = &list.front();
+        return out == nullptr ? nullptr : out->first;
+    }
+
+private:
+    static std::size_t index(ClientKind kind) {
+        return static_cast<std::size_t>(kind);
+    }
+    ConnectionLimits limits_;
+    std::array<std::size_t, client_kinds> counts_{};
+    std::array<Idle, client_kinds> idle_;
+    std::uint64_t turns_ = 0;
+};
+
+} // namespace heronshift
--- a/include/heronshift/executor/http.hpp
+++ b/include/heronshift/executor/http.hpp
@@ -8,8 +8,10 @@
 
 class HttpExecutor final : public Executor {
 public:
-    HttpExecutor(uv_loop_t* loop, const Endpoint& cloud)
-        : cloud_at_(cloud.str()), cloud_(loop, 2, 16), agents_(loop, 1, 4), probes_(loop, 1, 1) {}
+    // To all agents together at most so many connections.
+    HttpExecutor(uv_loop_t* loop, const Endpoint& cloud, std::size_t max_agent_connections)
+        : cloud_at_(cloud.str()), cloud_(loop, 2, 16), agents_(loop, 1, 4, max_agent_connections), probes_(loop, 1, 1) {
+    }
 
     void command(const SendOrders& orders, double timeout_s, std::function<void(OrdersAnswered&&)> done) override;
     void rent(const Rent& ask, double timeout_s, std::function<void(Rented&&)> done) override;
--- a/include/heronshift/http.hpp
+++ b/include/heronshift/http.hpp
@@ -2,12 +2,14 @@
 #pragma once
 
 #include "heronshift/config.hpp"
+#include "heronshift/connection_shares.hpp"
 #include "heronshift/http_reply.hpp"
 
 #include <cstdint>
 #include <deque>
 #include <functional>
 #include <http_parser.h>
+#include <list>
 #include <memory>
 #include <string>
 #include <string_view>
@@ -57,10 +59,16 @@
     std::shared_ptr<Once> direct_;
 };
 
+// Beyond its limits the connection that has been idle for longest makes room: a client that keeps one open loses it
+// between two requests and opens another, so that more clients than connections are served in turns. Where none is
+// idle, a request is answered 503 with Retry-After and its connection closed.
 class HttpServer {
 public:
     using Handler = std::function<void(HttpRequest&&, Responder)>;
-    HttpServer(uv_loop_t* loop, std::size_t most_connections, double idle_s, Handler handler);
+    using Classifier = std::function<ClientKind(const HttpRequest&)>;
+    HttpServer(uv_loop_t* loop, std::size_t max_connections, double idle_s, Handler handler);
+    // With a share for each kind of client.
+    HttpServer(uv_loop_t* loop, ConnectionLimits limits, double idle_s, Classifier classifier, Handler handler);
     ~HttpServer();
     HttpServer(const HttpServer&) = delete;
     HttpServer& operator=(const HttpServer&) = delete;
@@ -76,19 +84,24 @@
 private:
     friend class ServerConnection;
     void accept();
+    bool admit(ServerConnection& c, const HttpRequest& r);
     uv_loop_t* loop_;
     uv_tcp_t* tcp_ = nullptr;
-    std::size_t most_;
+    ConnectionShares<ServerConnection> shares_;
     double idle_s_;
+    Classifier classifier_;
     Handler handler_;
     std::unordered_set<std::shared_ptr<ServerConnection>> conns_;
 };
 
-// Keeps a bounded pool of connections to each address.
+// Keeps a bounded pool of connections to each address, and of all together: an idle one to another address makes room
+// for one that is needed, and where none is idle requests wait.
 class HttpClient {
 public:
     using Callback = std::function<void(HttpReply&&)>;
-    HttpClient(uv_loop_t* loop, std::size_t most_per_address, std::size_t most_waiting);
+    static constexpr std::size_t unlimited = SIZE_MAX;
+    HttpClient(uv_loop_t* loop, std::size_t most_per_address, std::size_t most_waiting,
+               std::size_t max_connections = unlimited);
     ~HttpClient();
     HttpClient(const HttpClient&) = delete;
     HttpClient& operator=(const HttpClient&) = delete;
@@ -98,6 +111,9 @@
     // Ends the requests that have waited for too long. Call it about ten times a second, after the loop has read its
     // sockets (in a uv_check): an answer that lies unread is none that is missing.
     void sweep();
+    [[nodiscard]] std::size_t connections() const {
+        return connections_;
+    }
 
     struct Connection;
 
@@ -114,10 +130,15 @@
         std::deque<Waiting> waiting;
     };
     void pump(const std::string& addr);
+    void pump_starved();
+    bool make_room();
+    void remove(Connection* c);
     void finish(Connection* c, HttpReply reply, bool keep);
     uv_loop_t* loop_;
-    std::size_t most_, most_waiting_;
+    std::size_t most_, most_waiting_, max_connections_, connections_ = 0;
     std::unordered_map<std::string, Pool> pools_;
+    std::list<Connection*> idle_;     // of all pools, the longest idle first
+    std::deque<std::string> starved_; // addresses whose requests wait for room
 };
 
 } // namespace heronshift
--- a/src/http.cpp
+++ b/src/http.cpp
@@ -9,6 +9,8 @@
 constexpr std::size_t most_body = 64UL * 1024;
 constexpr std::size_t most_head = 16UL * 1024;
 constexpr std::size_t most_reply = 8UL * 1024 * 1024;
+// After which a client that was refused for want of connections may ask again.
+constexpr int refused_retry_s = 2;
 // Of a time-out: what is found overdue later than that was kept waiting by our own loop.
 constexpr double punctual = 0.25;
 
@@ -113,8 +115,10 @@
         uv_close(reinterpret_cast<uv_handle_t*>(tcp_), [](uv_handle_t* h) { delete reinterpret_cast<uv_tcp_t*>(h); });
         tcp_ = nullptr;
         auto self = shared_from_this();
-        if (server_ != nullptr)
-            server_->conns_.erase(self);
+        if (server_ == nullptr)
+            return;
+        server_->shares_.closed(share_);
+        server_->conns_.erase(self);
     }
 
     void orphan() {
@@ -137,6 +141,14 @@
         const int e = write_all(tcp_, std::move(head));
         if (e != 0 || !keep_)
             return close();
+        if (server_ != nullptr)
+            server_->shares_.idle(share_, this);
+    }
+
+    // Answers the request under way, if any, and closes after it.
+    void refuse() {
+        keep_ = false;
+        respond(503, R"({"error":"too many connections"})", refused_retry_s);
     }
 
     // A request that takes too long to arrive, or an idle connection.
@@ -146,6 +158,8 @@
         return now - last_ > (receiving_ ? idle_s / 4 : idle_s);
     }
 
+    ConnectionShares<ServerConnection>::Entry share_;
+
 private:
     void on_read(ssize_t n, const uv_buf_t* buf) {
         if (n == 0)
@@ -187,6 +201,8 @@
         url_.clear();
         if (server_ == nullptr)
             return;
+        if (!server_->admit(*this, r))
+            return refuse();
         server_->handler_(std::move(r), Responder(shared_from_this()));
     }
 
@@ -196,6 +212,8 @@
         s.on_message_begin = [](http_parser* p) {
             auto* c = static_cast<ServerConnection*>(p->data);
             c->receiving_ = true;
+            if (c->server_ != nullptr)
+                c->server_->shares_.busy(c->share_);
             c->last_ = steady_now(c->tcp_->loop);
             c->url_.clear();
             c->request_ = {};
@@ -234,8 +252,11 @@
         direct_->send(status, body, retry_after_s);
 }
 
-HttpServer::HttpServer(uv_loop_t* loop, std::size_t most, double idle_s, Handler handler)
-    : loop_(loop), most_(most), idle_s_(idle_s), handler_(std::move(handler)) {}
+HttpServer::HttpServer(uv_loop_t* loop, std::size_t max_connections, double idle_s, Handler handler)
+    : HttpServer(loop, {max_connections, max_connections, max_connections}, idle_s, {}, std::move(handler)) {}
+
+HttpServer::HttpServer(uv_loop_t* loop, ConnectionLimits limits, double idle_s, Classifier classifier, Handler handler)
+    : loop_(loop), shares_(limits), idle_s_(idle_s), classifier_(std::move(classifier)), handler_(std::move(handler)) {}
 
 // NOLINTNEXTLINE(bugprone-exception-escape): closing a connection throws only when memory is exhausted
 HttpServer::~HttpServer() {
@@ -276,14 +297,35 @@
 void HttpServer::accept() {
     auto c = std::make_shared<ServerConnection>(this);
     conns_.insert(c);
-    if (uv_accept(reinterpret_cast<uv_stream_t*>(tcp_), reinterpret_cast<uv_stream_t*>(c->tcp())) != 0 ||
-        conns_.size() > most_) {
-        c->close();
-        return;
+    shares_.opened();
+    if (uv_accept(reinterpret_cast<uv_stream_t*>(tcp_), reinterpret_cast<uv_stream_t*>(c->tcp())) != 0)
+        return c->close();
+    if (shares_.over_total()) {
+        auto* longest = shares_.longest_idle();
+        (longest != nullptr ? longest : c.get())->close();
+        if (longest == nullptr)
+            return;
     }
+    shares_.idle(c->share_, c.get()); // until its first request comes
     c->start();
 }
 
+// Whether a request may be served: beyond the share of its kind an idle connection of that kind has to make room.
+bool HttpServer::admit(ServerConnection& c, const HttpRequest& r) {
+    if (!classifier_)
+        return true;
+    const auto kind = classifier_(r);
+    if (kind != c.share_.kind())
+        shares_.classify(c.share_, kind);
+    if (!shares_.over_share(kind))
+        return true;
+    auto* longest = shares_.longest_idle(kind);
+    if (longest == nullptr)
+        return false;
+    longest->close();
+    return true;
+}
+
 void HttpServer::sweep() {
     const double now = steady_now(loop_);
     std::vector<std::shared_ptr<ServerConnection>> old;
@@ -304,6 +346,7 @@
     Waiting job;
     std::string body;
     double idle_since = 0;
+    std::list<Connection*>::iterator idle_at; // while it is not busy
 
     void close() {
         if (tcp == nullptr)
@@ -362,8 +405,9 @@
     }
 };
 
-HttpClient::HttpClient(uv_loop_t* loop, std::size_t most_per_address, std::size_t most_waiting)
-    : loop_(loop), most_(most_per_address), most_waiting_(most_waiting) {}
+HttpClient::HttpClient(uv_loop_t* loop, std::size_t most_per_address, std::size_t most_waiting,
+                       std::size_t max_connections)
+    : loop_(loop), most_(most_per_address), most_waiting_(most_waiting), max_connections_(max_connections) {}
 
 HttpClient::~HttpClient() {
     for (auto& [addr, pool] : pools_)
@@ -394,9 +438,12 @@
                 free = c;
         if (free == nullptr && pool.conns.size() >= most_)
             return;
+        if (free == nullptr && connections_ >= max_connections_ && !make_room())
+            return starved_.push_back(addr);
         auto job = std::move(pool.waiting.front());
         pool.waiting.pop_front();
         if (free != nullptr) {
+            idle_.erase(free->idle_at);
             free->busy = true;
             free->job = std::move(job);
             free->send();
@@ -419,6 +466,7 @@
         uv_tcp_nodelay(c->tcp, 1);
         c->tcp->data = c;
         pool.conns.push_back(c);
+        ++connections_;
         auto* req = new uv_connect_t;
         const int e =
             uv_tcp_connect(req, c->tcp, reinterpret_cast<const sockaddr*>(&to), [](uv_connect_t* r, int status) {
@@ -444,21 +492,49 @@
     }
 }
 
+// Requests to an address wait here at most once each time that there was no room, and go on when there is.
+void HttpClient::pump_starved() {
+    while (!starved_.empty() && (connections_ < max_connections_ || !idle_.empty())) {
+        const auto addr = std::move(starved_.front());
+        starved_.pop_front();
+        pump(addr);
+    }
+}
+
+bool HttpClient::make_room() {
+    if (idle_.empty())
+        return false;
+    auto* longest = idle_.front();
+    idle_.pop_front();
+    remove(longest);
+    return true;
+}
+
+void HttpClient::remove(Connection* c) {
+    auto& conns = pools_[c->addr].conns;
+    conns.erase(std::find(conns.begin(), conns.end(), c));
+    --connections_;
+    c->close();
+    delete c;
+}
+
 void HttpClient::finish(Connection* c, HttpReply reply, bool keep) {
     const auto addr = c->addr;
     const bool was_busy = c->busy;
     auto done = std::move(c->job.done);
-    c->busy = false;
-    c->idle_since = steady_now(loop_);
-    if (!keep) {
-        auto& conns = pools_[addr].conns;
-        conns.erase(std::find(conns.begin(), conns.end(), c));
-        c->close();
-        delete c;
+    if (!was_busy)
+        idle_.erase(c->idle_at);
+    if (keep) {
+        c->busy = false;
+        c->idle_since = steady_now(loop_);
+        c->idle_at = idle_.insert(idle_.end(), c);
+    } else {
+        remove(c);
     }
     if (was_busy && done)
         done(std::move(reply));
     pump(addr);
+    pump_starved();
 }
 
 // Time in which the loop did not turn is not counted as waited, once and for at most the time-out itself: the answer
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -12,6 +12,28 @@
 constexpr double ticks_a_report = 30;
 constexpr double longest_sleep_s = 1;
 
+// Shares of the sockets that this process may have. What they leave is for connections to peers, the store and the
+// cloud.
+constexpr double listen_share = 0.65; // workers and users
+constexpr double peers_share = 0.1, agents_share = 0.15;
+// Of the first: neither workers nor users ever have all of it.
+constexpr double workers_share = 0.9, users_share = 0.3;
+
+std::size_t sockets(const Settings& s, double share) {
+    return std::max<std::size_t>(1, static_cast<std::size_t>(s.fd_limit * share));
+}
+
+ConnectionLimits listen_limits(const Settings& s) {
+    return {sockets(s, listen_share), sockets(s, listen_share * workers_share), sockets(s, listen_share * users_share)};
+}
+
+// Health checks count for nobody: refused, they would take this controller away from all users.
+ClientKind kind_of(const HttpRequest& r) {
+    if (r.path == codec::path_health)
+        return ClientKind::unknown;
+    return r.path == codec::path_report ? ClientKind::worker : ClientKind::user;
+}
+
 } // namespace
 
 Node::Parts Node::whole(uv_loop_t* loop, const Settings& s, Parts parts) {
@@ -20,7 +42,7 @@
     if (!parts.state)
         parts.state = std::make_unique<store::RemoteStore>(loop, s.state);
     if (!parts.executor)
-        parts.executor = std::make_unique<HttpExecutor>(loop, s.cloud);
+        parts.executor = std::make_unique<HttpExecutor>(loop, s.cloud, sockets(s, agents_share));
     if (!parts.peers)
         parts.peers = std::make_unique<HttpPeers>(loop, s.peers);
     return parts;
@@ -48,15 +70,15 @@
 
 int Node::start() {
     const auto& s = controller_.settings();
-    // Sockets: a part stays free for workers, peers, the store and the cloud.
-    const auto fds = static_cast<std::size_t>(s.fd_limit);
     const double idle_s = 2 * s.lease_s + 30;
-    users_ = std::make_unique<HttpServer>(loop_, fds * 7 / 10, idle_s, [this](HttpRequest&& r, Responder res) {
-        controller_.serve(std::move(r), std::move(res));
-    });
-    peers_ = std::make_unique<HttpServer>(loop_, fds / 10, idle_s, [this](HttpRequest&& r, Responder res) {
-        controller_.serve_peer(std::move(r), std::move(res));
-    });
+    users_ =
+        std::make_unique<HttpServer>(loop_, listen_limits(s), idle_s, kind_of, [this](HttpRequest&& r, Responder res) {
+            controller_.serve(std::move(r), std::move(res));
+        });
+    peers_ =
+        std::make_unique<HttpServer>(loop_, sockets(s, peers_share), idle_s, [this](HttpRequest&& r, Responder res) {
+            controller_.serve_peer(std::move(r), std::move(res));
+        });
     for (const auto& [server, at] : {std::pair{users_.get(), &s.listen}, std::pair{peers_.get(), &s.peer_listen}})
         if (!at->host.empty())
             if (const int e = server->listen(*at); e != 0)
--- /dev/null
+++ b/tests/test_connections.cpp
@@ -0,0 +1,222 @@
+// More clients than connections: nobody has all of them, idle ones make room, workers are served in turns.
+#include "heronshift/codec.hpp"
+#include "heronshift/http.hpp"
+#include "heronshift/loop_timer.hpp"
+
+#include <deque>
+#include <fmt/format.h>
+#include <gtest/gtest.h>
+#include <unistd.h>
+
+namespace heronshift {
+namespace {
+
+double seconds() {
+    return static_cast<double>(uv_hrtime()) * 1e-9;
+}
+
+struct Loop {
+    uv_loop_t loop{};
+    Loop() {
+        uv_loop_init(&loop);
+    }
+    ~Loop() {
+        uv_run(&loop, UV_RUN_DEFAULT);
+        uv_loop_close(&loop);
+    }
+    Loop(const Loop&) = delete;
+    Loop& operator=(const Loop&) = delete;
+    void turn() {
+        uv_run(&loop, UV_RUN_NOWAIT);
+    }
+};
+
+struct Connection {
+    ConnectionShares<Connection>::Entry share;
+};
+
+TEST(ConnectionShares, TheLongestIdleMakesRoom) {
+    ConnectionShares<Connection> shares({4, 3, 2});
+    Connection c[5];
+    for (std::size_t k = 0; k < std::size(c); ++k)
+        shares.opened();
+    EXPECT_TRUE(shares.over_total());
+    EXPECT_EQ(shares.longest_idle(), nullptr);
+    for (int k = 0; k < 3; ++k)
+        shares.classify(c[k].share, ClientKind::worker);
+    EXPECT_FALSE(shares.over_share(ClientKind::worker));
+    shares.classify(c[3].share, ClientKind::user);
+    shares.classify(c[4].share, ClientKind::worker);
+    EXPECT_TRUE(shares.over_share(ClientKind::worker));
+    EXPECT_FALSE(shares.over_share(ClientKind::user));
+    shares.idle(c[3].share, &c[3]);
+    shares.idle(c[1].share, &c[1]);
+    shares.idle(c[0].share, &c[0]);
+    EXPECT_EQ(shares.longest_idle(), &c[3]);
+    EXPECT_EQ(shares.longest_idle(ClientKind::worker), &c[1]);
+    shares.busy(c[1].share);
+    EXPECT_EQ(shares.longest_idle(ClientKind::worker), &c[0]);
+    shares.closed(c[0].share);
+    EXPECT_EQ(shares.longest_idle(ClientKind::worker), nullptr);
+    EXPECT_FALSE(shares.over_total());
+    EXPECT_EQ(shares.count(ClientKind::worker), 3U);
+}
+
+// Clients that keep their connections, each with one of its own, and a server with far fewer: as many to one as 6,000
+// workers are to the 650 connections that a controller with 1,000 sockets gives to workers and users.
+struct Crowd {
+    static constexpr std::size_t workers = 400, users = 60, connections = 43;
+    static constexpr double report_s = 0.3, lease_s = 2,
+                            held_s = 0.4; // the last: until a user is answered
+
+    struct Client {
+        explicit Client(uv_loop_t* l) : http(l, 1, 1) {}
+        HttpClient http;
+        bool asking = false;
+        double next = 0, served = 0, longest_gap = 0;
+    };
+    Loop l;
+    HttpServer server{
+        &l.loop,
+        {connections, connections * 9 / 10, connections * 3 / 10},
+        60,
+        [](const HttpRequest& r) { return r.path == codec::path_report ? ClientKind::worker : ClientKind::user; },
+        [this](HttpRequest&& r, const Responder& res) {
+            if (r.path == codec::path_report)
+                return res.send(200, "{}");
+            held.emplace_back(seconds() + held_s, res);
+        }};
+    std::deque<std::pair<double, Responder>> held;
+    std::deque<Client> worker, user;
+    std::map<int, int> told_users;
+    std::size_t max_connections = 0;
+
+    Crowd() {
+        EXPECT_EQ(server.listen({"127.0.0.1", 0}), 0);
+        for (std::size_t k = 0; k < workers; ++k)
+            worker.emplace_back(&l.loop);
+        for (std::size_t k = 0; k < users; ++k)
+            user.emplace_back(&l.loop);
+    }
+    void ask(Client& c, std::string_view path, std::function<void(int status)> told) {
+        c.asking = true;
+        c.http.request(fmt::format("127.0.0.1:{}", server.port()), "POST", std::string(path), "{}", 1,
+                       [&c, told = std::move(told)](HttpReply&& r) {
+                           c.asking = false;
+                           told(r.status);
+                       });
+    }
+    void report(Client& c) {
+        ask(c, codec::path_report, [&c](int status) {
+            const double t = seconds();
+            c.next = t + (status == 200 ? report_s : report_s / 10);
+            if (status != 200)
+                return;
+            c.longest_gap = std::max(c.longest_gap, t - c.served);
+            c.served = t;
+        });
+    }
+    void run(double for_s) {
+        const double began = seconds();
+        for (auto& c : worker)
+            c.served = began;
+        for (double t = began; t < began + for_s; t = seconds()) {
+            for (auto& c : worker)
+                if (!c.asking && t >= c.next)
+                    report(c);
+            for (auto& c : user)
+                if (!c.asking && t >= c.next)
+                    ask(c, codec::path_jobs, [this, &c](int status) {
+                        ++told_users[status];
+                        c.next = seconds() + 0.1;
+                    });
+            l.turn();
+            for (; !held.empty() && held.front().first <= t; held.pop_front())
+                held.front().second.send(200, "{}");
+            for (auto* all : {&worker, &user})
+                for (auto& c : *all)
+                    c.http.sweep();
+            max_connections = std::max(max_connections, server.connections());
+            usleep(500);
+        }
+        for (auto& c : worker)
+            c.longest_gap = std::max(c.longest_gap, seconds() - c.served);
+    }
+};
+
+TEST(Connections, WorkersAreServedInTurnsWithinTheirLease) {
+    Crowd crowd;
+    crowd.run(3 * Crowd::lease_s);
+    std::size_t lapsed = 0;
+    double longest = 0;
+    for (const auto& c : crowd.worker) {
+        lapsed += c.longest_gap > Crowd::lease_s;
+        longest = std::max(longest, c.longest_gap);
+    }
+    EXPECT_EQ(lapsed, 0U) << "of " << Crowd::workers << ", the longest wait " << longest;
+    EXPECT_LE(crowd.max_connections, Crowd::connections);
+    EXPECT_GT(crowd.told_users[200], 0); // nor do workers have all of them
+    EXPECT_GT(crowd.told_users[503], 0);
+}
+
+// What a user is told that finds all connections of users in use.
+TEST(Connections, AUserBeyondTheShareIsToldWhenToAskAgain) {
+    Loop l;
+    std::vector<Responder> open;
+    HttpServer server(
+        &l.loop, {4, 4, 1}, 60, [](const HttpRequest&) { return ClientKind::user; },
+        [&](HttpRequest&&, const Responder& res) { open.push_back(res); });
+    ASSERT_EQ(server.listen({"127.0.0.1", 0}), 0);
+    const auto connect_and_ask = [&] {
+        const int fd = ::socket(AF_INET, SOCK_STREAM, 0);
+        sockaddr_in to{};
+        uv_ip4_addr("127.0.0.1", server.port(), &to);
+        EXPECT_EQ(::connect(fd, reinterpret_cast<const sockaddr*>(&to), sizeof to), 0);
+        const std::string_view text = "GET /v2/runs/wk-1 HTTP/1.1\r\nHost: x\r\n\r\n";
+        EXPECT_EQ(::write(fd, text.data(), text.size()), static_cast<ssize_t>(text.size()));
+        for (int turn = 0; turn < 20; ++turn) {
+            l.turn();
+            usleep(1000);
+        }
+        return fd;
+    };
+    const int first = connect_and_ask();
+    ASSERT_EQ(open.size(), 1U);
+    const int second = connect_and_ask();
+    char text[1000] = {};
+    ASSERT_GT(::read(second, text, sizeof text - 1), 0);
+    EXPECT_NE(std::string_view(text).find("503"), std::string_view::npos) << text;
+    EXPECT_NE(std::string_view(text).find("Retry-After:"), std::string_view::npos) << text;
+    EXPECT_EQ(open.size(), 1U);
+    EXPECT_EQ(server.connections(), 1U);
+    open[0].send(200, "{}"); // now the first is idle and makes room
+    const int third = connect_and_ask();
+    EXPECT_EQ(open.size(), 2U);
+    EXPECT_EQ(server.connections(), 1U);
+    for (const int fd : {first, second, third})
+        ::close(fd);
+}
+
+TEST(Connections, AClientKeepsToItsLimitOverAllAddresses) {
+    constexpr std::size_t addresses = 30, limit = 5;
+    Loop l;
+    HttpServer server(&l.loop, 100, 60, [](HttpRequest&&, const Responder& res) { res.send(200, "{}"); });
+    ASSERT_EQ(server.listen({"0.0.0.0", 0}), 0);
+    HttpClient client(&l.loop, 1, 4, limit);
+    std::size_t max_connections = 0;
+    for (int round = 1; round <= 2; ++round) {
+        std::size_t answered = 0;
+        for (std::size_t k = 1; k <= addresses; ++k)
+            client.request(fmt::format("127.0.0.{}:{}", k, server.port()), "GET", "/", "", 10,
+                           [&](HttpReply&& r) { answered += r.status == 200; });
+        for (const double end = seconds() + 10; answered < addresses && seconds() < end;) {
+            max_connections = std::max(max_connections, client.connections());
+            l.turn();
+        }
+        EXPECT_EQ(answered, addresses) << round;
+    }
+    EXPECT_EQ(max_connections, limit);
+}
+
+} // namespace
+} // namespace heronshift
