--- a/src/replay/command_log.cpp
+++ b/src/replay/command_log.cpp
@@ -7,72 +7,226 @@
 #include <fmt/format.h>
 #include <nlohmann/json.hpp>
 #include <optional>
+#include <tuple>
+#include <type_traits>
 #include <xxhash.h>
 #include <zstd.h>
 
-// The words of the log are the names of the fields: it is read by the same project only, and its
-// version says when they change.
+// The keys of the log are written out here, so that recorded logs stay readable whatever the fields of the program are
+// called. A key never changes while log_version stays the same.
+namespace heronshift::replay {
+namespace {
+
+template <class T, class Member> struct LogField {
+    const char* key;
+    Member T::*member;
+};
+template <class T, class Member> constexpr LogField<T, Member> field(const char* key, Member T::*member) {
+    return {key, member};
+}
+
+// Specialised for every type that occurs in a log: a tuple of its fields.
+template <class T> inline constexpr std::nullptr_t log_fields = nullptr;
+template <>
+inline constexpr auto log_fields<codec::Item> =
+    std::tuple{field("key", &codec::Item::key), field("value", &codec::Item::value),
+               field("stamp", &codec::Item::stamp), field("deleted", &codec::Item::deleted)};
+template <>
+inline constexpr auto log_fields<codec::Write> = std::tuple{
+    field("key", &codec::Write::key), field("value", &codec::Write::value), field("hold", &codec::Write::hold)};
+template <>
+inline constexpr auto log_fields<Resources> = std::tuple{
+    field("cpus", &Resources::cpus), field("gpus", &Resources::gpus), field("memory_gb", &Resources::memory_gb)};
+template <>
+inline constexpr auto log_fields<JobSpec> = std::tuple{field("id", &JobSpec::id),
+                                                       field("job_class", &JobSpec::job_class),
+                                                       field("team", &JobSpec::team),
+                                                       field("shape", &JobSpec::shape),
+                                                       field("rank", &JobSpec::rank),
+                                                       field("tasks", &JobSpec::tasks),
+                                                       field("each", &JobSpec::each),
+                                                       field("image", &JobSpec::image),
+                                                       field("image_gb", &JobSpec::image_gb),
+                                                       field("types", &JobSpec::types),
+                                                       field("zone", &JobSpec::zone),
+                                                       field("one_zone", &JobSpec::one_zone),
+                                                       field("spread", &JobSpec::spread),
+                                                       field("spot", &JobSpec::spot),
+                                                       field("estimate_s", &JobSpec::estimate_s),
+                                                       field("checkpoint_s", &JobSpec::checkpoint_s),
+                                                       field("save_s", &JobSpec::save_s),
+                                                       field("deadline_s", &JobSpec::deadline_s),
+                                                       field("needs", &JobSpec::needs),
+                                                       field("needs_damaged", &JobSpec::needs_damaged)};
+template <>
+inline constexpr auto log_fields<MachineType> =
+    std::tuple{field("name", &MachineType::name),         field("room", &MachineType::room),
+               field("cache_gb", &MachineType::cache_gb), field("fetch_gb_per_s", &MachineType::fetch_gb_per_s),
+               field("price", &MachineType::price),       field("spot_price", &MachineType::spot_price),
+               field("boot_s", &MachineType::boot_s),     field("zones", &MachineType::zones)};
+template <>
+inline constexpr auto log_fields<ReportedTask> =
+    std::tuple{field("job", &ReportedTask::job),       field("index", &ReportedTask::index),
+               field("try_no", &ReportedTask::try_no), field("state", &ReportedTask::state),
+               field("cause", &ReportedTask::cause),   field("saved", &ReportedTask::saved)};
+template <>
+inline constexpr auto log_fields<Report> =
+    std::tuple{field("machine", &Report::machine), field("addr", &Report::addr),   field("type", &Report::type),
+               field("zone", &Report::zone),       field("spot", &Report::spot),   field("tenure", &Report::tenure),
+               field("counter", &Report::counter), field("fence", &Report::fence), field("notice_s", &Report::notice_s),
+               field("tasks", &Report::tasks)};
+template <>
+inline constexpr auto log_fields<Order> =
+    std::tuple{field("verb", &Order::verb), field("job", &Order::job), field("index", &Order::index),
+               field("try_no", &Order::try_no), field("drain_s", &Order::drain_s)};
+template <>
+inline constexpr auto log_fields<ListedMachine> =
+    std::tuple{field("id", &ListedMachine::id),         field("addr", &ListedMachine::addr),
+               field("type", &ListedMachine::type),     field("zone", &ListedMachine::zone),
+               field("status", &ListedMachine::status), field("spot", &ListedMachine::spot),
+               field("age_s", &ListedMachine::age_s)};
+template <>
+inline constexpr auto log_fields<TeamLimits> =
+    std::tuple{field("name", &TeamLimits::name), field("cpus", &TeamLimits::cpus),
+               field("cpus_max", &TeamLimits::cpus_max), field("gpus", &TeamLimits::gpus),
+               field("gpus_max", &TeamLimits::gpus_max)};
+template <>
+inline constexpr auto log_fields<Endpoint> = std::tuple{field("host", &Endpoint::host), field("port", &Endpoint::port)};
+template <>
+inline constexpr auto log_fields<Peer> =
+    std::tuple{field("name", &Peer::name), field("zone", &Peer::zone), field("addr", &Peer::addr)};
+template <>
+inline constexpr auto log_fields<Objective> =
+    std::tuple{field("kind", &Objective::kind), field("job_class", &Objective::job_class),
+               field("within_s", &Objective::within_s), field("share", &Objective::share),
+               field("times", &Objective::times)};
+template <>
+inline constexpr auto log_fields<OperatorSettings> =
+    std::tuple{field("alpha", &OperatorSettings::alpha),
+               field("beta", &OperatorSettings::beta),
+               field("gamma", &OperatorSettings::gamma),
+               field("target_share", &OperatorSettings::target_share),
+               field("pull_back_cap", &OperatorSettings::pull_back_cap),
+               field("reorder_cap", &OperatorSettings::reorder_cap),
+               field("round_s", &OperatorSettings::round_s),
+               field("batch", &OperatorSettings::batch),
+               field("headroom", &OperatorSettings::headroom),
+               field("empty_s", &OperatorSettings::empty_s),
+               field("begin_s", &OperatorSettings::begin_s)};
+template <>
+inline constexpr auto log_fields<Settings> = std::tuple{field("name", &Settings::name),
+                                                        field("zone", &Settings::zone),
+                                                        field("listen", &Settings::listen),
+                                                        field("peer_listen", &Settings::peer_listen),
+                                                        field("peers", &Settings::peers),
+                                                        field("cloud", &Settings::cloud),
+                                                        field("state", &Settings::state),
+                                                        field("zones", &Settings::zones),
+                                                        field("time_bound_s", &Settings::time_bound_s),
+                                                        field("teams", &Settings::teams),
+                                                        field("objectives", &Settings::objectives),
+                                                        field("report_s", &Settings::report_s),
+                                                        field("lease_s", &Settings::lease_s),
+                                                        field("gang_wait_s", &Settings::gang_wait_s),
+                                                        field("gang_peer_s", &Settings::gang_peer_s),
+                                                        field("cancel_s", &Settings::cancel_s),
+                                                        field("state_rps", &Settings::state_rps),
+                                                        field("state_write_rps", &Settings::state_write_rps),
+                                                        field("value_kb", &Settings::value_kb),
+                                                        field("txn_ops", &Settings::txn_ops),
+                                                        field("cloud_rps", &Settings::cloud_rps),
+                                                        field("list_lag_s", &Settings::list_lag_s),
+                                                        field("cores", &Settings::cores),
+                                                        field("memory_mb", &Settings::memory_mb),
+                                                        field("fd_limit", &Settings::fd_limit),
+                                                        field("ops", &Settings::ops)};
+template <>
+inline constexpr auto log_fields<Snapshot> =
+    std::tuple{field("jobs", &Snapshot::jobs),         field("intents", &Snapshot::intents),
+               field("progress", &Snapshot::progress), field("images", &Snapshot::images),
+               field("learned", &Snapshot::learned),   field("earlier", &Snapshot::earlier)};
+template <>
+inline constexpr auto log_fields<JobStored> =
+    std::tuple{field("spec", &JobStored::spec), field("age_s", &JobStored::age_s),
+               field("ready_age_s", &JobStored::ready_age_s), field("waits", &JobStored::waits)};
+template <>
+inline constexpr auto log_fields<JobFound> =
+    std::tuple{field("id", &JobFound::id), field("state", &JobFound::state), field("job", &JobFound::job)};
+template <>
+inline constexpr auto log_fields<CancelAsked> =
+    std::tuple{field("id", &CancelAsked::id), field("handle", &CancelAsked::handle)};
+template <>
+inline constexpr auto log_fields<Beat> = std::tuple{field("report", &Beat::report), field("handle", &Beat::handle)};
+template <>
+inline constexpr auto log_fields<OrdersAnswered> =
+    std::tuple{field("machine", &OrdersAnswered::machine), field("batch", &OrdersAnswered::batch),
+               field("status", &OrdersAnswered::status), field("sent", &OrdersAnswered::sent),
+               field("report", &OrdersAnswered::report)};
+template <> inline constexpr auto log_fields<Committed> = std::tuple{field("outcome", &Committed::outcome)};
+template <>
+inline constexpr auto log_fields<Rented> = std::tuple{
+    field("claim", &Rented::claim), field("outcome", &Rented::outcome), field("machines", &Rented::machines)};
+template <>
+inline constexpr auto log_fields<Released> =
+    std::tuple{field("machines", &Released::machines), field("ok", &Released::ok)};
+template <>
+inline constexpr auto log_fields<Listed> =
+    std::tuple{field("machines", &Listed::machines), field("asked_at", &Listed::asked_at)};
+template <> inline constexpr auto log_fields<TypesKnown> = std::tuple{field("types", &TypesKnown::types)};
+template <> inline constexpr auto log_fields<Commit> = std::tuple{field("writes", &Commit::writes)};
+template <>
+inline constexpr auto log_fields<SendOrders> =
+    std::tuple{field("machine", &SendOrders::machine), field("addr", &SendOrders::addr),
+               field("batch", &SendOrders::batch),     field("fence", &SendOrders::fence),
+               field("tenure", &SendOrders::tenure),   field("orders", &SendOrders::orders)};
+template <>
+inline constexpr auto log_fields<BeatAnswer> =
+    std::tuple{field("handle", &BeatAnswer::handle), field("status", &BeatAnswer::status),
+               field("fence", &BeatAnswer::fence), field("orders", &BeatAnswer::orders)};
+template <>
+inline constexpr auto log_fields<CancelAnswer> =
+    std::tuple{field("handle", &CancelAnswer::handle), field("status", &CancelAnswer::status)};
+template <>
+inline constexpr auto log_fields<Rent> =
+    std::tuple{field("claim", &Rent::claim), field("type", &Rent::type), field("zone", &Rent::zone),
+               field("spot", &Rent::spot), field("count", &Rent::count)};
+template <> inline constexpr auto log_fields<Release> = std::tuple{field("machines", &Release::machines)};
+template <> inline constexpr auto log_fields<FindJob> = std::tuple{field("id", &FindJob::id)};
+template <> inline constexpr auto log_fields<StepDown> = std::tuple{field("why", &StepDown::why)};
+template <>
+inline constexpr auto log_fields<Note> = std::tuple{field("level", &Note::level), field("text", &Note::text)};
+
+template <class T>
+concept Logged = !std::is_same_v<std::remove_cv_t<decltype(log_fields<T>)>, std::nullptr_t>;
+
+} // namespace
+} // namespace heronshift::replay
+
 NLOHMANN_JSON_NAMESPACE_BEGIN
+template <heronshift::replay::Logged T> struct adl_serializer<T> {
+    static void to_json(json& j, const T& value) {
+        j = json::object();
+        std::apply([&](const auto&... f) { ((j[f.key] = value.*f.member), ...); }, heronshift::replay::log_fields<T>);
+    }
+    static void from_json(const json& j, T& value) {
+        std::apply([&](const auto&... f) { (j.at(f.key).get_to(value.*f.member), ...); },
+                   heronshift::replay::log_fields<T>);
+    }
+};
 template <class T> struct adl_serializer<std::optional<T>> {
-    static void to_json(json& j, const std::optional<T>& v) {
-        j = v ? json(*v) : json();
+    static void to_json(json& j, const std::optional<T>& value) {
+        j = value ? json(*value) : json();
     }
-    static void from_json(const json& j, std::optional<T>& v) {
+    static void from_json(const json& j, std::optional<T>& value) {
         if (j.is_null())
-            v.reset();
+            value.reset();
         else
-            v = j.get<T>();
+            value = j.get<T>();
     }
 };
 NLOHMANN_JSON_NAMESPACE_END
 
 namespace heronshift {
-
-namespace codec {
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(Item, key, value, stamp, deleted)
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(Write, key, value, hold)
-} // namespace codec
-
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(Resources, cpus, gpus, memory_gb)
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(JobSpec, id, job_class, team, shape, rank, tasks, each, image, image_gb, types, zone,
-                                   one_zone, spread, spot, estimate_s, checkpoint_s, save_s, deadline_s, needs,
-                                   needs_damaged)
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(MachineType, name, room, cache_gb, fetch_gb_per_s, price, spot_price, boot_s, zones)
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(ReportedTask, job, index, try_no, state, cause, saved)
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(Report, machine, addr, type, zone, spot, tenure, counter, fence, notice_s, tasks)
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(Order, verb, job, index, try_no, drain_s)
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(ListedMachine, id, addr, type, zone, status, spot, age_s)
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(TeamLimits, name, cpus, cpus_max, gpus, gpus_max)
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(Endpoint, host, port)
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(Peer, name, zone, addr)
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(Objective, kind, job_class, within_s, share, times)
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(OperatorSettings, alpha, beta, gamma, target_share, pull_back_cap, reorder_cap,
-                                   round_s, batch, headroom, empty_s, begin_s)
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(Settings, name, zone, listen, peer_listen, peers, cloud, state, zones, time_bound_s,
-                                   teams, objectives, report_s, lease_s, gang_wait_s, gang_peer_s, cancel_s, state_rps,
-                                   state_write_rps, value_kb, txn_ops, cloud_rps, list_lag_s, cores, memory_mb,
-                                   fd_limit, ops)
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(Snapshot, jobs, intents, progress, images, learned, earlier)
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(JobStored, spec, age_s, ready_age_s, waits)
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(JobFound, id, state, job)
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(CancelAsked, id, handle)
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(Beat, report, handle)
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(OrdersAnswered, machine, batch, status, sent, report)
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(Committed, outcome)
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(Rented, claim, outcome, machines)
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(Released, machines, ok)
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(Listed, machines, asked_at)
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(TypesKnown, types)
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(Commit, writes)
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(SendOrders, machine, addr, batch, fence, tenure, orders)
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(BeatAnswer, handle, status, fence, orders)
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(CancelAnswer, handle, status)
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(Rent, claim, type, zone, spot, count)
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(Release, machines)
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(FindJob, id)
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(StepDown, why)
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(Note, level, text)
-
 namespace replay {
 namespace {
 
