--- a/examples/embed_loop.cpp
+++ b/examples/embed_loop.cpp
@@ -38,7 +38,7 @@
         &program.timer,
         [](uv_timer_t* t) {
             auto& p = *static_cast<Program*>(t->data);
-            if (!p.scheduler->acts())
+            if (!p.scheduler->is_active_leader())
                 return;
             std::cout << "this copy acts\n";
             uv_close(reinterpret_cast<uv_handle_t*>(t), nullptr);
--- a/include/heronshift/agents/desk.hpp
+++ b/include/heronshift/agents/desk.hpp
@@ -26,9 +26,9 @@
     class Host {
     public:
         virtual ~Host() = default;
-        [[nodiscard]] virtual bool acts() const = 0;                 // at this moment
-        [[nodiscard]] virtual bool taking() const = 0;               // the office, which takes a moment
-        [[nodiscard]] virtual const std::string& holder() const = 0; // a hint, may be empty
+        [[nodiscard]] virtual bool is_active_leader() const = 0;     // at this moment
+        [[nodiscard]] virtual bool is_acquiring() const = 0;         // the office, which takes a moment
+        [[nodiscard]] virtual const std::string& leader() const = 0; // a hint, may be empty
         [[nodiscard]] virtual bool of_its_term(std::uint64_t fence) const = 0;
         [[nodiscard]] virtual std::string zone_of(const std::string& machine) const = 0; // empty: not known
         virtual void push(Command c) = 0;                                                // to the core
@@ -38,8 +38,8 @@
 
     void beat(HttpRequest&& r, const Responder& res, bool relayed); // POST /agent/beat
     void pass_on(HttpRequest&& r, const Responder& res);            // POST /peer/relay: orders for a machine
-    void settle_early(); // reports that came while the office changed hands; often, and once it is ours
-    void left_office();  // who waits for an answer is sent away
+    void settle_early();       // reports that came while the office changed hands; often, and once it is ours
+    void on_leadership_lost(); // who waits for an answer is sent away
 
     // From the core.
     void answer(BeatAnswer&& a);
@@ -63,7 +63,7 @@
     void keep_waiting(Early&& e);
     bool make_room_for_sent_away();
     [[nodiscard]] ReportAnswer elsewhere() const; // what a report is told that this node must not take
-    enum class Way : std::uint8_t { holder, relay, next };
+    enum class Way : std::uint8_t { leader, relay, next };
     [[nodiscard]] Way way_of(const Report& r);
     void relay(Report&& r, Whole&& whole, double since);
     void send_by(const std::string& peer, const SendOrders& o, std::function<void(OrdersAnswered&&)> done);
@@ -88,7 +88,7 @@
     std::size_t early_bytes_ = 0;
     // To whom, when (below zero: it came back since), until when it is relayed, and its last report.
     struct SentAway {
-        std::string holder;
+        std::string leader;
         double at = -1, relay_until = -1, came_at = -1;
     };
     std::unordered_map<std::string, SentAway> sent_away_;
--- a/include/heronshift/cloud/cloud_desk.hpp
+++ b/include/heronshift/cloud/cloud_desk.hpp
@@ -24,9 +24,9 @@
     class Host {
     public:
         virtual ~Host() = default;
-        [[nodiscard]] virtual bool acts() const = 0; // at this moment
-        [[nodiscard]] virtual bool held() const = 0; // the office is ours
-        virtual void push(Command c) = 0;            // to the core, if there is one
+        [[nodiscard]] virtual bool is_active_leader() const = 0; // at this moment
+        [[nodiscard]] virtual bool is_leader() const = 0;        // the office is ours
+        virtual void push(Command c) = 0;                        // to the core, if there is one
         virtual void cloud_answered(bool ok) = 0;
     };
     CloudDesk(const Settings& s, Later& later, store::StateStore& store, Executor& executor, Host& host)
@@ -37,8 +37,8 @@
         learn_types();
     }
     void tick();
-    void entered_office();
-    void left_office() {
+    void on_leadership_acquired();
+    void on_leadership_lost() {
         ++generation_;
         queue_.clear();
     }
--- a/include/heronshift/core/core.hpp
+++ b/include/heronshift/core/core.hpp
@@ -31,7 +31,7 @@
 
     // entitled: this node may act as holder at this moment. While it may not, it refuses its workers
     // and leaves all else among the commands until it may again.
-    std::vector<Effect> step(std::vector<Command>& commands, double now, double wall, bool entitled = true);
+    std::vector<Effect> step(std::vector<Command>& commands, double now, double wall, bool may_act = true);
     // When step() wants to be called even if no command comes.
     [[nodiscard]] double wake_at() const {
         return wake_at_;
--- a/include/heronshift/embed/scheduler.hpp
+++ b/include/heronshift/embed/scheduler.hpp
@@ -113,7 +113,7 @@
 
     /// Whether this copy may act at this moment; another may share its store. False too while its loop has
     /// stood still for so long that it no longer may. On any thread.
-    [[nodiscard]] bool acts() const;
+    [[nodiscard]] bool is_active_leader() const;
     /// The TCP port for machines' reports; 0: it does not listen.
     [[nodiscard]] int port() const;
 
--- a/include/heronshift/executor/executor.hpp
+++ b/include/heronshift/executor/executor.hpp
@@ -29,7 +29,7 @@
     /// What the machine is to do.
     std::vector<Order> orders;
     /// For 421: the name of the leader.
-    std::string holder;
+    std::string leader;
 };
 
 /// The seam between a controller and what runs tasks. Times given are in seconds.
--- a/include/heronshift/gateway/gateway.hpp
+++ b/include/heronshift/gateway/gateway.hpp
@@ -29,8 +29,8 @@
     public:
         virtual ~Host() = default;
         // The core, while this node may answer from its memory and decide; else none.
-        [[nodiscard]] virtual const Core* acting() const = 0;
-        [[nodiscard]] virtual const std::string& holder() const = 0; // a hint, may be empty
+        [[nodiscard]] virtual const Core* active_core() const = 0;
+        [[nodiscard]] virtual const std::string& leader() const = 0; // a hint, may be empty
         [[nodiscard]] virtual const std::vector<MachineType>& types() const = 0;
         virtual void push(Command c) = 0;       // to the core
         virtual void stored(JobStored&& j) = 0; // a job was accepted here
@@ -41,7 +41,7 @@
     // A path of /v2/runs. passed_on: by another controller, so it is not passed on again.
     void serve(HttpRequest&& r, Responder res, bool passed_on);
     void tick();
-    void left_office(); // nothing that was asked of the core is answered by it any more
+    void on_leadership_lost(); // nothing that was asked of the core is answered by it any more
 
     // From the core.
     void answered(const CancelAnswer& a);
@@ -54,7 +54,7 @@
     void cancel(const std::string& id, HttpRequest&& r, Responder res, bool passed_on);
     void ask_core_to_cancel(const std::string& id, Responder res);
     using Otherwise = std::function<void(Responder)>;
-    [[nodiscard]] std::vector<std::string> ways(bool to_holder, bool to_store) const;
+    [[nodiscard]] std::vector<std::string> ways(bool to_leader, bool to_store) const;
     void pass_on(std::shared_ptr<const HttpRequest> r, Responder res, std::vector<std::string> to, double wait_s,
                  Otherwise otherwise);
     // Fresh reads: the final state if there is one, else whether the job was accepted.
--- a/include/heronshift/office/tenancy.hpp
+++ b/include/heronshift/leadership/leader_lease.hpp
@@ -11,65 +11,65 @@
 
 namespace heronshift {
 
-class Tenancy {
+class LeaderLease {
 public:
     // The hold's length, how many other controllers there are, and when this process started.
-    Tenancy(double ttl_s, std::size_t peers, double now);
+    LeaderLease(double ttl_s, std::size_t peers, double now);
 
     [[nodiscard]] double ttl_s() const {
         return ttl_s_;
     }
-    [[nodiscard]] double promise_s() const {
+    [[nodiscard]] double extension_s() const {
         return ttl_s_ / 2;
     }
 
     // As holder.
     void begin() {
-        hold_until_ = promised_until_ = 0, renewed_ = 0, promises_.clear();
+        store_lease_until_ = extended_until_ = 0, renewed_ = 0, extension_votes_.clear();
     }
-    void hold_extended(double sent);                                 // the store has said so
-    bool promised(const std::string& peer, double sent, double now); // true: all carry us on
+    void store_lease_renewed(double sent);                                    // the store has said so
+    bool extension_granted(const std::string& peer, double sent, double now); // true: all carry us on
     [[nodiscard]] bool valid(double now) const {
         return now < until();
     }
     [[nodiscard]] double until() const {
-        return hold_until_ > promised_until_ ? hold_until_ : promised_until_;
+        return store_lease_until_ > extended_until_ ? store_lease_until_ : extended_until_;
     }
     [[nodiscard]] double renewed_at() const { // when the last renewal that succeeded was sent
         return renewed_;
     }
     // Promises are asked for while the hold is not being renewed.
-    [[nodiscard]] bool wants_promises(double now) const;
+    [[nodiscard]] bool wants_extension_votes(double now) const;
 
     // As one of the others.
-    [[nodiscard]] bool may_take(double now) const {
+    [[nodiscard]] bool may_acquire(double now) const {
         return now >= not_before_;
     }
     [[nodiscard]] double not_before() const {
         return not_before_;
     }
     // The office stood under our own name: its process, which this node was, has ended.
-    void found_own_name() {
+    void previous_process_was_leader() {
         not_before_ = 0;
     }
     // The outcome of an attempt to take it is open: it may still be applied while its hold lives.
-    void attempt_unresolved() {
-        doubt_ = true, served_since_ = -1;
+    void acquisition_in_doubt() {
+        acquisition_in_doubt_ = true, served_since_ = -1;
     }
     // A read by this node, or a renewal; after some time without a failure, no hold of an attempt can be left.
     // (Where renewals did not count, a leader that had just given way refused its successor the promise, and in an
     // outage that began then all leases ran out.)
-    void store_read(bool ok, double now);
+    void record_store_answer(bool ok, double now);
     // Gives the promise if it may be given; store_failed: a read made for it has just failed.
-    bool promise(double length_s, double now, bool standby, bool store_failed);
+    bool grant_extension(double length_s, double now, bool follower, bool store_failed);
 
 private:
     double ttl_s_;
     std::size_t peers_;
-    double hold_until_ = 0, renewed_ = 0, promised_until_ = 0;
-    std::map<std::string, double> promises_;
+    double store_lease_until_ = 0, renewed_ = 0, extended_until_ = 0;
+    std::map<std::string, double> extension_votes_;
     double not_before_, served_since_ = -1;
-    bool doubt_ = true; // the process before may have left an attempt under way
+    bool acquisition_in_doubt_ = true; // the process before may have left an attempt under way
 };
 
 } // namespace heronshift
--- a/include/heronshift/office/reader.hpp
+++ b/include/heronshift/leadership/state_loader.hpp
@@ -11,14 +11,14 @@
 
 #include <functional>
 
-namespace heronshift::office {
+namespace heronshift::leadership {
 
-class Reader {
+class StateLoader {
 public:
-    Reader(const Settings& s, Later& later, store::StateStore& store) : s_(s), later_(later), store_(store) {}
+    StateLoader(const Settings& s, Later& later, store::StateStore& store) : s_(s), later_(later), store_(store) {}
 
     void read_all(const std::function<void(Snapshot&&)>& done);
-    void follow_jobs(std::function<void(std::vector<codec::StoredJob>&&)> seen); // after read_all
+    void follow_jobs(std::function<void(std::vector<codec::StoredJob>&&)> handle_leader_read); // after read_all
     void stop() {
         ++generation_;
         stored_ = {};
@@ -39,4 +39,4 @@
     std::function<void(std::vector<codec::StoredJob>&&)> seen_;
 };
 
-} // namespace heronshift::office
+} // namespace heronshift::leadership
--- a/include/heronshift/office/commits.hpp
+++ b/include/heronshift/leadership/transaction_queue.hpp
@@ -12,24 +12,25 @@
 
 #include <functional>
 
-namespace heronshift::office {
+namespace heronshift::leadership {
 
-inline constexpr const char* office_key = "office";
-inline constexpr const char* round_key = "round";
+inline constexpr const char* leader_key = "office";
+inline constexpr const char* term_counter_key = "round";
 
-class Commits {
+class TransactionQueue {
 public:
     struct Ends { // of a transaction, and of the term that it shows to be over
         std::function<void(TxnOutcome)> done;
         std::function<void(const std::string& why)> over;
         std::function<bool()> valid; // whether the node may act; not asked while it waits for answers
     };
-    Commits(const Settings& s, Later& later, store::StateStore& store, metrics::Timings& took, Ends ends)
-        : s_(s), later_(later), store_(store), took_(took), ends_(std::move(ends)) {}
+    TransactionQueue(const Settings& s, Later& later, store::StateStore& store, metrics::Timings& became_leader,
+                     Ends ends)
+        : s_(s), later_(later), store_(store), took_(became_leader), ends_(std::move(ends)) {}
 
     void begin(std::uint64_t term, std::uint64_t stamp) {
         ++generation_;
-        term_ = term, office_stamp_ = round_stamp_ = stamp, count_ = 0;
+        term_ = term, leader_key_revision_ = term_counter_revision_ = stamp, count_ = 0;
     }
     void stop() {
         ++generation_;
@@ -48,7 +49,7 @@
     store::StateStore& store_;
     metrics::Timings& took_;
     Ends ends_;
-    std::uint64_t generation_ = 0, term_ = 0, office_stamp_ = 0, round_stamp_ = 0, count_ = 0;
+    std::uint64_t generation_ = 0, term_ = 0, leader_key_revision_ = 0, term_counter_revision_ = 0, count_ = 0;
 };
 
-} // namespace heronshift::office
+} // namespace heronshift::leadership
--- a/include/heronshift/ledger/ledger.hpp
+++ b/include/heronshift/ledger/ledger.hpp
@@ -113,11 +113,11 @@
 
     // None: not known here. An answer is never older than what was told before.
     [[nodiscard]] std::optional<JobView> job(const std::string& id) const;
-    [[nodiscard]] bool stepped_down() const {
-        return stepped_down_;
+    [[nodiscard]] bool resigned() const {
+        return resigned_;
     }
-    void step_down() {
-        stepped_down_ = true;
+    void resign() {
+        resigned_ = true;
     }
     void store_is_late() {
         st_.unserved_at = st_.now;
@@ -205,7 +205,7 @@
     State st_;
     std::vector<Effect>& out_;
     Bookkeeping* books_ = nullptr;
-    bool dirty_ = true, stepped_down_ = false;
+    bool dirty_ = true, resigned_ = false;
     std::uint64_t try_seq_ = 0, batch_seq_ = 0, claim_seq_ = 0, report_seq_ = 0;
     Counters counters_;
     // Who needs a job that is not done, by name: either may be known here before the other.
--- a/include/heronshift/membership/membership.hpp
+++ b/include/heronshift/membership/membership.hpp
@@ -36,11 +36,11 @@
     class Host {
     public:
         virtual ~Host() = default;
-        [[nodiscard]] virtual const std::string& holder() const = 0;
-        [[nodiscard]] virtual std::uint64_t holder_term() const = 0;
-        [[nodiscard]] virtual bool sees_office() const = 0; // the store told this node who holds it
-        [[nodiscard]] virtual bool acts() const = 0;
-        [[nodiscard]] virtual double acts_since() const = 0;
+        [[nodiscard]] virtual const std::string& leader() const = 0;
+        [[nodiscard]] virtual std::uint64_t leader_term() const = 0;
+        [[nodiscard]] virtual bool sees_leader() const = 0; // the store told this node who holds it
+        [[nodiscard]] virtual bool is_active_leader() const = 0;
+        [[nodiscard]] virtual double active_since() const = 0;
         // Machines by zone that should report to this node; while it acts.
         [[nodiscard]] virtual std::map<std::string, std::size_t> machines_by_zone() const = 0;
     };
@@ -88,17 +88,17 @@
     [[nodiscard]] std::optional<std::string> way_to(const std::string& zone);
     // Whether a worker of this zone should report to the holder itself: so unless the holder says it
     // does not hear them.
-    [[nodiscard]] bool holder_reaches(const std::string& holder, const std::string& zone) const;
+    [[nodiscard]] bool leader_reaches(const std::string& leader, const std::string& zone) const;
     // For how long this node leaves an office that it sees free to others.
     [[nodiscard]] double yields_s() const;
     // Can do something for users: by itself or through another, or nobody can.
     [[nodiscard]] bool of_use() const;
     // Who holds the office by what a peer was told by the store; none: nobody says so.
     struct Hearsay {
-        std::string holder;
+        std::string leader;
         std::uint64_t term = 0;
     };
-    [[nodiscard]] std::optional<Hearsay> office() const;
+    [[nodiscard]] std::optional<Hearsay> reported_leader() const;
 
     [[nodiscard]] std::vector<metrics::Value> metrics() const;
 
@@ -152,8 +152,8 @@
     std::map<std::string, Other> others_;
     double next_exchange_ = 0, next_probe_ = 0, next_silence_ = 0, next_cloud_ = 0;
     bool asking_store_ = false, urgent_ = false;
-    bool acted_ = false;   // when the others were last told
-    std::size_t turn_ = 0; // among those that could relay
+    bool was_active_leader_ = false; // when the others were last told
+    std::size_t turn_ = 0;           // among those that could relay
     std::uint64_t exchanges_ = 0, probes_ = 0, changes_ = 0;
 };
 
--- a/include/heronshift/membership/view.hpp
+++ b/include/heronshift/membership/view.hpp
@@ -27,9 +27,9 @@
     std::map<std::string, Reach> peers; // who answers this node
     std::map<std::string, std::vector<std::string>> machines; // addresses of some that were heard of lately, by zone
     // The office: who holds it by what the store told this node itself (sees_office), or by hearsay.
-    std::string holder;
+    std::string leader;
     std::uint64_t term = 0;
-    bool sees_office = false, acts = false;
+    bool sees_leader = false, is_active_leader = false;
 };
 
 std::string to_body(const View& v);
--- a/include/heronshift/messages.hpp
+++ b/include/heronshift/messages.hpp
@@ -41,7 +41,7 @@
     bool sent = true;
     std::optional<Report> report;
 };
-enum class TxnOutcome : std::uint8_t { applied, refused, too_large, office_lost };
+enum class TxnOutcome : std::uint8_t { applied, refused, too_large, leadership_lost };
 struct Committed {
     TxnOutcome outcome = TxnOutcome::applied;
 };
@@ -96,14 +96,14 @@
 struct FindJob { // in the store, answered by JobFound
     std::string id;
 };
-struct StepDown {
+struct Resign {
     std::string why;
 };
 struct Note {      // one line for the log
     int level = 0; // 0 debug, 1 info, 2 warning
     std::string text;
 };
-using Effect = std::variant<Commit, SendOrders, BeatAnswer, CancelAnswer, Rent, Release, FindJob, StepDown, Note>;
+using Effect = std::variant<Commit, SendOrders, BeatAnswer, CancelAnswer, Rent, Release, FindJob, Resign, Note>;
 
 // The age of a stored job by the wall clock (seconds since 1970).
 JobStored job_stored(codec::StoredJob&& r, double wall);
--- a/include/heronshift/node/controller.hpp
+++ b/include/heronshift/node/controller.hpp
@@ -10,9 +10,9 @@
 #include "heronshift/cloud/cloud_desk.hpp"
 #include "heronshift/core/core.hpp"
 #include "heronshift/gateway/gateway.hpp"
+#include "heronshift/leadership/leader_election.hpp"
 #include "heronshift/membership/membership.hpp"
 #include "heronshift/membership/watched.hpp"
-#include "heronshift/office/office.hpp"
 #include "heronshift/replay/command_log.hpp"
 
 #include <functional>
@@ -22,7 +22,7 @@
 
 namespace heronshift {
 
-class Controller final : office::Office::Host,
+class Controller final : leadership::LeaderElection::Host,
                          gateway::Gateway::Host,
                          agents::Desk::Host,
                          cloud::CloudDesk::Host,
@@ -62,8 +62,8 @@
         return store_;
     }
     // Until when, by its clock, this node may act if it hears nothing more; 0: it may not.
-    [[nodiscard]] double acts_until() const {
-        return office_.acts_until();
+    [[nodiscard]] double active_until() const {
+        return election_.active_until();
     }
     [[nodiscard]] const Core* core() const { // while it holds the office
         return core_.get();
@@ -71,42 +71,42 @@
 
 private:
     // What the parts ask of each other goes through here.
-    void entered(std::uint64_t term, Snapshot&& stored) override;
-    void left() override;
-    void jobs_seen(std::vector<codec::StoredJob>&& jobs) override;
+    void leadership_acquired(std::uint64_t term, Snapshot&& stored) override;
+    void leadership_lost() override;
+    void jobs_stored_by_others(std::vector<codec::StoredJob>&& jobs) override;
     void committed(TxnOutcome outcome) override;
     [[nodiscard]] std::size_t machines_up() const override {
         return core_ ? core_->machines_up() : 0;
     }
-    [[nodiscard]] const Core* acting() const override {
-        return office_.valid() ? core_.get() : nullptr;
+    [[nodiscard]] const Core* active_core() const override {
+        return election_.valid() ? core_.get() : nullptr;
     }
-    [[nodiscard]] bool acts() const override {
-        return acting() != nullptr;
+    [[nodiscard]] bool is_active_leader() const override {
+        return active_core() != nullptr;
     }
-    [[nodiscard]] bool taking() const override {
-        return office_.taking();
+    [[nodiscard]] bool is_acquiring() const override {
+        return election_.is_acquiring();
     }
-    [[nodiscard]] bool held() const override {
-        return office_.held();
+    [[nodiscard]] bool is_leader() const override {
+        return election_.is_leader();
     }
-    [[nodiscard]] const std::string& holder() const override {
-        return office_.holder();
+    [[nodiscard]] const std::string& leader() const override {
+        return election_.leader();
     }
     [[nodiscard]] const std::vector<MachineType>& types() const override {
         return cloud_.types();
     }
     [[nodiscard]] bool of_its_term(std::uint64_t fence) const override {
-        return fence >> fence_bits == office_.holder_term();
+        return fence >> fence_bits == election_.leader_term();
     }
-    [[nodiscard]] std::uint64_t holder_term() const override {
-        return office_.holder_term();
+    [[nodiscard]] std::uint64_t leader_term() const override {
+        return election_.leader_term();
     }
-    [[nodiscard]] bool sees_office() const override {
-        return office_.sees_office();
+    [[nodiscard]] bool sees_leader() const override {
+        return election_.sees_leader();
     }
-    [[nodiscard]] double acts_since() const override {
-        return office_.taken_at();
+    [[nodiscard]] double active_since() const override {
+        return election_.acquired_at();
     }
     [[nodiscard]] std::string zone_of(const std::string& machine) const override;
     [[nodiscard]] std::map<std::string, std::size_t> machines_by_zone() const override;
@@ -128,7 +128,7 @@
     std::unique_ptr<Executor> executor_;
     membership::WatchedPeers peers_;
     membership::Membership members_;
-    office::Office office_;
+    leadership::LeaderElection election_;
     gateway::Gateway gateway_;
     agents::Desk desk_;
     cloud::CloudDesk cloud_;
--- a/include/heronshift/node/node.hpp
+++ b/include/heronshift/node/node.hpp
@@ -44,8 +44,8 @@
         return controller_.state();
     }
     // Until when, by its clock, this node may act if it hears nothing more; 0: it may not.
-    [[nodiscard]] double acts_until() const {
-        return controller_.acts_until();
+    [[nodiscard]] double active_until() const {
+        return controller_.active_until();
     }
     // The port that workers and users reach, once started: the system's choice where 0 was asked for.
     [[nodiscard]] int port() const {
--- a/include/heronshift/replay/command_log.hpp
+++ b/include/heronshift/replay/command_log.hpp
@@ -37,7 +37,7 @@
 
     void begin(const Settings& s, std::uint64_t term, const Snapshot& stored, double now, double wall);
     // Before step(), since that consumes the commands, and after it.
-    void commands(const std::vector<Command>& batch, double now, double wall, bool entitled);
+    void commands(const std::vector<Command>& batch, double now, double wall, bool may_act);
     void effects(const std::vector<Effect>& list);
 
     [[nodiscard]] bool open() const {
--- a/src/agents/desk.cpp
+++ b/src/agents/desk.cpp
@@ -39,16 +39,16 @@
       max_relays_(static_cast<std::size_t>(s.fd_limit / sockets_per_relay)) {
     took_.first_launches.limit(entries_in_share(s.memory_mb, timed_jobs_memory_share, timed_job_bytes));
     executor_.reports_to([this](Report&& r, Executor::ReportDone done) {
-        if (!host_.acts())
+        if (!host_.is_active_leader())
             return done(elsewhere());
         take({std::move(r), false, std::move(done), later_.now(), std::nullopt, ""});
     });
 }
 
 ReportAnswer Desk::elsewhere() const {
-    const auto& holder = host_.holder();
-    const bool other = !holder.empty() && holder != s_.name;
-    return {other ? 421 : 503, 0, {}, other ? holder : ""};
+    const auto& leader = host_.leader();
+    const bool other = !leader.empty() && leader != s_.name;
+    return {other ? 421 : 503, 0, {}, other ? leader : ""};
 }
 
 namespace {
@@ -58,7 +58,7 @@
         if (a.status == 200)
             return res.send(200, codec::orders(a.fence, a.orders));
         if (a.status == 421)
-            return res.send(421, codec::redirect(a.holder));
+            return res.send(421, codec::redirect(a.leader));
         res.send(a.status, "{}");
     };
 }
@@ -66,7 +66,7 @@
 } // namespace
 
 void Desk::beat(HttpRequest&& r, const Responder& res, bool relayed) {
-    if (relayed && !host_.acts() && !host_.taking())
+    if (relayed && !host_.is_active_leader() && !host_.is_acquiring())
         return answer_to(res)(elsewhere());
     auto read = codec::report(r.body);
     if (!read) {
@@ -74,11 +74,11 @@
         return res.send(400, codec::error_answer("malformed report"));
     }
     const auto other = elsewhere();
-    if (!relayed && !host_.acts() && other.status == 421) {
+    if (!relayed && !host_.is_active_leader() && other.status == 421) {
         const auto way = way_of(*read);
         if (way == Way::relay)
             return relay(std::move(*read), {std::move(r.body), res}, later_.now());
-        return answer_to(res)(way == Way::holder ? other : ReportAnswer{});
+        return answer_to(res)(way == Way::leader ? other : ReportAnswer{});
     }
     std::optional<Whole> whole;
     if (!relayed)
@@ -96,7 +96,7 @@
 // While the office passes from one to another, a report waits for a moment: sent away, its machine might
 // find no other node that it reaches before its lease has run out.
 void Desk::take(Early&& e) {
-    if (!host_.acts()) {
+    if (!host_.is_active_leader()) {
         // Cut off from the store and from all others, this node would not hear who has it.
         if (early_bytes_ + e.bytes() > max_early_bytes_ || !members_.in_touch())
             return e.done({});
@@ -113,12 +113,12 @@
 void Desk::settle_early() {
     if (early_.empty())
         return;
-    const bool late_too = !host_.acts() && !host_.taking();
+    const bool late_too = !host_.is_active_leader() && !host_.is_acquiring();
     early_bytes_ = 0;
     for (auto& e : std::exchange(early_, {})) {
         const auto other = elsewhere();
-        const bool elsewhere_now = late_too && other.status == 421 && other.holder != e.refused_by;
-        if (host_.acts())
+        const bool elsewhere_now = late_too && other.status == 421 && other.leader != e.refused_by;
+        if (host_.is_active_leader())
             take(std::move(e));
         else if (elsewhere_now && e.whole && later_.now() - e.since < relayed_until_s && way_of(e.report) == Way::relay)
             relay(std::move(e.report), std::move(*e.whole), e.since);
@@ -144,7 +144,7 @@
     next_sent_away_sweep_ = t + s_.report_s;
     std::erase_if(sent_away_, [&](const auto& entry) {
         const auto& sent = entry.second;
-        return sent.holder != host_.holder() || t - sent.came_at > s_.lease_s;
+        return sent.leader != host_.leader() || t - sent.came_at > s_.lease_s;
     });
     return sent_away_.size() < max_sent_away_;
 }
@@ -155,16 +155,16 @@
 // node. (Two nodes that knew of an old holder only had sent machines round between them until their leases
 // ran out.)
 Desk::Way Desk::way_of(const Report& r) {
-    const auto& holder = host_.holder();
-    const bool reached = members_.peer(holder) != membership::Reach::lost;
-    if (reached && !members_.holder_reaches(holder, r.zone))
+    const auto& leader = host_.leader();
+    const bool reached = members_.peer(leader) != membership::Reach::lost;
+    if (reached && !members_.leader_reaches(leader, r.zone))
         return Way::relay;
     const double t = later_.now();
     if (!sent_away_.contains(r.machine) && !make_room_for_sent_away())
-        return Way::holder;
+        return Way::leader;
     auto& last = sent_away_[r.machine];
     last.came_at = t;
-    const bool known = last.holder == holder;
+    const bool known = last.leader == leader;
     if (known) {
         const double since = t - last.at;
         const bool back = last.at >= 0 && since < s_.lease_s / 2;
@@ -175,10 +175,10 @@
             return reached ? Way::relay : Way::next;
         }
     }
-    last = {holder, t, -1, t};
+    last = {leader, t, -1, t};
     // It has heard this holder and left it all the same: answers from there do not reach it any more.
     if (known || !host_.of_its_term(r.fence))
-        return Way::holder;
+        return Way::leader;
     last.relay_until = t + s_.lease_s;
     last.at = -1;
     return reached ? Way::relay : Way::next;
@@ -194,18 +194,18 @@
     ++took_.relayed;
     auto kept = std::make_shared<Report>(std::move(r));
     const double wait_s = std::min(relay_s, answered_by_s - (later_.now() - since));
-    peers_.request(Lane::relays, host_.holder(), "POST", peer_prefix + std::string(codec::path_report),
-                   std::move(whole.body), wait_s, [this, kept, res, since, holder = host_.holder()](HttpReply&& a) {
+    peers_.request(Lane::relays, host_.leader(), "POST", peer_prefix + std::string(codec::path_report),
+                   std::move(whole.body), wait_s, [this, kept, res, since, leader = host_.leader()](HttpReply&& a) {
                        --relaying_;
                        // Whatever the holder said, and nothing that it did not say. Where it has just given
                        // the office up, the machine is told who has it next.
                        if (a.status == 200 || a.status == 421)
                            return res.send(a.status, a.body);
-                       take({std::move(*kept), false, answer_to(res), since, std::nullopt, holder});
+                       take({std::move(*kept), false, answer_to(res), since, std::nullopt, leader});
                    });
 }
 
-void Desk::left_office() {
+void Desk::on_leadership_lost() {
     for (const auto& [h, open] : std::exchange(open_, {}))
         open.done({});
 }
@@ -228,7 +228,7 @@
     if (a.status == 200)
         open.relayed ? members_.report_relayed(open.zone, open.addr) : members_.report_came(open.zone, open.addr);
     // A 200 renews a lease, so it is sent only while nobody else can hold the office.
-    if (a.status == 200 && host_.acts())
+    if (a.status == 200 && host_.is_active_leader())
         open.done({200, a.fence, std::move(a.orders), {}});
     else
         open.done({});
--- a/src/cloud/cloud_desk.cpp
+++ b/src/cloud/cloud_desk.cpp
@@ -15,14 +15,14 @@
     const double t = later_.now();
     if (t >= next_types_)
         learn_types();
-    if (host_.held() && t >= next_list_) {
+    if (host_.is_leader() && t >= next_list_) {
         next_list_ = t + std::max(s_.list_lag_s / 2, 2 / s_.cloud_rps);
         list_machines("");
     }
     pump();
 }
 
-void CloudDesk::entered_office() {
+void CloudDesk::on_leadership_acquired() {
     if (!types_.empty())
         host_.push(TypesKnown{types_});
     next_list_ = 0;
@@ -35,7 +35,7 @@
 
 void CloudDesk::pump() {
     // What a holder asked for that may no longer act must not reach the cloud later.
-    if (!host_.acts())
+    if (!host_.is_active_leader())
         for (auto gone = std::move(queue_); !gone.empty(); gone.pop_front())
             gone.front()(false);
     while (!queue_.empty() && budget_.take(later_.now())) {
@@ -111,7 +111,7 @@
     next_types_ = later_.now() + s_.report_s;
     if (learning_types_)
         return;
-    if (!types_.empty() && (!host_.held() || later_.now() - types_at_ < s_.lease_s))
+    if (!types_.empty() && (!host_.is_leader() || later_.now() - types_at_ < s_.lease_s))
         return;
     learning_types_ = true;
     if (!types_.empty())
@@ -144,7 +144,7 @@
     learning_types_ = false;
     types_ = std::move(types);
     types_at_ = later_.now();
-    if (host_.held())
+    if (host_.is_leader())
         host_.push(TypesKnown{types_});
 }
 
--- a/src/core/core.cpp
+++ b/src/core/core.cpp
@@ -33,10 +33,10 @@
                command);
 }
 
-std::vector<Effect> Core::step(std::vector<Command>& commands, double now, double wall, bool entitled) {
+std::vector<Effect> Core::step(std::vector<Command>& commands, double now, double wall, bool may_act) {
     ledger_.set_time(now, wall);
     effects_.clear();
-    if (!entitled) {
+    if (!may_act) {
         // From a day on which a cut-off holder took the machines outside its zone for lost and gave
         // them back the moment the cut ended, with all that ran there under its successor.
         std::erase_if(commands, [this](const Command& c) {
@@ -96,7 +96,7 @@
 
 std::optional<Shape> Core::shape_of(const std::string& id) const {
     const auto* j = ledger_.view().find_job(id);
-    if (j == nullptr || ledger_.stepped_down())
+    if (j == nullptr || ledger_.resigned())
         return {};
     return j->spec.shape;
 }
--- a/src/embed/c_api.cpp
+++ b/src/embed/c_api.cpp
@@ -111,7 +111,7 @@
 }
 
 int hs_acts(const hs_scheduler* s) {
-    return known(s) && s->scheduler.acts() ? 1 : 0;
+    return known(s) && s->scheduler.is_active_leader() ? 1 : 0;
 }
 
 int hs_end(hs_scheduler* s) {
--- a/src/embed/scheduler.cpp
+++ b/src/embed/scheduler.cpp
@@ -41,7 +41,7 @@
             throw std::system_error(-e, std::generic_category(), "the scheduler cannot listen");
         }
         port_ = node_->port();
-        node_->each_tick([this] { acts_until_ = node_->acts_until(); });
+        node_->each_tick([this] { active_until_ = node_->active_until(); });
         async_ = new uv_async_t;
         uv_async_init(loop_, async_, [](uv_async_t* a) {
             if (a->data != nullptr)
@@ -101,8 +101,8 @@
     }
     std::thread thread;
     std::atomic<std::thread::id> thread_id;
-    [[nodiscard]] bool acts() const {
-        return o_.clock->now() < acts_until_;
+    [[nodiscard]] bool is_active_leader() const {
+        return o_.clock->now() < active_until_;
     }
     [[nodiscard]] int port() const {
         return port_;
@@ -139,7 +139,7 @@
             return;
         // No call of the node's is on the stack here.
         node_.reset();
-        acts_until_ = 0;
+        active_until_ = 0;
         if (!end_now_)
             return;
         {
@@ -204,7 +204,7 @@
     std::atomic<bool> silent_{false};
     bool ended_ = false, stopping_ = false, end_now_ = false;
     int port_ = 0;
-    std::atomic<double> acts_until_{0};
+    std::atomic<double> active_until_{0};
 };
 
 Scheduler::Scheduler(uv_loop_t* loop, SchedulerOptions options)
@@ -282,8 +282,8 @@
     inner_->turn();
 }
 
-bool Scheduler::acts() const {
-    return inner_->acts();
+bool Scheduler::is_active_leader() const {
+    return inner_->is_active_leader();
 }
 
 int Scheduler::port() const {
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -61,7 +61,7 @@
             return res.send(404, error_answer("no such job"));
         if (tell_final(id, res))
             return;
-        if (passed_on || host_.acting() != nullptr)
+        if (passed_on || host_.active_core() != nullptr)
             return poll(id, std::move(res));
         return pass_on(std::make_shared<HttpRequest>(std::move(r)), std::move(res), ways(true, true), look_up_s,
                        [this, id](Responder x) { poll(id, std::move(x)); });
@@ -87,20 +87,20 @@
     }
 }
 
-void Gateway::left_office() {
+void Gateway::on_leadership_lost() {
     ++generation_;
     for (auto& [h, c] : std::exchange(cancels_, {}))
         c.res.send(503, not_now, retry_soon_s);
 }
 
 // Who else could answer: the holder; where the store does not serve this node, one that it serves.
-std::vector<std::string> Gateway::ways(bool to_holder, bool to_store) const {
+std::vector<std::string> Gateway::ways(bool to_leader, bool to_store) const {
     std::vector<std::string> out;
-    const auto& holder = host_.holder();
-    if (to_holder && !holder.empty() && holder != s_.name && members_.peer(holder) != membership::Reach::lost)
-        out.push_back(holder);
+    const auto& leader = host_.leader();
+    if (to_leader && !leader.empty() && leader != s_.name && members_.peer(leader) != membership::Reach::lost)
+        out.push_back(leader);
     if (to_store && members_.store() == membership::Reach::lost)
-        if (const auto by = members_.with_store(holder); by && (out.empty() || *by != out.front()))
+        if (const auto by = members_.with_store(leader); by && (out.empty() || *by != out.front()))
             out.push_back(*by);
     return out;
 }
@@ -195,7 +195,7 @@
 // have read it and told it before its answer comes here. (Its answer was lost; a repeated submission was answered
 // "done" by another controller, and a question a moment later "pending" by the leader.)
 std::optional<JobView> Gateway::known_here(const std::string& id) const {
-    const auto* core = host_.acting();
+    const auto* core = host_.active_core();
     const auto v = core != nullptr ? core->view(id) : std::nullopt;
     return v && v->settling ? std::nullopt : v;
 }
@@ -214,7 +214,7 @@
 }
 
 void Gateway::cancel(const std::string& id, HttpRequest&& r, Responder res, bool passed_on) {
-    if (host_.acting() == nullptr) {
+    if (host_.active_core() == nullptr) {
         if (passed_on)
             return res.send(503, not_now, retry_soon_s);
         // Only the holder decides, so that its answers from memory are never old.
@@ -371,7 +371,7 @@
         const auto& id = s->spec.needs[s->next_need];
         if (accepted_.contains(id))
             continue;
-        const auto* core = host_.acting();
+        const auto* core = host_.active_core();
         if (const auto shape = core != nullptr ? core->shape_of(id) : std::nullopt; shape) {
             if (*shape == Shape::service)
                 return refuse(id + " is a service");
--- a/src/office/office.cpp
+++ b/src/leadership/leader_election.cpp
@@ -1,22 +1,22 @@
-#include "heronshift/office/office.hpp"
+#include "heronshift/leadership/leader_election.hpp"
 
 #include <algorithm>
 #include <fmt/format.h>
 #include <spdlog/spdlog.h>
 
-namespace heronshift::office {
+namespace heronshift::leadership {
 namespace {
 
 using codec::Json;
 
-constexpr const char* peer_promise = "/peer/promise";
-constexpr const char* peer_take = "/peer/take";
+constexpr const char* peer_extension_vote = "/peer/promise";
+constexpr const char* peer_takeover = "/peer/take";
 constexpr const char* served_field = "served";         // of a refused promise: the store has just answered there
 constexpr double attempt_s = 1;                        // for each step of taking the office
 constexpr double deaf_reports = 2, sure_reports = 1.5; // without a word from any worker: this node is cut off
 constexpr double deaf_leases = 0.5;                    // the same for one that never heard any in this term
 constexpr double steady_reports = 0.5;                 // for so long another must be fitter
-constexpr double unserved_holds = 0.7;                 // of its length, not renewed while the store serves others
+constexpr double unserved_lease_share = 0.7;           // of its length, not renewed while the store serves others
 constexpr double unserved_leases = 0.5;                // for so long the office may stand without anybody who may act
 constexpr double look_reports = 1.0 / 10;
 constexpr double forget_reports = 2; // without the store's or a peer's word
@@ -24,42 +24,42 @@
 
 } // namespace
 
-Office::Office(const Settings& s, Later& later, store::StateStore& store, Peers& peers,
-               const membership::Membership& members, metrics::Timings& took, Host& host)
+LeaderElection::LeaderElection(const Settings& s, Later& later, store::StateStore& store, Peers& peers,
+                               const membership::Membership& members, metrics::Timings& became_leader, Host& host)
     : s_(s), later_(later), store_(store), peers_(peers), members_(members), host_(host),
       // Short, so that others take over soon: outages of the store are bridged by promises.
-      tenancy_(std::min(s.report_s, s.lease_s / 5), s.peers.size(), later.now()), reader_(s, later, store),
-      commits_(s, later, store, took,
-               {[this](TxnOutcome o) { host_.committed(o); }, [this](const std::string& why) { step_down(why); },
-                [this] { return valid(); }}) {}
+      leader_lease_(std::min(s.report_s, s.lease_s / 5), s.peers.size(), later.now()), state_loader_(s, later, store),
+      transactions_(s, later, store, became_leader,
+                    {[this](TxnOutcome o) { host_.committed(o); }, [this](const std::string& why) { resign(why); },
+                     [this] { return valid(); }}) {}
 
-void Office::start() {
-    watch();
+void LeaderElection::start() {
+    watch_leader_key();
 }
 
-void Office::stop() {
-    if (held())
-        step_down("this node is ending");
+void LeaderElection::stop() {
+    if (is_leader())
+        resign("this node is ending");
 }
 
-void Office::tick() {
+void LeaderElection::tick() {
     const double t = later_.now();
-    if ((state_ == State::held || state_ == State::loading) && t >= next_renew_)
+    if ((role_ == Role::is_leader || role_ == Role::loading) && t >= next_renew_)
         renew();
     if (t < next_look_)
         return;
     next_look_ = t + look_reports * s_.report_s;
     if (valid())
-        return consider_others();
-    hear_of_holder();
-    if (state_ == State::held || state_ == State::loading)
-        give_up_if_unserved();
+        return consider_better_candidates();
+    learn_leader_from_peers();
+    if (role_ == Role::is_leader || role_ == Role::loading)
+        resign_if_store_unavailable();
 }
 
 // Whether another should hold the office, by one order: the store before workers, workers reached directly
 // before those reached through others. At most one change a lease for the sake of more; a holder that the
 // store does not serve, or that hears from no worker at all, is as good as dead.
-void Office::consider_others() {
+void LeaderElection::consider_better_candidates() {
     const double t = later_.now();
     // Nobody else can take the office without the store. (In outages the holder gave it up to one that reached
     // one zone more; it stood empty until the store was back, and all leases ran out.)
@@ -69,155 +69,155 @@
         fitter_since_ = -1;
     else if (fitter_since_ < 0)
         fitter_since_ = t;
-    const bool deaf = is_deaf(t);
-    if (fitter && t - fitter_since_ > steady_reports * s_.report_s && (deaf || t - taken_at_ > s_.lease_s))
-        return end_term(
+    const bool deaf = hears_no_worker(t);
+    if (fitter && t - fitter_since_ > steady_reports * s_.report_s && (deaf || t - acquired_at_ > s_.lease_s))
+        return resign(
             fmt::format("{} is fitter ({}; here {})", *fitter, say(members_.standing(*fitter)), say(members_.own())),
             {*fitter});
     // The leases of all machines would run out. Where all others are known to be no better, this node stays.
     if (deaf && served && !fitter && !members_.nobody_better()) {
-        ++deaf_ends_;
-        end_term("no worker has been heard of for a while", {});
+        ++resignations_without_workers_;
+        resign("no worker has been heard of for a while", {});
     }
 }
 
 // A store so slow that answers come too late goes on extending the hold, while nobody may act.
-void Office::give_up_if_unserved() {
-    const double since = held() ? std::max(tenancy_.until(), taken_at_) : taken_at_;
+void LeaderElection::resign_if_store_unavailable() {
+    const double since = is_leader() ? std::max(leader_lease_.until(), acquired_at_) : acquired_at_;
     if (later_.now() - since > unserved_leases * s_.lease_s)
-        return end_term("the store has not answered for long", {});
-    if (!held())
+        return resign("the store has not answered for long", {});
+    if (!is_leader())
         return;
     if (const auto to = members_.served_instead(); to)
-        end_term(fmt::format("the store serves {}, not this node", *to), {*to});
+        resign(fmt::format("the store serves {}, not this node", *to), {*to});
 }
 
 // No word from any worker, whichever way, for longer than all of them need to report; sooner if those that
 // are asked do not answer either, later if there was none in this term yet.
-bool Office::is_deaf(double t) const {
+bool LeaderElection::hears_no_worker(double t) const {
     const double heard = members_.worker_heard_at();
-    const double silent = t - std::max(heard, taken_at_);
-    const double patience = heard <= taken_at_          ? deaf_leases * s_.lease_s
+    const double silent = t - std::max(heard, acquired_at_);
+    const double patience = heard <= acquired_at_       ? deaf_leases * s_.lease_s
                             : members_.all_zones_lost() ? sure_reports * s_.report_s
                                                         : deaf_reports * s_.report_s;
     return silent > patience && host_.machines_up() >= few_machines;
 }
 
 // Waits for a change of the office, then looks at it afresh.
-void Office::watch() {
-    if (state_ != State::standby)
+void LeaderElection::watch_leader_key() {
+    if (role_ != Role::follower)
         return;
     const auto gen = generation_;
-    store_.get(office_key, s_.report_s / 2, [this, gen](store::Answer&& r) {
-        if (gen == generation_ && state_ == State::standby)
-            seen(r);
+    store_.get(leader_key, s_.report_s / 2, [this, gen](store::Answer&& r) {
+        if (gen == generation_ && role_ == Role::follower)
+            handle_leader_read(r);
     });
 }
 
-void Office::watch_again(double delay_s) {
+void LeaderElection::watch_leader_key_after(double delay_s) {
     const auto gen = generation_;
     later_.after(delay_s, [this, gen] {
         if (gen == generation_)
-            watch();
+            watch_leader_key();
     });
 }
 
-void Office::seen(const store::Answer& r) {
+void LeaderElection::handle_leader_read(const store::Answer& r) {
     const double t = later_.now();
-    tenancy_.store_read(r.status == 200 || r.status == 404, t);
+    leader_lease_.record_store_answer(r.status == 200 || r.status == 404, t);
     if (r.status == 404) {
-        holder_.clear();
+        leader_.clear();
         seen_at_ = t;
         if (free_since_ < 0)
             free_since_ = t;
-        spdlog::debug("the office is free{}", tenancy_.may_take(t) ? "" : ", but we promised to wait");
-        if (!tenancy_.may_take(t))
-            return watch_again(std::max(0.01, tenancy_.not_before() - t));
+        spdlog::debug("the office is free{}", leader_lease_.may_acquire(t) ? "" : ", but we promised to wait");
+        if (!leader_lease_.may_acquire(t))
+            return watch_leader_key_after(std::max(0.01, leader_lease_.not_before() - t));
         // A fitter one goes first; but views may be wrong, so nobody waits for ever.
         const double wait = free_since_ + members_.yields_s() - t;
         if (wait > 0)
-            return watch_again(std::min(wait, s_.report_s / 8));
+            return watch_leader_key_after(std::min(wait, s_.report_s / 8));
         return acquire();
     }
     const auto& item = r.item;
     if (!item || !item->value.is_object())
-        return watch_again(s_.report_s / 6);
+        return watch_leader_key_after(s_.report_s / 6);
     seen_at_ = t;
     free_since_ = -1;
     const auto name = item->value.value("node", std::string());
     if (name == s_.name) {
         // We have just started: the process that held the office under our name is dead.
         const auto hold = item->value.value("hold", std::uint64_t{0});
-        tenancy_.found_own_name();
+        leader_lease_.previous_process_was_leader();
         spdlog::info("the office is held by an earlier process of this node, ending its hold {}", hold);
         const auto gen = generation_;
         store_.end_hold(hold, s_.report_s / 2, [this, gen](store::Answer&&) {
             if (gen == generation_)
-                watch_again(0.01);
+                watch_leader_key_after(0.01);
         });
         return;
     }
-    if (name != holder_)
+    if (name != leader_)
         spdlog::info("the office is held by {}", name);
-    holder_ = name;
-    holder_term_ = item->value.value("term", std::uint64_t{0});
+    leader_ = name;
+    leader_term_ = item->value.value("term", std::uint64_t{0});
     const auto gen = generation_;
-    store_.follow(office_key, item->stamp, s_.report_s, [this, gen](store::Answer&& f) {
+    store_.follow(leader_key, item->stamp, s_.report_s, [this, gen](store::Answer&& f) {
         if (gen == generation_)
-            watch_again(f.status == 200 ? 0 : s_.report_s / 6);
+            watch_leader_key_after(f.status == 200 ? 0 : s_.report_s / 6);
     });
 }
 
 // While the store does not answer this node, the others may know who holds the office. It is only a
 // hint, for passing on requests and sending workers to the right place.
-void Office::hear_of_holder() {
+void LeaderElection::learn_leader_from_peers() {
     const double t = later_.now();
-    const auto said = members_.office();
-    if (sees_office() || (said && said->holder == holder_ && said->term == holder_term_))
+    const auto said = members_.reported_leader();
+    if (sees_leader() || (said && said->leader == leader_ && said->term == leader_term_))
         known_at_ = t;
     // What was known long ago is worse than nothing: others would be sent to a holder that is none.
-    if (state_ == State::standby && !holder_.empty() && t - known_at_ > forget_reports * s_.report_s) {
+    if (role_ == Role::follower && !leader_.empty() && t - known_at_ > forget_reports * s_.report_s) {
         spdlog::info("who holds the office is not known here any more");
-        holder_.clear();
+        leader_.clear();
     }
-    if (!said || said->holder == s_.name || said->holder == holder_)
+    if (!said || said->leader == s_.name || said->leader == leader_)
         return;
     // Cut off from the store, a holder whose time is over would never learn that another has taken its
     // place, and would keep its machines waiting.
-    if (held() && said->term > term_)
-        return end_term(said->holder + " has begun another term", {});
-    if (state_ != State::standby)
+    if (is_leader() && said->term > term_)
+        return resign(said->leader + " has begun another term", {});
+    if (role_ != Role::follower)
         return;
-    if (said->term < holder_term_ || (said->term == holder_term_ && sees_office()))
+    if (said->term < leader_term_ || (said->term == leader_term_ && sees_leader()))
         return;
     known_at_ = t;
-    if (!said->holder.empty())
-        spdlog::info("the office is held by {}, says a peer", said->holder);
-    holder_ = said->holder;
-    holder_term_ = said->term;
+    if (!said->leader.empty())
+        spdlog::info("the office is held by {}, says a peer", said->leader);
+    leader_ = said->leader;
+    leader_term_ = said->term;
 }
 
-void Office::acquire_failed() {
+void LeaderElection::acquire_failed() {
     spdlog::debug("the office was not to be had");
-    if (hold_ != 0)
-        store_.end_hold(hold_, attempt_s, [](store::Answer&&) {});
-    state_ = State::standby;
+    if (store_lease_ != 0)
+        store_.end_hold(store_lease_, attempt_s, [](store::Answer&&) {});
+    role_ = Role::follower;
     ++generation_;
-    watch_again(s_.report_s / 10);
+    watch_leader_key_after(s_.report_s / 10);
 }
 
-void Office::acquire() {
-    state_ = State::acquiring;
+void LeaderElection::acquire() {
+    role_ = Role::acquiring;
     const auto gen = ++generation_;
-    hold_ = 0;
-    hold_sent_ = later_.now();
-    store_.hold(tenancy_.ttl_s(), attempt_s, [this, gen](store::Answer&& r) {
+    store_lease_ = 0;
+    store_lease_requested_at_ = later_.now();
+    store_.hold(leader_lease_.ttl_s(), attempt_s, [this, gen](store::Answer&& r) {
         if (gen != generation_)
             return;
         if (r.status != 200)
             return acquire_failed();
-        hold_ = r.lease;
-        store_.get(round_key, attempt_s, [this, gen](store::Answer&& q) {
+        store_lease_ = r.lease;
+        store_.get(term_counter_key, attempt_s, [this, gen](store::Answer&& q) {
             if (gen != generation_)
                 return;
             if (q.status == 404)
@@ -229,90 +229,91 @@
     });
 }
 
-void Office::claim(std::uint64_t term, std::uint64_t round_stamp) {
+void LeaderElection::claim(std::uint64_t term, std::uint64_t term_counter_revision) {
     const auto gen = generation_;
     term_ = term;
-    store_.transact({{office_key, 0}, {round_key, round_stamp}},
-                    {{office_key, Json{{"node", s_.name}, {"hold", hold_}, {"term", term_}}, hold_},
-                     {round_key, Json{{"term", term_}, {"n", 0}}, 0}},
+    store_.transact({{leader_key, 0}, {term_counter_key, term_counter_revision}},
+                    {{leader_key, Json{{"node", s_.name}, {"hold", store_lease_}, {"term", term_}}, store_lease_},
+                     {term_counter_key, Json{{"term", term_}, {"n", 0}}, 0}},
                     attempt_s, [this, gen](store::Answer&& t) {
                         // An answer that cannot be read settles nothing either.
                         if ((t.status == 0 && t.sent) || t.status == 502)
-                            tenancy_.attempt_unresolved();
+                            leader_lease_.acquisition_in_doubt();
                         if (gen != generation_)
                             return;
                         if (t.status != 200)
                             return acquire_failed();
-                        commits_.begin(term_, t.epoch);
-                        took();
+                        transactions_.begin(term_, t.epoch);
+                        became_leader();
                     });
 }
 
-void Office::took() {
-    state_ = State::loading;
-    holder_ = s_.name;
-    holder_term_ = term_;
-    taken_at_ = later_.now();
-    tenancy_.begin();
-    served_.clear();
+void LeaderElection::became_leader() {
+    role_ = Role::loading;
+    leader_ = s_.name;
+    leader_term_ = term_;
+    acquired_at_ = later_.now();
+    leader_lease_.begin();
+    served_peers_.clear();
     failed_renewal_sent_ = -1;
-    tenancy_.hold_extended(hold_sent_); // counted from when it was asked for
-    carried_ = false;
+    leader_lease_.store_lease_renewed(store_lease_requested_at_); // counted from when it was asked for
+    extended_by_votes_ = false;
     next_renew_ = 0;
     free_since_ = fitter_since_ = -1;
-    ++takes_;
+    ++acquisitions_;
     spdlog::info("took office, term {}", term_);
     spdlog::info("reached from here: {}", say(members_.own()));
-    reader_.read_all([this](Snapshot&& stored) {
-        state_ = State::held;
-        host_.entered(term_, std::move(stored));
-        reader_.follow_jobs([this](std::vector<codec::StoredJob>&& jobs) { host_.jobs_seen(std::move(jobs)); });
+    state_loader_.read_all([this](Snapshot&& stored) {
+        role_ = Role::is_leader;
+        host_.leadership_acquired(term_, std::move(stored));
+        state_loader_.follow_jobs(
+            [this](std::vector<codec::StoredJob>&& jobs) { host_.jobs_stored_by_others(std::move(jobs)); });
     });
 }
 
-void Office::renew() {
+void LeaderElection::renew() {
     const auto gen = generation_;
-    const double sent = later_.now(), ttl = tenancy_.ttl_s();
+    const double sent = later_.now(), ttl = leader_lease_.ttl_s();
     next_renew_ = sent + ttl / 6;
-    store_.extend(hold_, ttl / 5, [this, gen, sent](store::Answer&& r) {
+    store_.extend(store_lease_, ttl / 5, [this, gen, sent](store::Answer&& r) {
         if (gen != generation_)
             return;
         if (r.status == 200 || r.status == 503 || r.status == 0)
-            tenancy_.store_read(r.status == 200, later_.now());
+            leader_lease_.record_store_answer(r.status == 200, later_.now());
         if (r.status == 200)
-            return tenancy_.hold_extended(sent);
+            return leader_lease_.store_lease_renewed(sent);
         failed_renewal_sent_ = std::max(failed_renewal_sent_, sent);
         if (r.status == 404)
-            step_down("the hold has ended");
+            resign("the hold has ended");
     });
-    if (!held() || !tenancy_.wants_promises(sent))
+    if (!is_leader() || !leader_lease_.wants_extension_votes(sent))
         return;
-    const auto body = Json{{"node", s_.name}, {"term", term_}, {"forS", tenancy_.promise_s()}}.dump();
+    const auto body = Json{{"node", s_.name}, {"term", term_}, {"forS", leader_lease_.extension_s()}}.dump();
     for (const auto& p : s_.peers)
-        peers_.request(Lane::control, p.name, "POST", peer_promise, body, ttl / 5,
+        peers_.request(Lane::control, p.name, "POST", peer_extension_vote, body, ttl / 5,
                        [this, gen, sent, name = p.name](HttpReply&& r) {
                            if (gen != generation_)
                                return;
                            if (r.status == 409)
-                               return refused_promise(name, sent, r.body);
+                               return extension_vote_refused(name, sent, r.body);
                            if (r.status != 200)
                                return;
-                           if (!tenancy_.promised(name, sent, later_.now()) || carried_)
+                           if (!leader_lease_.extension_granted(name, sent, later_.now()) || extended_by_votes_)
                                return;
-                           carried_ = true;
+                           extended_by_votes_ = true;
                            spdlog::info("the store does not answer; all others promise to wait");
                        });
 }
 
 // The store has just served that peer. Some more may say so before one of them is chosen.
-void Office::refused_promise(const std::string& peer, double sent, const std::string& answer) {
+void LeaderElection::extension_vote_refused(const std::string& peer, double sent, const std::string& answer) {
     const auto j = codec::parse(answer);
     if (!j.is_object() || !j.contains(served_field) || j[served_field] != true)
         return;
-    served_[peer] = sent;
-    later_.after(tenancy_.ttl_s() / 40, [this, gen = generation_] {
+    served_peers_[peer] = sent;
+    later_.after(leader_lease_.ttl_s() / 40, [this, gen = generation_] {
         if (gen == generation_ && valid())
-            yield_to_served();
+            resign_to_served_peer();
     });
 }
 
@@ -326,34 +327,34 @@
 // was sent in that time or its answer lies unread. So a renewal that was sent after the last successful one must have
 // failed. That is known long before the hold is old enough: renewals go out six times a hold and end within a fifth of
 // it. Staying on is no risk: whether this node acts is decided by the hold's end alone (Tenancy::valid).
-void Office::yield_to_served() {
+void LeaderElection::resign_to_served_peer() {
     const double t = later_.now();
-    const double renewed_at = tenancy_.renewed_at();
-    if (t - renewed_at <= unserved_holds * tenancy_.ttl_s() || failed_renewal_sent_ <= renewed_at)
+    const double renewed_at = leader_lease_.renewed_at();
+    if (t - renewed_at <= unserved_lease_share * leader_lease_.ttl_s() || failed_renewal_sent_ <= renewed_at)
         return;
     std::vector<std::string> to;
-    for (const auto& [name, at] : served_)
-        if (t - at < tenancy_.ttl_s() / 4)
+    for (const auto& [name, at] : served_peers_)
+        if (t - at < leader_lease_.ttl_s() / 4)
             to.push_back(name);
     if (to.empty())
         return;
     std::stable_sort(to.begin(), to.end(), [this](const std::string& a, const std::string& b) {
         return members_.standing(a) > members_.standing(b);
     });
-    end_term(fmt::format("the store serves {}, not this node", to.front()), to);
+    resign(fmt::format("the store serves {}, not this node", to.front()), to);
 }
 
 // A peer that holds the office cannot renew its hold and asks us to leave it alone for a while. A
 // read of our own tells whether it is the store or only that peer.
-void Office::asked_to_promise(const HttpRequest& r, const Responder& res) {
+void LeaderElection::handle_extension_vote_request(const HttpRequest& r, const Responder& res) {
     const auto j = codec::parse(r.body);
     const auto length = j.is_object() && j.contains("forS") && j["forS"].is_number() ? j["forS"].get<double>() : -1;
     if (!(length > 0))
         return res.send(400, R"({"error":"forS is needed"})");
-    store_.get(office_key, tenancy_.ttl_s() / 10, [this, res, length](store::Answer&& a) {
+    store_.get(leader_key, leader_lease_.ttl_s() / 10, [this, res, length](store::Answer&& a) {
         const bool failed = a.status == 503 || a.status == 0;
-        tenancy_.store_read(!failed, later_.now());
-        if (tenancy_.promise(length, later_.now(), state_ == State::standby, failed))
+        leader_lease_.record_store_answer(!failed, later_.now());
+        if (leader_lease_.grant_extension(length, later_.now(), role_ == Role::follower, failed))
             return res.send(200, "{}");
         res.send(409,
                  Json{{"error", "the store answers here, or an attempt is under way"}, {served_field, !failed}}.dump());
@@ -362,44 +363,44 @@
 
 // First this node stops acting, then it says so: a successor may decide from the moment that it can hear
 // of it.
-void Office::end_term(const std::string& why, const std::vector<std::string>& successors) {
-    if (state_ == State::standby)
+void LeaderElection::resign(const std::string& why, const std::vector<std::string>& successors) {
+    if (role_ == Role::follower)
         return;
     spdlog::warn("term {} ends here: {}", term_, why);
-    const auto hold = std::exchange(hold_, 0);
+    const auto hold = std::exchange(store_lease_, 0);
     ++generation_;
-    state_ = State::standby;
-    tenancy_.begin();
-    holder_.clear();
-    reader_.stop();
-    commits_.stop();
-    host_.left();
+    role_ = Role::follower;
+    leader_lease_.begin();
+    leader_.clear();
+    state_loader_.stop();
+    transactions_.stop();
+    host_.leadership_lost();
     if (hold != 0)
         store_.end_hold(hold, attempt_s, [](store::Answer&&) {});
     if (hold != 0 && !successors.empty()) {
         ++handovers_;
-        offer(Json{{"node", s_.name}, {"term", term_}, {"hold", hold}}.dump(), successors);
+        offer_leadership(Json{{"node", s_.name}, {"term", term_}, {"hold", hold}}.dump(), successors);
     }
-    watch_again(s_.report_s / 10);
+    watch_leader_key_after(s_.report_s / 10);
 }
 
 // To the first that can be reached. It ends the hold if this node could not.
-void Office::offer(const std::string& body, std::vector<std::string> to) {
+void LeaderElection::offer_leadership(const std::string& body, std::vector<std::string> to) {
     if (to.empty())
         return;
     const auto first = to.front();
     to.erase(to.begin());
-    peers_.request(Lane::control, first, "POST", peer_take, body, attempt_s,
+    peers_.request(Lane::control, first, "POST", peer_takeover, body, attempt_s,
                    [this, body, to = std::move(to)](HttpReply&& r) mutable {
                        if (r.status != 200)
-                           offer(body, std::move(to));
+                           offer_leadership(body, std::move(to));
                    });
 }
 
 // A holder that has stopped acting asks us to take its place, and to end its hold if it still stands. Such
 // a request may come minutes late or twice: what it names is ended only if the office still names all of
 // it, and a hold that is ended once never comes back.
-void Office::asked_to_take(const HttpRequest& r, const Responder& res) {
+void LeaderElection::handle_takeover_request(const HttpRequest& r, const Responder& res) {
     const auto j = codec::parse(r.body);
     const auto number = [&](const char* field) {
         return j.is_object() && j.contains(field) && j[field].is_number_unsigned() ? j[field].get<std::uint64_t>() : 0;
@@ -408,15 +409,15 @@
     const auto node = j.is_object() && j.contains("node") && j["node"].is_string() ? j["node"].get<std::string>() : "";
     if (node.empty() || term == 0 || hold == 0)
         return res.send(400, codec::error_answer("node, term and hold are needed"));
-    if (state_ != State::standby)
+    if (role_ != Role::follower)
         return res.send(409, codec::error_answer("not a standby"));
-    store_.get(office_key, s_.report_s / 4, [this, node, term, hold, res](store::Answer&& a) {
+    store_.get(leader_key, s_.report_s / 4, [this, node, term, hold, res](store::Answer&& a) {
         const auto take = [this, res] {
             res.send(200, "{}");
-            if (state_ != State::standby)
+            if (role_ != Role::follower)
                 return;
             ++generation_; // instead of the watch under way
-            watch();
+            watch_leader_key();
         };
         if (a.status == 404)
             return take();
@@ -429,12 +430,13 @@
     });
 }
 
-std::vector<metrics::Value> Office::metrics() const {
+std::vector<metrics::Value> LeaderElection::metrics() const {
     const auto of = [](std::uint64_t n) { return static_cast<double>(n); };
     return {{"heronshift_office_held", "by this controller: 1", valid() ? 1.0 : 0.0},
-            {"heronshift_office_taken_total", "times this controller took the office", of(takes_)},
+            {"heronshift_office_taken_total", "times this controller took the office", of(acquisitions_)},
             {"heronshift_office_handed_over_total", "times it gave the office to a fitter one", of(handovers_)},
-            {"heronshift_office_deaf_total", "times it gave the office up for want of workers", of(deaf_ends_)}};
+            {"heronshift_office_deaf_total", "times it gave the office up for want of workers",
+             of(resignations_without_workers_)}};
 }
 
-} // namespace heronshift::office
+} // namespace heronshift::leadership
--- a/src/office/reader.cpp
+++ b/src/leadership/state_loader.cpp
@@ -1,8 +1,8 @@
-#include "heronshift/office/reader.hpp"
+#include "heronshift/leadership/state_loader.hpp"
 
 #include <algorithm>
 
-namespace heronshift::office {
+namespace heronshift::leadership {
 namespace {
 
 constexpr int records_a_page = 500;
@@ -10,7 +10,7 @@
 
 } // namespace
 
-void Reader::read_all(const std::function<void(Snapshot&&)>& done) {
+void StateLoader::read_all(const std::function<void(Snapshot&&)>& done) {
     ++generation_;
     stored_ = {};
     // All at once: only jobs can still change, by other nodes, and those changes are followed.
@@ -28,8 +28,8 @@
 }
 
 // Everything below a prefix, page by page.
-void Reader::load(const std::string& prefix, const std::string& since, std::vector<codec::Item>* into,
-                  const std::function<void()>& next) {
+void StateLoader::load(const std::string& prefix, const std::string& since, std::vector<codec::Item>* into,
+                       const std::function<void()>& next) {
     const auto gen = generation_;
     store_.list(prefix, since, records_a_page, page_s, [=, this](store::Answer&& page) {
         if (gen != generation_)
@@ -52,7 +52,7 @@
     });
 }
 
-void Reader::tell(const std::vector<codec::Item>& items) {
+void StateLoader::tell(const std::vector<codec::Item>& items) {
     std::vector<codec::StoredJob> jobs;
     for (const auto& i : items) {
         if (i.deleted)
@@ -63,13 +63,13 @@
     seen_(std::move(jobs));
 }
 
-void Reader::follow_jobs(std::function<void(std::vector<codec::StoredJob>&&)> seen) {
-    seen_ = std::move(seen);
+void StateLoader::follow_jobs(std::function<void(std::vector<codec::StoredJob>&&)> handle_leader_read) {
+    seen_ = std::move(handle_leader_read);
     follow();
 }
 
 // Other nodes accept jobs too; the holder learns of them here.
-void Reader::follow() {
+void StateLoader::follow() {
     const auto gen = generation_;
     store_.follow("j/", epoch_, s_.lease_s / 2, [this, gen](store::Answer&& r) {
         if (gen != generation_)
@@ -95,4 +95,4 @@
     });
 }
 
-} // namespace heronshift::office
+} // namespace heronshift::leadership
--- a/src/office/commits.cpp
+++ b/src/leadership/transaction_queue.cpp
@@ -1,25 +1,26 @@
-#include "heronshift/office/commits.hpp"
+#include "heronshift/leadership/transaction_queue.hpp"
 
 #include <spdlog/spdlog.h>
 
-namespace heronshift::office {
+namespace heronshift::leadership {
 namespace {
 
 constexpr int most_tries = 3; // to settle an outcome while this node may not act
 
 } // namespace
 
-void Commits::applied(std::uint64_t stamp) {
-    round_stamp_ = stamp;
+void TransactionQueue::applied(std::uint64_t stamp) {
+    term_counter_revision_ = stamp;
     ++count_;
     ends_.done(TxnOutcome::applied);
 }
 
-void Commits::send(Commit c, int tries) {
+void TransactionQueue::send(Commit c, int tries) {
     const auto gen = generation_;
     auto writes = c.writes;
-    writes.push_back({round_key, codec::Json{{"term", term_}, {"n", count_ + 1}}, 0});
-    store_.transact({{office_key, office_stamp_}, {round_key, round_stamp_}}, writes, s_.report_s / 3,
+    writes.push_back({term_counter_key, codec::Json{{"term", term_}, {"n", count_ + 1}}, 0});
+    store_.transact({{leader_key, leader_key_revision_}, {term_counter_key, term_counter_revision_}}, writes,
+                    s_.report_s / 3,
                     [this, gen, c = std::move(c), tries, began = later_.now()](store::Answer&& r) mutable {
                         if (gen != generation_)
                             return;
@@ -42,9 +43,9 @@
 }
 
 // The outcome is open, or a guard failed: the round says whether the transaction was applied.
-void Commits::resolve(Commit c, int tries) {
+void TransactionQueue::resolve(Commit c, int tries) {
     const auto gen = generation_;
-    store_.get(round_key, s_.report_s / 3, [this, gen, c = std::move(c), tries](store::Answer&& r) mutable {
+    store_.get(term_counter_key, s_.report_s / 3, [this, gen, c = std::move(c), tries](store::Answer&& r) mutable {
         if (gen != generation_)
             return;
         const auto& item = r.item;
@@ -63,4 +64,4 @@
     });
 }
 
-} // namespace heronshift::office
+} // namespace heronshift::leadership
--- a/src/ledger/ledger.cpp
+++ b/src/ledger/ledger.cpp
@@ -355,7 +355,7 @@
 
 std::optional<JobView> Ledger::job(const std::string& id) const {
     const auto it = st_.jobs.find(id);
-    if (stepped_down_)
+    if (resigned_)
         return {};
     if (it == st_.jobs.end()) {
         const auto* r = recent_.find(id);
--- a/src/ledger/machines.cpp
+++ b/src/ledger/machines.cpp
@@ -162,8 +162,8 @@
 bool Ledger::outdated(const Report& r) {
     if (r.fence >> fence_bits <= st_.term)
         return false;
-    stepped_down_ = true;
-    out_.push_back(StepDown{fmt::format("{} has seen fence {} above ours", r.machine, r.fence)});
+    resigned_ = true;
+    out_.push_back(Resign{fmt::format("{} has seen fence {} above ours", r.machine, r.fence)});
     return true;
 }
 
--- a/src/local/cloud.cpp
+++ b/src/local/cloud.cpp
@@ -181,7 +181,7 @@
     const auto& nodes = p_.plan_.workers.nodes;
     if (a.status == 421) {
         for (std::size_t i = 0; i < nodes.size(); ++i)
-            if (nodes[i].first == a.holder && i != node_) {
+            if (nodes[i].first == a.leader && i != node_) {
                 node_ = i;
                 next_beat_ = now + (p_.plan_.lockstep ? 0 : p_.between(0, 0.5));
                 return;
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -145,8 +145,8 @@
         probe();
     }
     // Those that the store does not serve learn only from this who holds the office now.
-    if (const bool acts = host_.acts(); acts != acted_) {
-        acted_ = acts;
+    if (const bool is_active_leader = host_.is_active_leader(); is_active_leader != was_active_leader_) {
+        was_active_leader_ = is_active_leader;
         urgent_ = true;
     }
     if (t >= next_exchange_ || (urgent_ && t >= next_exchange_ - (exchange_reports - soon) * s_.report_s)) {
@@ -160,7 +160,7 @@
 // report through another were told to: their silence here says nothing, so what was thought of it is tried
 // anew once requests are answered again, and after a lease in any case.
 void Membership::watch_silence() {
-    if (!host_.acts())
+    if (!host_.is_active_leader())
         return;
     const double t = later_.now();
     const auto by_zone = host_.machines_by_zone();
@@ -174,7 +174,7 @@
         if (z.in.lost() && t - z.in.failed_at() > s_.lease_s)
             trust(z);
         const double patience = machines < few_machines ? silence_few_reports : silence_reports;
-        const double since = std::max({z.heard_at, z.relayed_at, z.trusted_at, host_.acts_since()});
+        const double since = std::max({z.heard_at, z.relayed_at, z.trusted_at, host_.active_since()});
         if (t - since < patience * s_.report_s)
             continue;
         if (z.in.failed(t))
@@ -197,7 +197,7 @@
     for (auto& [name, z] : zones_)
         probe_zone(name, z);
     // The cloud's calls are few: the others look only when it is the holder that cannot.
-    const auto h = others_.find(host_.holder());
+    const auto h = others_.find(host_.leader());
     if (h == others_.end() || !fresh(h->second) || h->second.view.cloud != Reach::lost || t < next_cloud_)
         return;
     next_cloud_ = t + s_.lease_s / 2;
@@ -256,10 +256,10 @@
         v.zones[name] = reach(z);
     for (const auto& [name, o] : others_)
         v.peers[name] = o.link.reach();
-    v.holder = host_.holder();
-    v.term = host_.holder_term();
-    v.sees_office = host_.sees_office();
-    v.acts = host_.acts();
+    v.leader = host_.leader();
+    v.term = host_.leader_term();
+    v.sees_leader = host_.sees_leader();
+    v.is_active_leader = host_.is_active_leader();
     for (const auto& [name, z] : zones_)
         for (const auto& x : z.samples)
             if (later_.now() - x.at < s_.lease_s)
@@ -312,10 +312,10 @@
         return;
     for (const auto& [name, list] : v.machines) {
         auto* z = find_zone(name);
-        if (z == nullptr || list.empty() || host_.acts() || !(v.acts || z->samples.empty()))
+        if (z == nullptr || list.empty() || host_.is_active_leader() || !(v.is_active_leader || z->samples.empty()))
             continue;
         // What others only remember is used, but not handed on: it would never grow old.
-        const double at = v.acts ? t : t - s_.lease_s;
+        const double at = v.is_active_leader ? t : t - s_.lease_s;
         z->samples.clear();
         for (const auto& addr : list)
             z->samples.push_back({addr, at});
@@ -327,9 +327,9 @@
 // --- what is thought ---
 
 Reach Membership::reach(const Zone& z) const {
-    if (z.out.lost() || (host_.acts() && z.in.lost()))
+    if (z.out.lost() || (host_.is_active_leader() && z.in.lost()))
         return Reach::lost;
-    const bool any = z.out.reach() == Reach::works || (host_.acts() && z.in.reach() == Reach::works);
+    const bool any = z.out.reach() == Reach::works || (host_.is_active_leader() && z.in.reach() == Reach::works);
     return any ? Reach::works : Reach::unknown;
 }
 
@@ -489,8 +489,8 @@
     return *ways[turn_++ % ways.size()];
 }
 
-bool Membership::holder_reaches(const std::string& holder, const std::string& zone) const {
-    const auto it = others_.find(holder);
+bool Membership::leader_reaches(const std::string& leader, const std::string& zone) const {
+    const auto it = others_.find(leader);
     if (it == others_.end() || !fresh(it->second))
         return true; // nothing is known to be better
     const auto r = it->second.view.zones.find(zone);
@@ -500,14 +500,14 @@
 bool Membership::of_use() const {
     // The others are there and have no store either: an outage, in which everybody waits. Where nobody
     // can be asked, this node may be the only one that is cut off.
-    return host_.acts() || in_touch();
+    return host_.is_active_leader() || in_touch();
 }
 
-std::optional<Membership::Hearsay> Membership::office() const {
+std::optional<Membership::Hearsay> Membership::reported_leader() const {
     std::optional<Hearsay> out;
     for (const auto& [name, o] : others_)
-        if (fresh(o) && (o.view.sees_office || o.view.acts) && (!out || o.view.term > out->term))
-            out = Hearsay{o.view.holder, o.view.term};
+        if (fresh(o) && (o.view.sees_leader || o.view.is_active_leader) && (!out || o.view.term > out->term))
+            out = Hearsay{o.view.leader, o.view.term};
     return out;
 }
 
--- a/src/membership/view.cpp
+++ b/src/membership/view.cpp
@@ -69,10 +69,10 @@
                 {"zones", to_json(v.zones)},
                 {"peers", to_json(v.peers)},
                 {"machines", v.machines},
-                {"holder", v.holder},
+                {"holder", v.leader},
                 {"term", v.term},
-                {"seesOffice", v.sees_office},
-                {"acts", v.acts}}
+                {"seesOffice", v.sees_leader},
+                {"acts", v.is_active_leader}}
         .dump();
 }
 
@@ -104,11 +104,11 @@
                 v.machines[zone].size() < most_samples)
                 v.machines[zone].push_back(a.get<std::string>());
     });
-    v.holder = text(j, "holder");
+    v.leader = text(j, "holder");
     if (const auto t = j.find("term"); t != j.end() && t->is_number_unsigned())
         v.term = t->get<std::uint64_t>();
-    v.sees_office = flag(j, "seesOffice");
-    v.acts = flag(j, "acts");
+    v.sees_leader = flag(j, "seesOffice");
+    v.is_active_leader = flag(j, "acts");
     return v;
 }
 
--- a/src/node/controller.cpp
+++ b/src/node/controller.cpp
@@ -14,7 +14,7 @@
     : s_(std::move(settings)), clock_(std::move(parts.clock)), later_(clock_), store_(std::move(parts.state)),
       executor_(std::move(parts.executor)), peers_(std::move(parts.peers)),
       members_(s_, later_, store_, *executor_, peers_, *this),
-      office_(s_, later_, store_, peers_, members_, took_, *this),
+      election_(s_, later_, store_, peers_, members_, took_, *this),
       gateway_(s_, later_, store_, peers_, members_, took_, *this),
       desk_(s_, later_, *executor_, peers_, members_, took_, *this), cloud_(s_, later_, store_, *executor_, *this) {
     store_.on_answer = [this](bool ok) { members_.store_answered(ok); };
@@ -26,12 +26,12 @@
 }
 
 void Controller::start() {
-    office_.start();
+    election_.start();
     cloud_.start();
 }
 
 void Controller::stop() {
-    office_.stop();
+    election_.stop();
 }
 
 void Controller::tick() {
@@ -39,7 +39,7 @@
     executor_->sweep();
     peers_.sweep();
     members_.tick();
-    office_.tick();
+    election_.tick();
     cloud_.tick();
     desk_.settle_early();
     gateway_.tick();
@@ -54,7 +54,7 @@
     const double at = later_.next_at();
     if (!core_)
         return at;
-    return queue_.empty() || !office_.valid() ? std::min(at, core_->wake_at()) : 0;
+    return queue_.empty() || !election_.valid() ? std::min(at, core_->wake_at()) : 0;
 }
 
 void Controller::push(Command c) {
@@ -65,7 +65,7 @@
         on_wake_at();
 }
 
-void Controller::entered(std::uint64_t term, Snapshot&& stored) {
+void Controller::leadership_acquired(std::uint64_t term, Snapshot&& stored) {
     const double at = later_.now(), wall_at = later_.wall();
     ++life_;
     queue_.clear();
@@ -74,22 +74,22 @@
     core_ = std::make_unique<Core>(s_, term, stored, at, wall_at);
     spdlog::info("term {}: {} jobs and {} records read", term, stored.jobs.size(),
                  stored.intents.size() + stored.progress.size() + stored.earlier.size());
-    cloud_.entered_office();
+    cloud_.on_leadership_acquired();
     desk_.settle_early();
     if (on_wake_at)
         on_wake_at();
 }
 
-void Controller::left() {
+void Controller::leadership_lost() {
     ++life_;
     core_.reset();
     queue_.clear();
-    cloud_.left_office();
-    desk_.left_office();
-    gateway_.left_office();
+    cloud_.on_leadership_lost();
+    desk_.on_leadership_lost();
+    gateway_.on_leadership_lost();
 }
 
-void Controller::jobs_seen(std::vector<codec::StoredJob>&& jobs) {
+void Controller::jobs_stored_by_others(std::vector<codec::StoredJob>&& jobs) {
     for (auto& j : jobs)
         push(job_stored(std::move(j), later_.wall()));
 }
@@ -109,17 +109,17 @@
     if (!core_ || running_core_)
         return;
     const double t = later_.now();
-    if ((queue_.empty() || !office_.valid()) && t < core_->wake_at())
+    if ((queue_.empty() || !election_.valid()) && t < core_->wake_at())
         return;
     running_core_ = true;
     std::vector<Command> batch;
     batch.swap(queue_);
     const auto commands = batch.size();
     const double wall_now = later_.wall();
-    const bool entitled = office_.valid();
+    const bool may_act = election_.valid();
     if (log_)
-        log_->commands(batch, t, wall_now, entitled);
-    auto effects = core_->step(batch, t, wall_now, entitled);
+        log_->commands(batch, t, wall_now, may_act);
+    auto effects = core_->step(batch, t, wall_now, may_act);
     if (log_) {
         log_->effects(effects);
         if (!log_->open()) {
@@ -149,14 +149,14 @@
             push(std::forward<decltype(c)>(c));
     };
     std::visit(Each{
-                   [this](Commit& e) { office_.commit(std::move(e)); },
+                   [this](Commit& e) { election_.commit(std::move(e)); },
                    [&](SendOrders& e) { desk_.send(e, to_core); },
                    [this](BeatAnswer& e) { desk_.answer(std::move(e)); },
                    [this](CancelAnswer& e) { gateway_.answered(e); },
                    [&](FindJob& e) { gateway_.find(e.id, to_core); },
                    [this](Rent& e) { cloud_.rent(e); },
                    [this](Release& e) { cloud_.release(e); },
-                   [this](StepDown& e) { office_.step_down(e.why); },
+                   [this](Resign& e) { election_.resign(e.why); },
                    [](Note& e) {
                        spdlog::log(e.level == 0   ? spdlog::level::debug
                                    : e.level == 1 ? spdlog::level::info
@@ -174,13 +174,13 @@
     if (r.path == "/view")
         return members_.exchanged(r, res);
     if (r.path == "/promise")
-        return office_.asked_to_promise(r, res);
+        return election_.handle_extension_vote_request(r, res);
     if (r.path == "/take")
-        return office_.asked_to_take(r, res);
+        return election_.handle_takeover_request(r, res);
     if (r.path == "/relay")
         return desk_.pass_on(std::move(r), res);
     if (r.path == "/office") // for versions without views
-        return res.send(200, codec::Json{{"holder", office_.holder()}, {"term", office_.holder_term()}}.dump());
+        return res.send(200, codec::Json{{"holder", election_.leader()}, {"term", election_.leader_term()}}.dump());
     serve(std::move(r), std::move(res), true);
 }
 
@@ -227,7 +227,7 @@
 
 std::string Controller::metrics() const {
     auto values = core_ ? core_->metrics() : std::vector<metrics::Value>{};
-    for (auto&& part : {office_.metrics(), members_.metrics()})
+    for (auto&& part : {election_.metrics(), members_.metrics()})
         values.insert(values.end(), part.begin(), part.end());
     values.push_back(
         {"heronshift_relayed_total", "reports and orders passed on for others", static_cast<double>(took_.relayed)});
--- a/src/records/records.cpp
+++ b/src/records/records.cpp
@@ -415,7 +415,7 @@
 
 // One transaction is in flight at a time; this builds the next of what is due, most urgent first.
 void Records::collect_commit() {
-    if (txn_open_ || l_.stepped_down())
+    if (txn_open_ || l_.resigned())
         return;
     // The holder's part of the write budget; the rest is left to submissions on all nodes.
     const double rate = s_.state_write_rps * (taken_along_.empty() ? 0.7 : 0.85);
@@ -452,8 +452,8 @@
     txn_open_ = false;
     auto f = std::move(in_flight_);
     in_flight_ = {};
-    if (c.outcome == TxnOutcome::office_lost) {
-        l_.step_down();
+    if (c.outcome == TxnOutcome::leadership_lost) {
+        l_.resign();
         return;
     }
     const bool ok = c.outcome == TxnOutcome::applied;
--- a/src/replay/command_log.cpp
+++ b/src/replay/command_log.cpp
@@ -192,7 +192,7 @@
                field("spot", &Rent::spot), field("count", &Rent::count)};
 template <> inline constexpr auto log_fields<Release> = std::tuple{field("machines", &Release::machines)};
 template <> inline constexpr auto log_fields<FindJob> = std::tuple{field("id", &FindJob::id)};
-template <> inline constexpr auto log_fields<StepDown> = std::tuple{field("why", &StepDown::why)};
+template <> inline constexpr auto log_fields<Resign> = std::tuple{field("why", &Resign::why)};
 template <>
 inline constexpr auto log_fields<Note> = std::tuple{field("level", &Note::level), field("text", &Note::text)};
 
@@ -362,13 +362,13 @@
     line(dump({{"begin", term}, {"now", now}, {"wall", wall}, {"settings", s}, {"stored", stored}}));
 }
 
-void CommandLog::commands(const std::vector<Command>& batch, double now, double wall, bool entitled) {
+void CommandLog::commands(const std::vector<Command>& batch, double now, double wall, bool may_act) {
     if (!out_)
         return;
     auto list = Json::array();
     for (const auto& c : batch)
         list.push_back(to_json_of(c));
-    pending_ = dump({{"now", now}, {"wall", wall}, {"entitled", entitled}, {"commands", std::move(list)}});
+    pending_ = dump({{"now", now}, {"wall", wall}, {"entitled", may_act}, {"commands", std::move(list)}});
 }
 
 void CommandLog::effects(const std::vector<Effect>& list) {
@@ -470,7 +470,7 @@
 
 struct Batch {
     double now = 0, wall = 0;
-    bool entitled = true;
+    bool may_act = true;
     std::vector<Command> commands;
     std::string effects;
 };
@@ -479,7 +479,7 @@
     Batch b;
     b.now = j.at("now").get<double>();
     b.wall = j.at("wall").get<double>();
-    b.entitled = j.at("entitled").get<bool>();
+    b.may_act = j.at("entitled").get<bool>();
     b.effects = j.at("effects").get<std::string>();
     if (b.effects.size() % 8 != 0)
         throw std::invalid_argument("effects: not a list of digests");
@@ -553,7 +553,7 @@
                 in.fail("a batch before any term began");
             ++out.batches;
             out.commands += b.commands.size();
-            const auto list = core->step(b.commands, b.now, b.wall, b.entitled);
+            const auto list = core->step(b.commands, b.now, b.wall, b.may_act);
             out.effects += list.size();
             if (out.first = compare(b.effects, list); !out.first)
                 continue;
--- a/tests/fault_scenario.hpp
+++ b/tests/fault_scenario.hpp
@@ -96,7 +96,7 @@
 }
 
 inline void end_leader(FaultyFleet& f, double for_s = 1) {
-    f.crash(f.holder().value_or(0), for_s);
+    f.crash(f.leader().value_or(0), for_s);
 }
 
 inline void outage(FaultyFleet& f, double for_s) {
--- a/tests/fleet.hpp
+++ b/tests/fleet.hpp
@@ -47,7 +47,7 @@
     // What a controller sends, to which (or none): a path under /peer, or what it asks of the store.
     std::function<void(std::size_t from, std::size_t to, const std::string& what)> on_sent;
     std::vector<double> changes; // of the holder: when
-    std::size_t last_holder = SIZE_MAX;
+    std::size_t last_leader = SIZE_MAX;
     double bound_s = 2 * settings.lease_s; // from when a path is there: nothing may be late any more
 
     // --- parties of the network ---
@@ -328,13 +328,13 @@
             n.frozen_until = now + n.late_s;
         }
     }
-    bool acts(std::size_t i) const {
+    bool is_active_leader(std::size_t i) const {
         const auto& n = nodes[i];
-        return n.controller && n.controller->acts_until() > n.clock->now();
+        return n.controller && n.controller->active_until() > n.clock->now();
     }
-    std::optional<std::size_t> holder() const {
+    std::optional<std::size_t> leader() const {
         for (std::size_t i = 0; i < nodes.size(); ++i)
-            if (acts(i))
+            if (is_active_leader(i))
                 return i;
         return {};
     }
@@ -567,21 +567,21 @@
             if (w.cut || w.hung || w.dead || w.well_since < 0 || !hears)
                 w.well_since = now;
         }
-        int holders = 0;
+        int leaders = 0;
         for (std::size_t i = 0; i < nodes.size(); ++i)
             run_node(i);
         for (std::size_t i = 0; i < nodes.size(); ++i) {
-            if (!acts(i))
+            if (!is_active_leader(i))
                 continue;
-            ++holders;
-            if (last_holder != i) {
+            ++leaders;
+            if (last_leader != i) {
                 changes.push_back(now);
                 deliver_kept();
             }
-            last_holder = i;
+            last_leader = i;
         }
         look_for_paths();
-        return holders;
+        return leaders;
     }
     void read_all() override {} // users do
 
--- a/tests/test_chains.cpp
+++ b/tests/test_chains.cpp
@@ -87,7 +87,7 @@
     World w(1);
     w.jobs["wk-000002"] = after(2, {});
     w.store["j/wk-000002"] = record;
-    w.take_office();
+    w.acquire_leadership();
     w.run(20);
     EXPECT_EQ(w.started, 0);
     w.cancel("wk-000002");
@@ -97,7 +97,7 @@
 
 TEST(Chains, AJobThatNeedsWhatTheStoreDoesNotKnowWaitsAndCanBeCancelled) {
     World w(1);
-    w.take_office();
+    w.acquire_leadership();
     w.submit(after(2, {77}));
     w.run(30);
     EXPECT_EQ(w.started, 0);
@@ -111,7 +111,7 @@
 
 TEST(Chains, ADiamondRunsInItsOrder) {
     World w(2);
-    w.take_office();
+    w.acquire_leadership();
     w.submit(after(1, {}));
     w.submit(after(2, {1}));
     w.submit(after(3, {1}));
@@ -132,7 +132,7 @@
 
 TEST(Chains, AChainOfAHundredOutlivesTakeovers) {
     World w(3);
-    w.take_office();
+    w.acquire_leadership();
     for (int i = 0; i < 100; ++i) {
         auto j = after(i + 1, i > 0 ? std::vector<int>{i} : std::vector<int>{}, 1);
         j.estimate_s = 1;
@@ -141,7 +141,7 @@
     for (int i = 0; i < 60; ++i) {
         w.run(i % 3 == 0 ? 35 : 11);
         if (i % 2 == 0)
-            w.take_office();
+            w.acquire_leadership();
     }
     EXPECT_EQ(w.told[name(100)], codec::status_done);
     EXPECT_EQ(first(w), "");
@@ -155,7 +155,7 @@
         w.settings.value_kb = 2;
         w.settings.state_write_rps = 24;
         w.strict = true;
-        w.take_office();
+        w.acquire_leadership();
         auto root = after(1, {}, 300); // more than its team may run for a while
         w.submit(root);
         for (int i = 2; i <= 200; ++i)
@@ -165,7 +165,7 @@
             if (!w.cancelled.contains(name(1)))
                 w.cancel(name(1)); // as its user repeats it
             w.run(w.between(0.2, 5));
-            w.take_office();
+            w.acquire_leadership();
         }
         w.run(w.settings.cancel_s);
         EXPECT_EQ(first(w), "");
@@ -183,7 +183,7 @@
     int done = 0, cancelled = 0;
     for (unsigned seed = 1; seed <= 40; ++seed) {
         World w(seed);
-        w.take_office();
+        w.acquire_leadership();
         w.submit(after(1, {}));
         w.submit(after(2, {1}));
         while (!w.told.contains(name(1)) && w.broken.empty() && w.now < 60) {
@@ -193,7 +193,7 @@
         }
         w.submit(after(3, {1}));
         if (w.chance() < 0.5)
-            w.take_office();
+            w.acquire_leadership();
         w.run(40);
         EXPECT_EQ(first(w), "") << seed;
         EXPECT_EQ(w.told[name(1)], w.told[name(2)]) << seed;
@@ -266,7 +266,7 @@
 
 TEST(Chains, WhatWaitsHoldsNothingOfItsTeam) {
     World w(4);
-    w.take_office();
+    w.acquire_leadership();
     w.submit(after(1, {}, 1));
     auto large = job(2, Shape::service, 9, 4); // the team's whole limit, nearly
     large.needs = {name(1)};
@@ -282,7 +282,7 @@
 TEST(Chains, TheLastJobsRankIsThatOfAllItNeeds) {
     World w(5);
     w.capacity = 2;
-    w.take_office();
+    w.acquire_leadership();
     for (int i = 1; i <= 6; ++i) {
         auto j = job(i, Shape::array, 30, 2, "blue");
         j.rank = Rank::normal;
@@ -464,7 +464,7 @@
     }
     EXPECT_EQ(first(w), "") << "at " << w.now;
     EXPECT_GT(w.started, 300);
-    EXPECT_GE(w.offices, 2);
+    EXPECT_GE(w.acquisitions, 2);
 }
 
 INSTANTIATE_TEST_SUITE_P(Turns, BothVersions,
--- a/tests/test_cluster.cpp
+++ b/tests/test_cluster.cpp
@@ -6,79 +6,79 @@
 namespace heronshift::testing {
 namespace {
 
-struct Promises : ::testing::Test {
+struct ExtensionVotes : ::testing::Test {
     static constexpr double ttl = 2;
-    Tenancy holder{ttl, 2, 0};
+    LeaderLease leader{ttl, 2, 0};
     void SetUp() override {
-        holder.begin();
-        holder.hold_extended(100);
+        leader.begin();
+        leader.store_lease_renewed(100);
     }
 };
 
-TEST_F(Promises, OfAllOthersCarryTheHolderOn) {
-    ASSERT_TRUE(holder.valid(101));
-    EXPECT_FALSE(holder.promised("b", 101, 101.1));
-    EXPECT_FALSE(holder.valid(102)); // one of two is not enough
+TEST_F(ExtensionVotes, OfAllOthersCarryTheHolderOn) {
+    ASSERT_TRUE(leader.valid(101));
+    EXPECT_FALSE(leader.extension_granted("b", 101, 101.1));
+    EXPECT_FALSE(leader.valid(102)); // one of two is not enough
     SetUp();
-    holder.promised("b", 101.5, 101.6);
-    holder.promised("c", 101.4, 101.7);
-    EXPECT_TRUE(holder.valid(102.2));
-    EXPECT_FALSE(holder.valid(102.4)); // counted from when the earlier of the two was asked
+    leader.extension_granted("b", 101.5, 101.6);
+    leader.extension_granted("c", 101.4, 101.7);
+    EXPECT_TRUE(leader.valid(102.2));
+    EXPECT_FALSE(leader.valid(102.4)); // counted from when the earlier of the two was asked
 }
 
 // Whoever took the office in between may have lost it again and told users what we do not know.
-TEST_F(Promises, DoNotMendALapse) {
-    holder.promised("b", 101.9, 102.5);
-    holder.promised("c", 101.9, 102.5);
-    EXPECT_FALSE(holder.valid(102.5));
+TEST_F(ExtensionVotes, DoNotMendALapse) {
+    leader.extension_granted("b", 101.9, 102.5);
+    leader.extension_granted("c", 101.9, 102.5);
+    EXPECT_FALSE(leader.valid(102.5));
 }
 
-TEST_F(Promises, AreNotGivenByWhomTheStoreServes) {
-    Tenancy peer(ttl, 2, 0);
+TEST_F(ExtensionVotes, AreNotGivenByWhomTheStoreServes) {
+    LeaderLease peer(ttl, 2, 0);
     for (double t = 0; t < 10; t += 0.5)
-        peer.store_read(true, t);
-    EXPECT_FALSE(peer.promise(1, 10, true, false));
-    EXPECT_FALSE(peer.promise(1, 10, false, true)); // nor by one that takes the office itself
-    EXPECT_TRUE(peer.may_take(10));
-    EXPECT_TRUE(peer.promise(1, 10, true, true));
-    EXPECT_FALSE(peer.may_take(11));
-    EXPECT_TRUE(peer.may_take(11.2));
+        peer.record_store_answer(true, t);
+    EXPECT_FALSE(peer.grant_extension(1, 10, true, false));
+    EXPECT_FALSE(peer.grant_extension(1, 10, false, true)); // nor by one that takes the office itself
+    EXPECT_TRUE(peer.may_acquire(10));
+    EXPECT_TRUE(peer.grant_extension(1, 10, true, true));
+    EXPECT_FALSE(peer.may_acquire(11));
+    EXPECT_TRUE(peer.may_acquire(11.2));
 }
 
 // A new process keeps no longer one than holders ask for: none is given for longer.
-TEST_F(Promises, AreGivenForNoLongerThanANewProcessKeepsThem) {
-    Tenancy peer(ttl, 2, 0);
+TEST_F(ExtensionVotes, AreGivenForNoLongerThanANewProcessKeepsThem) {
+    LeaderLease peer(ttl, 2, 0);
     for (double t = 0; t < 10; t += 0.5)
-        peer.store_read(true, t);
-    EXPECT_FALSE(peer.promise(1.5 * peer.promise_s(), 10, true, true));
-    EXPECT_TRUE(peer.promise(peer.promise_s(), 10, true, true));
+        peer.record_store_answer(true, t);
+    EXPECT_FALSE(peer.grant_extension(1.5 * peer.extension_s(), 10, true, true));
+    EXPECT_TRUE(peer.grant_extension(peer.extension_s(), 10, true, true));
 }
 
-TEST_F(Promises, ThatANewProcessMayHaveForgottenAreKept) {
-    Tenancy fresh(ttl, 2, 50);
-    EXPECT_FALSE(fresh.may_take(51));
-    EXPECT_TRUE(fresh.may_take(51.2));
-    Tenancy holder_before(ttl, 2, 50);
-    holder_before.found_own_name(); // whom it had promised was itself
-    EXPECT_TRUE(holder_before.may_take(50));
+TEST_F(ExtensionVotes, ThatANewProcessMayHaveForgottenAreKept) {
+    LeaderLease fresh(ttl, 2, 50);
+    EXPECT_FALSE(fresh.may_acquire(51));
+    EXPECT_TRUE(fresh.may_acquire(51.2));
+    LeaderLease leader_before(ttl, 2, 50);
+    leader_before.previous_process_was_leader(); // whom it had promised was itself
+    EXPECT_TRUE(leader_before.may_acquire(50));
 }
 
 // An attempt of our own that is still under way would break the promise without our doing.
-TEST_F(Promises, AreNotGivenWhileAnAttemptMayStillBeApplied) {
-    Tenancy peer(ttl, 2, 0);
-    EXPECT_FALSE(peer.promise(1, 1, true, true)); // the process before may have left one
+TEST_F(ExtensionVotes, AreNotGivenWhileAnAttemptMayStillBeApplied) {
+    LeaderLease peer(ttl, 2, 0);
+    EXPECT_FALSE(peer.grant_extension(1, 1, true, true)); // the process before may have left one
     for (double t = 0; t < 10; t += 0.5)
-        peer.store_read(true, t);
-    ASSERT_TRUE(peer.promise(1, 10, true, true));
-    peer.attempt_unresolved();
-    EXPECT_FALSE(peer.promise(1, 20, true, true));
-    peer.store_read(true, 20);
-    peer.store_read(false, 24); // an outage: holds live on
-    peer.store_read(true, 25);
-    peer.store_read(true, 30);
-    EXPECT_FALSE(peer.promise(1, 30, true, true));
-    peer.store_read(true, 32);
-    EXPECT_TRUE(peer.promise(1, 32, true, true));
+        peer.record_store_answer(true, t);
+    ASSERT_TRUE(peer.grant_extension(1, 10, true, true));
+    peer.acquisition_in_doubt();
+    EXPECT_FALSE(peer.grant_extension(1, 20, true, true));
+    peer.record_store_answer(true, 20);
+    peer.record_store_answer(false, 24); // an outage: holds live on
+    peer.record_store_answer(true, 25);
+    peer.record_store_answer(true, 30);
+    EXPECT_FALSE(peer.grant_extension(1, 30, true, true));
+    peer.record_store_answer(true, 32);
+    EXPECT_TRUE(peer.grant_extension(1, 32, true, true));
 }
 
 std::string first(const World& w) {
@@ -100,7 +100,7 @@
     w.end_store_outage();
     w.run(20);
     EXPECT_EQ(w.started, started);
-    EXPECT_EQ(w.offices, 1);
+    EXPECT_EQ(w.acquisitions, 1);
     EXPECT_EQ(first(w), "");
 }
 
@@ -109,12 +109,12 @@
     World w(6, 5);
     w.capacity = 20;
     w.run(20);
-    ASSERT_TRUE(w.office);
-    const auto before = w.office->node;
+    ASSERT_TRUE(w.leader_record);
+    const auto before = w.leader_record->node;
     w.controllers[before].no_store = true;
     w.run(15);
-    ASSERT_TRUE(w.office);
-    EXPECT_NE(w.office->node, before);
+    ASSERT_TRUE(w.leader_record);
+    EXPECT_NE(w.leader_record->node, before);
     EXPECT_EQ(first(w), "");
 }
 
@@ -169,8 +169,8 @@
                     if (w.chance() < 0.4)
                         w.crash(x, 3);
             } else if (c < 0.25) {
-                if (w.office)
-                    w.crash(w.controllers[w.office->node], 3);
+                if (w.leader_record)
+                    w.crash(w.controllers[w.leader_record->node], 3);
             } else if (c < 0.35) {
                 w.store_down = true;
                 later(20, [&w] { w.end_store_outage(); });
@@ -206,7 +206,7 @@
     }
     EXPECT_EQ(first(w), "") << "at " << w.now;
     EXPECT_GT(w.started, 3 * size.machines);
-    EXPECT_GE(w.offices, 2);
+    EXPECT_GE(w.acquisitions, 2);
 }
 
 INSTANTIATE_TEST_SUITE_P(Sizes, ManyTroubles,
--- a/tests/test_core.cpp
+++ b/tests/test_core.cpp
@@ -189,7 +189,7 @@
 TEST(Core, AHigherTermInAReportEndsTheOffice) {
     OneTask s;
     const auto effects = s.give(Beat{OneTask::report(2, std::uint64_t{8} << fence_bits), 2});
-    EXPECT_EQ(all<StepDown>(effects).size(), 1U);
+    EXPECT_EQ(all<Resign>(effects).size(), 1U);
     EXPECT_EQ(all<BeatAnswer>(effects).at(0).status, 503);
     EXPECT_FALSE(s.core.view("wk-000001"));
 }
--- a/tests/test_crowded.cpp
+++ b/tests/test_crowded.cpp
@@ -60,12 +60,12 @@
 double large_begins(double limit, int machines, double every_s) {
     Crowd c(3, machines, 0);
     c.settings.teams[0].cpus_max = limit;
-    c.take_office();
+    c.acquire_leadership();
     const auto single = [](JobSpec& j) { j.tasks = 1; };
     c.keep_busy(20, every_s, 2, single);
     const auto large = c.ask(Shape::array, 3, 8);
     c.keep_busy(40, every_s, 2, single);
-    c.take_office(); // its age survives: it goes by the submission
+    c.acquire_leadership(); // its age survives: it goes by the submission
     c.keep_busy(30, every_s, 2, single);
     EXPECT_TRUE(c.broken.empty()) << c.broken.front();
     EXPECT_GT(c.started, 100);
@@ -90,7 +90,7 @@
 // Spot room to spare, but ordinary machines few and full of what might run elsewhere.
 TEST(Crowded, WorkThatMayNotUseSpotGetsTheOrdinaryMachines) {
     Crowd c(5, 10, 2);
-    c.take_office();
+    c.acquire_leadership();
     const auto high = [](JobSpec& j) { j.rank = Rank::high; };
     c.keep_busy(40, 0.25, 2, high);
     std::vector<std::string> list;
@@ -109,7 +109,7 @@
 TEST(Crowded, RoomIsWaitedForWhereTasksEndAllTheTime) {
     Crowd c(7, 12, 0);
     c.settings.objectives = {{"wait", "urgent", 12, 0.9, 0}};
-    c.take_office();
+    c.acquire_leadership();
     const auto small = [&] { c.keep_busy(6, 0.3); };
     for (int k = 0; k < 8; ++k)
         small();
--- a/tests/test_cuts.cpp
+++ b/tests/test_cuts.cpp
@@ -10,7 +10,7 @@
 using Left = std::vector<int>;
 
 // All ways to cut n controllers: the holder's own, then those of the others, whose order does not matter.
-std::vector<Left> all_cuts(std::size_t n, int holder) {
+std::vector<Left> all_cuts(std::size_t n, int leader) {
     std::vector<Left> out;
     std::function<void(Left)> add = [&](Left l) {
         if (l.size() == n)
@@ -21,7 +21,7 @@
             l.pop_back();
         }
     };
-    add({holder});
+    add({leader});
     return out;
 }
 
@@ -76,10 +76,10 @@
 class Subsets : public ::testing::TestWithParam<std::tuple<Mode, int>> {};
 
 TEST_P(Subsets, OfLinksToStoreAndWorkersOfFive) {
-    const auto [mode, holder] = GetParam();
+    const auto [mode, leader] = GetParam();
     std::string wrong;
     int k = 0;
-    for (const auto& left : all_cuts(5, holder)) {
+    for (const auto& left : all_cuts(5, leader)) {
         if (sanitized && k++ % 7 != 0)
             continue;
         std::string name;
@@ -163,7 +163,7 @@
     f.work(f.leases(3));
     EXPECT_EQ(first(f), "");
     EXPECT_EQ(f.changes.size(), 2U);
-    EXPECT_EQ(f.nodes[f.holder().value_or(0)].name, f.name(2));
+    EXPECT_EQ(f.nodes[f.leader().value_or(0)].name, f.name(2));
 }
 
 struct Matrix {
--- a/tests/test_day.cpp
+++ b/tests/test_day.cpp
@@ -123,7 +123,7 @@
         return day_end(std::max(leases(5), 90.0));
     }
     const ledger::Machine* known(const std::string& id) {
-        const auto& c = nodes[holder().value_or(0)].controller;
+        const auto& c = nodes[leader().value_or(0)].controller;
         const auto* term = c ? c->core() : nullptr;
         if (term == nullptr)
             return nullptr;
@@ -160,7 +160,7 @@
         const auto* m = f.known(id);
         if (known_at < 0 && m != nullptr && m->deaf()) {
             known_at = f.now;
-            known_there = f.nodes[*f.holder()].clock->now();
+            known_there = f.nodes[*f.leader()].clock->now();
         }
         if (gone_at < 0 && !f.workers.contains(id))
             gone_at = f.now;
@@ -193,7 +193,7 @@
         some.resize(5);
         const int before = f.lapses;
         for (const auto& id : some)
-            f.deafen(id, {f.nodes[*f.holder()].name});
+            f.deafen(id, {f.nodes[*f.leader()].name});
         f.work(f.leases(4));
         EXPECT_EQ(first(f), "") << seed;
         EXPECT_EQ(f.lapses, before) << seed;
@@ -239,9 +239,9 @@
             for (auto& [id, w] : f.workers)
                 if (f.chance() < 0.2)
                     w.dead = true; // taken without notice, while copies go on coming
-            f.crash(*f.holder(), k == 0 ? 0.2 : 3);
+            f.crash(*f.leader(), k == 0 ? 0.2 : 3);
             f.work(f.leases(1.5));
-            ASSERT_TRUE(f.holder()) << seed;
+            ASSERT_TRUE(f.leader()) << seed;
         }
         EXPECT_EQ(first(f), "") << seed;
         EXPECT_EQ(f.end(), "") << seed;
@@ -290,7 +290,7 @@
     const auto p = GetParam();
     Day f(61, 5, 40);
     ASSERT_TRUE(f.settle(60));
-    const auto h = *f.holder();
+    const auto h = *f.leader();
     const double for_s = p.leases * f.settings.lease_s;
     std::vector<std::size_t> cut;
     if (p.who != 1)
@@ -303,7 +303,7 @@
     f.work(std::min(for_s - 1, 8.0)); // a hold, and what it takes to know
     if (for_s > 9)
         for (const auto i : cut) {
-            EXPECT_FALSE(f.acts(i));
+            EXPECT_FALSE(f.is_active_leader(i));
             const auto said = std::make_shared<std::map<std::string, std::pair<int, double>>>();
             const auto try_out = [&](const std::string& what, HttpRequest r) {
                 f.http(Fleet::users, i, std::move(r), false, 4,
@@ -367,13 +367,13 @@
         f.more = [&] {
             const bool handovers = p.when == "/peer/take"; // no other changes within a lease before
             if (!handovers && std::fmod(f.now, 20) < 0.1)
-                f.crash(f.holder().value_or(0), f.moment());
+                f.crash(f.leader().value_or(0), f.moment());
             if (std::fmod(f.now + 5, 40) < 0.1) {
                 f.store_down = true;
                 f.send(4, [&f] { f.end_outage(); });
             }
             if (std::fmod(f.now + 15, 45) < 0.1)
-                f.cut(f.nodes[f.holder().value_or(0)].name, Fleet::zone("a"), Mode::drop, false, 15);
+                f.cut(f.nodes[f.leader().value_or(0)].name, Fleet::zone("a"), Mode::drop, false, 15);
         };
         f.work(f.leases(5));
         EXPECT_EQ(first(f), "") << seed;
--- a/tests/test_gap.cpp
+++ b/tests/test_gap.cpp
@@ -66,7 +66,7 @@
 
 // Once: the refusal, the cancellations, the outage; then all is well again.
 void pass(Gap& f, const Story& s, std::size_t asked_at) {
-    const auto leader = *f.holder();
+    const auto leader = *f.leader();
     const auto n = f.nodes.size();
     // At the old leader, at the others in turn, or wherever the balancer sends them.
     if (asked_at < n)
@@ -94,7 +94,7 @@
             w.hung = w.cut = false;
     });
     f.work(0.5);
-    f.in_handover = !f.holder();
+    f.in_handover = !f.leader();
     f.work(f.settings.cancel_s + 12);
     f.heal();
     f.nodes[leader].refused_by_store = false;
@@ -121,7 +121,7 @@
         EXPECT_EQ(f.lapses, f.lapses_before);
     }
     f.work(f.leases(2));
-    ASSERT_TRUE(f.holder());
+    ASSERT_TRUE(f.leader());
     if (s.after_s >= 2)
         pass(f, s, 99); // once more on the same day, asked anywhere
     EXPECT_EQ(f.what_is_wrong(), "");
@@ -137,10 +137,10 @@
     for (unsigned k = 0; k < (sanitized ? 4 : 24); ++k) {
         Gap f(450 + k, 5);
         ASSERT_TRUE(f.settle(45 + 0.1 * k)) << k;
-        const auto leader = *f.holder();
+        const auto leader = *f.leader();
         pass(f, {5, 0.5 + 0.1 * (k % 12), Besides::nothing}, 99);
         EXPECT_EQ(f.what_is_wrong(), "") << k;
-        EXPECT_EQ(f.holder(), leader) << k;
+        EXPECT_EQ(f.leader(), leader) << k;
         EXPECT_EQ(f.lapses, f.lapses_before) << k;
     }
 }
--- a/tests/test_golden.cpp
+++ b/tests/test_golden.cpp
@@ -90,9 +90,9 @@
     v.zones = {{"a", Reach::works}, {"b", Reach::lost}, {"c", Reach::unknown}};
     v.peers = {{"berth-0", Reach::works}};
     v.machines = {{"a", {"10.0.0.9:9000", "10.0.0.10:9000"}}};
-    v.holder = "berth-0";
+    v.leader = "berth-0";
     v.term = 7;
-    v.sees_office = true;
+    v.sees_leader = true;
     return v;
 }
 
--- a/tests/test_late_commands.cpp
+++ b/tests/test_late_commands.cpp
@@ -48,7 +48,7 @@
                         hold_commands(f, 0.4);
                         f.on_step = [&f] {
                             if (f.every(20))
-                                f.isolate(f.holder().value_or(0), Mode::drop, f.between(8, 16));
+                                f.isolate(f.leader().value_or(0), Mode::drop, f.between(8, 16));
                             if (f.every(2))
                                 some_cancel(f, 0.1);
                         };
--- a/tests/test_late_loop.cpp
+++ b/tests/test_late_loop.cpp
@@ -185,11 +185,11 @@
         for (const double end = seconds() + for_s; seconds() < end && !over(); usleep(1000))
             l.turn();
     };
-    run(30, [&] { return leader.acts(); });
-    ASSERT_TRUE(leader.acts());
+    run(30, [&] { return leader.is_active_leader(); });
+    ASSERT_TRUE(leader.is_active_leader());
     Scheduler two(options(1)), three(options(2));
     run(2 * lease_s, [] { return false; }); // they have told each other how they are
-    ASSERT_TRUE(leader.acts());
+    ASSERT_TRUE(leader.is_active_leader());
 
     int late_turns = 0, not_acting = 0, others = 0;
     for (const double end = seconds() + 5 * lease_s; seconds() < end;) {
@@ -197,8 +197,8 @@
         l.turn();
         stand_still(still_s);
         late_turns += seconds() - began >= still_s;
-        not_acting += !leader.acts();
-        others += two.acts() || three.acts();
+        not_acting += !leader.is_active_leader();
+        others += two.is_active_leader() || three.is_active_leader();
     }
     EXPECT_GE(late_turns, 10);
     EXPECT_EQ(not_acting, 0);
@@ -220,7 +220,7 @@
     // How long the leader goes on acting from now, at most.
     double acts_on(std::size_t leader, double at_most_s) {
         const double began = now;
-        while (now < began + at_most_s && acts(leader))
+        while (now < began + at_most_s && is_active_leader(leader))
             work(0.1);
         return now - began;
     }
@@ -230,7 +230,7 @@
     for (unsigned k = 0; k < (sanitized ? 2 : 8); ++k) {
         LateFleet f(800 + k);
         ASSERT_TRUE(f.settle(45)) << k;
-        const auto leader = *f.holder();
+        const auto leader = *f.leader();
         const int lapses = f.lapses;
         auto& node = f.nodes[leader];
         node.late_s = f.hold_s() / 3;
@@ -239,7 +239,7 @@
         node.late_s = 0;
         f.work(f.leases(1));
         EXPECT_EQ(first(f), "") << k;
-        EXPECT_EQ(f.holder(), leader) << k;
+        EXPECT_EQ(f.leader(), leader) << k;
         EXPECT_EQ(f.changes.size(), 1U) << k;
         EXPECT_EQ(f.lapses, lapses) << k;
     }
@@ -251,7 +251,7 @@
     for (unsigned k = 0; k < (sanitized ? 2 : 8); ++k) {
         LateFleet f(820 + k);
         ASSERT_TRUE(f.settle(45)) << k;
-        const auto leader = *f.holder();
+        const auto leader = *f.leader();
         const auto& name = f.nodes[leader].name;
         std::size_t asked = 0; // promises, since it goes on
         f.on_sent = [&](std::size_t from, std::size_t, const std::string& what) {
@@ -265,7 +265,7 @@
         EXPECT_GT(asked, 0U) << k;
         f.work(f.leases(1));
         EXPECT_EQ(first(f), "") << k;
-        EXPECT_EQ(f.holder(), leader) << k;
+        EXPECT_EQ(f.leader(), leader) << k;
         EXPECT_EQ(f.changes.size(), 1U) << k;
     }
 }
@@ -277,7 +277,7 @@
         for (const bool late : {false, true}) {
             LateFleet f(840 + k);
             ASSERT_TRUE(f.settle(45)) << k;
-            const auto leader = *f.holder();
+            const auto leader = *f.leader();
             if (late)
                 f.nodes[leader].late_s = f.hold_s() / 3;
             f.work(f.hold_s());
@@ -285,8 +285,8 @@
             const double took = f.acts_on(leader, f.leases(1));
             EXPECT_LE(took, 0.75 * f.hold_s()) << k << late;
             f.work(f.hold_s() * 2);
-            ASSERT_TRUE(f.holder()) << k << late;
-            EXPECT_NE(*f.holder(), leader) << k << late;
+            ASSERT_TRUE(f.leader()) << k << late;
+            EXPECT_NE(*f.leader(), leader) << k << late;
             EXPECT_EQ(first(f), "") << k << late;
         }
 }
--- a/tests/test_meetings.cpp
+++ b/tests/test_meetings.cpp
@@ -188,7 +188,7 @@
              f.on_step = [&f] {
                  if (f.every(9)) {
                      const auto zone = Fleet::zone(f.settings.zones[f.pick(3)]);
-                     const auto& name = f.nodes[f.holder_or(f.pick(f.nodes.size()))].name;
+                     const auto& name = f.nodes[f.leader_or(f.pick(f.nodes.size()))].name;
                      f.cut(name, zone, Mode::hold, f.chance() < 0.5, f.between(3, 9));
                  }
                  if (f.every(5))
@@ -209,7 +209,7 @@
                      add(f, other, n);
                  }
                  if (f.every(10))
-                     f.cut(f.nodes[f.holder_or(f.pick(f.nodes.size()))].name, Fleet::zone(f.settings.zones[f.pick(3)]),
+                     f.cut(f.nodes[f.leader_or(f.pick(f.nodes.size()))].name, Fleet::zone(f.settings.zones[f.pick(3)]),
                            Mode::slow, false, 6);
                  if (f.every(5))
                      some_cancel(f, 0.1);
@@ -299,7 +299,7 @@
                  if (f.every(12, 0.5))
                      some_cancel(f, 0.2);
                  if (f.every(12)) { // by its end, a handover, or a cut
-                     const auto h = f.holder().value_or(0);
+                     const auto h = f.leader().value_or(0);
                      const auto k = f.pick(3);
                      if (k == 0)
                          f.crash(h, f.moment());
@@ -318,7 +318,7 @@
              f.on_step = [&f] {
                  if (!f.every(50))
                      return;
-                 const auto in = f.holder_or(f.pick(f.nodes.size()));
+                 const auto in = f.leader_or(f.pick(f.nodes.size()));
                  const auto zone = f.settings.zones[in % 3];
                  const double for_s = f.leases(1.3);
                  for (std::size_t o = 0; o < f.nodes.size(); ++o) {
@@ -361,7 +361,7 @@
                  // leases run out, whoever gives way when.
                  const auto mode = std::array{Mode::drop, Mode::hold, Mode::refuse}[f.pick(3)];
                  if (f.every(30))
-                     f.isolate(f.holder().value_or(0), mode, f.between(8, 26));
+                     f.isolate(f.leader().value_or(0), mode, f.between(8, 26));
                  if (f.every(4))
                      some_cancel(f, 0.15);
              };
@@ -376,7 +376,7 @@
                      for (const auto& n : f.nodes)
                          f.cut(n.name, Fleet::state, Mode::slow, false, 10);
                  if (std::abs(t - 25) < 0.05)
-                     f.nodes[f.holder().value_or(0)].refused_by_store = true;
+                     f.nodes[f.leader().value_or(0)].refused_by_store = true;
                  if (std::abs(t - 25.9) < 0.05)
                      outage(f, f.settings.cancel_s + 5);
                  if (f.every(3))
--- a/tests/test_records.cpp
+++ b/tests/test_records.cpp
@@ -181,7 +181,7 @@
     w.settings.txn_ops = 16;
     w.settings.fd_limit = 4000;
     w.capacity = 300;
-    w.take_office();
+    w.acquire_leadership();
     for (int i = 1; i <= 20; ++i)
         w.submit(job(i, Shape::service, 100, 1));
     std::size_t writes = 0;
@@ -203,7 +203,7 @@
         live += w.core->live_tasks(fmt::format("wk-{:06}", i));
     EXPECT_EQ(live, 2000U);
     EXPECT_LT(writes, 500U);
-    w.take_office();
+    w.acquire_leadership();
     std::size_t known = 0;
     for (int i = 1; i <= 20; ++i)
         known += w.core->live_tasks(fmt::format("wk-{:06}", i));
--- a/tests/test_replay.cpp
+++ b/tests/test_replay.cpp
@@ -44,7 +44,7 @@
     CommandLog log(path, most_bytes);
     w.log = &log;
     w.beat_loss = w.order_loss = 0.1;
-    w.take_office();
+    w.acquire_leadership();
     w.submit(job(1, Shape::array, 12, 2));
     w.submit(job(2, Shape::gang, 3, 4));
     w.submit(job(3, Shape::service, 3, 1, "blue"));
@@ -54,7 +54,7 @@
     w.run(15);
     w.cancel("wk-000003");
     w.run(10);
-    w.take_office();
+    w.acquire_leadership();
     w.run(40);
     w.log = nullptr;
     EXPECT_EQ(w.broken.empty() ? "" : w.broken.front(), "");
--- a/tests/test_scheduler.cpp
+++ b/tests/test_scheduler.cpp
@@ -234,13 +234,13 @@
     EXPECT_EQ(ask([&](auto d) { s->get("wk-000002", d); }).state, "done");
     EXPECT_EQ(ask([&](auto d) { s->submit(job(1), d); }).status, 200); // known already
     EXPECT_EQ(ask([&](auto d) { s->cancel("wk-000001", d); }).state, "done");
-    EXPECT_TRUE(s->acts());
+    EXPECT_TRUE(s->is_active_leader());
     EXPECT_TRUE(history.broken().empty());
 }
 
 TEST_F(Embedded, RefusesAsTheDaemonDoes) {
     Scheduler s(&loop, options());
-    ASSERT_TRUE(until([&] { return s.acts(); }));
+    ASSERT_TRUE(until([&] { return s.is_active_leader(); }));
     EXPECT_EQ(ask([&](auto d) { s.submit(std::string("{"), d); }).status, 400);
     const auto bad = ask([&](auto d) { s.submit(std::string(R"({"id":"wk-000001"})"), d); });
     EXPECT_EQ(bad.status, 400);
@@ -316,7 +316,7 @@
     s.stop();
     s.stop();
     EXPECT_EQ(ask([&](auto d) { s.get("wk-000001", d); }).status, 0);
-    EXPECT_FALSE(s.acts());
+    EXPECT_FALSE(s.is_active_leader());
 }
 
 // Two copies share a store: one acts, the other answers reads truthfully and takes over.
@@ -324,7 +324,7 @@
     auto second = first;
     second.settings.name = "other";
     auto one = std::make_unique<Scheduler>(first);
-    ASSERT_TRUE(until([&] { return one->acts(); }));
+    ASSERT_TRUE(until([&] { return one->is_active_leader(); }));
     reports_to(*one);
     Scheduler two(second);
     want(job(1));
@@ -332,10 +332,10 @@
     submit(*one, job(1), &a);
     ASSERT_TRUE(until([&] { return a.ok(); }));
     EXPECT_TRUE(until([&] { return ask([&](auto d) { two.get("wk-000001", d); }).state == "done"; }));
-    EXPECT_TRUE(one->acts());
-    EXPECT_FALSE(two.acts());
+    EXPECT_TRUE(one->is_active_leader());
+    EXPECT_FALSE(two.is_active_leader());
     one.reset();
-    ASSERT_TRUE(until([&] { return two.acts(); }));
+    ASSERT_TRUE(until([&] { return two.is_active_leader(); }));
     platform->report_to({{"other", fmt::format("127.0.0.1:{}", two.port())}});
     want(job(2));
     Reply b;
@@ -362,22 +362,22 @@
     auto two_o = o;
     two_o.settings.name = "other";
     Scheduler one(&loop, o);
-    ASSERT_TRUE(until([&] { return one.acts(); }));
+    ASSERT_TRUE(until([&] { return one.is_active_leader(); }));
     auto two = std::make_unique<Scheduler>(two_o); // on a thread
     platform->report_to(
         {{"copy", fmt::format("127.0.0.1:{}", one.port())}, {"other", fmt::format("127.0.0.1:{}", two->port())}});
     Users users(*this, {fmt::format("127.0.0.1:{}", one.port()), fmt::format("127.0.0.1:{}", two->port())}, 6);
     ASSERT_TRUE(until([&] { return users.serve(), history.starts() > 0; }));
     const auto end = uv_hrtime() + 30'000'000'000ULL;
-    while (!two->acts() && uv_hrtime() < end)
+    while (!two->is_active_leader() && uv_hrtime() < end)
         usleep(1000); // the loop stands still
-    EXPECT_TRUE(two->acts());
-    EXPECT_FALSE(one.acts());
+    EXPECT_TRUE(two->is_active_leader());
+    EXPECT_FALSE(one.is_active_leader());
     ASSERT_TRUE(until([&] { return users.serve(); }));
-    EXPECT_FALSE(one.acts());
-    EXPECT_TRUE(two->acts());
+    EXPECT_FALSE(one.is_active_leader());
+    EXPECT_TRUE(two->is_active_leader());
     two.reset();
-    EXPECT_TRUE(until([&] { return one.acts(); }));
+    EXPECT_TRUE(until([&] { return one.is_active_leader(); }));
     EXPECT_EQ(history.broken(), std::vector<std::string>{});
 }
 
@@ -407,7 +407,7 @@
     auto o = on(*service);
     o.state = [&](uv_loop_t* l) { return std::make_unique<Cut>(l, o.settings.state, cut); };
     Scheduler one(&loop, o);
-    ASSERT_TRUE(until([&] { return one.acts(); }));
+    ASSERT_TRUE(until([&] { return one.is_active_leader(); }));
     auto second = on(*service);
     second.settings.name = "other";
     Scheduler two(&loop, second);
@@ -417,13 +417,13 @@
     Users users(*this, addresses, 14);
     bool both = false;
     const auto watch = [&] {
-        both = both || (one.acts() && two.acts());
+        both = both || (one.is_active_leader() && two.is_active_leader());
         return users.serve();
     };
     ASSERT_TRUE(until([&] { return watch(), history.starts() > 0; }));
     cut = true;
-    ASSERT_TRUE(until([&] { return watch(), two.acts(); }));
-    EXPECT_FALSE(one.acts());
+    ASSERT_TRUE(until([&] { return watch(), two.is_active_leader(); }));
+    EXPECT_FALSE(one.is_active_leader());
     // A report that it took would renew a lease which the other counts as running out.
     HttpClient worker(&loop, 1, 4);
     int status = 0;
@@ -435,7 +435,7 @@
     ASSERT_TRUE(until([&] { return watch(), history.starts() > 5; }));
     cut = false;
     EXPECT_TRUE(until(watch));
-    EXPECT_TRUE(two.acts());
+    EXPECT_TRUE(two.is_active_leader());
     EXPECT_FALSE(both);
     EXPECT_EQ(history.broken(), std::vector<std::string>{});
     EXPECT_TRUE(history.unfinished().empty());
@@ -451,9 +451,9 @@
     int n = 100;
     for (const auto mood : {store::StoreServer::Mood::out, store::StoreServer::Mood::silent}) {
         const int starts = history.starts();
-        ASSERT_TRUE(until([&] { return users.serve(), s.acts() && history.starts() > starts; }));
+        ASSERT_TRUE(until([&] { return users.serve(), s.is_active_leader() && history.starts() > starts; }));
         service->set_mood(mood);
-        ASSERT_TRUE(until([&] { return users.serve(), !s.acts(); }));
+        ASSERT_TRUE(until([&] { return users.serve(), !s.is_active_leader(); }));
         const auto r = ask([&](auto d) { s.submit(job(++n), d); });
         EXPECT_EQ(r.status, 503);
         EXPECT_GT(r.retry_after_s, 0);
--- a/tests/test_world.cpp
+++ b/tests/test_world.cpp
@@ -12,7 +12,7 @@
 
 TEST(World, AQuietDayRunsEverything) {
     World w(1);
-    w.take_office();
+    w.acquire_leadership();
     w.submit(job(1, Shape::array, 20, 2));
     w.submit(job(2, Shape::gang, 3, 4));
     auto service = job(3, Shape::service, 3, 1, "blue");
@@ -29,7 +29,7 @@
 
 TEST(World, CancelledWorkIsGoneInTimeAlsoBehindACut) {
     World w(2);
-    w.take_office();
+    w.acquire_leadership();
     w.submit(job(1, Shape::service, 3, 4));
     w.run(30);
     ASSERT_EQ(w.core->view("wk-000001")->running, 3U);
@@ -45,13 +45,13 @@
 
 TEST(World, ATakeoverKeepsWhatRunsAndCountsWhatItCannotSee) {
     World w(3);
-    w.take_office();
+    w.acquire_leadership();
     w.submit(job(1, Shape::service, 4, 4));
     w.run(30);
     ASSERT_EQ(w.core->live_tasks("wk-000001"), 4U);
     w.workers.begin()->second.cut = true; // still runs what it has
     const int before = w.started;
-    w.take_office();
+    w.acquire_leadership();
     w.step();
     // The intent counts until the machine says otherwise or its lease has surely run out.
     EXPECT_EQ(w.core->live_tasks("wk-000001"), 4U);
@@ -64,7 +64,7 @@
 
 TEST(World, ASickMachineIsReplacedAndABadJobTakesNoMachineDown) {
     World w(4);
-    w.take_office();
+    w.acquire_leadership();
     w.submit(job(1, Shape::array, 30, 2));
     w.run(14);
     ASSERT_FALSE(w.workers.empty());
@@ -84,7 +84,7 @@
     w.takes = [first_s](std::uint32_t index) { return index == 0 ? first_s : 5.0; };
     w.settings.teams[0].cpus_max = 400;
     w.capacity = 30;
-    w.take_office();
+    w.acquire_leadership();
     w.submit(job(2, Shape::service, 30, 6)); // that many machines: a few may be slow
     w.run(40);
     const int before = w.started;
@@ -110,7 +110,7 @@
     w.beat_loss = 0.05;
     w.order_loss = 0.1;
     w.late = 0.05;
-    w.take_office();
+    w.acquire_leadership();
     int n = 0;
     double next_job = 0, next_trouble = 10;
     while (w.now < 400 && w.broken.empty()) {
@@ -140,7 +140,7 @@
             const double c = w.chance();
             if (c < 0.3 || !w.core) {
                 w.core.reset();
-                w.send(w.between(0.5, 8), [&w] { w.take_office(); });
+                w.send(w.between(0.5, 8), [&w] { w.acquire_leadership(); });
             } else if (c < 0.5 && x != nullptr) {
                 x->cut = true;
                 w.send(w.between(1, 25), [&w, id = x->id] {
--- a/tests/troubles.hpp
+++ b/tests/troubles.hpp
@@ -12,8 +12,8 @@
     std::size_t pick(std::size_t n) {
         return static_cast<std::size_t>(between(0, static_cast<double>(n) - 0.01));
     }
-    std::size_t holder_or(std::size_t i) {
-        return chance() < 0.5 ? holder().value_or(i) : i;
+    std::size_t leader_or(std::size_t i) {
+        return chance() < 0.5 ? leader().value_or(i) : i;
     }
     Mode some_mode() {
         return std::array{Mode::drop, Mode::hold, Mode::refuse, Mode::slow}[pick(4)];
@@ -56,9 +56,9 @@
             nodes[i].refused_by_store = true;
             send(for_s, [this, i] { nodes[i].refused_by_store = false; });
         } else if (c < 0.85) {
-            crash(holder_or(i), 3);
+            crash(leader_or(i), 3);
         } else if (c < 0.92) {
-            freeze(holder_or(i), std::min(for_s, 30.0));
+            freeze(leader_or(i), std::min(for_s, 30.0));
         } else if (c < 0.95) {
             store_down = true;
             send(std::min(for_s, 30.0), [this] { end_outage(); });
@@ -113,18 +113,18 @@
         const double c = chance();
         const auto i = pick(nodes.size());
         if (c < 0.2) {
-            const auto to = chance() < 0.4 ? std::vector{holder().value_or(i)} : all_nodes();
+            const auto to = chance() < 0.4 ? std::vector{leader().value_or(i)} : all_nodes();
             const double kind = chance();
             deafen_some(kind < 0.4 ? 0 : kind < 0.7 ? 0.33 : 1, kind < 0.7 ? "" : settings.zones[pick(3)], to, for_s);
         } else if (c < 0.3) {
             copies = 0.3;
             send(2 * for_s, [this] { copies = 0; });
         } else if (c < 0.5) {
-            isolate(holder_or(i), some_mode(), for_s);
+            isolate(leader_or(i), some_mode(), for_s);
             if (chance() < 0.3)
                 isolate(pick(nodes.size()), some_mode(), for_s);
         } else if (c < 0.7) {
-            crash(holder_or(i), moment());
+            crash(leader_or(i), moment());
         } else if (c < 0.8) {
             for (std::size_t o = 0; o < nodes.size(); ++o)
                 send(between(0, 1), [this, o] { crash(o, moment()); });
--- a/tests/working.hpp
+++ b/tests/working.hpp
@@ -77,14 +77,14 @@
                 return fmt::format("two changes of holder in {:.1f} s", changes[k] - changes[k - 1]);
         return {};
     }
-    const std::string& name(std::size_t after_holder) const {
-        return nodes[(first_holder + after_holder) % nodes.size()].name;
+    const std::string& name(std::size_t after_leader) const {
+        return nodes[(first_leader + after_leader) % nodes.size()].name;
     }
-    std::size_t first_holder = 0;
+    std::size_t first_leader = 0;
     bool settle(double seconds = 25) {
         work(seconds);
-        const auto h = holder();
-        first_holder = h.value_or(0);
+        const auto h = leader();
+        first_leader = h.value_or(0);
         return h && changes.size() == 1 && broken.empty();
     }
 };
--- a/tests/world.hpp
+++ b/tests/world.hpp
@@ -6,7 +6,7 @@
 #include "machines.hpp"
 
 #include "heronshift/core/core.hpp"
-#include "heronshift/office/tenancy.hpp"
+#include "heronshift/leadership/leader_lease.hpp"
 #include "heronshift/replay/command_log.hpp"
 
 #include <memory>
@@ -23,8 +23,8 @@
         std::string name;
         std::unique_ptr<Core> core; // while it holds the office, or believes so
         std::vector<Command> queue;
-        std::uint64_t life = 0, term = 0, hold = 0; // answers for an earlier life are dropped
-        std::optional<Tenancy> tenancy;             // none: alone, and always entitled
+        std::uint64_t life = 0, term = 0, store_lease = 0; // answers for an earlier life are dropped
+        std::optional<LeaderLease> leader_lease;           // none: alone, and always entitled
         bool alive = true, acquiring = false, no_store = false, no_workers = false, no_peers = false;
         bool old = false; // of the version before chains: see what it reads and writes below
         double rate = 1, back_at = 0, next_look = 0, next_renew = 0;
@@ -37,7 +37,7 @@
             if (count == 1)
                 continue;
             controllers[i].rate = between(0.9995, 1.0005); // steady clocks drift apart
-            controllers[i].tenancy.emplace(ttl_s(), count - 1, 0);
+            controllers[i].leader_lease.emplace(ttl_s(), count - 1, 0);
         }
     }
     Settings old_settings = settings;
@@ -45,14 +45,14 @@
     bool store_down = false, strict = false; // strict: the store's lower limits hold
     bool check_orphaned = true;
     std::map<std::string, codec::Json> store;
-    struct Held {
+    struct LeaderRecord {
         std::size_t node = 0;
-        std::uint64_t hold = 0, term = 0;
+        std::uint64_t store_lease = 0, term = 0;
     };
-    std::optional<Held> office;
-    std::map<std::uint64_t, double> holds; // until when
-    std::uint64_t term = 0, hold_seq = 0;
-    int offices = 0, carried = 0; // times the office was taken; steps it was held by promises alone
+    std::optional<LeaderRecord> leader_record;
+    std::map<std::uint64_t, double> store_leases; // until when
+    std::uint64_t term = 0, store_lease_seq = 0;
+    int acquisitions = 0, carried = 0; // times the office was taken; steps it was held by promises alone
     std::map<std::string, double> submitted;
     std::set<std::string> asked;             // to be cancelled, by their users
     std::map<std::string, std::string> told; // final states heard
@@ -78,19 +78,19 @@
     [[nodiscard]] bool several() const {
         return controllers.size() > 1;
     }
-    [[nodiscard]] bool entitled(const Controller& c) const {
-        return c.alive && c.core && (!c.tenancy || c.tenancy->valid(now * c.rate));
+    [[nodiscard]] bool may_act(const Controller& c) const {
+        return c.alive && c.core && (!c.leader_lease || c.leader_lease->valid(now * c.rate));
     }
 
     // A new holder of the office: everything it knows is what the store holds.
-    void take_office() {
+    void acquire_leadership() {
         ++term;
         start_core(controllers[0]);
     }
 
     void start_core(Controller& c) {
         ++c.life;
-        ++offices;
+        ++acquisitions;
         c.term = term;
         Snapshot s;
         for (const auto& [k, v] : store) {
@@ -163,7 +163,7 @@
             return;
         asked.insert(id);
         for (auto& c : controllers) {
-            if (!entitled(c))
+            if (!may_act(c))
                 continue;
             const auto h = ++handles;
             cancels[h] = id;
@@ -180,7 +180,7 @@
 
     void end_store_outage() {
         store_down = false;
-        for (auto& [id, until] : holds)
+        for (auto& [id, until] : store_leases)
             until = now + ttl_s(); // all have their full time again
     }
 
@@ -204,8 +204,8 @@
             auto& c = controllers[node];
             auto refused = [this, id] {
                 if (auto it = workers.find(id); it != workers.end())
-                    it->second.node =
-                        chance() < 0.5 || !office ? (it->second.node + 1) % controllers.size() : office->node;
+                    it->second.node = chance() < 0.5 || !leader_record ? (it->second.node + 1) % controllers.size()
+                                                                       : leader_record->node;
             };
             if (!c.core || c.no_workers)
                 return refused();
@@ -238,7 +238,7 @@
             if (on_commit)
                 on_commit(commit->writes);
             send(between(0.01, 0.5), [this, &c, tell, t = c.term, writes = commit->writes] {
-                if (t != term || (several() && (!office || office->term != t)))
+                if (t != term || (several() && (!leader_record || leader_record->term != t)))
                     return; // the guards fail
                 TxnOutcome out = TxnOutcome::refused;
                 if (!store_down && !c.no_store) {
@@ -337,54 +337,54 @@
                     found.state = x->second["s"] == codec::status_done ? Known::done : Known::cancelled;
                 tell(found);
             });
-        } else if (std::get_if<StepDown>(&effect) != nullptr) {
+        } else if (std::get_if<Resign>(&effect) != nullptr) {
             c.core.reset();
             ++c.life;
         }
     }
 
     // What a node does about the office, as src/office.cpp does it over the wire.
-    void run_tenancy(std::size_t i) {
+    void run_leader_lease(std::size_t i) {
         auto& c = controllers[i];
         const double t = now * c.rate;
         if (!c.alive) {
             if (now < c.back_at)
                 return;
             c.alive = true;
-            c.tenancy.emplace(ttl_s(), controllers.size() - 1, t);
+            c.leader_lease.emplace(ttl_s(), controllers.size() - 1, t);
         }
-        for (auto it = holds.begin(); it != holds.end();) {
+        for (auto it = store_leases.begin(); it != store_leases.end();) {
             const bool ended = !store_down && now > it->second + 0.05;
-            if (ended && office && office->hold == it->first)
-                office.reset();
-            it = ended ? holds.erase(it) : std::next(it);
+            if (ended && leader_record && leader_record->store_lease == it->first)
+                leader_record.reset();
+            it = ended ? store_leases.erase(it) : std::next(it);
         }
         const bool served = !store_down && !c.no_store;
         if (c.core && t >= c.next_renew) {
             c.next_renew = t + ttl_s() / 6;
-            if (served && !holds.contains(c.hold)) {
+            if (served && !store_leases.contains(c.store_lease)) {
                 c.core.reset();
                 ++c.life;
                 return;
             }
             if (served) {
-                holds[c.hold] = now + ttl_s();
-                c.tenancy->hold_extended(t);
-            } else if (c.tenancy->wants_promises(t)) {
-                ask_for_promises(i, t);
+                store_leases[c.store_lease] = now + ttl_s();
+                c.leader_lease->store_lease_renewed(t);
+            } else if (c.leader_lease->wants_extension_votes(t)) {
+                request_extension_votes(i, t);
             }
         }
         if (c.core || c.acquiring || now < c.next_look)
             return;
         c.next_look = now + between(0.1, 0.3);
-        c.tenancy->store_read(served, t);
+        c.leader_lease->record_store_answer(served, t);
         if (!served)
             return;
-        if (office && office->node == i) { // the process before
-            holds.erase(office->hold);
-            office.reset();
-            c.tenancy->found_own_name();
-        } else if (!office && c.tenancy->may_take(t)) {
+        if (leader_record && leader_record->node == i) { // the process before
+            store_leases.erase(leader_record->store_lease);
+            leader_record.reset();
+            c.leader_lease->previous_process_was_leader();
+        } else if (!leader_record && c.leader_lease->may_acquire(t)) {
             attempt(i, t);
         }
     }
@@ -392,32 +392,33 @@
     void attempt(std::size_t i, double sent) {
         auto& c = controllers[i];
         c.acquiring = true;
-        const auto hold = ++hold_seq;
-        holds[hold] = now + ttl_s();
+        const auto store_lease = ++store_lease_seq;
+        store_leases[store_lease] = now + ttl_s();
         const double delay = chance() < late ? between(1, 20) : between(0.02, 0.2);
         send(std::min(delay, 1.0), [this, &c, life = c.life, delay] {
             if (c.life != life || !c.acquiring || delay < 1)
                 return;
             c.acquiring = false;
-            c.tenancy->attempt_unresolved(); // it may still be applied
+            c.leader_lease->acquisition_in_doubt(); // it may still be applied
         });
-        send(delay, [this, i, &c, life = c.life, hold, sent, read = term] {
-            const bool applied = !store_down && !c.no_store && !office && holds.contains(hold) && term == read;
+        send(delay, [this, i, &c, life = c.life, store_lease, sent, read = term] {
+            const bool applied =
+                !store_down && !c.no_store && !leader_record && store_leases.contains(store_lease) && term == read;
             if (applied)
-                office = Held{i, hold, ++term};
+                leader_record = LeaderRecord{i, store_lease, ++term};
             if (c.life != life || !c.acquiring)
                 return;
             c.acquiring = false;
             if (!applied)
                 return;
-            c.hold = hold;
-            c.tenancy->begin();
-            c.tenancy->hold_extended(sent);
+            c.store_lease = store_lease;
+            c.leader_lease->begin();
+            c.leader_lease->store_lease_renewed(sent);
             start_core(c);
         });
     }
 
-    void ask_for_promises(std::size_t i, double sent) {
+    void request_extension_votes(std::size_t i, double sent) {
         auto& c = controllers[i];
         for (std::size_t k = 0; k < controllers.size(); ++k) {
             if (k == i || c.no_peers)
@@ -428,12 +429,12 @@
                     return;
                 const double t = now * p.rate;
                 const bool failed = store_down || p.no_store;
-                p.tenancy->store_read(!failed, t);
-                if (!p.tenancy->promise(c.tenancy->promise_s(), t, !p.core && !p.acquiring, failed))
+                p.leader_lease->record_store_answer(!failed, t);
+                if (!p.leader_lease->grant_extension(c.leader_lease->extension_s(), t, !p.core && !p.acquiring, failed))
                     return;
                 send(between(0, 0.1), [this, &c, life, sent, name = p.name] {
                     if (c.life == life && c.core)
-                        c.tenancy->promised(name, sent, now * c.rate);
+                        c.leader_lease->extension_granted(name, sent, now * c.rate);
                 });
             });
         }
@@ -499,11 +500,11 @@
         for (auto& m : due)
             m.f();
         run_machines();
-        const int holders = run_controllers();
+        const int leaders = run_controllers();
         // Any node answers from the store.
         if (!store_down && ++steps % 20 == 0)
             read_all();
-        if (holders > 1)
+        if (leaders > 1)
             broken.push_back("two holders");
         for (const auto& [id, w] : workers)
             for (const auto& t : w.tasks)
@@ -513,15 +514,15 @@
     }
 
     virtual int run_controllers() { // how many may act
-        int holders = 0;
+        int leaders = 0;
         for (std::size_t i = 0; i < controllers.size(); ++i) {
             auto& c = controllers[i];
             if (several())
-                run_tenancy(i);
+                run_leader_lease(i);
             if (!c.core)
                 continue;
-            const bool may = entitled(c);
-            holders += may;
+            const bool may = may_act(c);
+            leaders += may;
             carried += may && several() && store_down;
             if (log != nullptr)
                 log->commands(c.queue, now * c.rate, now, may);
@@ -537,7 +538,7 @@
                 if (const auto v = c.core->view(id); v)
                     hear(id, v->status);
         }
-        return holders;
+        return leaders;
     }
 
     virtual void read_all() {
--- a/tools/measure.cpp
+++ b/tools/measure.cpp
@@ -305,7 +305,7 @@
         usleep(200);
         at = now();
     };
-    while (!s->acts())
+    while (!s->is_active_leader())
         turn();
     const double acts_s = now() - began;
     s->get(job(std::max(1, n)).id, [&](const Reply& r) { status = r.status; });
