--- a/examples/embed_core.cpp
+++ b/examples/embed_core.cpp
@@ -18,7 +18,7 @@
     job.image = "img";
 
     std::vector<heronshift::Command> queue;
-    queue.emplace_back(heronshift::TypesKnown{{{"m8", {8, 0, 32}, 50, 1, 2, 1, 5, {"a"}}}});
+    queue.emplace_back(heronshift::MachineTypesKnown{{{"m8", {8, 0, 32}, 50, 1, 2, 1, 5, {"a"}}}});
     queue.emplace_back(heronshift::JobStored{job, 0});
     for (const auto& effect : core.step(queue, 0, 0))
         if (const auto* rent = std::get_if<heronshift::Rent>(&effect))
--- a/include/heronshift/agents/desk.hpp
+++ b/include/heronshift/agents/desk.hpp
@@ -21,7 +21,7 @@
 
 namespace heronshift::agents {
 
-class Desk {
+class HeartbeatHandler {
 public:
     class Host {
     public:
@@ -29,43 +29,43 @@
         [[nodiscard]] virtual bool is_active_leader() const = 0;     // at this moment
         [[nodiscard]] virtual bool is_acquiring() const = 0;         // the office, which takes a moment
         [[nodiscard]] virtual const std::string& leader() const = 0; // a hint, may be empty
-        [[nodiscard]] virtual bool of_its_term(std::uint64_t fence) const = 0;
+        [[nodiscard]] virtual bool is_of_leader_term(std::uint64_t fencing_token) const = 0;
         [[nodiscard]] virtual std::string zone_of(const std::string& machine) const = 0; // empty: not known
         virtual void push(Command c) = 0;                                                // to the core
     };
-    Desk(const Settings& s, Later& later, Executor& executor, Peers& peers, membership::Membership& members,
-         metrics::Timings& took, Host& host);
+    HeartbeatHandler(const Settings& s, Later& later, Executor& executor, Peers& peers, membership::Membership& members,
+                     metrics::Timings& took, Host& host);
 
-    void beat(HttpRequest&& r, const Responder& res, bool relayed); // POST /agent/beat
-    void pass_on(HttpRequest&& r, const Responder& res);            // POST /peer/relay: orders for a machine
-    void settle_early();       // reports that came while the office changed hands; often, and once it is ours
-    void on_leadership_lost(); // who waits for an answer is sent away
+    void handle_heartbeat(HttpRequest&& r, const Responder& res, bool relayed); // POST /agent/beat
+    void forward(HttpRequest&& r, const Responder& res); // POST /peer/relay: orders for a machine
+    void retry_pending_heartbeats(); // reports that came while the office changed hands; often, and once it is ours
+    void on_leadership_lost();       // who waits for an answer is sent away
 
     // From the core.
-    void answer(BeatAnswer&& a);
+    void answer(AnswerHeartbeat&& a);
     void send(const SendOrders& o, std::function<void(OrdersAnswered&&)> done);
 
 private:
-    struct Whole { // a report as it came, so that it can be passed on
+    struct RawRequest { // a report as it came, so that it can be passed on
         std::string body;
         Responder res;
     };
-    struct Early { // a report that came while the office changed hands
-        Report report;
+    struct PendingHeartbeat { // a report that came while the office changed hands
+        Heartbeat heartbeat;
         bool relayed = false;
-        Executor::ReportDone done;
+        Executor::HeartbeatDone done;
         double since = 0;
-        std::optional<Whole> whole; // none: it may not be passed on, or was already
-        std::string refused_by;     // a holder that did not take it
+        std::optional<RawRequest> whole; // none: it may not be passed on, or was already
+        std::string refused_by;          // a holder that did not take it
         [[nodiscard]] std::size_t bytes() const;
     };
-    void take(Early&& e);
-    void keep_waiting(Early&& e);
+    void take(PendingHeartbeat&& e);
+    void keep_waiting(PendingHeartbeat&& e);
     bool make_room_for_sent_away();
-    [[nodiscard]] ReportAnswer elsewhere() const; // what a report is told that this node must not take
-    enum class Way : std::uint8_t { leader, relay, next };
-    [[nodiscard]] Way way_of(const Report& r);
-    void relay(Report&& r, Whole&& whole, double since);
+    [[nodiscard]] HeartbeatResponse not_leader_response() const; // what a report is told that this node must not take
+    enum class Route : std::uint8_t { leader, relay, next };
+    [[nodiscard]] Route route_of(const Heartbeat& r);
+    void relay(Heartbeat&& r, RawRequest&& whole, double since);
     void send_by(const std::string& peer, const SendOrders& o, std::function<void(OrdersAnswered&&)> done);
     void note_launches(const std::vector<Order>& orders);
 
@@ -78,20 +78,20 @@
     Host& host_;
     std::uint64_t handle_seq_ = 0;
     struct Open {
-        Executor::ReportDone done;
+        Executor::HeartbeatDone done;
         double since = 0;
         std::string zone, addr;
         bool relayed = false;
     };
     std::map<std::uint64_t, Open> open_;
-    std::vector<Early> early_;
+    std::vector<PendingHeartbeat> pending_heartbeats_;
     std::size_t early_bytes_ = 0;
     // To whom, when (below zero: it came back since), until when it is relayed, and its last report.
-    struct SentAway {
+    struct Redirected {
         std::string leader;
         double at = -1, relay_until = -1, came_at = -1;
     };
-    std::unordered_map<std::string, SentAway> sent_away_;
+    std::unordered_map<std::string, Redirected> redirected_;
     double next_sent_away_sweep_ = 0;
     std::size_t max_sent_away_, max_early_bytes_;
     std::size_t max_relays_, relaying_ = 0; // reports and orders of others, under way
--- a/include/heronshift/cloud/cloud_desk.hpp
+++ b/include/heronshift/cloud/cloud_desk.hpp
@@ -19,7 +19,7 @@
 
 namespace heronshift::cloud {
 
-class CloudDesk {
+class CloudClient {
 public:
     class Host {
     public:
@@ -29,7 +29,7 @@
         virtual void push(Command c) = 0;                        // to the core, if there is one
         virtual void cloud_answered(bool ok) = 0;
     };
-    CloudDesk(const Settings& s, Later& later, store::StateStore& store, Executor& executor, Host& host)
+    CloudClient(const Settings& s, Later& later, store::StateStore& store, Executor& executor, Host& host)
         : s_(s), later_(later), store_(store), executor_(executor), host_(host),
           budget_(s.cloud_rps * 0.8, std::max(1.0, s.cloud_rps)) {}
 
--- a/include/heronshift/codec.hpp
+++ b/include/heronshift/codec.hpp
@@ -18,11 +18,11 @@
 
 inline constexpr std::uint32_t most_tasks = 100'000; // of one job
 
-inline constexpr std::string_view path_jobs = "/v2/runs", path_health = "/up", path_report = "/agent/beat",
+inline constexpr std::string_view path_jobs = "/v2/runs", path_health = "/up", path_heartbeat = "/agent/beat",
                                   path_commands = "/commands", path_status = "/status", path_types = "/machine_types",
                                   path_rentals = "/rentals", path_release = "/rentals/release", path_store = "/store",
-                                  path_txn = "/txn", path_holds = "/holds", path_follow = "/follow",
-                                  suffix_cancel = "cancel", suffix_extend = "extend";
+                                  path_txn = "/txn", path_leases = "/holds", path_follow = "/follow",
+                                  suffix_cancel = "cancel", suffix_renew = "extend";
 
 struct Invalid {
     std::string why;
@@ -63,16 +63,16 @@
 inline constexpr std::string_view status_pending = "pending", status_running = "running", status_done = "done",
                                   status_cancelled = "withdrawn";
 
-std::optional<Report> report(std::string_view body);
-std::string orders(std::uint64_t fence, const std::vector<Order>& list);
-std::string commands(std::uint64_t fence, std::uint64_t tenure, const std::vector<Order>& list);
+std::optional<Heartbeat> heartbeat(std::string_view body);
+std::string orders(std::uint64_t fencing_token, const std::vector<Order>& list);
+std::string commands(std::uint64_t fencing_token, std::uint64_t agent_epoch, const std::vector<Order>& list);
 std::string redirect(const std::string& node);
 std::string error_answer(const std::string& what);
 inline constexpr const char* not_now = R"({"error":"not now, try again"})";
 // The worker's side, for stand-ins.
-std::string to_body(const Report& r);
+std::string to_body(const Heartbeat& r);
 struct Orders {
-    std::optional<std::uint64_t> fence, tenure; // none: the field is missing
+    std::optional<std::uint64_t> fencing_token, agent_epoch; // none: the field is missing
     std::vector<Order> list;
 };
 std::optional<Orders> read_orders(std::string_view body);
@@ -107,32 +107,32 @@
 // Store.
 struct Guard {
     std::string key;
-    std::uint64_t stamp = 0;
+    std::uint64_t mod_revision = 0;
 };
 struct Write {
     std::string key;
     std::optional<Json> value; // none: delete
-    std::uint64_t hold = 0;
+    std::uint64_t lease = 0;
 };
 struct Item {
     std::string key;
     Json value;
-    std::uint64_t stamp = 0;
+    std::uint64_t mod_revision = 0;
     bool deleted = false;
-    std::uint64_t hold = 0; // that it hangs on, if the store said so
+    std::uint64_t lease = 0; // that it hangs on, if the store said so
 };
 struct Page {
     std::vector<Item> items;
     bool more = false;
-    std::uint64_t epoch = 0;
+    std::uint64_t revision = 0;
 };
 // The store's side, for stand-ins.
 std::string item_answer(const Item& i);
 std::string page_answer(const Page& p);
 std::string events_answer(const Page& p);
-std::string epoch_answer(std::uint64_t epoch);
-std::string failed_answer(const std::vector<std::string>& failed, std::uint64_t epoch);
-std::string hold_answer(std::uint64_t hold);
+std::string revision_answer(std::uint64_t revision);
+std::string failed_answer(const std::vector<std::string>& failed, std::uint64_t revision);
+std::string lease_answer(std::uint64_t lease);
 struct TxnRequest {
     std::vector<Guard> guards;
     std::vector<Write> writes;
@@ -142,13 +142,13 @@
 std::string store_error(std::string_view body); // what an answer says is wrong
 
 std::string txn(const std::vector<Guard>& guards, const std::vector<Write>& writes);
-std::optional<std::uint64_t> epoch_of(std::string_view body);
+std::optional<std::uint64_t> revision_of(std::string_view body);
 std::optional<std::vector<std::string>> failed_guards(std::string_view body);
 std::optional<Item> item(std::string_view body);
 std::optional<Page> page(std::string_view body);
 std::optional<Page> events(std::string_view body);
-std::string hold_request(double ttl_s);
-std::optional<std::uint64_t> hold_of(std::string_view body);
+std::string lease_request(double ttl_s);
+std::optional<std::uint64_t> lease_of(std::string_view body);
 
 // "wk-000412/3" <-> job and index.
 bool split_task(std::string_view text, std::string& job, std::uint32_t& index);
--- a/include/heronshift/core/core.hpp
+++ b/include/heronshift/core/core.hpp
@@ -19,8 +19,8 @@
 
 namespace heronshift {
 
-using ledger::fence_bits;
 using ledger::JobView;
+using ledger::token_counter_bits;
 using ledger::try_bits;
 
 class Core {
--- a/include/heronshift/executor/executor.hpp
+++ b/include/heronshift/executor/executor.hpp
@@ -20,12 +20,12 @@
 namespace heronshift {
 
 /// What a controller says to a report.
-struct ReportAnswer {
+struct HeartbeatResponse {
     /// 200: fence and orders are valid and the machine's lease runs anew from when the report was sent; 421: not here,
     /// the controller named leads; 503: nobody known does.
     int status = 503;
     /// The leader's fencing token.
-    std::uint64_t fence = 0;
+    std::uint64_t fencing_token = 0;
     /// What the machine is to do.
     std::vector<Order> orders;
     /// For 421: the name of the leader.
@@ -36,9 +36,9 @@
 class Executor {
 public:
     /// Takes the answer to a report.
-    using ReportDone = std::function<void(const ReportAnswer&)>;
+    using HeartbeatDone = std::function<void(const HeartbeatResponse&)>;
     /// Takes a report, on the loop's thread.
-    using Reports = std::function<void(Report&&, ReportDone)>;
+    using Reports = std::function<void(Heartbeat&&, HeartbeatDone)>;
 
     Executor() = default;
     virtual ~Executor() = default;
@@ -46,7 +46,7 @@
     Executor& operator=(const Executor&) = delete;
 
     /// Says where reports that reach the executor itself are to go; called before any other function.
-    virtual void reports_to(Reports) {}
+    virtual void set_heartbeat_handler(Reports) {}
 
     /// Sends orders to one machine: status 200 or 409 with its report (409: refused, our fencing token or its epoch is
     /// old), 0 or another: no answer.
@@ -69,7 +69,7 @@
     }
     /// Passes on orders that another controller has written, as they are: the machine's answer as it is, status 0
     /// for none.
-    virtual void pass_on(const std::string& /*addr*/, std::string /*body*/, double /*timeout_s*/,
+    virtual void forward(const std::string& /*addr*/, std::string /*body*/, double /*timeout_s*/,
                          std::function<void(HttpReply&&)> done) {
         done({});
     }
--- a/include/heronshift/executor/http.hpp
+++ b/include/heronshift/executor/http.hpp
@@ -20,7 +20,7 @@
               std::function<void(std::optional<codec::MachinePage>&&)> done) override;
     void types(double timeout_s, std::function<void(std::optional<std::vector<MachineType>>&&)> done) override;
     void probe(const std::string& addr, double timeout_s, std::function<void(std::optional<bool>)> done) override;
-    void pass_on(const std::string& addr, std::string body, double timeout_s,
+    void forward(const std::string& addr, std::string body, double timeout_s,
                  std::function<void(HttpReply&&)> done) override;
     void sweep() override {
         for (auto* c : {&cloud_, &agents_, &probes_})
--- a/include/heronshift/gateway/gateway.hpp
+++ b/include/heronshift/gateway/gateway.hpp
@@ -39,23 +39,23 @@
             const membership::Membership& members, metrics::Timings& took, Host& host);
 
     // A path of /v2/runs. passed_on: by another controller, so it is not passed on again.
-    void serve(HttpRequest&& r, Responder res, bool passed_on);
+    void serve(HttpRequest&& r, Responder res, bool forwarded);
     void tick();
     void on_leadership_lost(); // nothing that was asked of the core is answered by it any more
 
     // From the core.
-    void answered(const CancelAnswer& a);
+    void answered(const AnswerCancellation& a);
     void find(const std::string& id, std::function<void(JobFound&&)> done);
 
 private:
-    void submit(HttpRequest&& r, Responder res, bool passed_on);
+    void submit(HttpRequest&& r, Responder res, bool forwarded);
     void poll(const std::string& id, const Responder& res);
     [[nodiscard]] std::optional<JobView> known_here(const std::string& id) const;
-    void cancel(const std::string& id, HttpRequest&& r, Responder res, bool passed_on);
+    void cancel(const std::string& id, HttpRequest&& r, Responder res, bool forwarded);
     void ask_core_to_cancel(const std::string& id, Responder res);
     using Otherwise = std::function<void(Responder)>;
     [[nodiscard]] std::vector<std::string> ways(bool to_leader, bool to_store) const;
-    void pass_on(std::shared_ptr<const HttpRequest> r, Responder res, std::vector<std::string> to, double wait_s,
+    void forward(std::shared_ptr<const HttpRequest> r, Responder res, std::vector<std::string> to, double wait_s,
                  Otherwise otherwise);
     // Fresh reads: the final state if there is one, else whether the job was accepted.
     struct Found {
@@ -70,7 +70,7 @@
         JobSpec spec;
         std::shared_ptr<const HttpRequest> request;
         Responder res;
-        bool passed_on = false;
+        bool forwarded = false;
         double since = 0;
         std::size_t next_need = 0;
         int tries = 0;
--- a/include/heronshift/leadership/state_loader.hpp
+++ b/include/heronshift/leadership/state_loader.hpp
@@ -33,7 +33,7 @@
     const Settings& s_;
     Later& later_;
     store::StateStore& store_;
-    std::uint64_t generation_ = 0, epoch_ = 0;
+    std::uint64_t generation_ = 0, revision_ = 0;
     Snapshot stored_;
     int left_ = 0;
     std::function<void(std::vector<codec::StoredJob>&&)> seen_;
--- a/include/heronshift/leadership/transaction_queue.hpp
+++ b/include/heronshift/leadership/transaction_queue.hpp
@@ -28,9 +28,9 @@
                      Ends ends)
         : s_(s), later_(later), store_(store), took_(became_leader), ends_(std::move(ends)) {}
 
-    void begin(std::uint64_t term, std::uint64_t stamp) {
+    void begin(std::uint64_t term, std::uint64_t mod_revision) {
         ++generation_;
-        term_ = term, leader_key_revision_ = term_counter_revision_ = stamp, count_ = 0;
+        term_ = term, leader_key_revision_ = term_counter_revision_ = mod_revision, count_ = 0;
     }
     void stop() {
         ++generation_;
@@ -42,7 +42,7 @@
 private:
     void send(Commit c, int tries);
     void resolve(Commit c, int tries);
-    void applied(std::uint64_t stamp);
+    void applied(std::uint64_t mod_revision);
 
     const Settings& s_;
     Later& later_;
--- a/include/heronshift/ledger/departed.hpp
+++ b/include/heronshift/ledger/departed.hpp
@@ -19,8 +19,8 @@
 [[nodiscard]] double max_message_age_s(const Settings& settings);
 
 struct DepartedMachine {
-    std::uint64_t tenure = 0, counter = 0; // of the newest heartbeat
-    bool released = false;                 // surely gone: nothing that it seems to say is news
+    std::uint64_t agent_epoch = 0, counter = 0; // of the newest heartbeat
+    bool released = false;                      // surely gone: nothing that it seems to say is news
     double since = 0;
 };
 
--- a/include/heronshift/ledger/ledger.hpp
+++ b/include/heronshift/ledger/ledger.hpp
@@ -53,13 +53,13 @@
 
     // What the world says.
     void add_job(JobStored& c);
-    void cancel(const CancelAsked& c);
+    void cancel(const CancellationRequested& c);
     void found(JobFound& c);
-    void heard(const Beat& c);
+    void receive_heartbeat(const HeartbeatReceived& c);
     void answered(const OrdersAnswered& c);
     void rented(const Rented& c);
     void released(const Released& c);
-    void listed(const Listed& c);
+    void listed(const MachinesListed& c);
     void types_known(std::vector<MachineType>&& types);
     void lapse_machines();
 
@@ -131,7 +131,8 @@
     [[nodiscard]] double lease_surely_s() const; // when a worker's lease has run out for sure
     struct Counters {
         std::uint64_t launched = 0, lost = 0, preempted = 0, moved = 0;
-        std::uint64_t old_reports = 0, gone_reports = 0; // copies: older than what was heard; of machines given back
+        std::uint64_t stale_heartbeats = 0,
+                      heartbeats_of_gone_machines = 0; // copies: older than what was heard; of machines given back
     };
     [[nodiscard]] const Counters& counters() const {
         return counters_;
@@ -173,12 +174,12 @@
     Machine& learn_machine(const std::string& id, const std::string& addr, const std::string& type,
                            const std::string& zone, bool spot);
     void bind_type(Machine& m);
-    bool outdated(const Report& r);
-    bool copy_of_departed(const Report& r);
-    void apply_report(Machine& m, const Report& r, std::vector<Order>& reaps);
-    void began_anew(Machine& m);
-    void listen(Machine& m, const Report& r);
-    void note_copies();
+    bool outdated(const Heartbeat& r);
+    bool copy_of_departed(const Heartbeat& r);
+    void apply_heartbeat(Machine& m, const Heartbeat& r, std::vector<Order>& reaps);
+    void lease_restarted(Machine& m);
+    void update_inbound_reachability(Machine& m, const Heartbeat& r);
+    void log_stale_heartbeats();
     bool may_reap(const ReportedTask& t);
     static Entry* find_entry(Machine& m, const ReportedTask& t);
     void lose_entries(Machine& m);
@@ -206,7 +207,7 @@
     std::vector<Effect>& out_;
     Bookkeeping* books_ = nullptr;
     bool dirty_ = true, resigned_ = false;
-    std::uint64_t try_seq_ = 0, batch_seq_ = 0, claim_seq_ = 0, report_seq_ = 0;
+    std::uint64_t try_seq_ = 0, batch_seq_ = 0, claim_seq_ = 0, heartbeat_seq_ = 0;
     Counters counters_;
     // Who needs a job that is not done, by name: either may be known here before the other.
     std::unordered_map<std::string, std::set<std::string>> needed_by_;
@@ -217,7 +218,7 @@
     Remembered<Final> recent_;
     DepartedMachines departed_;
     std::size_t releases_under_way_ = 0; // machines
-    double copies_noted_at_ = -1e18;
+    double stale_heartbeats_logged_at_ = -1e18;
     std::vector<Machine*> to_dispatch_;
     std::deque<std::string> to_ask_; // machines asked for a report
     std::size_t asking_ = 0;
--- a/include/heronshift/ledger/state.hpp
+++ b/include/heronshift/ledger/state.hpp
@@ -25,7 +25,7 @@
 // fence = term << fence_bits | raises within the term. Each machine's are its own, whatever their number: one for each
 // launch whose outcome is open or lease that ran out, so one in report_s / 2 at most. 2^24 of them take nine months of
 // one term with report_s 3; terms have 40 bits.
-inline constexpr int fence_bits = 24;
+inline constexpr int token_counter_bits = 24;
 // attempt = term << try_bits | passes within the term, one in report_s / 60 at most: seven years of a term.
 inline constexpr int try_bits = 32;
 
@@ -47,7 +47,7 @@
     Deep<Machine*> machine = nullptr;
     Deep<Job*> job = nullptr;
     std::uint32_t index = 0;
-    std::uint64_t try_no = 0, tenure = 0, fence = 0;
+    std::uint64_t try_no = 0, agent_epoch = 0, fencing_token = 0;
     Phase phase = Phase::intent;
     bool recorded = false; // its record is in the store
     bool seen = false;     // in a report of this machine
@@ -107,20 +107,20 @@
     std::string type_name, zone_name;
     bool spot = false;
     Status status = Status::booting;
-    std::uint64_t tenure = 0, counter = 0, fence = 0;
-    std::uint64_t beat_counter = 0; // of its newest report that was no answer to orders
-    double last_seen = -1;          // the last report answered: its lease counts from there
-    double heard = -1;              // the last sign of life
+    std::uint64_t agent_epoch = 0, counter = 0, fencing_token = 0;
+    std::uint64_t heartbeat_counter = 0; // of its newest report that was no answer to orders
+    double lease_started_at = -1;        // the last report answered: its lease counts from there
+    double last_heartbeat_at = -1;       // the last sign of life
     // Whether it hears us. That its reports come proves nothing: what they show does.
-    bool proven = false;      // has shown this term's fence
-    std::uint64_t told = 0;   // the highest fence that one of its reports was answered with
-    double told_at = -1;      // and when first
-    int unheard = 0;          // reports in a row that still show a lower one
-    double answered_at = -1;  // its last report by us
-    double anew_at = -1;      // its lease had run out
-    double deaf_since = -1;   // below zero: it hears
-    double deaf_until = -1;   // its lease ran out again though we answered: trusted only after that
-    double around_until = -1; // orders do not reach it directly: by way of others until then
+    bool proven = false;                   // has shown this term's fence
+    std::uint64_t acknowledged_token = 0;  // the highest fence that one of its reports was answered with
+    double token_acknowledged_at = -1;     // and when first
+    int heartbeats_without_token = 0;      // reports in a row that still show a lower one
+    double last_answered_at = -1;          // its last report by us
+    double lease_expired_at = -1;          // its lease had run out
+    double inbound_unreachable_since = -1; // below zero: it hears
+    double inbound_unreachable_until = -1; // its lease ran out again though we answered: trusted only after that
+    double relay_orders_until = -1;        // orders do not reach it directly: by way of others until then
     double known_since = 0, up_since = -1;
     std::vector<Deep<std::unique_ptr<Entry>>> entries;
     Resources used, whole;
@@ -145,8 +145,8 @@
     double slow_until = -1; // its tasks take far longer than their siblings elsewhere
     int slow_seen = 0;
 
-    [[nodiscard]] bool deaf() const {
-        return deaf_since >= 0;
+    [[nodiscard]] bool inbound_unreachable() const {
+        return inbound_unreachable_since >= 0;
     }
     [[nodiscard]] bool has_image(int image) const {
         return std::any_of(images.begin(), images.end(),
--- a/include/heronshift/local/cloud.hpp
+++ b/include/heronshift/local/cloud.hpp
@@ -45,8 +45,8 @@
     void tick(double now);
     void lose_all(); // the machine is gone
     // Status 200 or 409 with a report; 0: silence, the caller gives up.
-    std::pair<int, std::optional<Report>> obey(std::uint64_t fence, std::uint64_t tenure,
-                                               const std::vector<Order>& list);
+    std::pair<int, std::optional<Heartbeat>> obey(std::uint64_t fencing_token, std::uint64_t agent_epoch,
+                                                  const std::vector<Order>& list);
 
     [[nodiscard]] ListedMachine listed(double now) const;
     [[nodiscard]] bool up(double now) const {
@@ -69,20 +69,20 @@
     void execute(const std::vector<Order>& list, double now);
     void launch(const Order& o, double now);
     void end(Run& r, ExitCause cause, bool saved = false);
-    void beat(double now);
-    void answered(const ReportAnswer& a, double sent, std::uint64_t tenure);
+    void heartbeat(double now);
+    void answered(const HeartbeatResponse& a, double sent, std::uint64_t agent_epoch);
     void next_node(double now);
-    Report report();
+    Heartbeat heartbeat();
 
     Platform& p_;
     std::string id_, zone_, addr_;
     const MachineType& type_;
     bool spot_;
-    double rented_at_, up_at_, lease_from_, next_beat_ = 0, speed_ = 1;
-    std::uint64_t tenure_ = 1, counter_ = 0, fence_ = 0;
+    double rented_at_, up_at_, lease_from_, next_heartbeat_ = 0, speed_ = 1;
+    std::uint64_t agent_epoch_ = 1, counter_ = 0, fencing_token_ = 0;
     std::size_t node_ = 0;
     bool in_flight_ = false, changed_ = false;
-    double last_beat_ = -1;
+    double last_heartbeat_at_ = -1;
     std::set<std::string> images_;
     std::vector<Run> runs_;
     std::vector<std::function<void()>> held_;
@@ -101,7 +101,7 @@
     [[nodiscard]] int port() const {
         return server_.port();
     }
-    void report_to(std::vector<std::pair<std::string, std::string>> nodes) {
+    void heartbeat_to(std::vector<std::pair<std::string, std::string>> nodes) {
         plan_.workers.nodes = std::move(nodes);
     }
     void know(const JobSpec& s) { // its user has uploaded it
@@ -116,7 +116,7 @@
 
     struct Sum {
         std::size_t machines = 0, up = 0, running = 0;
-        std::uint64_t rented = 0, returned = 0, fence = 0; // the highest any machine has seen
+        std::uint64_t rented = 0, returned = 0, fencing_token = 0; // the highest any machine has seen
     };
     [[nodiscard]] Sum sum() const;
     [[nodiscard]] double now() const {
@@ -136,7 +136,7 @@
     Rented rent(const Rent& ask);
     void release(const std::vector<std::string>& machines);
     codec::MachinePage page(const std::string& since);
-    void send(StandInWorker& w, Report r, std::function<void(const ReportAnswer&)> done);
+    void send(StandInWorker& w, Heartbeat r, std::function<void(const HeartbeatResponse&)> done);
     double between(double a, double b) {
         return std::uniform_real_distribution<double>(a, b)(rng_);
     }
--- a/include/heronshift/membership/membership.hpp
+++ b/include/heronshift/membership/membership.hpp
@@ -51,10 +51,10 @@
     void store_answered(bool ok);
     void cloud_answered(bool ok);
     void peer_answered(const std::string& name, bool ok);
-    void report_came(const std::string& zone, const std::string& addr);    // from the machine itself
-    void report_relayed(const std::string& zone, const std::string& addr); // through another controller
+    void heartbeat_received(const std::string& zone, const std::string& addr); // from the machine itself
+    void heartbeat_relayed(const std::string& zone, const std::string& addr);  // through another controller
     void machine_answered() {
-        heard_at_ = later_.now();
+        last_worker_heartbeat_at_ = later_.now();
     }
     void exchanged(const HttpRequest& r, const Responder& res); // POST /peer/view
 
@@ -67,8 +67,8 @@
     [[nodiscard]] bool all_zones_lost() const;
     [[nodiscard]] Reach peer(const std::string& name) const;
     // The last sign of any worker, whichever way it came.
-    [[nodiscard]] double worker_heard_at() const {
-        return heard_at_;
+    [[nodiscard]] double last_worker_heartbeat_at() const {
+        return last_worker_heartbeat_at_;
     }
 
     // Of the others. Alive: its view came a short while ago.
@@ -106,7 +106,8 @@
     struct Zone {
         explicit Zone(const Settings& s);
         Link in, out; // reports that should come; requests that should be answered
-        double heard_at = -1, relayed_at = -1, trusted_at = -1; // a report of its own; another's; taken for well again
+        double last_heartbeat_at = -1, relayed_at = -1,
+               trusted_at = -1; // a report of its own; another's; taken for well again
         struct Sample {
             std::string addr;
             double at = 0;
@@ -147,7 +148,7 @@
     Peers& peers_;
     Host& host_;
     Link store_, cloud_;
-    double store_asked_at_ = -1, heard_at_ = -1;
+    double store_asked_at_ = -1, last_worker_heartbeat_at_ = -1;
     std::map<std::string, Zone> zones_;
     std::map<std::string, Other> others_;
     double next_exchange_ = 0, next_probe_ = 0, next_silence_ = 0, next_cloud_ = 0;
--- a/include/heronshift/messages.hpp
+++ b/include/heronshift/messages.hpp
@@ -26,12 +26,12 @@
     Known state = Known::no_answer;
     std::optional<JobStored> job; // its record, if that is there
 };
-struct CancelAsked {
+struct CancellationRequested {
     std::string id;
     std::uint64_t handle = 0;
 };
-struct Beat {
-    Report report;
+struct HeartbeatReceived {
+    Heartbeat heartbeat;
     std::uint64_t handle = 0;
 };
 struct OrdersAnswered {
@@ -39,7 +39,7 @@
     std::uint64_t batch = 0;
     int status = 0;
     bool sent = true;
-    std::optional<Report> report;
+    std::optional<Heartbeat> heartbeat;
 };
 enum class TxnOutcome : std::uint8_t { applied, refused, too_large, leadership_lost };
 struct Committed {
@@ -55,15 +55,15 @@
     std::vector<std::string> machines;
     bool ok = false;
 };
-struct Listed {
+struct MachinesListed {
     std::vector<ListedMachine> machines;
     double asked_at = 0;
 };
-struct TypesKnown {
+struct MachineTypesKnown {
     std::vector<MachineType> types;
 };
-using Command = std::variant<JobStored, JobFound, CancelAsked, Beat, OrdersAnswered, Committed, Rented, Released,
-                             Listed, TypesKnown>;
+using Command = std::variant<JobStored, JobFound, CancellationRequested, HeartbeatReceived, OrdersAnswered, Committed,
+                             Rented, Released, MachinesListed, MachineTypesKnown>;
 
 // Effects.
 struct Commit {
@@ -71,17 +71,17 @@
 };
 struct SendOrders {
     std::string machine, addr;
-    std::uint64_t batch = 0, fence = 0, tenure = 0;
+    std::uint64_t batch = 0, fencing_token = 0, agent_epoch = 0;
     std::vector<Order> orders;
-    bool around = false; // the direct way failed lately: rather through another controller
+    bool prefer_relay = false; // the direct way failed lately: rather through another controller
 };
-struct BeatAnswer {
+struct AnswerHeartbeat {
     std::uint64_t handle = 0;
     int status = 200;
-    std::uint64_t fence = 0;
+    std::uint64_t fencing_token = 0;
     std::vector<Order> orders;
 };
-struct CancelAnswer {
+struct AnswerCancellation {
     std::uint64_t handle = 0;
     std::string status; // empty: unknown to the core
 };
@@ -103,7 +103,8 @@
     int level = 0; // 0 debug, 1 info, 2 warning
     std::string text;
 };
-using Effect = std::variant<Commit, SendOrders, BeatAnswer, CancelAnswer, Rent, Release, FindJob, Resign, Note>;
+using Effect =
+    std::variant<Commit, SendOrders, AnswerHeartbeat, AnswerCancellation, Rent, Release, FindJob, Resign, Note>;
 
 // The age of a stored job by the wall clock (seconds since 1970).
 JobStored job_stored(codec::StoredJob&& r, double wall);
--- a/include/heronshift/metrics/timings.hpp
+++ b/include/heronshift/metrics/timings.hpp
@@ -6,10 +6,10 @@
 namespace heronshift::metrics {
 
 struct Timings {
-    Latency submit, report, commit, step, launch;
+    Latency submit, heartbeat, commit, step, launch;
     FirstLaunches first_launches;
     std::uint64_t requests = 0, refused = 0;
-    std::uint64_t relayed = 0, sent_by_others = 0; // for another controller; by another controller
+    std::uint64_t relayed = 0, relayed_by_others = 0; // for another controller; by another controller
 };
 
 } // namespace heronshift::metrics
--- a/include/heronshift/node/controller.hpp
+++ b/include/heronshift/node/controller.hpp
@@ -24,8 +24,8 @@
 
 class Controller final : leadership::LeaderElection::Host,
                          gateway::Gateway::Host,
-                         agents::Desk::Host,
-                         cloud::CloudDesk::Host,
+                         agents::HeartbeatHandler::Host,
+                         cloud::CloudClient::Host,
                          membership::Membership::Host {
 public:
     struct Parts { // all are needed
@@ -96,8 +96,8 @@
     [[nodiscard]] const std::vector<MachineType>& types() const override {
         return cloud_.types();
     }
-    [[nodiscard]] bool of_its_term(std::uint64_t fence) const override {
-        return fence >> fence_bits == election_.leader_term();
+    [[nodiscard]] bool is_of_leader_term(std::uint64_t fencing_token) const override {
+        return fencing_token >> token_counter_bits == election_.leader_term();
     }
     [[nodiscard]] std::uint64_t leader_term() const override {
         return election_.leader_term();
@@ -116,7 +116,7 @@
     void stored(JobStored&& j) override;
     void push(Command c) override;
 
-    void serve(HttpRequest&& r, Responder res, bool passed_on);
+    void serve(HttpRequest&& r, Responder res, bool forwarded);
     void perform(Effect& e);
     [[nodiscard]] std::string metrics() const;
 
@@ -130,8 +130,8 @@
     membership::Membership members_;
     leadership::LeaderElection election_;
     gateway::Gateway gateway_;
-    agents::Desk desk_;
-    cloud::CloudDesk cloud_;
+    agents::HeartbeatHandler heartbeat_handler_;
+    cloud::CloudClient cloud_;
 
     std::unique_ptr<Core> core_;
     std::uint64_t life_ = 0; // of the core: answers for an earlier one are dropped
--- a/include/heronshift/policies/capacity.hpp
+++ b/include/heronshift/policies/capacity.hpp
@@ -34,7 +34,9 @@
     [[nodiscard]] const Source* cheapest_source(const Job& j, bool dear) const;
     const Machine* keep_again(const Job& j);
     static bool is_ready(const Machine& m);
-    [[nodiscard]] bool deaf_for_long(const Machine& m, const std::map<int, std::pair<int, int>>& deaf_of) const;
+    [[nodiscard]] bool
+    inbound_unreachable_for_long(const Machine& m,
+                                 const std::map<int, std::pair<int, int>>& inbound_unreachable_by_zone) const;
     void queue_rentals(std::map<std::string, Pending>& wanted);
 
     const State& v_;
--- a/include/heronshift/records/intents.hpp
+++ b/include/heronshift/records/intents.hpp
@@ -13,7 +13,7 @@
 // One task that may be on a machine from the moment its record is stored.
 struct Intent {
     std::string machine, zone;
-    std::uint64_t tenure = 0;
+    std::uint64_t agent_epoch = 0;
     std::string job;
     std::uint32_t index = 0;
     std::uint64_t try_no = 0;
@@ -24,7 +24,7 @@
 // attempt as a range. Give the tasks of a machine one after the other.
 class Writer {
 public:
-    void add(std::string_view machine, std::string_view zone, std::uint64_t tenure, std::string_view job,
+    void add(std::string_view machine, std::string_view zone, std::uint64_t agent_epoch, std::string_view job,
              std::uint32_t index, std::uint64_t try_no);
     [[nodiscard]] std::size_t size() const {
         return text_.size() + 64;
@@ -34,7 +34,7 @@
 private:
     void end_range();
     std::string text_, machine_, zone_, job_;
-    std::uint64_t tenure_ = 0, try_no_ = 0;
+    std::uint64_t agent_epoch_ = 0, try_no_ = 0;
     std::uint32_t first_ = 0, last_ = 0;
     bool open_ = false;
 };
--- a/include/heronshift/store/engine.hpp
+++ b/include/heronshift/store/engine.hpp
@@ -26,7 +26,7 @@
 inline constexpr std::size_t kept_changes = 10'000;
 // most_items and most_page bound a page; who lists goes on with the next until there is no more.
 inline constexpr std::size_t most_key = 200, most_txn = 64 * 1024, most_page = 512 * 1024, most_items = 1000;
-inline constexpr std::int64_t shortest_hold_ms = 100, longest_hold_ms = 600'000;
+inline constexpr std::int64_t min_lease_ms = 100, max_lease_ms = 600'000;
 
 // The data cannot be used, or not now: which file, and why.
 struct StoreError : std::runtime_error {
@@ -36,7 +36,7 @@
 struct Change {
     std::string key;
     std::optional<std::string> data; // JSON; none: deleted
-    std::uint64_t stamp = 0;
+    std::uint64_t mod_revision = 0;
 };
 
 // The data itself. Calls may throw StoreError; then nothing since begin() has been done.
@@ -45,15 +45,15 @@
     virtual ~Data() = default;
     struct Row {
         std::string data;
-        std::uint64_t stamp = 0, lease = 0;
+        std::uint64_t mod_revision = 0, lease = 0;
     };
     // All until commit() is one step that survives whatever comes after. commit() false: the outcome is open.
     virtual void begin() = 0;
     virtual bool commit() = 0;
     virtual void abandon() = 0;
 
-    virtual std::uint64_t epoch() = 0;
-    virtual std::uint64_t next_epoch() = 0; // counts one up
+    virtual std::uint64_t revision() = 0;
+    virtual std::uint64_t next_revision() = 0; // counts one up
     virtual std::optional<Row> get(const std::string& key) = 0;
     // In key order after `since`, until f returns false.
     virtual void each(const std::string& under, const std::string& since,
@@ -64,15 +64,15 @@
     // Those after `since`; nothing if some of these are forgotten.
     virtual std::optional<std::vector<Change>> changes(const std::string& under, std::uint64_t since) = 0;
 
-    struct Hold {
+    struct CreateLease {
         std::int64_t ttl_ms = 0, ends_ms = 0;
     };
-    virtual std::uint64_t add_hold(const Hold& h) = 0;
-    virtual std::optional<Hold> get_hold(std::uint64_t id) = 0;
-    virtual void set_hold(std::uint64_t id, const Hold& h) = 0;
-    virtual void erase_hold(std::uint64_t id) = 0;
-    virtual std::vector<std::uint64_t> ended_holds(std::int64_t now_ms) = 0;
-    virtual std::vector<std::string> keys_of(std::uint64_t hold) = 0;
+    virtual std::uint64_t add_lease(const CreateLease& h) = 0;
+    virtual std::optional<CreateLease> get_lease(std::uint64_t id) = 0;
+    virtual void set_lease(std::uint64_t id, const CreateLease& h) = 0;
+    virtual void erase_lease(std::uint64_t id) = 0;
+    virtual std::vector<std::uint64_t> expired_leases(std::int64_t now_ms) = 0;
+    virtual std::vector<std::string> keys_of(std::uint64_t lease) = 0;
     // Whether others may have changed something since the last call.
     virtual bool changed_by_others() = 0;
 };
@@ -89,9 +89,9 @@
     Answer list(const std::string& under, const std::string& since, int most, std::int64_t now_ms);
     Answer transact(const std::vector<codec::Guard>& guards, const std::vector<codec::Write>& writes,
                     std::int64_t now_ms);
-    Answer hold(std::int64_t ttl_ms, std::int64_t now_ms);
-    Answer extend(std::uint64_t hold, std::int64_t now_ms);
-    Answer end_hold(std::uint64_t hold, std::int64_t now_ms);
+    Answer create_lease(std::int64_t ttl_ms, std::int64_t now_ms);
+    Answer renew_lease(std::uint64_t lease, std::int64_t now_ms);
+    Answer revoke_lease(std::uint64_t lease, std::int64_t now_ms);
     Answer follow_opened(const std::string& under, std::uint64_t since, std::int64_t now_ms); // 429, or as below
     Answer follow(const std::string& under, std::uint64_t since); // at once; no items: nothing has changed yet
     Answer run(const Call& c, std::int64_t now_ms);               // any but a follow, inside begin() and commit()
@@ -109,7 +109,7 @@
 
 private:
     bool take(double n_requests, double n_writes, std::int64_t now_ms);
-    void drop_hold(std::uint64_t id);
+    void drop_lease(std::uint64_t id);
     std::unique_ptr<Data> data_;
     Limits limits_;
     double requests_left_ = 0, writes_left_ = 0;
--- a/include/heronshift/store/store.hpp
+++ b/include/heronshift/store/store.hpp
@@ -29,7 +29,7 @@
     /// What is wrong, for people; may be empty.
     std::string error;
     /// The store's revision: of a transaction, a page or a follow.
-    std::uint64_t epoch = 0;
+    std::uint64_t revision = 0;
     /// The lease that was granted or extended.
     std::uint64_t lease = 0;
     /// The item of a get.
@@ -66,19 +66,19 @@
     std::vector<codec::Write> writes;
 };
 /// Asks for a lease, whose keys are deleted when it ends.
-struct Hold {
+struct CreateLease {
     /// Its length, in seconds.
     double ttl_s = 0;
 };
 /// Asks for a lease's full time anew.
-struct Extend {
+struct RenewLease {
     /// The lease.
-    std::uint64_t hold = 0;
+    std::uint64_t lease = 0;
 };
 /// Asks for the end of a lease.
-struct EndHold {
+struct RevokeLease {
     /// The lease.
-    std::uint64_t hold = 0;
+    std::uint64_t lease = 0;
 };
 /// Asks for changes as they come.
 struct Follow {
@@ -90,7 +90,7 @@
     double block_s = 0;
 };
 /// Any of these.
-using Call = std::variant<Get, List, Transact, Hold, Extend, EndHold, Follow>;
+using Call = std::variant<Get, List, Transact, CreateLease, RenewLease, RevokeLease, Follow>;
 /// The time for the answer to a follow beyond its own, in seconds.
 inline constexpr double follow_slack_s = 2;
 
@@ -118,16 +118,16 @@
         call(Transact{guards, writes}, timeout_s, std::move(done));
     }
     /// Begins a lease of ttl_s seconds.
-    void hold(double ttl_s, double timeout_s, Callback done) {
-        call(Hold{ttl_s}, timeout_s, std::move(done));
+    void create_lease(double ttl_s, double timeout_s, Callback done) {
+        call(CreateLease{ttl_s}, timeout_s, std::move(done));
     }
     /// Gives a lease its full time anew: 200, or 404 if it has ended.
-    void extend(std::uint64_t hold, double timeout_s, Callback done) {
-        call(Extend{hold}, timeout_s, std::move(done));
+    void renew_lease(std::uint64_t lease, double timeout_s, Callback done) {
+        call(RenewLease{lease}, timeout_s, std::move(done));
     }
     /// Ends a lease and deletes its keys: 200, or 404 if it had ended.
-    void end_hold(std::uint64_t hold, double timeout_s, Callback done) {
-        call(EndHold{hold}, timeout_s, std::move(done));
+    void revoke_lease(std::uint64_t lease, double timeout_s, Callback done) {
+        call(RevokeLease{lease}, timeout_s, std::move(done));
     }
     /// Answers once a key under the prefix has changed after `since`, or with no items after block_s seconds or sooner.
     void follow(const std::string& under, std::uint64_t since, double block_s, Callback done) {
--- a/include/heronshift/types.hpp
+++ b/include/heronshift/types.hpp
@@ -140,7 +140,7 @@
 };
 
 /// A machine's heartbeat: all that is on it at one moment.
-struct Report {
+struct Heartbeat {
     /// The id of the machine.
     std::string machine;
     /// The address that takes orders, HOST:PORT.
@@ -152,11 +152,11 @@
     /// It is a spot machine.
     bool spot = false;
     /// The epoch of the agent on it: a restarted agent has a greater one and no tasks.
-    std::uint64_t tenure = 0;
+    std::uint64_t agent_epoch = 0;
     /// The number of the report within the epoch.
     std::uint64_t counter = 0;
     /// The highest fencing token that the agent has seen.
-    std::uint64_t fence = 0;
+    std::uint64_t fencing_token = 0;
     /// Until the machine is reclaimed, in seconds; below zero: no notice was given.
     double notice_s = -1;
     /// The tasks on it; ended ones until they are reaped.
--- a/src/agents/desk.cpp
+++ b/src/agents/desk.cpp
@@ -9,9 +9,9 @@
 namespace heronshift::agents {
 namespace {
 
-constexpr double worker_waits_s = 4;               // for the answer to a report, says the protocol
-constexpr double relay_s = worker_waits_s / 2;     // so that there is time for both ways
-constexpr double early_s = worker_waits_s * 3 / 4; // how long reports wait while the leader changes
+constexpr double worker_waits_s = 4;                     // for the answer to a report, says the protocol
+constexpr double relay_s = worker_waits_s / 2;           // so that there is time for both ways
+constexpr double max_pending_s = worker_waits_s * 3 / 4; // how long reports wait while the leader changes
 // Reports that wait through a failover, by the memory they hold: 9 MB of 72, some 10,000 with five tasks each. A
 // report beyond is answered 503 at once, and its machine tries the next controller.
 constexpr double early_memory_share = 1.0 / 8;
@@ -31,21 +31,21 @@
 
 } // namespace
 
-Desk::Desk(const Settings& s, Later& later, Executor& executor, Peers& peers, membership::Membership& members,
-           metrics::Timings& took, Host& host)
+HeartbeatHandler::HeartbeatHandler(const Settings& s, Later& later, Executor& executor, Peers& peers,
+                                   membership::Membership& members, metrics::Timings& took, Host& host)
     : s_(s), later_(later), executor_(executor), peers_(peers), members_(members), took_(took), host_(host),
       max_sent_away_(entries_in_share(s.memory_mb, sent_away_memory_share, sent_away_bytes)),
       max_early_bytes_(bytes_in_share(s.memory_mb, early_memory_share)),
       max_relays_(static_cast<std::size_t>(s.fd_limit / sockets_per_relay)) {
     took_.first_launches.limit(entries_in_share(s.memory_mb, timed_jobs_memory_share, timed_job_bytes));
-    executor_.reports_to([this](Report&& r, Executor::ReportDone done) {
+    executor_.set_heartbeat_handler([this](Heartbeat&& r, Executor::HeartbeatDone done) {
         if (!host_.is_active_leader())
-            return done(elsewhere());
+            return done(not_leader_response());
         take({std::move(r), false, std::move(done), later_.now(), std::nullopt, ""});
     });
 }
 
-ReportAnswer Desk::elsewhere() const {
+HeartbeatResponse HeartbeatHandler::not_leader_response() const {
     const auto& leader = host_.leader();
     const bool other = !leader.empty() && leader != s_.name;
     return {other ? 421 : 503, 0, {}, other ? leader : ""};
@@ -53,10 +53,10 @@
 
 namespace {
 
-Executor::ReportDone answer_to(const Responder& res) {
-    return [res](const ReportAnswer& a) {
+Executor::HeartbeatDone answer_to(const Responder& res) {
+    return [res](const HeartbeatResponse& a) {
         if (a.status == 200)
-            return res.send(200, codec::orders(a.fence, a.orders));
+            return res.send(200, codec::orders(a.fencing_token, a.orders));
         if (a.status == 421)
             return res.send(421, codec::redirect(a.leader));
         res.send(a.status, "{}");
@@ -65,37 +65,37 @@
 
 } // namespace
 
-void Desk::beat(HttpRequest&& r, const Responder& res, bool relayed) {
+void HeartbeatHandler::handle_heartbeat(HttpRequest&& r, const Responder& res, bool relayed) {
     if (relayed && !host_.is_active_leader() && !host_.is_acquiring())
-        return answer_to(res)(elsewhere());
-    auto read = codec::report(r.body);
+        return answer_to(res)(not_leader_response());
+    auto read = codec::heartbeat(r.body);
     if (!read) {
         spdlog::warn("malformed report");
         return res.send(400, codec::error_answer("malformed report"));
     }
-    const auto other = elsewhere();
+    const auto other = not_leader_response();
     if (!relayed && !host_.is_active_leader() && other.status == 421) {
-        const auto way = way_of(*read);
-        if (way == Way::relay)
+        const auto way = route_of(*read);
+        if (way == Route::relay)
             return relay(std::move(*read), {std::move(r.body), res}, later_.now());
-        return answer_to(res)(way == Way::leader ? other : ReportAnswer{});
+        return answer_to(res)(way == Route::leader ? other : HeartbeatResponse{});
     }
-    std::optional<Whole> whole;
+    std::optional<RawRequest> whole;
     if (!relayed)
-        whole = Whole{std::move(r.body), res};
+        whole = RawRequest{std::move(r.body), res};
     take({std::move(*read), relayed, answer_to(res), later_.now(), std::move(whole), ""});
 }
 
-std::size_t Desk::Early::bytes() const {
-    std::size_t n = sizeof(Early) + (whole ? whole->body.size() : 0);
-    for (const auto& t : report.tasks)
+std::size_t HeartbeatHandler::PendingHeartbeat::bytes() const {
+    std::size_t n = sizeof(PendingHeartbeat) + (whole ? whole->body.size() : 0);
+    for (const auto& t : heartbeat.tasks)
         n += sizeof(t) + t.job.size();
     return n;
 }
 
 // While the office passes from one to another, a report waits for a moment: sent away, its machine might
 // find no other node that it reaches before its lease has run out.
-void Desk::take(Early&& e) {
+void HeartbeatHandler::take(PendingHeartbeat&& e) {
     if (!host_.is_active_leader()) {
         // Cut off from the store and from all others, this node would not hear who has it.
         if (early_bytes_ + e.bytes() > max_early_bytes_ || !members_.in_touch())
@@ -104,49 +104,50 @@
         return;
     }
     const auto h = ++handle_seq_;
-    open_[h] = {std::move(e.done), later_.now(), e.report.zone, e.report.addr, e.relayed};
-    host_.push(Beat{std::move(e.report), h});
+    open_[h] = {std::move(e.done), later_.now(), e.heartbeat.zone, e.heartbeat.addr, e.relayed};
+    host_.push(HeartbeatReceived{std::move(e.heartbeat), h});
 }
 
 // (Sent to a new holder that their zone does not reach, machines came back past all others that do not reach it
 // either, when their lease had run out.)
-void Desk::settle_early() {
-    if (early_.empty())
+void HeartbeatHandler::retry_pending_heartbeats() {
+    if (pending_heartbeats_.empty())
         return;
     const bool late_too = !host_.is_active_leader() && !host_.is_acquiring();
     early_bytes_ = 0;
-    for (auto& e : std::exchange(early_, {})) {
-        const auto other = elsewhere();
+    for (auto& e : std::exchange(pending_heartbeats_, {})) {
+        const auto other = not_leader_response();
         const bool elsewhere_now = late_too && other.status == 421 && other.leader != e.refused_by;
         if (host_.is_active_leader())
             take(std::move(e));
-        else if (elsewhere_now && e.whole && later_.now() - e.since < relayed_until_s && way_of(e.report) == Way::relay)
-            relay(std::move(e.report), std::move(*e.whole), e.since);
-        else if (elsewhere_now || later_.now() - e.since > early_s)
+        else if (elsewhere_now && e.whole && later_.now() - e.since < relayed_until_s &&
+                 route_of(e.heartbeat) == Route::relay)
+            relay(std::move(e.heartbeat), std::move(*e.whole), e.since);
+        else if (elsewhere_now || later_.now() - e.since > max_pending_s)
             e.done(other);
         else
             keep_waiting(std::move(e));
     }
 }
 
-void Desk::keep_waiting(Early&& e) {
+void HeartbeatHandler::keep_waiting(PendingHeartbeat&& e) {
     early_bytes_ += e.bytes();
-    early_.push_back(std::move(e));
+    pending_heartbeats_.push_back(std::move(e));
 }
 
 // Room for one more machine. False: all of them were sent to this leader within a lease.
-bool Desk::make_room_for_sent_away() {
-    if (sent_away_.size() < max_sent_away_)
+bool HeartbeatHandler::make_room_for_sent_away() {
+    if (redirected_.size() < max_sent_away_)
         return true;
     const double t = later_.now();
     if (t < next_sent_away_sweep_)
         return false;
     next_sent_away_sweep_ = t + s_.report_s;
-    std::erase_if(sent_away_, [&](const auto& entry) {
+    std::erase_if(redirected_, [&](const auto& entry) {
         const auto& sent = entry.second;
         return sent.leader != host_.leader() || t - sent.came_at > s_.lease_s;
     });
-    return sent_away_.size() < max_sent_away_;
+    return redirected_.size() < max_sent_away_;
 }
 
 // A report goes through this node if the holder says that it does not hear from there, or if its machine
@@ -154,15 +155,15 @@
 // waited there in vain. Where the holder cannot be reached from here either, the machine tries the next
 // node. (Two nodes that knew of an old holder only had sent machines round between them until their leases
 // ran out.)
-Desk::Way Desk::way_of(const Report& r) {
+HeartbeatHandler::Route HeartbeatHandler::route_of(const Heartbeat& r) {
     const auto& leader = host_.leader();
     const bool reached = members_.peer(leader) != membership::Reach::lost;
     if (reached && !members_.leader_reaches(leader, r.zone))
-        return Way::relay;
+        return Route::relay;
     const double t = later_.now();
-    if (!sent_away_.contains(r.machine) && !make_room_for_sent_away())
-        return Way::leader;
-    auto& last = sent_away_[r.machine];
+    if (!redirected_.contains(r.machine) && !make_room_for_sent_away())
+        return Route::leader;
+    auto& last = redirected_[r.machine];
     last.came_at = t;
     const bool known = last.leader == leader;
     if (known) {
@@ -172,19 +173,19 @@
             last.relay_until = t + s_.lease_s;
         if (back || t < last.relay_until) {
             last.at = -1;
-            return reached ? Way::relay : Way::next;
+            return reached ? Route::relay : Route::next;
         }
     }
     last = {leader, t, -1, t};
     // It has heard this holder and left it all the same: answers from there do not reach it any more.
-    if (known || !host_.of_its_term(r.fence))
-        return Way::leader;
+    if (known || !host_.is_of_leader_term(r.fencing_token))
+        return Route::leader;
     last.relay_until = t + s_.lease_s;
     last.at = -1;
-    return reached ? Way::relay : Way::next;
+    return reached ? Route::relay : Route::next;
 }
 
-void Desk::relay(Report&& r, Whole&& whole, double since) {
+void HeartbeatHandler::relay(Heartbeat&& r, RawRequest&& whole, double since) {
     const auto res = whole.res;
     if (relaying_ >= max_relays_) {
         ++took_.refused;
@@ -192,9 +193,9 @@
     }
     ++relaying_;
     ++took_.relayed;
-    auto kept = std::make_shared<Report>(std::move(r));
+    auto kept = std::make_shared<Heartbeat>(std::move(r));
     const double wait_s = std::min(relay_s, answered_by_s - (later_.now() - since));
-    peers_.request(Lane::relays, host_.leader(), "POST", peer_prefix + std::string(codec::path_report),
+    peers_.request(Lane::relays, host_.leader(), "POST", peer_prefix + std::string(codec::path_heartbeat),
                    std::move(whole.body), wait_s, [this, kept, res, since, leader = host_.leader()](HttpReply&& a) {
                        --relaying_;
                        // Whatever the holder said, and nothing that it did not say. Where it has just given
@@ -205,39 +206,41 @@
                    });
 }
 
-void Desk::on_leadership_lost() {
+void HeartbeatHandler::on_leadership_lost() {
     for (const auto& [h, open] : std::exchange(open_, {}))
         open.done({});
 }
 
-void Desk::note_launches(const std::vector<Order>& orders) {
+void HeartbeatHandler::note_launches(const std::vector<Order>& orders) {
     for (const auto& o : orders)
         if (o.verb == Verb::launch)
             took_.first_launches.launched(o.job, later_.now(), took_.launch);
 }
 
-void Desk::answer(BeatAnswer&& a) {
+void HeartbeatHandler::answer(AnswerHeartbeat&& a) {
     const auto it = open_.find(a.handle);
     if (it == open_.end())
         return;
     const auto open = std::move(it->second);
     open_.erase(it);
-    took_.report.add(later_.now() - open.since);
+    took_.heartbeat.add(later_.now() - open.since);
     note_launches(a.orders);
     // A late copy, which the core refuses, says nothing of the way that it came.
     if (a.status == 200)
-        open.relayed ? members_.report_relayed(open.zone, open.addr) : members_.report_came(open.zone, open.addr);
+        open.relayed ? members_.heartbeat_relayed(open.zone, open.addr)
+                     : members_.heartbeat_received(open.zone, open.addr);
     // A 200 renews a lease, so it is sent only while nobody else can hold the office.
     if (a.status == 200 && host_.is_active_leader())
-        open.done({200, a.fence, std::move(a.orders), {}});
+        open.done({200, a.fencing_token, std::move(a.orders), {}});
     else
         open.done({});
 }
 
-void Desk::send(const SendOrders& o, std::function<void(OrdersAnswered&&)> done) {
+void HeartbeatHandler::send(const SendOrders& o, std::function<void(OrdersAnswered&&)> done) {
     note_launches(o.orders);
-    if (o.around || members_.any_zone_lost())
-        if (const auto zone = host_.zone_of(o.machine); o.around || members_.zone(zone) == membership::Reach::lost)
+    if (o.prefer_relay || members_.any_zone_lost())
+        if (const auto zone = host_.zone_of(o.machine);
+            o.prefer_relay || members_.zone(zone) == membership::Reach::lost)
             if (const auto by = members_.way_to(zone); by)
                 return send_by(*by, o, std::move(done));
     executor_.command(o, s_.report_s / 2, [this, done = std::move(done)](OrdersAnswered&& a) {
@@ -247,14 +250,15 @@
     });
 }
 
-void Desk::send_by(const std::string& peer, const SendOrders& o, std::function<void(OrdersAnswered&&)> done) {
-    ++took_.sent_by_others;
+void HeartbeatHandler::send_by(const std::string& peer, const SendOrders& o,
+                               std::function<void(OrdersAnswered&&)> done) {
+    ++took_.relayed_by_others;
     peers_.request(Lane::relays, peer, "POST", std::string(peer_relay) + o.addr,
-                   codec::commands(o.fence, o.tenure, o.orders), s_.report_s / 2,
+                   codec::commands(o.fencing_token, o.agent_epoch, o.orders), s_.report_s / 2,
                    [this, done = std::move(done), id = o.machine, batch = o.batch](HttpReply&& r) {
                        OrdersAnswered a{id, batch, r.status, r.sent, std::nullopt};
                        if (r.status == 200 || r.status == 409) {
-                           a.report = codec::report(r.body);
+                           a.heartbeat = codec::heartbeat(r.body);
                            members_.machine_answered();
                        } else if (r.status == 503) { // the other surely did not pass it on
                            a.status = 0;
@@ -266,7 +270,7 @@
                    });
 }
 
-void Desk::pass_on(HttpRequest&& r, const Responder& res) {
+void HeartbeatHandler::forward(HttpRequest&& r, const Responder& res) {
     constexpr std::string_view to = "to=";
     if (r.method != "POST")
         return res.send(405, codec::error_answer("wrong method"));
@@ -278,7 +282,7 @@
     }
     ++relaying_;
     ++took_.relayed;
-    executor_.pass_on(r.query.substr(to.size()), std::move(r.body), s_.report_s / 3, [this, res](HttpReply&& a) {
+    executor_.forward(r.query.substr(to.size()), std::move(r.body), s_.report_s / 3, [this, res](HttpReply&& a) {
         --relaying_;
         if (a.status != 0)
             return res.send(a.status, a.body);
--- a/src/cloud/cloud_desk.cpp
+++ b/src/cloud/cloud_desk.cpp
@@ -11,7 +11,7 @@
 
 } // namespace
 
-void CloudDesk::tick() {
+void CloudClient::tick() {
     const double t = later_.now();
     if (t >= next_types_)
         learn_types();
@@ -22,18 +22,18 @@
     pump();
 }
 
-void CloudDesk::on_leadership_acquired() {
+void CloudClient::on_leadership_acquired() {
     if (!types_.empty())
-        host_.push(TypesKnown{types_});
+        host_.push(MachineTypesKnown{types_});
     next_list_ = 0;
 }
 
-void CloudDesk::request(std::function<void(bool)> ask) {
+void CloudClient::request(std::function<void(bool)> ask) {
     queue_.push_back(std::move(ask));
     pump();
 }
 
-void CloudDesk::pump() {
+void CloudClient::pump() {
     // What a holder asked for that may no longer act must not reach the cloud later.
     if (!host_.is_active_leader())
         for (auto gone = std::move(queue_); !gone.empty(); gone.pop_front())
@@ -45,7 +45,7 @@
     }
 }
 
-void CloudDesk::rent(const Rent& wanted) {
+void CloudClient::rent(const Rent& wanted) {
     request([this, gen = generation_, wanted](bool go) {
         auto done = [this, gen, go](Rented&& c) {
             if (go)
@@ -64,7 +64,7 @@
     });
 }
 
-void CloudDesk::release(const Release& wanted) {
+void CloudClient::release(const Release& wanted) {
     request([this, gen = generation_, wanted](bool go) {
         auto done = [this, gen, go](Released&& c) {
             if (go)
@@ -78,7 +78,7 @@
     });
 }
 
-void CloudDesk::list_machines(const std::string& since) {
+void CloudClient::list_machines(const std::string& since) {
     if (queue_.size() > most_queued_lists)
         return;
     if (since.empty()) {
@@ -99,7 +99,7 @@
             }
             if (page->more && !last.empty())
                 return list_machines(last);
-            host_.push(Listed{std::move(listing_), listing_at_});
+            host_.push(MachinesListed{std::move(listing_), listing_at_});
             listing_.clear();
         });
     });
@@ -107,7 +107,7 @@
 
 // The types come from the cloud; the holder keeps a copy in the store for nodes that start while
 // the cloud is in trouble.
-void CloudDesk::learn_types() {
+void CloudClient::learn_types() {
     next_types_ = later_.now() + s_.report_s;
     if (learning_types_)
         return;
@@ -124,7 +124,7 @@
     });
 }
 
-void CloudDesk::from_cloud() {
+void CloudClient::from_cloud() {
     executor_.types(s_.report_s * 2, [this](std::optional<std::vector<MachineType>>&& types) {
         host_.cloud_answered(types.has_value());
         learning_types_ = false;
@@ -140,12 +140,12 @@
     });
 }
 
-void CloudDesk::learned(std::vector<MachineType>&& types) {
+void CloudClient::learned(std::vector<MachineType>&& types) {
     learning_types_ = false;
     types_ = std::move(types);
     types_at_ = later_.now();
     if (host_.is_leader())
-        host_.push(TypesKnown{types_});
+        host_.push(MachineTypesKnown{types_});
 }
 
 } // namespace heronshift::cloud
--- a/src/codec/store.cpp
+++ b/src/codec/store.cpp
@@ -14,15 +14,15 @@
 std::string txn(const std::vector<Guard>& guards, const std::vector<Write>& writes) {
     Json g = Json::array(), w = Json::array();
     for (const auto& x : guards)
-        g.push_back({{"k", x.key}, {"stamp", x.stamp}});
+        g.push_back({{"k", x.key}, {"stamp", x.mod_revision}});
     for (const auto& x : writes) {
         if (!x.value) {
             w.push_back({{"delete", x.key}});
             continue;
         }
         Json e{{"set", x.key}, {"data", *x.value}};
-        if (x.hold != 0)
-            e["lease"] = x.hold;
+        if (x.lease != 0)
+            e["lease"] = x.lease;
         w.push_back(std::move(e));
     }
     Json j{{"guards", std::move(g)}};
@@ -31,7 +31,7 @@
     return j.dump();
 }
 
-std::optional<std::uint64_t> epoch_of(std::string_view body) {
+std::optional<std::uint64_t> revision_of(std::string_view body) {
     const auto j = parse(body);
     std::uint64_t e = 0;
     if (!j.is_object() || !count(j, "epoch", e))
@@ -59,11 +59,11 @@
         return {};
     Item i;
     i.key = text(e, key_name);
-    if (i.key.empty() || !count(e, "stamp", i.stamp))
+    if (i.key.empty() || !count(e, "stamp", i.mod_revision))
         return {};
     if (const auto* v = field(e, "data"); v != nullptr)
         i.value = *v;
-    count(e, "lease", i.hold);
+    count(e, "lease", i.lease);
     return i;
 }
 } // namespace
@@ -78,7 +78,7 @@
         return {};
     const auto* list = field(j, "entries");
     Page p;
-    if (list == nullptr || !list->is_array() || !count(j, "epoch", p.epoch))
+    if (list == nullptr || !list->is_array() || !count(j, "epoch", p.revision))
         return {};
     p.more = flag(j, "more");
     for (const auto& e : *list) {
@@ -96,7 +96,7 @@
         return {};
     const auto* list = field(j, "events");
     Page p;
-    if (!count(j, "epoch", p.epoch))
+    if (!count(j, "epoch", p.revision))
         return {};
     if (list == nullptr)
         return p;
@@ -113,11 +113,11 @@
     return p;
 }
 
-std::string hold_request(double ttl_s) {
+std::string lease_request(double ttl_s) {
     return Json{{"ttlMs", static_cast<std::uint64_t>(ttl_s * 1000)}}.dump();
 }
 
-std::optional<std::uint64_t> hold_of(std::string_view body) {
+std::optional<std::uint64_t> lease_of(std::string_view body) {
     const auto j = parse(body);
     std::uint64_t h = 0;
     if (!j.is_object() || !count(j, "lease", h))
@@ -127,9 +127,9 @@
 
 namespace {
 Json item_json(const Item& i) {
-    Json j{{"k", i.key}, {"data", i.value}, {"stamp", i.stamp}};
-    if (i.hold != 0)
-        j["lease"] = i.hold;
+    Json j{{"k", i.key}, {"data", i.value}, {"stamp", i.mod_revision}};
+    if (i.lease != 0)
+        j["lease"] = i.lease;
     return j;
 }
 } // namespace
@@ -142,30 +142,30 @@
     auto list = Json::array();
     for (const auto& i : p.items)
         list.push_back(item_json(i));
-    return Json{{"entries", std::move(list)}, {"more", p.more}, {"epoch", p.epoch}}.dump();
+    return Json{{"entries", std::move(list)}, {"more", p.more}, {"epoch", p.revision}}.dump();
 }
 
 std::string events_answer(const Page& p) {
     auto list = Json::array();
     for (const auto& i : p.items) {
         if (i.deleted)
-            list.push_back({{"delete", i.key}, {"stamp", i.stamp}});
+            list.push_back({{"delete", i.key}, {"stamp", i.mod_revision}});
         else
-            list.push_back({{"set", i.key}, {"data", i.value}, {"stamp", i.stamp}});
+            list.push_back({{"set", i.key}, {"data", i.value}, {"stamp", i.mod_revision}});
     }
-    return Json{{"epoch", p.epoch}, {"events", std::move(list)}}.dump();
+    return Json{{"epoch", p.revision}, {"events", std::move(list)}}.dump();
 }
 
-std::string epoch_answer(std::uint64_t epoch) {
-    return Json{{"epoch", epoch}}.dump();
+std::string revision_answer(std::uint64_t revision) {
+    return Json{{"epoch", revision}}.dump();
 }
 
-std::string failed_answer(const std::vector<std::string>& failed, std::uint64_t epoch) {
-    return Json{{"failed", failed}, {"epoch", epoch}}.dump();
+std::string failed_answer(const std::vector<std::string>& failed, std::uint64_t revision) {
+    return Json{{"failed", failed}, {"epoch", revision}}.dump();
 }
 
-std::string hold_answer(std::uint64_t hold) {
-    return Json{{"lease", hold}}.dump();
+std::string lease_answer(std::uint64_t lease) {
+    return Json{{"lease", lease}}.dump();
 }
 
 std::optional<TxnRequest> txn_request(std::string_view body) {
@@ -178,7 +178,7 @@
             return {};
         for (const auto& e : *list) {
             Guard g;
-            if (!e.is_object() || !count(e, "stamp", g.stamp))
+            if (!e.is_object() || !count(e, "stamp", g.mod_revision))
                 return {};
             g.key = text(e, "k");
             t.guards.push_back(std::move(g));
@@ -198,7 +198,7 @@
                     return {};
                 w.key = text(e, "set");
                 w.value = e["data"];
-                if (e.contains("lease") && !count(e, "lease", w.hold))
+                if (e.contains("lease") && !count(e, "lease", w.lease))
                     return {};
             }
             t.writes.push_back(std::move(w));
--- a/src/codec/workers.cpp
+++ b/src/codec/workers.cpp
@@ -64,19 +64,20 @@
     return job + "/" + std::to_string(index);
 }
 
-std::optional<Report> report(std::string_view body) {
+std::optional<Heartbeat> heartbeat(std::string_view body) {
     const auto j = parse(body);
     if (!j.is_object())
         return {};
-    Report r;
+    Heartbeat r;
     r.machine = text(j, "host");
     r.addr = text(j, "addr");
     r.type = text(j, "flavor");
     r.zone = text(j, "yard");
     r.spot = flag(j, "standby");
-    if (r.machine.empty() || r.machine.size() > 100 || !count(j, "tenure", r.tenure) || !count(j, "counter", r.counter))
+    if (r.machine.empty() || r.machine.size() > 100 || !count(j, "tenure", r.agent_epoch) ||
+        !count(j, "counter", r.counter))
         return {};
-    count(j, "fence", r.fence);
+    count(j, "fence", r.fencing_token);
     r.notice_s = number(j, "evictionInS", -1);
     const auto* tasks = field(j, "shards");
     if (tasks == nullptr)
@@ -117,14 +118,14 @@
 }
 } // namespace
 
-std::string orders(std::uint64_t fence, const std::vector<Order>& list) {
-    auto out = fmt::format(R"({{"fence":{},)", fence);
+std::string orders(std::uint64_t fencing_token, const std::vector<Order>& list) {
+    auto out = fmt::format(R"({{"fence":{},)", fencing_token);
     append_orders(out, list);
     return out;
 }
 
-std::string commands(std::uint64_t fence, std::uint64_t tenure, const std::vector<Order>& list) {
-    auto out = fmt::format(R"({{"fence":{},"tenure":{},)", fence, tenure);
+std::string commands(std::uint64_t fencing_token, std::uint64_t agent_epoch, const std::vector<Order>& list) {
+    auto out = fmt::format(R"({{"fence":{},"tenure":{},)", fencing_token, agent_epoch);
     append_orders(out, list);
     return out;
 }
@@ -175,9 +176,9 @@
 }
 } // namespace
 
-std::string to_body(const Report& r) {
-    Json j{{"host", r.machine},      {"addr", r.addr},         {"flavor", r.type},     {"yard", r.zone},
-           {"standby", r.spot},      {"tenure", r.tenure},     {"counter", r.counter}, {"fence", r.fence},
+std::string to_body(const Heartbeat& r) {
+    Json j{{"host", r.machine},      {"addr", r.addr},          {"flavor", r.type},     {"yard", r.zone},
+           {"standby", r.spot},      {"tenure", r.agent_epoch}, {"counter", r.counter}, {"fence", r.fencing_token},
            {"evictionInS", nullptr}, {"shards", Json::array()}};
     if (r.notice_s >= 0)
         j["evictionInS"] = r.notice_s;
@@ -198,9 +199,9 @@
         return {};
     Orders o;
     if (std::uint64_t n = 0; count(j, "fence", n))
-        o.fence = n;
+        o.fencing_token = n;
     if (std::uint64_t n = 0; count(j, "tenure", n))
-        o.tenure = n;
+        o.agent_epoch = n;
     const auto* list = field(j, "orders");
     if (list == nullptr)
         return o;
--- a/src/core/core.cpp
+++ b/src/core/core.cpp
@@ -21,14 +21,14 @@
     std::visit(Each{
                    [this](JobStored& c) { ledger_.add_job(c); },
                    [this](JobFound& c) { ledger_.found(c); },
-                   [this](CancelAsked& c) { ledger_.cancel(c); },
-                   [this](Beat& c) { ledger_.heard(c); },
+                   [this](CancellationRequested& c) { ledger_.cancel(c); },
+                   [this](HeartbeatReceived& c) { ledger_.receive_heartbeat(c); },
                    [this](OrdersAnswered& c) { ledger_.answered(c); },
                    [this](Committed& c) { records_.committed(c); },
                    [this](Rented& c) { ledger_.rented(c); },
                    [this](Released& c) { ledger_.released(c); },
-                   [this](Listed& c) { ledger_.listed(c); },
-                   [this](TypesKnown& c) { ledger_.types_known(std::move(c.types)); },
+                   [this](MachinesListed& c) { ledger_.listed(c); },
+                   [this](MachineTypesKnown& c) { ledger_.types_known(std::move(c.types)); },
                },
                command);
 }
@@ -40,9 +40,9 @@
         // From a day on which a cut-off holder took the machines outside its zone for lost and gave
         // them back the moment the cut ended, with all that ran there under its successor.
         std::erase_if(commands, [this](const Command& c) {
-            const auto* b = std::get_if<Beat>(&c);
+            const auto* b = std::get_if<HeartbeatReceived>(&c);
             if (b != nullptr)
-                effects_.emplace_back(BeatAnswer{b->handle, 503, 0, {}});
+                effects_.emplace_back(AnswerHeartbeat{b->handle, 503, 0, {}});
             return b != nullptr;
         });
         wake_at_ = now + s_.report_s / 10;
@@ -115,11 +115,11 @@
 std::vector<metrics::Value> Core::metrics() const {
     const auto& v = ledger_.view();
     const auto& n = ledger_.counters();
-    std::size_t up = 0, live = 0, deaf = 0;
+    std::size_t up = 0, live = 0, inbound_unreachable = 0;
     for (const auto& [id, m] : v.machines) {
         up += m->status == ledger::Status::up;
         live += m->entries.size();
-        deaf += m->deaf();
+        inbound_unreachable += m->inbound_unreachable();
     }
     std::map<std::string, double> by_class, by_team; // the oldest that waits
     for (const auto& [id, j] : v.jobs) {
@@ -141,9 +141,12 @@
         {"heronshift_moved_total", "tasks moved in this term", of(n.moved)},
         {"heronshift_passes_total", "of placement over all that waits, in this term", of(ledger_.passes())},
         {"heronshift_commits_total", "transactions in this term", of(records_.committed_count())},
-        {"heronshift_machines_deaf", "that report and do not hear", of(deaf)},
-        {"heronshift_reports_dropped_total", "copies, in this term", of(n.old_reports), {{"why", "old"}}},
-        {"heronshift_reports_dropped_total", "copies, in this term", of(n.gone_reports), {{"why", "machine gone"}}}};
+        {"heronshift_machines_deaf", "that report and do not hear", of(inbound_unreachable)},
+        {"heronshift_reports_dropped_total", "copies, in this term", of(n.stale_heartbeats), {{"why", "old"}}},
+        {"heronshift_reports_dropped_total",
+         "copies, in this term",
+         of(n.heartbeats_of_gone_machines),
+         {{"why", "machine gone"}}}};
     constexpr const char* help = "seconds since the oldest job of which nothing runs was ready";
     for (const auto& [name, s] : by_class)
         out.push_back({"heronshift_oldest_wait_seconds", help, s, {{"class", name}}});
--- a/src/embed/scheduler.cpp
+++ b/src/embed/scheduler.cpp
@@ -160,7 +160,7 @@
         node_->state().list("f/", "", 1, o_.settings.report_s, [this](store::Answer&& a) {
             if (a.status != 200)
                 return again();
-            follow(a.epoch);
+            follow(a.revision);
         });
     }
 
@@ -189,7 +189,7 @@
                     if (!silent_)
                         w({i.key.substr(2), final->status, false});
             }
-            follow(std::max(since, a.epoch));
+            follow(std::max(since, a.revision));
         });
     }
 
--- a/src/executor/http.cpp
+++ b/src/executor/http.cpp
@@ -9,11 +9,12 @@
 } // namespace
 
 void HttpExecutor::command(const SendOrders& o, double timeout_s, std::function<void(OrdersAnswered&&)> done) {
-    agents_.request(o.addr, "POST", std::string(codec::path_commands), codec::commands(o.fence, o.tenure, o.orders),
-                    timeout_s, [done = std::move(done), id = o.machine, batch = o.batch](HttpReply&& r) {
+    agents_.request(o.addr, "POST", std::string(codec::path_commands),
+                    codec::commands(o.fencing_token, o.agent_epoch, o.orders), timeout_s,
+                    [done = std::move(done), id = o.machine, batch = o.batch](HttpReply&& r) {
                         OrdersAnswered a{id, batch, r.status, r.sent, std::nullopt};
                         if (r.status == 200 || r.status == 409)
-                            a.report = codec::report(r.body);
+                            a.heartbeat = codec::heartbeat(r.body);
                         done(std::move(a));
                     });
 }
@@ -23,7 +24,7 @@
                     [done = std::move(done)](HttpReply&& r) { done(r.status == 200); });
 }
 
-void HttpExecutor::pass_on(const std::string& addr, std::string body, double timeout_s,
+void HttpExecutor::forward(const std::string& addr, std::string body, double timeout_s,
                            std::function<void(HttpReply&&)> done) {
     agents_.request(addr, "POST", std::string(codec::path_commands), std::move(body), timeout_s, std::move(done));
 }
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -42,12 +42,12 @@
       accepted_(entries_in_share(s.memory_mb, accepted_memory_share, job_bytes)),
       finals_(entries_in_share(s.memory_mb, finals_memory_share, final_bytes)) {}
 
-void Gateway::serve(HttpRequest&& r, Responder res, bool passed_on) {
+void Gateway::serve(HttpRequest&& r, Responder res, bool forwarded) {
     const bool get = r.method == "GET", post = r.method == "POST";
     auto wrong_method = [&] { res.send(405, error_answer("wrong method")); };
     const std::string_view path = r.path;
     if (path == codec::path_jobs)
-        return post ? submit(std::move(r), std::move(res), passed_on) : wrong_method();
+        return post ? submit(std::move(r), std::move(res), forwarded) : wrong_method();
     if (path.size() <= codec::path_jobs.size() + 1 || path[codec::path_jobs.size()] != '/')
         return res.send(404, error_answer("no such path"));
     auto rest = path.substr(codec::path_jobs.size() + 1);
@@ -61,9 +61,9 @@
             return res.send(404, error_answer("no such job"));
         if (tell_final(id, res))
             return;
-        if (passed_on || host_.active_core() != nullptr)
+        if (forwarded || host_.active_core() != nullptr)
             return poll(id, std::move(res));
-        return pass_on(std::make_shared<HttpRequest>(std::move(r)), std::move(res), ways(true, true), look_up_s,
+        return forward(std::make_shared<HttpRequest>(std::move(r)), std::move(res), ways(true, true), look_up_s,
                        [this, id](Responder x) { poll(id, std::move(x)); });
     }
     if (rest.substr(slash + 1) != codec::suffix_cancel)
@@ -72,7 +72,7 @@
         return wrong_method();
     if (!codec::valid_job_id(id))
         return res.send(404, error_answer("no such job"));
-    cancel(id, std::move(r), std::move(res), passed_on);
+    cancel(id, std::move(r), std::move(res), forwarded);
 }
 
 void Gateway::tick() {
@@ -107,7 +107,7 @@
 
 // Passes a request on, to one after the other; what none answers is handled here. Each can be asked again
 // without harm: a job is accepted once, and cancelled by one.
-void Gateway::pass_on(std::shared_ptr<const HttpRequest> r, Responder res, std::vector<std::string> to, double wait_s,
+void Gateway::forward(std::shared_ptr<const HttpRequest> r, Responder res, std::vector<std::string> to, double wait_s,
                       Otherwise otherwise) {
     if (to.empty())
         return otherwise(std::move(res));
@@ -119,7 +119,7 @@
     peers_.request(Lane::users, first, method, peer_prefix + r->path, r->body, each_s,
                    [this, r, res, to = std::move(to), left_s, otherwise = std::move(otherwise)](HttpReply&& a) mutable {
                        if (a.status == 0 || a.status == 503)
-                           return pass_on(std::move(r), std::move(res), std::move(to), left_s, std::move(otherwise));
+                           return forward(std::move(r), std::move(res), std::move(to), left_s, std::move(otherwise));
                        if (const auto j = a.status == 200 ? codec::job_answer_of(a.body) : std::nullopt; j)
                            remember_final(j->id, j->status);
                        res.send(a.status, a.body, a.status == 429 ? retry_soon_s : 0);
@@ -213,12 +213,12 @@
     });
 }
 
-void Gateway::cancel(const std::string& id, HttpRequest&& r, Responder res, bool passed_on) {
+void Gateway::cancel(const std::string& id, HttpRequest&& r, Responder res, bool forwarded) {
     if (host_.active_core() == nullptr) {
-        if (passed_on)
+        if (forwarded)
             return res.send(503, not_now, retry_soon_s);
         // Only the holder decides, so that its answers from memory are never old.
-        return pass_on(std::make_shared<HttpRequest>(std::move(r)), std::move(res), ways(true, false), look_up_s,
+        return forward(std::make_shared<HttpRequest>(std::move(r)), std::move(res), ways(true, false), look_up_s,
                        [](const Responder& x) { x.send(503, not_now, retry_soon_s); });
     }
     ask_core_to_cancel(id, std::move(res));
@@ -227,10 +227,10 @@
 void Gateway::ask_core_to_cancel(const std::string& id, Responder res) {
     const auto h = ++handle_seq_;
     cancels_[h] = {std::move(res), id, later_.now()};
-    host_.push(CancelAsked{id, h});
+    host_.push(CancellationRequested{id, h});
 }
 
-void Gateway::answered(const CancelAnswer& a) {
+void Gateway::answered(const AnswerCancellation& a) {
     const auto it = cancels_.find(a.handle);
     if (it == cancels_.end())
         return;
@@ -298,10 +298,10 @@
     return "a task fits no allowed machine type";
 }
 
-void Gateway::submit(HttpRequest&& r, Responder res, bool passed_on) {
+void Gateway::submit(HttpRequest&& r, Responder res, bool forwarded) {
     // Where the store is known not to serve this node, nothing can be found out here.
-    if (const auto others = passed_on ? std::vector<std::string>() : ways(false, true); !others.empty())
-        return pass_on(std::make_shared<HttpRequest>(std::move(r)), std::move(res), others, submit_s,
+    if (const auto others = forwarded ? std::vector<std::string>() : ways(false, true); !others.empty())
+        return forward(std::make_shared<HttpRequest>(std::move(r)), std::move(res), others, submit_s,
                        [](const Responder& x) { x.send(503, not_now, retry_soon_s); });
     auto parsed = codec::submission(r.body);
     std::string refusal;
@@ -333,7 +333,7 @@
         return refuse_unless_known(id, status, refusal, res);
     auto s = std::make_shared<Submission>(Submission{std::move(std::get<JobSpec>(parsed)),
                                                      std::make_shared<HttpRequest>(std::move(r)), std::move(res),
-                                                     passed_on, later_.now(), 0, 0});
+                                                     forwarded, later_.now(), 0, 0});
     s->spec.needs.empty() ? accept(s) : check_needs(s);
 }
 
@@ -406,7 +406,7 @@
     const std::vector<codec::Write> writes{
         {"j/" + id, codec::to_record({s->spec, at, -1, !s->spec.needs.empty(), {}}), 0}};
     // Where the store does not answer this node, another may still be served within the user's time.
-    const double patience = s->passed_on ? s_.report_s / 2 : s_.report_s / 10;
+    const double patience = s->forwarded ? s_.report_s / 2 : s_.report_s / 10;
     store_.transact(guards, writes, patience,
                     [this, s, at, began](store::Answer&& r) { stored(s, std::move(r), at, began); });
 }
@@ -436,9 +436,9 @@
         x.send(503, not_now, retry_soon_s);
     };
     // A process of the version before would take a chained job for one that may start.
-    if (s->passed_on || waits || r.status == 429)
+    if (s->forwarded || waits || r.status == 429)
         return refuse(s->res);
-    pass_on(s->request, s->res, ways(true, true), submit_s, refuse);
+    forward(s->request, s->res, ways(true, true), submit_s, refuse);
 }
 
 } // namespace heronshift::gateway
--- a/src/leadership/leader_election.cpp
+++ b/src/leadership/leader_election.cpp
@@ -11,15 +11,16 @@
 
 constexpr const char* peer_extension_vote = "/peer/promise";
 constexpr const char* peer_takeover = "/peer/take";
-constexpr const char* served_field = "served";         // of a refused promise: the store has just answered there
-constexpr double attempt_s = 1;                        // for each step of taking the office
-constexpr double deaf_reports = 2, sure_reports = 1.5; // without a word from any worker: this node is cut off
-constexpr double deaf_leases = 0.5;                    // the same for one that never heard any in this term
-constexpr double steady_reports = 0.5;                 // for so long another must be fitter
-constexpr double unserved_lease_share = 0.7;           // of its length, not renewed while the store serves others
-constexpr double unserved_leases = 0.5;                // for so long the office may stand without anybody who may act
-constexpr double look_reports = 1.0 / 10;
-constexpr double forget_reports = 2; // without the store's or a peer's word
+constexpr const char* served_field = "served"; // of a refused promise: the store has just answered there
+constexpr double attempt_s = 1;                // for each step of taking the office
+constexpr double no_worker_heartbeats = 2,
+                 no_zone_heartbeats = 1.5;   // without a word from any worker: this node is cut off
+constexpr double no_worker_leases = 0.5;     // the same for one that never heard any in this term
+constexpr double steady_heartbeats = 0.5;    // for so long another must be fitter
+constexpr double unserved_lease_share = 0.7; // of its length, not renewed while the store serves others
+constexpr double unserved_leases = 0.5;      // for so long the office may stand without anybody who may act
+constexpr double look_heartbeats = 1.0 / 10;
+constexpr double forget_heartbeats = 2; // without the store's or a peer's word
 constexpr std::size_t few_machines = 4;
 
 } // namespace
@@ -48,7 +49,7 @@
         renew();
     if (t < next_look_)
         return;
-    next_look_ = t + look_reports * s_.report_s;
+    next_look_ = t + look_heartbeats * s_.report_s;
     if (valid())
         return consider_better_candidates();
     learn_leader_from_peers();
@@ -69,13 +70,13 @@
         fitter_since_ = -1;
     else if (fitter_since_ < 0)
         fitter_since_ = t;
-    const bool deaf = hears_no_worker(t);
-    if (fitter && t - fitter_since_ > steady_reports * s_.report_s && (deaf || t - acquired_at_ > s_.lease_s))
+    const bool no_worker = hears_no_worker(t);
+    if (fitter && t - fitter_since_ > steady_heartbeats * s_.report_s && (no_worker || t - acquired_at_ > s_.lease_s))
         return resign(
             fmt::format("{} is fitter ({}; here {})", *fitter, say(members_.standing(*fitter)), say(members_.own())),
             {*fitter});
     // The leases of all machines would run out. Where all others are known to be no better, this node stays.
-    if (deaf && served && !fitter && !members_.nobody_better()) {
+    if (no_worker && served && !fitter && !members_.nobody_better()) {
         ++resignations_without_workers_;
         resign("no worker has been heard of for a while", {});
     }
@@ -95,11 +96,11 @@
 // No word from any worker, whichever way, for longer than all of them need to report; sooner if those that
 // are asked do not answer either, later if there was none in this term yet.
 bool LeaderElection::hears_no_worker(double t) const {
-    const double heard = members_.worker_heard_at();
-    const double silent = t - std::max(heard, acquired_at_);
-    const double patience = heard <= acquired_at_       ? deaf_leases * s_.lease_s
-                            : members_.all_zones_lost() ? sure_reports * s_.report_s
-                                                        : deaf_reports * s_.report_s;
+    const double last_heartbeat_at = members_.last_worker_heartbeat_at();
+    const double silent = t - std::max(last_heartbeat_at, acquired_at_);
+    const double patience = last_heartbeat_at <= acquired_at_ ? no_worker_leases * s_.lease_s
+                            : members_.all_zones_lost()       ? no_zone_heartbeats * s_.report_s
+                                                              : no_worker_heartbeats * s_.report_s;
     return silent > patience && host_.machines_up() >= few_machines;
 }
 
@@ -151,7 +152,7 @@
         leader_lease_.previous_process_was_leader();
         spdlog::info("the office is held by an earlier process of this node, ending its hold {}", hold);
         const auto gen = generation_;
-        store_.end_hold(hold, s_.report_s / 2, [this, gen](store::Answer&&) {
+        store_.revoke_lease(hold, s_.report_s / 2, [this, gen](store::Answer&&) {
             if (gen == generation_)
                 watch_leader_key_after(0.01);
         });
@@ -162,7 +163,7 @@
     leader_ = name;
     leader_term_ = item->value.value("term", std::uint64_t{0});
     const auto gen = generation_;
-    store_.follow(leader_key, item->stamp, s_.report_s, [this, gen](store::Answer&& f) {
+    store_.follow(leader_key, item->mod_revision, s_.report_s, [this, gen](store::Answer&& f) {
         if (gen == generation_)
             watch_leader_key_after(f.status == 200 ? 0 : s_.report_s / 6);
     });
@@ -176,7 +177,7 @@
     if (sees_leader() || (said && said->leader == leader_ && said->term == leader_term_))
         known_at_ = t;
     // What was known long ago is worse than nothing: others would be sent to a holder that is none.
-    if (role_ == Role::follower && !leader_.empty() && t - known_at_ > forget_reports * s_.report_s) {
+    if (role_ == Role::follower && !leader_.empty() && t - known_at_ > forget_heartbeats * s_.report_s) {
         spdlog::info("who holds the office is not known here any more");
         leader_.clear();
     }
@@ -200,7 +201,7 @@
 void LeaderElection::acquire_failed() {
     spdlog::debug("the office was not to be had");
     if (store_lease_ != 0)
-        store_.end_hold(store_lease_, attempt_s, [](store::Answer&&) {});
+        store_.revoke_lease(store_lease_, attempt_s, [](store::Answer&&) {});
     role_ = Role::follower;
     ++generation_;
     watch_leader_key_after(s_.report_s / 10);
@@ -211,7 +212,7 @@
     const auto gen = ++generation_;
     store_lease_ = 0;
     store_lease_requested_at_ = later_.now();
-    store_.hold(leader_lease_.ttl_s(), attempt_s, [this, gen](store::Answer&& r) {
+    store_.create_lease(leader_lease_.ttl_s(), attempt_s, [this, gen](store::Answer&& r) {
         if (gen != generation_)
             return;
         if (r.status != 200)
@@ -224,7 +225,7 @@
                 return claim(1, 0);
             if (q.status != 200 || !q.item || !q.item->value.is_object())
                 return acquire_failed();
-            claim(q.item->value.value("term", std::uint64_t{0}) + 1, q.item->stamp);
+            claim(q.item->value.value("term", std::uint64_t{0}) + 1, q.item->mod_revision);
         });
     });
 }
@@ -243,7 +244,7 @@
                             return;
                         if (t.status != 200)
                             return acquire_failed();
-                        transactions_.begin(term_, t.epoch);
+                        transactions_.begin(term_, t.revision);
                         became_leader();
                     });
 }
@@ -275,7 +276,7 @@
     const auto gen = generation_;
     const double sent = later_.now(), ttl = leader_lease_.ttl_s();
     next_renew_ = sent + ttl / 6;
-    store_.extend(store_lease_, ttl / 5, [this, gen, sent](store::Answer&& r) {
+    store_.renew_lease(store_lease_, ttl / 5, [this, gen, sent](store::Answer&& r) {
         if (gen != generation_)
             return;
         if (r.status == 200 || r.status == 503 || r.status == 0)
@@ -376,7 +377,7 @@
     transactions_.stop();
     host_.leadership_lost();
     if (hold != 0)
-        store_.end_hold(hold, attempt_s, [](store::Answer&&) {});
+        store_.revoke_lease(hold, attempt_s, [](store::Answer&&) {});
     if (hold != 0 && !successors.empty()) {
         ++handovers_;
         offer_leadership(Json{{"node", s_.name}, {"term", term_}, {"hold", hold}}.dump(), successors);
@@ -426,7 +427,7 @@
                           a.item->value.value("hold", std::uint64_t{0}) == hold;
         if (!same)
             return res.send(409, codec::error_answer("the office does not name this hold"));
-        store_.end_hold(hold, s_.report_s / 4, [take](store::Answer&&) { take(); });
+        store_.revoke_lease(hold, s_.report_s / 4, [take](store::Answer&&) { take(); });
     });
 }
 
--- a/src/leadership/state_loader.cpp
+++ b/src/leadership/state_loader.cpp
@@ -40,7 +40,7 @@
                     load(prefix, since, into, next);
             });
         if (prefix == "j/" && since.empty())
-            epoch_ = page.epoch;
+            revision_ = page.revision;
         std::string last;
         for (auto& i : page.items) {
             last = i.key;
@@ -71,7 +71,7 @@
 // Other nodes accept jobs too; the holder learns of them here.
 void StateLoader::follow() {
     const auto gen = generation_;
-    store_.follow("j/", epoch_, s_.lease_s / 2, [this, gen](store::Answer&& r) {
+    store_.follow("j/", revision_, s_.lease_s / 2, [this, gen](store::Answer&& r) {
         if (gen != generation_)
             return;
         auto again = [this, gen](double delay_s) {
@@ -89,7 +89,7 @@
         }
         if (r.status != 200)
             return again(s_.report_s / 10);
-        epoch_ = std::max(epoch_, r.epoch);
+        revision_ = std::max(revision_, r.revision);
         tell(r.items);
         again(0);
     });
--- a/src/leadership/transaction_queue.cpp
+++ b/src/leadership/transaction_queue.cpp
@@ -9,8 +9,8 @@
 
 } // namespace
 
-void TransactionQueue::applied(std::uint64_t stamp) {
-    term_counter_revision_ = stamp;
+void TransactionQueue::applied(std::uint64_t mod_revision) {
+    term_counter_revision_ = mod_revision;
     ++count_;
     ends_.done(TxnOutcome::applied);
 }
@@ -26,7 +26,7 @@
                             return;
                         if (r.status == 200) {
                             took_.commit.add(later_.now() - began);
-                            return applied(r.epoch);
+                            return applied(r.revision);
                         }
                         if ((r.status == 429 || r.status == 503 || r.status == 400) && tries == 0) {
                             // Surely not executed.
@@ -57,7 +57,7 @@
         if (item->value.value("term", std::uint64_t{0}) != term_)
             return ends_.over("another term has begun");
         if (item->value.value("n", std::uint64_t{0}) == count_ + 1)
-            return applied(item->stamp);
+            return applied(item->mod_revision);
         if (tries > most_tries && !ends_.valid())
             return ends_.over("no office and no answer");
         send(std::move(c), tries);
--- a/src/ledger/ledger.cpp
+++ b/src/ledger/ledger.cpp
@@ -84,15 +84,15 @@
     p.insert(p.empty() || p.back() < index ? p.end() : std::lower_bound(p.begin(), p.end(), index), index);
 }
 
-void Ledger::cancel(const CancelAsked& c) {
+void Ledger::cancel(const CancellationRequested& c) {
     auto* j = find_job(c.id);
     if (j == nullptr) {
         const auto v = job(c.id);
-        out_.push_back(CancelAnswer{c.handle, v ? std::string(v->status) : std::string()});
+        out_.push_back(AnswerCancellation{c.handle, v ? std::string(v->status) : std::string()});
         return;
     }
     if (j->final != Final::none && j->final_stored) {
-        out_.push_back(CancelAnswer{
+        out_.push_back(AnswerCancellation{
             c.handle, std::string(j->final == Final::done ? codec::status_done : codec::status_cancelled)});
         return;
     }
@@ -149,8 +149,8 @@
     e.job = &j;
     e.index = index;
     e.try_no = try_no;
-    e.tenure = m.tenure;
-    e.fence = m.fence;
+    e.agent_epoch = m.agent_epoch;
+    e.fencing_token = m.fencing_token;
     e.placed_at = st_.now;
     e.at_machine = m.entries.size() - 1;
     e.at_job = j.entries.size();
--- a/src/ledger/machines.cpp
+++ b/src/ledger/machines.cpp
@@ -11,11 +11,11 @@
 
 // Steady clocks drift apart by up to 0.05%; twice that, and some for timer steps.
 constexpr double drift = 1.001;
-constexpr double lapse_margin_reports = 0.05; // of report_s
+constexpr double lease_margin_heartbeats = 0.05; // of report_s
 // To a machine at once; the rest follow its answer. A machine runs tens of tasks, however many machines there are.
 constexpr std::size_t max_orders = 200;
-constexpr int surely_unheard = 2;      // reports; one may have been on the way
-constexpr double trusted_leases = 1.5; // in which a lease must not run out again
+constexpr int max_heartbeats_without_token = 2; // reports; one may have been on the way
+constexpr double trusted_leases = 1.5;          // in which a lease must not run out again
 
 } // namespace
 
@@ -50,10 +50,10 @@
         slot = std::make_unique<Machine>();
         slot->id = id;
         slot->known_since = st_.now;
-        slot->fence = st_.term << fence_bits;
+        slot->fencing_token = st_.term << token_counter_bits;
         if (const auto* last = departed_.find(id); last != nullptr) {
-            slot->tenure = last->tenure;
-            slot->counter = slot->beat_counter = last->counter;
+            slot->agent_epoch = last->agent_epoch;
+            slot->counter = slot->heartbeat_counter = last->counter;
             if (!last->released)
                 departed_.erase(id);
         }
@@ -77,7 +77,7 @@
 }
 
 double Ledger::lease_surely_s() const {
-    return st_.settings.lease_s * drift + st_.settings.report_s * lapse_margin_reports;
+    return st_.settings.lease_s * drift + st_.settings.report_s * lease_margin_heartbeats;
 }
 
 int Ledger::image_id(const std::string& name, double gb) {
@@ -130,8 +130,8 @@
     if (it->second->asked)
         --asking_;
     std::erase(to_dispatch_, it->second.get());
-    if (released || it->second->tenure > 0)
-        departed_.add(id, {it->second->tenure, it->second->counter, released, st_.now});
+    if (released || it->second->agent_epoch > 0)
+        departed_.add(id, {it->second->agent_epoch, it->second->counter, released, st_.now});
     st_.machines.erase(it);
 }
 
@@ -159,19 +159,19 @@
 }
 
 // Another holder has come: however old the report is.
-bool Ledger::outdated(const Report& r) {
-    if (r.fence >> fence_bits <= st_.term)
+bool Ledger::outdated(const Heartbeat& r) {
+    if (r.fencing_token >> token_counter_bits <= st_.term)
         return false;
     resigned_ = true;
-    out_.push_back(Resign{fmt::format("{} has seen fence {} above ours", r.machine, r.fence)});
+    out_.push_back(Resign{fmt::format("{} has seen fence {} above ours", r.machine, r.fencing_token)});
     return true;
 }
 
-void Ledger::apply_report(Machine& m, const Report& r, std::vector<Order>& reaps) {
-    const bool ours = r.fence >> fence_bits == st_.term;
-    if (ours && r.fence > m.fence)
-        m.fence = r.fence;
-    const bool newer = r.tenure > m.tenure || (r.tenure == m.tenure && r.counter > m.counter);
+void Ledger::apply_heartbeat(Machine& m, const Heartbeat& r, std::vector<Order>& reaps) {
+    const bool ours = r.fencing_token >> token_counter_bits == st_.term;
+    if (ours && r.fencing_token > m.fencing_token)
+        m.fencing_token = r.fencing_token;
+    const bool newer = r.agent_epoch > m.agent_epoch || (r.agent_epoch == m.agent_epoch && r.counter > m.counter);
     if (!newer)
         return; // late: its task list is as old as the report
     if (ours) {
@@ -179,26 +179,26 @@
         dirty_ = dirty_ || !m.proven;
         m.proven = true;
     }
-    if (r.tenure > m.tenure) {
+    if (r.agent_epoch > m.agent_epoch) {
         // A new tenure: all tasks of the earlier ones are gone, and commands for those are void.
         for (std::size_t i = m.entries.size(); i-- > 0;)
-            if (m.entries[i]->tenure < r.tenure) {
+            if (m.entries[i]->agent_epoch < r.agent_epoch) {
                 ++counters_.lost;
                 remove_entry(*m.entries[i]);
             }
-        if (m.tenure > 0)
-            began_anew(m);
-        m.tenure = r.tenure;
+        if (m.agent_epoch > 0)
+            lease_restarted(m);
+        m.agent_epoch = r.agent_epoch;
         m.failed_jobs.clear();
         // The lease of a new tenure counts from its beginning, which was at the latest now: it holds
         // without any report that we answered. (Found by the world with several controllers.)
-        m.last_seen = std::max(m.last_seen, st_.now);
+        m.lease_started_at = std::max(m.lease_started_at, st_.now);
     }
     m.counter = r.counter;
-    m.heard = st_.now;
+    m.last_heartbeat_at = st_.now;
     m.presumed_dead = false;
     if (m.status != Status::up) {
-        m.last_seen = std::max(m.last_seen, st_.now); // it may report to nobody yet
+        m.lease_started_at = std::max(m.lease_started_at, st_.now); // it may report to nobody yet
         m.status = Status::up;
         if (m.up_since < 0) {
             m.up_since = st_.now;
@@ -208,7 +208,7 @@
             m.empty_since = st_.now;
         dirty_ = true;
     }
-    const auto mark = ++report_seq_;
+    const auto mark = ++heartbeat_seq_;
     std::vector<std::pair<Entry*, const ReportedTask*>> ended;
     for (const auto& t : r.tasks) {
         auto* e = find_entry(m, t);
@@ -248,7 +248,7 @@
     // seen a fence above that of its launch, which can therefore no longer be executed.
     std::vector<Entry*> gone;
     for (auto& e : m.entries)
-        if (e->listed != mark && e->phase >= Phase::sent && (e->seen || r.fence > e->fence))
+        if (e->listed != mark && e->phase >= Phase::sent && (e->seen || r.fencing_token > e->fencing_token))
             gone.push_back(e.get());
     for (const auto& [e, t] : ended) {
         task_exited(*e, *t);
@@ -269,40 +269,43 @@
 }
 
 // Its lease ran out, as a report says or an answer to orders.
-void Ledger::began_anew(Machine& m) {
+void Ledger::lease_restarted(Machine& m) {
     const double now = st_.now;
-    ++m.fence; // that it shows this one, told from now on, will prove that it hears
+    ++m.fencing_token; // that it shows this one, told from now on, will prove that it hears
     // Orders may reach it, and the fence with them, while answers do not: then its lease runs out again and again.
     // It is seen a report late now and then, so what lies between may look shorter than a lease; but reports that
     // were held and come all at once are no sign of that.
-    const double lease = st_.settings.lease_s, since = now - m.anew_at;
-    if (m.anew_at >= 0 && m.answered_at > m.anew_at && since > lease / 2 && since < trusted_leases * lease)
-        m.deaf_until = now + trusted_leases * lease;
-    m.anew_at = now;
+    const double lease = st_.settings.lease_s, since = now - m.lease_expired_at;
+    if (m.lease_expired_at >= 0 && m.last_answered_at > m.lease_expired_at && since > lease / 2 &&
+        since < trusted_leases * lease)
+        m.inbound_unreachable_until = now + trusted_leases * lease;
+    m.lease_expired_at = now;
 }
 
 // Reports may come while neither answers nor orders reach their machine: its lease ends, it begins anew, and
 // all that is placed there is lost again. What it has heard shows in its fence, and in a lease that runs out
 // though its reports were answered.
-void Ledger::listen(Machine& m, const Report& r) {
+void Ledger::update_inbound_reachability(Machine& m, const Heartbeat& r) {
     const double now = st_.now;
-    if (r.fence >= m.told)
-        m.unheard = 0;
-    else if (now - m.told_at > st_.settings.report_s / 2)
-        ++m.unheard;
-    const bool deaf = m.unheard >= surely_unheard || now < m.deaf_until;
-    if (deaf == m.deaf())
+    if (r.fencing_token >= m.acknowledged_token)
+        m.heartbeats_without_token = 0;
+    else if (now - m.token_acknowledged_at > st_.settings.report_s / 2)
+        ++m.heartbeats_without_token;
+    const bool inbound_unreachable =
+        m.heartbeats_without_token >= max_heartbeats_without_token || now < m.inbound_unreachable_until;
+    if (inbound_unreachable == m.inbound_unreachable())
         return;
-    m.deaf_since = deaf ? now : -1;
+    m.inbound_unreachable_since = inbound_unreachable ? now : -1;
     dirty_ = true;
-    note(1, deaf ? fmt::format("machine {} does not hear: its reports come, what they are answered does not reach it",
-                               m.id)
-                 : fmt::format("machine {} hears again", m.id));
+    note(1,
+         inbound_unreachable
+             ? fmt::format("machine {} does not hear: its reports come, what they are answered does not reach it", m.id)
+             : fmt::format("machine {} hears again", m.id));
 }
 
-void Ledger::note_copies() {
-    const bool first = st_.now - copies_noted_at_ > st_.settings.lease_s;
-    copies_noted_at_ = st_.now;
+void Ledger::log_stale_heartbeats() {
+    const bool first = st_.now - stale_heartbeats_logged_at_ > st_.settings.lease_s;
+    stale_heartbeats_logged_at_ = st_.now;
     if (first)
         note(1, "old reports come late, they count for nothing");
 }
@@ -321,50 +324,50 @@
 }
 
 // Of a machine that was lost and forgotten: what is no newer than its last heartbeat is no sign of life.
-bool Ledger::copy_of_departed(const Report& r) {
+bool Ledger::copy_of_departed(const Heartbeat& r) {
     const auto* last = departed_.find(r.machine);
-    if (last == nullptr || std::tie(r.tenure, r.counter) > std::tie(last->tenure, last->counter))
+    if (last == nullptr || std::tie(r.agent_epoch, r.counter) > std::tie(last->agent_epoch, last->counter))
         return false;
-    ++counters_.old_reports;
-    note_copies();
+    ++counters_.stale_heartbeats;
+    log_stale_heartbeats();
     return true;
 }
 
 // Copies of reports may come late, from seconds to well over a lease, and in any order: they count for nothing,
 // not even as a sign of life. Else a machine that is long gone would keep its tasks for as long as they come.
-void Ledger::heard(const Beat& c) {
-    const auto& r = c.report;
-    const auto refuse = [&] { out_.push_back(BeatAnswer{c.handle, 503, 0, {}}); };
+void Ledger::receive_heartbeat(const HeartbeatReceived& c) {
+    const auto& r = c.heartbeat;
+    const auto refuse = [&] { out_.push_back(AnswerHeartbeat{c.handle, 503, 0, {}}); };
     if (departed_.released(r.machine)) {
-        ++counters_.gone_reports;
-        note_copies();
+        ++counters_.heartbeats_of_gone_machines;
+        log_stale_heartbeats();
         return refuse();
     }
     if (outdated(r) || copy_of_departed(r))
         return refuse();
     auto& m = learn_machine(r.machine, r.addr, r.type, r.zone, r.spot);
-    if (r.tenure < m.tenure || (r.tenure == m.tenure && r.counter <= m.beat_counter)) {
-        ++counters_.old_reports;
-        note_copies();
+    if (r.agent_epoch < m.agent_epoch || (r.agent_epoch == m.agent_epoch && r.counter <= m.heartbeat_counter)) {
+        ++counters_.stale_heartbeats;
+        log_stale_heartbeats();
         return refuse();
     }
     // One that an answer to orders has overtaken was sent before that.
-    const bool overtaken = r.tenure == m.tenure && r.counter <= m.counter;
+    const bool overtaken = r.agent_epoch == m.agent_epoch && r.counter <= m.counter;
     std::vector<Order> orders;
-    apply_report(m, r, orders);
-    listen(m, r);
-    m.beat_counter = r.counter;
-    m.last_seen = std::max(m.last_seen, overtaken ? m.heard : st_.now);
-    m.answered_at = st_.now;
-    if (m.fence > m.told) {
-        m.told = m.fence;
-        m.told_at = st_.now;
+    apply_heartbeat(m, r, orders);
+    update_inbound_reachability(m, r);
+    m.heartbeat_counter = r.counter;
+    m.lease_started_at = std::max(m.lease_started_at, overtaken ? m.last_heartbeat_at : st_.now);
+    m.last_answered_at = st_.now;
+    if (m.fencing_token > m.acknowledged_token) {
+        m.acknowledged_token = m.fencing_token;
+        m.token_acknowledged_at = st_.now;
     }
     if (!m.proven)
         want_report(m); // an answer to empty orders proves that it is there
     auto stops = standing_orders(m);
     orders.insert(orders.end(), stops.begin(), stops.end());
-    out_.push_back(BeatAnswer{c.handle, 200, m.fence, std::move(orders)});
+    out_.push_back(AnswerHeartbeat{c.handle, 200, m.fencing_token, std::move(orders)});
 }
 
 void Ledger::dispatch(Machine& m) {
@@ -384,7 +387,8 @@
         if (e.phase != Phase::stored)
             continue;
         // Never sent, so it is surely not there.
-        if (e.stop || e.tenure != m.tenure || m.status != Status::up || m.addr.empty() || e.job->final != Final::none) {
+        if (e.stop || e.agent_epoch != m.agent_epoch || m.status != Status::up || m.addr.empty() ||
+            e.job->final != Final::none) {
             remove_entry(e);
             continue;
         }
@@ -394,7 +398,7 @@
         }
         // Each launch is sent once: repeated after a reap it would start the task again.
         e.phase = Phase::sent;
-        e.fence = m.fence;
+        e.fencing_token = m.fencing_token;
         ++counters_.launched;
         o.orders.push_back({Verb::launch, e.job->spec.id, e.index, e.try_no, 0});
     }
@@ -403,9 +407,9 @@
     o.machine = m.id;
     o.addr = m.addr;
     o.batch = m.batch = ++batch_seq_;
-    o.fence = m.fence;
-    o.tenure = m.tenure;
-    o.around = st_.now < m.around_until;
+    o.fencing_token = m.fencing_token;
+    o.agent_epoch = m.agent_epoch;
+    o.prefer_relay = st_.now < m.relay_orders_until;
     out_.push_back(std::move(o));
 }
 
@@ -414,34 +418,34 @@
     if (m == nullptr || m->batch != c.batch)
         return;
     m->batch = 0;
-    if (c.report && outdated(*c.report))
+    if (c.heartbeat && outdated(*c.heartbeat))
         return;
     // The other way next time: this one may be cut though reports come.
     if (c.status == 0)
-        m->around_until = st_.now < m->around_until ? -1 : st_.now + st_.settings.lease_s;
+        m->relay_orders_until = st_.now < m->relay_orders_until ? -1 : st_.now + st_.settings.lease_s;
     std::vector<Order> reaps;
     if (m->asked) {
         m->asked = false;
         --asking_;
-        if (c.report)
-            apply_report(*m, *c.report, reaps);
+        if (c.heartbeat)
+            apply_heartbeat(*m, *c.heartbeat, reaps);
         want_orders(*m);
         return;
     }
     want_orders(*m);
-    const auto fence = m->fence;
+    const auto fencing_token = m->fencing_token;
     auto outstanding = [&](const Deep<std::unique_ptr<Entry>>& e) {
-        return e->phase == Phase::sent && !e->seen && e->fence == fence;
+        return e->phase == Phase::sent && !e->seen && e->fencing_token == fencing_token;
     };
-    if (c.status == 200 && c.report && c.report->tenure == m->tenure) {
+    if (c.status == 200 && c.heartbeat && c.heartbeat->agent_epoch == m->agent_epoch) {
         // The body is the report after the commands: what it does not list did not start.
         for (auto& e : m->entries)
-            if (outstanding(e) && c.report->counter > m->counter)
+            if (outstanding(e) && c.heartbeat->counter > m->counter)
                 note_seen(*e);
-        apply_report(*m, *c.report, reaps);
+        apply_heartbeat(*m, *c.heartbeat, reaps);
         // A newer report overtook this answer without settling a launch: raise the fence.
         if (std::any_of(m->entries.begin(), m->entries.end(), outstanding))
-            ++m->fence;
+            ++m->fencing_token;
         return;
     }
     if (c.status == 409 || !c.sent) {
@@ -452,15 +456,15 @@
             e->stop_at = e->stop ? st_.now : e->stop_at; // beats repeat the stops
         if (!c.sent)
             m->avoid_until = std::max(m->avoid_until, st_.now + st_.settings.report_s / 2);
-        if (c.report)
-            apply_report(*m, *c.report, reaps);
+        if (c.heartbeat)
+            apply_heartbeat(*m, *c.heartbeat, reaps);
         return;
     }
     // The outcome is open: the commands may still be executed, minutes later. Raising the fence
     // and seeing the raised value in a report proves that they no longer can be.
-    ++m->fence;
+    ++m->fencing_token;
     m->avoid_until = std::max(m->avoid_until, st_.now + st_.settings.report_s / 2);
-    note(0, fmt::format("no answer of {} to commands, fence raised to {}", m->id, m->fence));
+    note(0, fmt::format("no answer of {} to commands, fence raised to {}", m->id, m->fencing_token));
 }
 
 void Ledger::lapse_machines() {
@@ -468,7 +472,7 @@
     std::vector<std::string> remove;
     for (auto& [id, mp] : st_.machines) {
         auto& m = *mp;
-        if (m.status == Status::up && st_.now > m.last_seen + lease) {
+        if (m.status == Status::up && st_.now > m.lease_started_at + lease) {
             if (!m.entries.empty())
                 note(2, fmt::format("lease of {} has lapsed, {} tasks lost", id, m.entries.size()));
             for (const auto& e : m.entries)
@@ -540,7 +544,7 @@
     dirty_ = true;
 }
 
-void Ledger::listed(const Listed& c) {
+void Ledger::listed(const MachinesListed& c) {
     for (const auto& l : c.machines) {
         // The list lags: what was released may still be in it for a while.
         if (departed_.released(l.id))
--- a/src/ledger/report_requests.cpp
+++ b/src/ledger/report_requests.cpp
@@ -43,13 +43,18 @@
         m->to_be_asked = false;
         if (m->batch != 0 || m->addr.empty())
             continue;
-        if (m->proven && st_.now - m->heard < st_.settings.report_s)
+        if (m->proven && st_.now - m->last_heartbeat_at < st_.settings.report_s)
             continue;
         ++asking_;
         m->asked = true;
         m->batch = ++batch_seq_;
-        out_.push_back(SendOrders{
-            m->id, m->addr, m->batch, m->fence, std::max<std::uint64_t>(1, m->tenure), {}, st_.now < m->around_until});
+        out_.push_back(SendOrders{m->id,
+                                  m->addr,
+                                  m->batch,
+                                  m->fencing_token,
+                                  std::max<std::uint64_t>(1, m->agent_epoch),
+                                  {},
+                                  st_.now < m->relay_orders_until});
     }
 }
 
--- a/src/local/cloud.cpp
+++ b/src/local/cloud.cpp
@@ -21,7 +21,7 @@
 StandInWorker::StandInWorker(Platform& p, std::string id, const MachineType& type, std::string zone, bool spot,
                              double up_at)
     : p_(p), id_(std::move(id)), zone_(std::move(zone)), type_(type), spot_(spot), rented_at_(p.now()), up_at_(up_at),
-      lease_from_(up_at), next_beat_(up_at), speed_(p.between(0.95, 1.05)),
+      lease_from_(up_at), next_heartbeat_(up_at), speed_(p.between(0.95, 1.05)),
       server_(p.loop_, 64, 600, [this](HttpRequest&& r, const Responder& res) { handle(std::move(r), res); }) {}
 
 int StandInWorker::start() {
@@ -41,8 +41,8 @@
     return {id_, addr_, type_.name, zone_, up(now) ? "running" : "booting", spot_, now - rented_at_};
 }
 
-Report StandInWorker::report() {
-    Report r{id_, addr_, type_.name, zone_, spot_, tenure_, ++counter_, fence_, -1, {}};
+Heartbeat StandInWorker::heartbeat() {
+    Heartbeat r{id_, addr_, type_.name, zone_, spot_, agent_epoch_, ++counter_, fencing_token_, -1, {}};
     for (const auto& x : runs_)
         r.tasks.push_back(x.t);
     return r;
@@ -131,18 +131,18 @@
     }
 }
 
-std::pair<int, std::optional<Report>> StandInWorker::obey(std::uint64_t fence, std::uint64_t tenure,
-                                                          const std::vector<Order>& list) {
+std::pair<int, std::optional<Heartbeat>> StandInWorker::obey(std::uint64_t fencing_token, std::uint64_t agent_epoch,
+                                                             const std::vector<Order>& list) {
     const double now = p_.now();
     ++p_.messages_;
     if (now < hung_until || now < cut_until || !up(now))
         return {0, {}};
-    if (fence < fence_ || tenure != tenure_)
-        return {409, report()};
-    changed_ = changed_ || fence > fence_;
-    fence_ = fence;
+    if (fencing_token < fencing_token_ || agent_epoch != agent_epoch_)
+        return {409, heartbeat()};
+    changed_ = changed_ || fencing_token > fencing_token_;
+    fencing_token_ = fencing_token;
     execute(list, now);
-    return {200, report()};
+    return {200, heartbeat()};
 }
 
 void StandInWorker::handle(HttpRequest&& r, const Responder& res) {
@@ -150,14 +150,14 @@
     if (now < hung_until || now < cut_until || !up(now))
         return; // silence: the caller gives up
     if (r.method == "GET" && r.path == codec::path_status)
-        return res.send(200, codec::to_body(report()));
+        return res.send(200, codec::to_body(heartbeat()));
     if (r.method != "POST" || r.path != codec::path_commands)
         return res.send(404, error_body("no such path"));
     const auto o = codec::read_orders(r.body);
-    if (!o || !o->fence || !o->tenure)
+    if (!o || !o->fencing_token || !o->agent_epoch)
         return res.send(400, error_body("fence and tenure are needed"));
     const auto take = [this, o = *o, res] {
-        const auto [status, answer] = obey(*o.fence, *o.tenure, o.list);
+        const auto [status, answer] = obey(*o.fencing_token, *o.agent_epoch, o.list);
         if (answer)
             res.send(status, codec::to_body(*answer));
     };
@@ -170,10 +170,10 @@
     const auto n = p_.plan_.workers.nodes.size();
     if (n > 0)
         node_ = (node_ + 1) % n;
-    next_beat_ = now + next_node_s;
+    next_heartbeat_ = now + next_node_s;
 }
 
-void StandInWorker::answered(const ReportAnswer& a, double sent, std::uint64_t tenure) {
+void StandInWorker::answered(const HeartbeatResponse& a, double sent, std::uint64_t agent_epoch) {
     in_flight_ = false;
     const double now = p_.now();
     if (now < cut_until || now < hung_until)
@@ -183,61 +183,61 @@
         for (std::size_t i = 0; i < nodes.size(); ++i)
             if (nodes[i].first == a.leader && i != node_) {
                 node_ = i;
-                next_beat_ = now + (p_.plan_.lockstep ? 0 : p_.between(0, 0.5));
+                next_heartbeat_ = now + (p_.plan_.lockstep ? 0 : p_.between(0, 0.5));
                 return;
             }
         return next_node(now);
     }
     if (a.status != 200)
         return next_node(now);
-    if (a.fence < fence_ || tenure != tenure_)
+    if (a.fencing_token < fencing_token_ || agent_epoch != agent_epoch_)
         return; // dropped; it stays with this node
-    changed_ = changed_ || a.fence > fence_;
-    fence_ = a.fence;
+    changed_ = changed_ || a.fencing_token > fencing_token_;
+    fencing_token_ = a.fencing_token;
     lease_from_ = std::max(lease_from_, sent);
     execute(a.orders, now);
 }
 
-void StandInWorker::beat(double now) {
+void StandInWorker::heartbeat(double now) {
     const auto& w = p_.plan_.workers;
     if (in_flight_ || w.nodes.empty())
         return;
-    const bool due =
-        now >= next_beat_ || (changed_ && now >= last_beat_ + least_pause_s && next_beat_ - now < w.report_s);
+    const bool due = now >= next_heartbeat_ ||
+                     (changed_ && now >= last_heartbeat_at_ + least_pause_s && next_heartbeat_ - now < w.report_s);
     if (!due)
         return;
-    next_beat_ = now + w.report_s * (p_.plan_.lockstep ? 1 : p_.between(0.75, 1.25));
-    last_beat_ = now;
+    next_heartbeat_ = now + w.report_s * (p_.plan_.lockstep ? 1 : p_.between(0.75, 1.25));
+    last_heartbeat_at_ = now;
     changed_ = false;
     if (now < cut_until)
         return;
     if (now < late_until) { // given up meanwhile: nobody hears the answer
-        held_.emplace_back([this, r = report()] { p_.send(*this, r, [](const ReportAnswer&) {}); });
+        held_.emplace_back([this, r = heartbeat()] { p_.send(*this, r, [](const HeartbeatResponse&) {}); });
         return;
     }
     in_flight_ = true;
-    p_.send(*this, report(), [&p = p_, id = id_, now, tenure = tenure_](const ReportAnswer& a) {
+    p_.send(*this, heartbeat(), [&p = p_, id = id_, now, agent_epoch = agent_epoch_](const HeartbeatResponse& a) {
         ++p.messages_;
         const auto it = p.machines_.find(id);
         if (it != p.machines_.end())
-            it->second->answered(a, now, tenure);
+            it->second->answered(a, now, agent_epoch);
     });
 }
 
-void Platform::send(StandInWorker& w, Report r, std::function<void(const ReportAnswer&)> done) {
+void Platform::send(StandInWorker& w, Heartbeat r, std::function<void(const HeartbeatResponse&)> done) {
     ++messages_;
     if (direct_)
         return reports_ ? reports_(std::move(r), std::move(done)) : done({});
-    client_.request(plan_.workers.nodes[w.node_].second, "POST", std::string(codec::path_report), codec::to_body(r),
+    client_.request(plan_.workers.nodes[w.node_].second, "POST", std::string(codec::path_heartbeat), codec::to_body(r),
                     answer_s, [done = std::move(done)](HttpReply&& reply) {
-                        ReportAnswer a;
+                        HeartbeatResponse a;
                         auto o = reply.status == 200 ? codec::read_orders(reply.body) : std::nullopt;
                         if (reply.status == 421) {
                             a = {421, 0, {}, codec::redirected_to(reply.body)};
                         } else if (reply.status == 200) {
                             // Fence 0: one that cannot be read, older than any.
-                            a = {200, o && o->fence ? *o->fence : 0, {}, {}};
-                            if (a.fence > 0)
+                            a = {200, o && o->fencing_token ? *o->fencing_token : 0, {}, {}};
+                            if (a.fencing_token > 0)
                                 a.orders = std::move(o->list);
                         }
                         done(a);
@@ -251,7 +251,7 @@
     // A hanging machine too: past its lease its tasks never go on.
     if (now > lease_from_ + w.lease_s) {
         lose_all();
-        ++tenure_;
+        ++agent_epoch_;
         lease_from_ = now;
         changed_ = true;
     }
@@ -308,7 +308,7 @@
             end(r, ExitCause::stopped, true);
         }
     }
-    beat(now);
+    heartbeat(now);
 }
 
 Platform::Platform(uv_loop_t* loop, PlatformPlan plan, History& history)
@@ -333,14 +333,14 @@
     ~Direct() override {
         p_.reports_ = nullptr;
     }
-    void reports_to(Reports r) override {
+    void set_heartbeat_handler(Reports r) override {
         p_.reports_ = std::move(r);
     }
     void command(const SendOrders& o, double, std::function<void(OrdersAnswered&&)> done) override {
         const auto it = p_.machines_.find(o.machine);
         OrdersAnswered a{o.machine, o.batch, 0, it != p_.machines_.end(), std::nullopt};
         if (it != p_.machines_.end())
-            std::tie(a.status, a.report) = it->second->obey(o.fence, o.tenure, o.orders);
+            std::tie(a.status, a.heartbeat) = it->second->obey(o.fencing_token, o.agent_epoch, o.orders);
         later(std::move(done), std::move(a));
     }
     void rent(const Rent& ask, double, std::function<void(Rented&&)> done) override {
@@ -427,7 +427,7 @@
     s.returned = returned_;
     for (const auto& [id, m] : machines_) {
         s.up += m->up(now());
-        s.fence = std::max(s.fence, m->fence_);
+        s.fencing_token = std::max(s.fencing_token, m->fencing_token_);
         s.running += static_cast<std::size_t>(std::count_if(
             m->runs_.begin(), m->runs_.end(), [](const auto& r) { return r.t.state == TaskState::running; }));
     }
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -8,16 +8,16 @@
 namespace {
 
 // Ratios to report_s, in which each machine reports once, give or take a quarter.
-constexpr double exchange_reports = 1.0 / 3, exchange_wait = 1.0 / 4, soon = 1.0 / 30;
-constexpr double fresh_reports = 1; // a view older than three exchanges says nothing
-constexpr double probe_reports = 1.0 / 2, probe_wait = 1.0 / 4;
-constexpr double store_reports = 1.0 / 3; // without an answer: it is asked
-constexpr double silence_reports = 1.5;   // without a report of a zone's machines: it is cut off
-constexpr double silence_few_reports = 2.5;
+constexpr double exchange_heartbeats = 1.0 / 3, exchange_wait = 1.0 / 4, soon = 1.0 / 30;
+constexpr double fresh_heartbeats = 1; // a view older than three exchanges says nothing
+constexpr double probe_heartbeats = 1.0 / 2, probe_wait = 1.0 / 4;
+constexpr double store_heartbeats = 1.0 / 3; // without an answer: it is asked
+constexpr double silence_heartbeats = 1.5;   // without a report of a zone's machines: it is cut off
+constexpr double silence_small_fleet_heartbeats = 2.5;
 constexpr double samples_leases = 2;     // how long an address is worth asking
 constexpr double yield_leases = 1.0 / 4; // an office that a fitter one should take is left to it for so long
-constexpr double stagger_reports = 1.0 / 40;
-constexpr double answer_reports = 1.0 / 10; // an answer that was under way when an outage began may take so long
+constexpr double stagger_heartbeats = 1.0 / 40;
+constexpr double answer_heartbeats = 1.0 / 10; // an answer that was under way when an outage began may take so long
 constexpr std::size_t few_machines = 4;
 constexpr int probes_a_round = 2;
 
@@ -93,24 +93,24 @@
         changed("controller " + name, l.reach());
 }
 
-void Membership::report_came(const std::string& zone, const std::string& addr) {
+void Membership::heartbeat_received(const std::string& zone, const std::string& addr) {
     const double t = later_.now();
-    heard_at_ = t;
+    last_worker_heartbeat_at_ = t;
     auto* z = find_zone(zone);
     if (z == nullptr)
         return;
-    z->heard_at = t;
+    z->last_heartbeat_at = t;
     if (z->in.worked(t))
         changed(fmt::format("workers in {}", zone), reach(*z));
     remember(*z, addr);
 }
 
-void Membership::report_relayed(const std::string& zone, const std::string& addr) {
-    heard_at_ = later_.now();
+void Membership::heartbeat_relayed(const std::string& zone, const std::string& addr) {
+    last_worker_heartbeat_at_ = later_.now();
     auto* z = find_zone(zone);
     if (z == nullptr)
         return;
-    z->relayed_at = heard_at_;
+    z->relayed_at = last_worker_heartbeat_at_;
     remember(*z, addr);
 }
 
@@ -126,7 +126,7 @@
     if (z.samples.size() < most_samples)
         return z.samples.push_back({addr, t});
     for (auto& x : z.samples)
-        if (t - x.at > silence_reports * s_.report_s) {
+        if (t - x.at > silence_heartbeats * s_.report_s) {
             x = {addr, t};
             return;
         }
@@ -141,7 +141,7 @@
         watch_silence();
     }
     if (t >= next_probe_ && !s_.peers.empty()) {
-        next_probe_ = t + probe_reports * s_.report_s;
+        next_probe_ = t + probe_heartbeats * s_.report_s;
         probe();
     }
     // Those that the store does not serve learn only from this who holds the office now.
@@ -149,8 +149,8 @@
         was_active_leader_ = is_active_leader;
         urgent_ = true;
     }
-    if (t >= next_exchange_ || (urgent_ && t >= next_exchange_ - (exchange_reports - soon) * s_.report_s)) {
-        next_exchange_ = t + exchange_reports * s_.report_s;
+    if (t >= next_exchange_ || (urgent_ && t >= next_exchange_ - (exchange_heartbeats - soon) * s_.report_s)) {
+        next_exchange_ = t + exchange_heartbeats * s_.report_s;
         urgent_ = false;
         exchange();
     }
@@ -173,8 +173,8 @@
         }
         if (z.in.lost() && t - z.in.failed_at() > s_.lease_s)
             trust(z);
-        const double patience = machines < few_machines ? silence_few_reports : silence_reports;
-        const double since = std::max({z.heard_at, z.relayed_at, z.trusted_at, host_.active_since()});
+        const double patience = machines < few_machines ? silence_small_fleet_heartbeats : silence_heartbeats;
+        const double since = std::max({z.last_heartbeat_at, z.relayed_at, z.trusted_at, host_.active_since()});
         if (t - since < patience * s_.report_s)
             continue;
         if (z.in.failed(t))
@@ -190,7 +190,7 @@
 
 void Membership::probe() {
     const double t = later_.now();
-    if (!asking_store_ && t - store_asked_at_ >= store_reports * s_.report_s) {
+    if (!asking_store_ && t - store_asked_at_ >= store_heartbeats * s_.report_s) {
         asking_store_ = true;
         state_.get("office", s_.report_s / 4, [this](store::Answer&&) { asking_store_ = false; });
     }
@@ -210,7 +210,7 @@
     std::erase_if(z.samples, [&](const auto& x) { return t - x.at > samples_leases * s_.lease_s; });
     // Machines that were given back answer nobody: where others report, those that do not are not asked. (The
     // office was handed on, its zone of two machines taken for lost.)
-    const auto silent = [&](const auto& x) { return t - x.at > silence_reports * s_.report_s; };
+    const auto silent = [&](const auto& x) { return t - x.at > silence_heartbeats * s_.report_s; };
     if (!std::all_of(z.samples.begin(), z.samples.end(), silent))
         std::erase_if(z.samples, silent);
     if (z.probes > z.answered || z.samples.empty())
@@ -352,7 +352,7 @@
 }
 
 bool Membership::fresh(const Other& o) const {
-    return o.at >= 0 && later_.now() - o.at < fresh_reports * s_.report_s;
+    return o.at >= 0 && later_.now() - o.at < fresh_heartbeats * s_.report_s;
 }
 
 bool Membership::alive(const std::string& name) const {
@@ -404,7 +404,7 @@
 // Whether somebody else got an answer after this node's own link had begun to fail. From a day on which the
 // holder gave the office up in an outage of the store: the last view of a peer, 0.6 s old, said it was there.
 bool Membership::since_lost(double at, const Link& mine) const {
-    return !mine.lost() || at > mine.failing_since() + answer_reports * s_.report_s;
+    return !mine.lost() || at > mine.failing_since() + answer_heartbeats * s_.report_s;
 }
 
 // Surely so: what others reach counts only if that is newer than the failure here.
@@ -455,7 +455,7 @@
     // Deaf, and not all the others are known to be no better.
     if (mine.zones + mine.zones_by_others == 0 && !s_.zones.empty() && !nobody_better())
         return yield;
-    return before * stagger_reports * s_.report_s;
+    return before * stagger_heartbeats * s_.report_s;
 }
 
 std::optional<std::string> Membership::with_store(const std::string& rather) const {
--- a/src/node/controller.cpp
+++ b/src/node/controller.cpp
@@ -16,7 +16,8 @@
       members_(s_, later_, store_, *executor_, peers_, *this),
       election_(s_, later_, store_, peers_, members_, took_, *this),
       gateway_(s_, later_, store_, peers_, members_, took_, *this),
-      desk_(s_, later_, *executor_, peers_, members_, took_, *this), cloud_(s_, later_, store_, *executor_, *this) {
+      heartbeat_handler_(s_, later_, *executor_, peers_, members_, took_, *this),
+      cloud_(s_, later_, store_, *executor_, *this) {
     store_.on_answer = [this](bool ok) { members_.store_answered(ok); };
     peers_.on_answer = [this](const std::string& name, bool ok) { members_.peer_answered(name, ok); };
     later_.on_change = [this] {
@@ -41,7 +42,7 @@
     members_.tick();
     election_.tick();
     cloud_.tick();
-    desk_.settle_early();
+    heartbeat_handler_.retry_pending_heartbeats();
     gateway_.tick();
 }
 
@@ -75,7 +76,7 @@
     spdlog::info("term {}: {} jobs and {} records read", term, stored.jobs.size(),
                  stored.intents.size() + stored.progress.size() + stored.earlier.size());
     cloud_.on_leadership_acquired();
-    desk_.settle_early();
+    heartbeat_handler_.retry_pending_heartbeats();
     if (on_wake_at)
         on_wake_at();
 }
@@ -85,7 +86,7 @@
     core_.reset();
     queue_.clear();
     cloud_.on_leadership_lost();
-    desk_.on_leadership_lost();
+    heartbeat_handler_.on_leadership_lost();
     gateway_.on_leadership_lost();
 }
 
@@ -150,9 +151,9 @@
     };
     std::visit(Each{
                    [this](Commit& e) { election_.commit(std::move(e)); },
-                   [&](SendOrders& e) { desk_.send(e, to_core); },
-                   [this](BeatAnswer& e) { desk_.answer(std::move(e)); },
-                   [this](CancelAnswer& e) { gateway_.answered(e); },
+                   [&](SendOrders& e) { heartbeat_handler_.send(e, to_core); },
+                   [this](AnswerHeartbeat& e) { heartbeat_handler_.answer(std::move(e)); },
+                   [this](AnswerCancellation& e) { gateway_.answered(e); },
                    [&](FindJob& e) { gateway_.find(e.id, to_core); },
                    [this](Rent& e) { cloud_.rent(e); },
                    [this](Release& e) { cloud_.release(e); },
@@ -178,7 +179,7 @@
     if (r.path == "/take")
         return election_.handle_takeover_request(r, res);
     if (r.path == "/relay")
-        return desk_.pass_on(std::move(r), res);
+        return heartbeat_handler_.forward(std::move(r), res);
     if (r.path == "/office") // for versions without views
         return res.send(200, codec::Json{{"holder", election_.leader()}, {"term", election_.leader_term()}}.dump());
     serve(std::move(r), std::move(res), true);
@@ -189,12 +190,12 @@
     serve(std::move(r), std::move(res), false);
 }
 
-void Controller::serve(HttpRequest&& r, Responder res, bool passed_on) {
+void Controller::serve(HttpRequest&& r, Responder res, bool forwarded) {
     const std::string_view path = r.path;
     const bool get = r.method == "GET", post = r.method == "POST";
     auto wrong_method = [&] { res.send(405, codec::error_answer("wrong method")); };
-    if (path == codec::path_report)
-        return post ? desk_.beat(std::move(r), res, passed_on) : wrong_method();
+    if (path == codec::path_heartbeat)
+        return post ? heartbeat_handler_.handle_heartbeat(std::move(r), res, forwarded) : wrong_method();
     if (path == codec::path_health) {
         if (!get)
             return wrong_method();
@@ -204,7 +205,7 @@
     if (path == "/metrics")
         return get ? res.send(200, metrics()) : wrong_method();
     if (path.starts_with(codec::path_jobs))
-        return gateway_.serve(std::move(r), std::move(res), passed_on);
+        return gateway_.serve(std::move(r), std::move(res), forwarded);
     res.send(404, codec::error_answer("no such path"));
 }
 
@@ -232,13 +233,13 @@
     values.push_back(
         {"heronshift_relayed_total", "reports and orders passed on for others", static_cast<double>(took_.relayed)});
     values.push_back({"heronshift_sent_by_others_total", "orders that another passed on for this controller",
-                      static_cast<double>(took_.sent_by_others)});
+                      static_cast<double>(took_.relayed_by_others)});
     values.push_back({"heronshift_requests_total", "from users and workers", static_cast<double>(took_.requests)});
     values.push_back({"heronshift_refused_total", "requests sent away for now", static_cast<double>(took_.refused)});
     return metrics::text(values, {{"heronshift_submit_seconds", "to store a job and answer", &took_.submit},
                                   {"heronshift_first_launch_seconds",
                                    "from when the holder knows a job to its first launch", &took_.launch},
-                                  {"heronshift_report_seconds", "to answer a report", &took_.report},
+                                  {"heronshift_report_seconds", "to answer a report", &took_.heartbeat},
                                   {"heronshift_commit_seconds", "to store a transaction", &took_.commit},
                                   {"heronshift_step_seconds", "of decisions", &took_.step}});
 }
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -9,7 +9,7 @@
 namespace heronshift {
 namespace {
 
-constexpr double ticks_a_report = 30;
+constexpr double ticks_per_heartbeat = 30;
 constexpr double longest_sleep_s = 1;
 
 // Shares of the sockets that this process may have. What they leave is for connections to peers, the store and the
@@ -31,7 +31,7 @@
 ClientKind kind_of(const HttpRequest& r) {
     if (r.path == codec::path_health)
         return ClientKind::unknown;
-    return r.path == codec::path_report ? ClientKind::worker : ClientKind::user;
+    return r.path == codec::path_heartbeat ? ClientKind::worker : ClientKind::user;
 }
 
 } // namespace
@@ -105,7 +105,7 @@
         node->tick_due_ = true;
         node->look_at_sockets_first();
     };
-    const double every_ms = controller_.settings().report_s * 1000 / ticks_a_report;
+    const double every_ms = controller_.settings().report_s * 1000 / ticks_per_heartbeat;
     uv_timer_start(&handles_->tick, on_tick, 1, static_cast<std::uint64_t>(every_ms));
     uv_check_start(&handles_->check, [](uv_check_t* c) { static_cast<Node*>(c->data)->after_sockets(); });
 }
--- a/src/policies/capacity.cpp
+++ b/src/policies/capacity.cpp
@@ -13,10 +13,10 @@
 constexpr double window_used = 0.4;    // of the time an array has left, since estimates are often wrong by half
 constexpr double quiet_gaps = 8, sure_gaps = 20; // times the usual time between two arrays, known from so many
 constexpr double spare = 1.15;                   // of what arrays need, kept
-constexpr double silent_reports = 1.5, dead_reports = 2.5; // intervals without a word
-constexpr double most_silent = 0.05;                       // of a zone's ordinary machines; beyond, it is a cut
-constexpr double deaf_leases = 1.5, cut_leases = 4;        // without hearing us, alone or with many of its zone
-constexpr double spare_gangs = 0.25;                       // of the machines in use by gangs, kept free of gangs
+constexpr double silent_heartbeats = 1.5, dead_heartbeats = 2.5; // intervals without a word
+constexpr double most_silent = 0.05;                             // of a zone's ordinary machines; beyond, it is a cut
+constexpr double no_worker_leases = 1.5, cut_leases = 4;         // without hearing us, alone or with many of its zone
+constexpr double spare_gangs = 0.25;                             // of the machines in use by gangs, kept free of gangs
 
 // How many tasks of one shape a machine takes.
 double fit_of(const Resources& each, const Resources& room) {
@@ -374,12 +374,12 @@
         if (m->status != Status::up || m->releasing)
             continue;
         spot_up += m->spot;
-        const double since = v_.now - std::max({m->heard, v_.started, m->known_since});
+        const double since = v_.now - std::max({m->last_heartbeat_at, v_.started, m->known_since});
         const bool unlisted = m->type < 0; // known from records only: mostly gone before we took office
         auto& z = zones[{m->zone, m->spot}];
         if (!unlisted)
             ++z.up;
-        if (since < silent_reports * s_.report_s)
+        if (since < silent_heartbeats * s_.report_s)
             continue;
         if (!unlisted)
             ++z.silent;
@@ -393,7 +393,7 @@
         if (m->type < 0 && !v_.asked_all)
             continue;
         if ((!m->spot && m->type >= 0) ||
-            v_.now - std::max({m->heard, v_.started, m->known_since}) < dead_reports * s_.report_s)
+            v_.now - std::max({m->last_heartbeat_at, v_.started, m->known_since}) < dead_heartbeats * s_.report_s)
             continue;
         const auto& ordinary = zones[{m->zone, false}];
         const auto& spot = zones[{m->zone, true}];
@@ -406,20 +406,21 @@
 
 // One that does not hear us keeps nothing for longer than a lease and can be given nothing. Alone it is given
 // back; with many others of its zone it is cut off, and worth waiting for a while.
-bool Capacity::deaf_for_long(const Machine& m, const std::map<int, std::pair<int, int>>& deaf_of) const {
-    if (!m.deaf())
+bool Capacity::inbound_unreachable_for_long(
+    const Machine& m, const std::map<int, std::pair<int, int>>& inbound_unreachable_by_zone) const {
+    if (!m.inbound_unreachable())
         return false;
-    const auto& [deaf, up] = deaf_of.at(m.zone);
-    const bool cut = deaf > 1 + most_silent * up;
-    return v_.now - m.deaf_since > (cut ? cut_leases : deaf_leases) * s_.lease_s;
+    const auto& [inbound_unreachable, up] = inbound_unreachable_by_zone.at(m.zone);
+    const bool cut = inbound_unreachable > 1 + most_silent * up;
+    return v_.now - m.inbound_unreachable_since > (cut ? cut_leases : no_worker_leases) * s_.lease_s;
 }
 
 void Capacity::return_machines() {
     std::vector<std::string> out;
-    std::map<int, std::pair<int, int>> deaf_of; // by zone, and those that are up
+    std::map<int, std::pair<int, int>> inbound_unreachable_by_zone; // by zone, and those that are up
     for (const auto& [id, m] : v_.machines) {
-        auto& z = deaf_of[m->zone];
-        z.first += m->deaf();
+        auto& z = inbound_unreachable_by_zone[m->zone];
+        z.first += m->inbound_unreachable();
         z.second += m->status == Status::up;
     }
     for (const auto& [id, mp] : v_.machines) {
@@ -433,7 +434,7 @@
         bool give_back = m.releasing;
         if (m.status == Status::booting && v_.now - m.known_since > 5 * boot + s_.lease_s)
             give_back = true;
-        if (m.status == Status::lost && m.entries.empty() && (m.bad || v_.now - m.last_seen > 2 * s_.lease_s))
+        if (m.status == Status::lost && m.entries.empty() && (m.bad || v_.now - m.lease_started_at > 2 * s_.lease_s))
             give_back = true;
         if (m.bad && m.status == Status::up) {
             for (auto& e : m.entries)
@@ -445,7 +446,7 @@
         if (m.status == Status::up && m.entries.empty() && !m.draining && m.empty_since >= 0 && unwanted &&
             v_.now - v_.started > s_.report_s && m.batch == 0)
             give_back = true;
-        if (m.presumed_dead || deaf_for_long(m, deaf_of))
+        if (m.presumed_dead || inbound_unreachable_for_long(m, inbound_unreachable_by_zone))
             give_back = true;
         if (!give_back || (!m.entries.empty() && !m.presumed_dead))
             continue;
--- a/src/policies/common.cpp
+++ b/src/policies/common.cpp
@@ -17,9 +17,9 @@
 bool usable(const State& v, const Machine& m, const Job& j, bool also_retiring) {
     const auto& s = v.settings;
     if (m.status != Status::up || m.draining || m.bad || m.releasing || (m.retiring && !also_retiring) || m.type < 0 ||
-        m.zone < 0 || !m.proven || m.deaf())
+        m.zone < 0 || !m.proven || m.inbound_unreachable())
         return false;
-    if (v.now < m.avoid_until || v.now > m.heard + 1.5 * s.report_s)
+    if (v.now < m.avoid_until || v.now > m.last_heartbeat_at + 1.5 * s.report_s)
         return false;
     if (v.now < m.slow_until && j.spec.shape != Shape::service)
         return false; // replicas have no speed
@@ -142,8 +142,8 @@
 }
 
 bool serves(const State& v, const Machine& m) {
-    return m.status == Status::up && !m.draining && !m.bad && !m.releasing && m.type >= 0 && !m.deaf() &&
-           v.now <= m.heard + 2 * v.settings.report_s;
+    return m.status == Status::up && !m.draining && !m.bad && !m.releasing && m.type >= 0 && !m.inbound_unreachable() &&
+           v.now <= m.last_heartbeat_at + 2 * v.settings.report_s;
 }
 
 double spot_loss_rate(const State& v) {
--- a/src/policies/room_index.cpp
+++ b/src/policies/room_index.cpp
@@ -50,9 +50,9 @@
 // The part of usable() that is the same for all jobs.
 bool RoomIndex::takes_work(const Machine& m) const {
     if (m.status != Status::up || m.draining || m.bad || m.releasing || m.retiring || m.type < 0 || m.zone < 0 ||
-        !m.proven || m.deaf())
+        !m.proven || m.inbound_unreachable())
         return false;
-    return v_.now >= m.avoid_until && v_.now <= m.heard + 1.5 * v_.settings.report_s;
+    return v_.now >= m.avoid_until && v_.now <= m.last_heartbeat_at + 1.5 * v_.settings.report_s;
 }
 
 bool RoomIndex::is_reserved(const Machine& m) const {
--- a/src/records/intents.cpp
+++ b/src/records/intents.cpp
@@ -53,9 +53,9 @@
                              : fmt::format(" {}/{}-{}:{}", job_, first_, last_, try_no_);
 }
 
-void Writer::add(std::string_view machine, std::string_view zone, std::uint64_t tenure, std::string_view job,
+void Writer::add(std::string_view machine, std::string_view zone, std::uint64_t agent_epoch, std::string_view job,
                  std::uint32_t index, std::uint64_t try_no) {
-    const bool same_machine = machine == machine_ && zone == zone_ && tenure == tenure_;
+    const bool same_machine = machine == machine_ && zone == zone_ && agent_epoch == agent_epoch_;
     if (open_ && same_machine && job == job_ && try_no == try_no_ && index == last_ + 1) {
         last_ = index;
         return;
@@ -64,10 +64,10 @@
     if (!same_machine) {
         if (!text_.empty())
             text_ += '\n';
-        text_ += fmt::format("{} {} {}", machine, zone.empty() ? "-" : zone, tenure);
+        text_ += fmt::format("{} {} {}", machine, zone.empty() ? "-" : zone, agent_epoch);
         machine_ = machine;
         zone_ = zone;
-        tenure_ = tenure;
+        agent_epoch_ = agent_epoch;
     }
     job_ = job;
     try_no_ = try_no;
@@ -90,8 +90,8 @@
         on.zone = next_word(line, ' ');
         if (on.zone == "-")
             on.zone.clear();
-        auto tenure = next_word(line, ' ');
-        bool good = take_number(tenure, on.tenure) && tenure.empty() && !line.empty();
+        auto agent_epoch = next_word(line, ' ');
+        bool good = take_number(agent_epoch, on.agent_epoch) && agent_epoch.empty() && !line.empty();
         while (good && !line.empty())
             good = read_tasks(next_word(line, ' '), on, r.intents);
         if (good)
--- a/src/records/load.cpp
+++ b/src/records/load.cpp
@@ -10,10 +10,10 @@
 
 namespace heronshift {
 
-using ledger::fence_bits;
 using ledger::Final;
 using ledger::Phase;
 using ledger::Status;
+using ledger::token_counter_bits;
 using records::first_slots;
 using records::progress_records;
 
@@ -133,10 +133,10 @@
     if (j == nullptr || i.index >= j->tasks.size())
         return;
     auto& m = l_.learn_machine(i.machine, "", "", i.zone, false);
-    m.tenure = std::max(m.tenure, i.tenure);
+    m.agent_epoch = std::max(m.agent_epoch, i.agent_epoch);
     // Whoever was entitled before us may have answered this machine until the moment we took
     // office, so its lease counts from there.
-    m.last_seen = l_.st_.now;
+    m.lease_started_at = l_.st_.now;
     m.status = Status::up;
     for (const auto& e : m.entries)
         if (e->job == j && e->index == i.index && e->try_no == i.try_no)
@@ -146,8 +146,8 @@
     e.recorded = slot >= 0;
     // Only a report that has seen our own term proves anything: one from before the launch
     // may arrive late, and we have no count of this machine's to tell.
-    e.fence = (l_.st_.term << fence_bits) - 1;
-    e.tenure = i.tenure;
+    e.fencing_token = (l_.st_.term << token_counter_bits) - 1;
+    e.agent_epoch = i.agent_epoch;
     leave_slot(e);
     put_in_slot(e, slot);
 }
@@ -161,7 +161,7 @@
     if (machine.empty())
         return;
     auto& m = l_.learn_machine(machine, "", "", "", false);
-    m.last_seen = l_.st_.now;
+    m.lease_started_at = l_.st_.now;
     m.status = Status::up;
 }
 
--- a/src/records/records.cpp
+++ b/src/records/records.cpp
@@ -9,9 +9,9 @@
 
 namespace heronshift {
 
-using ledger::fence_bits;
 using ledger::Final;
 using ledger::Phase;
+using ledger::token_counter_bits;
 using records::progress_records;
 
 namespace {
@@ -183,8 +183,8 @@
     std::sort(list.begin(), list.end(), [&](const Entry* a, const Entry* b) {
         if (a->machine != b->machine)
             return a->machine->id < b->machine->id;
-        if (a->tenure != b->tenure)
-            return a->tenure < b->tenure;
+        if (a->agent_epoch != b->agent_epoch)
+            return a->agent_epoch < b->agent_epoch;
         if (zone_matters(a) != zone_matters(b))
             return zone_matters(a);
         if (a->job != b->job)
@@ -196,7 +196,7 @@
     intents::Writer w;
     // The zone is a third of a line, and what has no rules about zones may be in an unknown one.
     for (const auto* e : list)
-        w.add(e->machine->id, zone_matters(e) ? e->machine->zone_name : "", e->tenure, e->job->spec.id, e->index,
+        w.add(e->machine->id, zone_matters(e) ? e->machine->zone_name : "", e->agent_epoch, e->job->spec.id, e->index,
               e->try_no);
     return w.take();
 }
@@ -469,7 +469,7 @@
     auto stored = [&](Job& j) {
         j.final_stored = true;
         for (const auto h : j.cancels)
-            out_.push_back(CancelAnswer{h, word_of(j.final == Final::done)});
+            out_.push_back(AnswerCancellation{h, word_of(j.final == Final::done)});
         j.cancels.clear();
         l_.need_settled(j.spec.id, j.final);
     };
--- a/src/replay/command_log.cpp
+++ b/src/replay/command_log.cpp
@@ -30,10 +30,10 @@
 template <>
 inline constexpr auto log_fields<codec::Item> =
     std::tuple{field("key", &codec::Item::key), field("value", &codec::Item::value),
-               field("stamp", &codec::Item::stamp), field("deleted", &codec::Item::deleted)};
+               field("stamp", &codec::Item::mod_revision), field("deleted", &codec::Item::deleted)};
 template <>
 inline constexpr auto log_fields<codec::Write> = std::tuple{
-    field("key", &codec::Write::key), field("value", &codec::Write::value), field("hold", &codec::Write::hold)};
+    field("key", &codec::Write::key), field("value", &codec::Write::value), field("hold", &codec::Write::lease)};
 template <>
 inline constexpr auto log_fields<Resources> = std::tuple{
     field("cpus", &Resources::cpus), field("gpus", &Resources::gpus), field("memory_gb", &Resources::memory_gb)};
@@ -70,11 +70,12 @@
                field("try_no", &ReportedTask::try_no), field("state", &ReportedTask::state),
                field("cause", &ReportedTask::cause),   field("saved", &ReportedTask::saved)};
 template <>
-inline constexpr auto log_fields<Report> =
-    std::tuple{field("machine", &Report::machine), field("addr", &Report::addr),   field("type", &Report::type),
-               field("zone", &Report::zone),       field("spot", &Report::spot),   field("tenure", &Report::tenure),
-               field("counter", &Report::counter), field("fence", &Report::fence), field("notice_s", &Report::notice_s),
-               field("tasks", &Report::tasks)};
+inline constexpr auto log_fields<Heartbeat> =
+    std::tuple{field("machine", &Heartbeat::machine),   field("addr", &Heartbeat::addr),
+               field("type", &Heartbeat::type),         field("zone", &Heartbeat::zone),
+               field("spot", &Heartbeat::spot),         field("tenure", &Heartbeat::agent_epoch),
+               field("counter", &Heartbeat::counter),   field("fence", &Heartbeat::fencing_token),
+               field("notice_s", &Heartbeat::notice_s), field("tasks", &Heartbeat::tasks)};
 template <>
 inline constexpr auto log_fields<Order> =
     std::tuple{field("verb", &Order::verb), field("job", &Order::job), field("index", &Order::index),
@@ -153,15 +154,16 @@
 inline constexpr auto log_fields<JobFound> =
     std::tuple{field("id", &JobFound::id), field("state", &JobFound::state), field("job", &JobFound::job)};
 template <>
-inline constexpr auto log_fields<CancelAsked> =
-    std::tuple{field("id", &CancelAsked::id), field("handle", &CancelAsked::handle)};
+inline constexpr auto log_fields<CancellationRequested> =
+    std::tuple{field("id", &CancellationRequested::id), field("handle", &CancellationRequested::handle)};
 template <>
-inline constexpr auto log_fields<Beat> = std::tuple{field("report", &Beat::report), field("handle", &Beat::handle)};
+inline constexpr auto log_fields<HeartbeatReceived> =
+    std::tuple{field("report", &HeartbeatReceived::heartbeat), field("handle", &HeartbeatReceived::handle)};
 template <>
 inline constexpr auto log_fields<OrdersAnswered> =
     std::tuple{field("machine", &OrdersAnswered::machine), field("batch", &OrdersAnswered::batch),
                field("status", &OrdersAnswered::status), field("sent", &OrdersAnswered::sent),
-               field("report", &OrdersAnswered::report)};
+               field("report", &OrdersAnswered::heartbeat)};
 template <> inline constexpr auto log_fields<Committed> = std::tuple{field("outcome", &Committed::outcome)};
 template <>
 inline constexpr auto log_fields<Rented> = std::tuple{
@@ -170,22 +172,22 @@
 inline constexpr auto log_fields<Released> =
     std::tuple{field("machines", &Released::machines), field("ok", &Released::ok)};
 template <>
-inline constexpr auto log_fields<Listed> =
-    std::tuple{field("machines", &Listed::machines), field("asked_at", &Listed::asked_at)};
-template <> inline constexpr auto log_fields<TypesKnown> = std::tuple{field("types", &TypesKnown::types)};
+inline constexpr auto log_fields<MachinesListed> =
+    std::tuple{field("machines", &MachinesListed::machines), field("asked_at", &MachinesListed::asked_at)};
+template <> inline constexpr auto log_fields<MachineTypesKnown> = std::tuple{field("types", &MachineTypesKnown::types)};
 template <> inline constexpr auto log_fields<Commit> = std::tuple{field("writes", &Commit::writes)};
 template <>
 inline constexpr auto log_fields<SendOrders> =
-    std::tuple{field("machine", &SendOrders::machine), field("addr", &SendOrders::addr),
-               field("batch", &SendOrders::batch),     field("fence", &SendOrders::fence),
-               field("tenure", &SendOrders::tenure),   field("orders", &SendOrders::orders)};
+    std::tuple{field("machine", &SendOrders::machine),    field("addr", &SendOrders::addr),
+               field("batch", &SendOrders::batch),        field("fence", &SendOrders::fencing_token),
+               field("tenure", &SendOrders::agent_epoch), field("orders", &SendOrders::orders)};
 template <>
-inline constexpr auto log_fields<BeatAnswer> =
-    std::tuple{field("handle", &BeatAnswer::handle), field("status", &BeatAnswer::status),
-               field("fence", &BeatAnswer::fence), field("orders", &BeatAnswer::orders)};
+inline constexpr auto log_fields<AnswerHeartbeat> =
+    std::tuple{field("handle", &AnswerHeartbeat::handle), field("status", &AnswerHeartbeat::status),
+               field("fence", &AnswerHeartbeat::fencing_token), field("orders", &AnswerHeartbeat::orders)};
 template <>
-inline constexpr auto log_fields<CancelAnswer> =
-    std::tuple{field("handle", &CancelAnswer::handle), field("status", &CancelAnswer::status)};
+inline constexpr auto log_fields<AnswerCancellation> =
+    std::tuple{field("handle", &AnswerCancellation::handle), field("status", &AnswerCancellation::status)};
 template <>
 inline constexpr auto log_fields<Rent> =
     std::tuple{field("claim", &Rent::claim), field("type", &Rent::type), field("zone", &Rent::zone),
--- a/src/store/direct.cpp
+++ b/src/store/direct.cpp
@@ -41,7 +41,7 @@
 void DirectStore::sweep() {
     const auto now = now_ms();
     engine_->expire(now);
-    const bool changed = std::exchange(seen_, engine_->data().epoch()) != engine_->data().epoch();
+    const bool changed = std::exchange(seen_, engine_->data().revision()) != engine_->data().revision();
     std::erase_if(follows_, [&](auto& f) {
         auto a = engine_->look(f.first, changed, now);
         if (a)
--- a/src/store/engine.cpp
+++ b/src/store/engine.cpp
@@ -19,11 +19,11 @@
     return a;
 }
 
-Answer good(std::uint64_t epoch) {
+Answer good(std::uint64_t revision) {
     Answer a;
     a.status = 200;
     a.sent = true;
-    a.epoch = epoch;
+    a.revision = revision;
     return a;
 }
 
@@ -56,13 +56,13 @@
         return refused(400, "the key");
     if (!take(1, 0, now_ms))
         return refused(429, "too many requests");
-    auto a = good(data_->epoch());
+    auto a = good(data_->revision());
     const auto row = data_->get(key);
     if (!row) {
         a.status = 404;
         return a;
     }
-    a.item = codec::Item{key, Json::parse(row->data, nullptr, false), row->stamp, false, row->lease};
+    a.item = codec::Item{key, Json::parse(row->data, nullptr, false), row->mod_revision, false, row->lease};
     return a;
 }
 
@@ -71,7 +71,7 @@
         return refused(400, "most");
     if (!take(1, 0, now_ms))
         return refused(429, "too many requests");
-    auto a = good(data_->epoch());
+    auto a = good(data_->revision());
     const auto limit = std::min(static_cast<std::size_t>(most), most_items);
     std::size_t size = 0;
     data_->each(under, since, [&](const std::string& key, const Data::Row& row) {
@@ -80,7 +80,7 @@
             a.more = true;
             return false;
         }
-        a.items.push_back({key, Json::parse(row.data, nullptr, false), row.stamp, false, row.lease});
+        a.items.push_back({key, Json::parse(row.data, nullptr, false), row.mod_revision, false, row.lease});
         return true;
     });
     return a;
@@ -113,12 +113,12 @@
     if (!take(1, static_cast<double>(writes.size()), now_ms))
         return refused(429, "too many requests or changes");
     for (const auto& w : writes)
-        if (w.value && w.hold != 0 && !data_->get_hold(w.hold))
+        if (w.value && w.lease != 0 && !data_->get_lease(w.lease))
             return refused(400, "no such lease");
-    auto a = good(data_->epoch());
+    auto a = good(data_->revision());
     for (const auto& g : guards) {
         const auto row = data_->get(g.key);
-        if ((row ? row->stamp : 0) != g.stamp)
+        if ((row ? row->mod_revision : 0) != g.mod_revision)
             a.failed.push_back(g.key);
     }
     if (!a.failed.empty()) {
@@ -127,62 +127,62 @@
     }
     if (writes.empty())
         return a;
-    a.epoch = data_->next_epoch();
+    a.revision = data_->next_revision();
     for (std::size_t i = 0; i < writes.size(); ++i) {
         const auto& w = writes[i];
         if (w.value) {
-            data_->put(w.key, {texts[i], a.epoch, w.hold});
-            data_->add_change({w.key, texts[i], a.epoch});
+            data_->put(w.key, {texts[i], a.revision, w.lease});
+            data_->add_change({w.key, texts[i], a.revision});
         } else if (data_->get(w.key)) {
             data_->erase(w.key);
-            data_->add_change({w.key, std::nullopt, a.epoch});
+            data_->add_change({w.key, std::nullopt, a.revision});
         }
     }
     return a;
 }
 
-Answer Engine::hold(std::int64_t ttl_ms, std::int64_t now_ms) {
-    if (ttl_ms < shortest_hold_ms || ttl_ms > longest_hold_ms)
+Answer Engine::create_lease(std::int64_t ttl_ms, std::int64_t now_ms) {
+    if (ttl_ms < min_lease_ms || ttl_ms > max_lease_ms)
         return refused(400, "ttlMs");
     if (!take(1, 0, now_ms))
         return refused(429, "too many requests");
-    auto a = good(data_->epoch());
-    a.lease = data_->add_hold({ttl_ms, now_ms + ttl_ms});
+    auto a = good(data_->revision());
+    a.lease = data_->add_lease({ttl_ms, now_ms + ttl_ms});
     return a;
 }
 
-Answer Engine::extend(std::uint64_t hold, std::int64_t now_ms) {
+Answer Engine::renew_lease(std::uint64_t lease, std::int64_t now_ms) {
     if (!take(1, 0, now_ms))
         return refused(429, "too many requests");
-    auto h = data_->get_hold(hold);
+    auto h = data_->get_lease(lease);
     if (!h)
         return refused(404, "no such lease");
     h->ends_ms = now_ms + h->ttl_ms;
-    data_->set_hold(hold, *h);
-    auto a = good(data_->epoch());
-    a.lease = hold;
+    data_->set_lease(lease, *h);
+    auto a = good(data_->revision());
+    a.lease = lease;
     return a;
 }
 
-void Engine::drop_hold(std::uint64_t id) {
+void Engine::drop_lease(std::uint64_t id) {
     const auto keys = data_->keys_of(id);
-    data_->erase_hold(id);
+    data_->erase_lease(id);
     if (keys.empty())
         return;
-    const auto epoch = data_->next_epoch();
+    const auto revision = data_->next_revision();
     for (const auto& k : keys) {
         data_->erase(k);
-        data_->add_change({k, std::nullopt, epoch});
+        data_->add_change({k, std::nullopt, revision});
     }
 }
 
-Answer Engine::end_hold(std::uint64_t hold, std::int64_t now_ms) {
+Answer Engine::revoke_lease(std::uint64_t lease, std::int64_t now_ms) {
     if (!take(1, 0, now_ms))
         return refused(429, "too many requests");
-    if (!data_->get_hold(hold))
+    if (!data_->get_lease(lease))
         return refused(404, "no such lease");
-    drop_hold(hold);
-    return good(data_->epoch());
+    drop_lease(lease);
+    return good(data_->revision());
 }
 
 Answer Engine::follow_opened(const std::string& under, std::uint64_t since, std::int64_t now_ms) {
@@ -195,11 +195,11 @@
     const auto list = data_->changes(under, since);
     if (!list)
         return refused(410, "no longer kept: read the keys again");
-    auto a = good(data_->epoch());
+    auto a = good(data_->revision());
     for (const auto& c : *list) {
         codec::Item i;
         i.key = c.key;
-        i.stamp = c.stamp;
+        i.mod_revision = c.mod_revision;
         i.deleted = !c.data;
         if (c.data)
             i.value = Json::parse(*c.data, nullptr, false);
@@ -213,9 +213,9 @@
                           [&](const Get& x) { return get(x.key, now_ms); },
                           [&](const List& x) { return list(x.under, x.since, x.most, now_ms); },
                           [&](const Transact& x) { return transact(x.guards, x.writes, now_ms); },
-                          [&](const Hold& x) { return hold(std::llround(x.ttl_s * 1000), now_ms); },
-                          [&](const Extend& x) { return extend(x.hold, now_ms); },
-                          [&](const EndHold& x) { return end_hold(x.hold, now_ms); },
+                          [&](const CreateLease& x) { return create_lease(std::llround(x.ttl_s * 1000), now_ms); },
+                          [&](const RenewLease& x) { return renew_lease(x.lease, now_ms); },
+                          [&](const RevokeLease& x) { return revoke_lease(x.lease, now_ms); },
                           [&](const Follow&) { return refused(400, "a follow waits"); },
                       },
                       c);
@@ -239,17 +239,17 @@
 }
 
 bool Engine::expire(std::int64_t now_ms) {
-    const auto ended = data_->ended_holds(now_ms);
+    const auto ended = data_->expired_leases(now_ms);
     for (const auto id : ended)
-        drop_hold(id);
+        drop_lease(id);
     return !ended.empty();
 }
 
 void Engine::renew_all(std::int64_t now_ms) {
-    for (const auto id : data_->ended_holds(INT64_MAX)) {
-        auto h = data_->get_hold(id);
+    for (const auto id : data_->expired_leases(INT64_MAX)) {
+        auto h = data_->get_lease(id);
         h->ends_ms = now_ms + h->ttl_ms;
-        data_->set_hold(id, *h);
+        data_->set_lease(id, *h);
     }
 }
 
@@ -262,11 +262,11 @@
         return true;
     }
     void abandon() override {}
-    std::uint64_t epoch() override {
-        return epoch_;
+    std::uint64_t revision() override {
+        return revision_;
     }
-    std::uint64_t next_epoch() override {
-        return ++epoch_;
+    std::uint64_t next_revision() override {
+        return ++revision_;
     }
     std::optional<Row> get(const std::string& key) override {
         const auto it = rows_.find(key);
@@ -291,7 +291,7 @@
         changes_.push_back(c);
         if (changes_.size() <= kept_changes)
             return;
-        forgotten_ = changes_.front().stamp;
+        forgotten_ = changes_.front().mod_revision;
         changes_.pop_front();
     }
     std::optional<std::vector<Change>> changes(const std::string& under, std::uint64_t since) override {
@@ -299,39 +299,39 @@
             return {};
         std::vector<Change> out;
         const auto from = std::upper_bound(changes_.begin(), changes_.end(), since,
-                                           [](std::uint64_t s, const Change& c) { return s < c.stamp; });
+                                           [](std::uint64_t s, const Change& c) { return s < c.mod_revision; });
         for (auto it = from; it != changes_.end(); ++it)
             if (it->key.starts_with(under))
                 out.push_back(*it);
         return out;
     }
-    std::uint64_t add_hold(const Hold& h) override {
-        holds_[++last_hold_] = h;
+    std::uint64_t add_lease(const CreateLease& h) override {
+        leases_[++last_hold_] = h;
         return last_hold_;
     }
-    std::optional<Hold> get_hold(std::uint64_t id) override {
-        const auto it = holds_.find(id);
-        if (it == holds_.end())
+    std::optional<CreateLease> get_lease(std::uint64_t id) override {
+        const auto it = leases_.find(id);
+        if (it == leases_.end())
             return {};
         return it->second;
     }
-    void set_hold(std::uint64_t id, const Hold& h) override {
-        holds_[id] = h;
+    void set_lease(std::uint64_t id, const CreateLease& h) override {
+        leases_[id] = h;
     }
-    void erase_hold(std::uint64_t id) override {
-        holds_.erase(id);
+    void erase_lease(std::uint64_t id) override {
+        leases_.erase(id);
     }
-    std::vector<std::uint64_t> ended_holds(std::int64_t now_ms) override {
+    std::vector<std::uint64_t> expired_leases(std::int64_t now_ms) override {
         std::vector<std::uint64_t> out;
-        for (const auto& [id, h] : holds_)
+        for (const auto& [id, h] : leases_)
             if (h.ends_ms < now_ms)
                 out.push_back(id);
         return out;
     }
-    std::vector<std::string> keys_of(std::uint64_t hold) override {
+    std::vector<std::string> keys_of(std::uint64_t lease) override {
         std::vector<std::string> out;
         for (const auto& [k, row] : rows_)
-            if (row.lease == hold)
+            if (row.lease == lease)
                 out.push_back(k);
         return out;
     }
@@ -342,8 +342,8 @@
 private:
     std::map<std::string, Row> rows_;
     std::deque<Change> changes_;
-    std::map<std::uint64_t, Hold> holds_;
-    std::uint64_t epoch_ = 0, last_hold_ = 0, forgotten_ = 0;
+    std::map<std::uint64_t, CreateLease> leases_;
+    std::uint64_t revision_ = 0, last_hold_ = 0, forgotten_ = 0;
 };
 
 } // namespace
--- a/src/store/file_data.cpp
+++ b/src/store/file_data.cpp
@@ -78,14 +78,14 @@
         open_ = false;
     }
 
-    std::uint64_t epoch() override {
+    std::uint64_t revision() override {
         auto& q = prepared("SELECT v FROM meta WHERE k='epoch'");
         q.row();
         return q.number(0);
     }
-    std::uint64_t next_epoch() override {
+    std::uint64_t next_revision() override {
         prepared("UPDATE meta SET v=v+1 WHERE k='epoch'").run();
-        return epoch();
+        return revision();
     }
     std::optional<Row> get(const std::string& key) override {
         auto& q = prepared("SELECT data, stamp, lease FROM kv WHERE k=?1").bind(1, key);
@@ -108,7 +108,7 @@
         prepared("INSERT INTO kv VALUES(?1,?2,?3,?4) ON CONFLICT(k) DO UPDATE SET data=?2, stamp=?3, lease=?4")
             .bind(1, key)
             .bind(2, row.data)
-            .bind(3, row.stamp)
+            .bind(3, row.mod_revision)
             .bind(4, row.lease)
             .run();
     }
@@ -116,7 +116,8 @@
         prepared("DELETE FROM kv WHERE k=?1").bind(1, key).run();
     }
     void add_change(const Change& c) override {
-        auto& q = prepared("INSERT INTO changes(stamp, k, data) VALUES(?1,?2,?3)").bind(1, c.stamp).bind(2, c.key);
+        auto& q =
+            prepared("INSERT INTO changes(stamp, k, data) VALUES(?1,?2,?3)").bind(1, c.mod_revision).bind(2, c.key);
         if (c.data)
             q.bind(3, *c.data);
         else
@@ -147,38 +148,38 @@
         }
         return out;
     }
-    std::uint64_t add_hold(const Hold& h) override {
+    std::uint64_t add_lease(const CreateLease& h) override {
         prepared("INSERT INTO holds(ttl, ends) VALUES(?1,?2)")
             .bind(1, number(h.ttl_ms))
             .bind(2, number(h.ends_ms))
             .run();
         return static_cast<std::uint64_t>(sqlite3_last_insert_rowid(db_));
     }
-    std::optional<Hold> get_hold(std::uint64_t id) override {
+    std::optional<CreateLease> get_lease(std::uint64_t id) override {
         auto& q = prepared("SELECT ttl, ends FROM holds WHERE id=?1").bind(1, id);
         if (!q.row())
             return {};
-        return Hold{static_cast<std::int64_t>(q.number(0)), static_cast<std::int64_t>(q.number(1))};
+        return CreateLease{static_cast<std::int64_t>(q.number(0)), static_cast<std::int64_t>(q.number(1))};
     }
-    void set_hold(std::uint64_t id, const Hold& h) override {
+    void set_lease(std::uint64_t id, const CreateLease& h) override {
         prepared("UPDATE holds SET ttl=?2, ends=?3 WHERE id=?1")
             .bind(1, id)
             .bind(2, number(h.ttl_ms))
             .bind(3, number(h.ends_ms))
             .run();
     }
-    void erase_hold(std::uint64_t id) override {
+    void erase_lease(std::uint64_t id) override {
         prepared("DELETE FROM holds WHERE id=?1").bind(1, id).run();
     }
-    std::vector<std::uint64_t> ended_holds(std::int64_t now_ms) override {
+    std::vector<std::uint64_t> expired_leases(std::int64_t now_ms) override {
         auto& q = prepared("SELECT id FROM holds WHERE ends<?1").bind(1, number(now_ms));
         std::vector<std::uint64_t> out;
         while (q.row())
             out.push_back(q.number(0));
         return out;
     }
-    std::vector<std::string> keys_of(std::uint64_t hold) override {
-        auto& q = prepared("SELECT k FROM kv WHERE lease=?1 AND lease<>0").bind(1, hold);
+    std::vector<std::string> keys_of(std::uint64_t lease) override {
+        auto& q = prepared("SELECT k FROM kv WHERE lease=?1 AND lease<>0").bind(1, lease);
         std::vector<std::string> out;
         while (q.row())
             out.push_back(q.text(0));
--- a/src/store/local.cpp
+++ b/src/store/local.cpp
@@ -94,7 +94,7 @@
         bool open_outcome = false;
         try {
             changed = engine->data().changed_by_others();
-            const bool expires = !engine->data().ended_holds(now).empty();
+            const bool expires = !engine->data().expired_leases(now).empty();
             engine->data().abandon();
             if (!batch.empty() || expires) {
                 engine->data().begin();
--- a/src/store/remote.cpp
+++ b/src/store/remote.cpp
@@ -30,7 +30,7 @@
         return unreadable(a);
     a.items = std::move(page->items);
     a.more = page->more;
-    a.epoch = page->epoch;
+    a.revision = page->revision;
 }
 
 void read_page(const std::string& body, Answer& a) {
@@ -48,19 +48,19 @@
         a.failed = codec::failed_guards(body).value_or(std::vector<std::string>());
     if (a.status != 200)
         return;
-    const auto epoch = codec::epoch_of(body);
-    if (!epoch)
+    const auto revision = codec::revision_of(body);
+    if (!revision)
         return unreadable(a);
-    a.epoch = *epoch;
+    a.revision = *revision;
 }
 
-void read_hold(const std::string& body, Answer& a) {
+void read_lease(const std::string& body, Answer& a) {
     if (a.status != 200)
         return;
-    const auto hold = codec::hold_of(body);
-    if (!hold)
+    const auto lease = codec::lease_of(body);
+    if (!lease)
         return unreadable(a);
-    a.lease = *hold;
+    a.lease = *lease;
 }
 
 } // namespace
@@ -82,7 +82,7 @@
             done(std::move(a));
         });
     };
-    const auto hold_path = [](std::uint64_t hold) { return fmt::format("{}/{}", codec::path_holds, hold); };
+    const auto lease_path = [](std::uint64_t lease) { return fmt::format("{}/{}", codec::path_leases, lease); };
     std::visit(
         Each{
             [&](const Get& c) { ask(calls_, "GET", fmt::format("{}/{}", codec::path_store, c.key), "", read_item); },
@@ -95,13 +95,13 @@
             [&](const Transact& c) {
                 ask(calls_, "POST", std::string(codec::path_txn), codec::txn(c.guards, c.writes), read_outcome);
             },
-            [&](const Hold& c) {
-                ask(calls_, "POST", std::string(codec::path_holds), codec::hold_request(c.ttl_s), read_hold);
+            [&](const CreateLease& c) {
+                ask(calls_, "POST", std::string(codec::path_leases), codec::lease_request(c.ttl_s), read_lease);
             },
-            [&](const Extend& c) {
-                ask(calls_, "POST", hold_path(c.hold) + "/" + std::string(codec::suffix_extend), "{}", nullptr);
+            [&](const RenewLease& c) {
+                ask(calls_, "POST", lease_path(c.lease) + "/" + std::string(codec::suffix_renew), "{}", nullptr);
             },
-            [&](const EndHold& c) { ask(calls_, "DELETE", hold_path(c.hold), "", nullptr); },
+            [&](const RevokeLease& c) { ask(calls_, "DELETE", lease_path(c.lease), "", nullptr); },
             [&](const Follow& c) {
                 // With leases of three minutes every follow was refused, and the holder never heard of the jobs
                 // that other nodes had stored.
--- a/src/store/server.cpp
+++ b/src/store/server.cpp
@@ -74,14 +74,14 @@
             if (status == 200)
                 return res.send(status, text(std::move(a)));
             if (status == 404 && a.error.empty())
-                return res.send(status, codec::epoch_answer(a.epoch));
+                return res.send(status, codec::revision_answer(a.revision));
             if (status == 409)
-                return res.send(status, codec::failed_answer(a.failed, a.epoch));
+                return res.send(status, codec::failed_answer(a.failed, a.revision));
             res.send(status, codec::Json{{"error", a.error}}.dump());
         });
     };
     const bool get = r.method == "GET", post = r.method == "POST";
-    const std::string store(codec::path_store), holds(codec::path_holds);
+    const std::string store(codec::path_store), leases(codec::path_leases);
     if (get && r.path.starts_with(store + "/"))
         return ask(Get{r.path.substr(store.size() + 1)}, [](Answer&& a) { return codec::item_answer(*a.item); });
     if (get && r.path == store) {
@@ -89,7 +89,7 @@
         if (const auto text = field_of(r.query, "most"); !text.empty() && !number(text, most))
             return bad("most");
         return ask(List{field_of(r.query, "under"), field_of(r.query, "since"), most}, [](Answer&& a) {
-            return codec::page_answer({std::move(a.items), a.more, a.epoch});
+            return codec::page_answer({std::move(a.items), a.more, a.revision});
         });
     }
     if (post && r.path == codec::path_txn) {
@@ -97,26 +97,27 @@
         if (!t)
             return bad("not a transaction");
         return ask(Transact{std::move(t->guards), std::move(t->writes)},
-                   [](Answer&& a) { return codec::epoch_answer(a.epoch); });
+                   [](Answer&& a) { return codec::revision_answer(a.revision); });
     }
-    if (post && r.path == holds) {
+    if (post && r.path == leases) {
         const auto ttl = codec::ttl_ms_of(r.body);
         if (!ttl)
             return bad("ttlMs");
-        return ask(Hold{static_cast<double>(*ttl) / 1000}, [](Answer&& a) { return codec::hold_answer(a.lease); });
+        return ask(CreateLease{static_cast<double>(*ttl) / 1000},
+                   [](Answer&& a) { return codec::lease_answer(a.lease); });
     }
-    if (r.path.starts_with(holds + "/")) {
-        auto rest = r.path.substr(holds.size() + 1);
-        const std::string extend = "/" + std::string(codec::suffix_extend);
-        const bool extends = post && rest.ends_with(extend);
-        if (extends)
-            rest.resize(rest.size() - extend.size());
+    if (r.path.starts_with(leases + "/")) {
+        auto rest = r.path.substr(leases.size() + 1);
+        const std::string renew_lease = "/" + std::string(codec::suffix_renew);
+        const bool renews = post && rest.ends_with(renew_lease);
+        if (renews)
+            rest.resize(rest.size() - renew_lease.size());
         std::uint64_t id = 0;
-        if (!number(rest, id) || (!extends && r.method != "DELETE"))
+        if (!number(rest, id) || (!renews && r.method != "DELETE"))
             return res.send(404, no_such_path);
-        if (extends)
-            return ask(Extend{id}, [](Answer&& a) { return codec::hold_answer(a.lease); });
-        return ask(EndHold{id}, [](Answer&&) { return std::string("{}"); });
+        if (renews)
+            return ask(RenewLease{id}, [](Answer&& a) { return codec::lease_answer(a.lease); });
+        return ask(RevokeLease{id}, [](Answer&&) { return std::string("{}"); });
     }
     if (get && r.path == codec::path_follow) {
         std::uint64_t since = 0;
@@ -128,7 +129,7 @@
         if (block < 0 || block > longest_block_ms)
             return bad("blockMs");
         return ask(Follow{field_of(r.query, "under"), since, static_cast<double>(block) / 1000}, [](Answer&& a) {
-            return codec::events_answer({std::move(a.items), a.more, a.epoch});
+            return codec::events_answer({std::move(a.items), a.more, a.revision});
         });
     }
     res.send(404, no_such_path);
--- a/tests/answers.hpp
+++ b/tests/answers.hpp
@@ -40,7 +40,7 @@
         if (age < 0)
             return; // it could not answer
         for (int newer = age + 1; newer <= 2; ++newer)
-            if (j.told_at[static_cast<std::size_t>(newer)] < asked)
+            if (j.token_acknowledged_at[static_cast<std::size_t>(newer)] < asked)
                 return wrong(newer == 2 ? "went_back" : "forgotten", id, by, said);
         if (age == 2) {
             if (!j.final.empty() && j.final != state)
@@ -50,7 +50,8 @@
             j.final = state;
         }
         for (int a = 1; a <= age; ++a)
-            j.told_at[static_cast<std::size_t>(a)] = std::min(j.told_at[static_cast<std::size_t>(a)], now);
+            j.token_acknowledged_at[static_cast<std::size_t>(a)] =
+                std::min(j.token_acknowledged_at[static_cast<std::size_t>(a)], now);
     }
     static bool is_final(std::string_view state) {
         return state == codec::status_done || state == codec::status_cancelled;
@@ -61,7 +62,7 @@
 
 private:
     struct Job {
-        std::array<double, 3> told_at{1e18, 1e18, 1e18}; // by age: when first
+        std::array<double, 3> token_acknowledged_at{1e18, 1e18, 1e18}; // by age: when first
         std::string final;
         bool cancel_asked = false;
     };
--- a/tests/direct_commands.hpp
+++ b/tests/direct_commands.hpp
@@ -10,11 +10,11 @@
 
 struct DirectCommands : Network {
     using Network::Network;
-    using Obeyed = std::pair<int, Report>; // status and report of the machine
+    using Obeyed = std::pair<int, Heartbeat>; // status and report of the machine
 
     struct Command {
         std::string address;
-        std::uint64_t fence = 0, tenure = 0;
+        std::uint64_t fencing_token = 0, agent_epoch = 0;
         std::vector<Order> orders;
     };
     // How many direct commands are held back, for how long, and what became of them.
@@ -42,7 +42,7 @@
             return send(delay, [this, command] { arrive_late(command); });
         }
         const bool obeyed = obey(machine, command);
-        answer({obeyed ? 200 : 409, report(machine)});
+        answer({obeyed ? 200 : 409, heartbeat(machine)});
     }
 
 private:
@@ -51,14 +51,14 @@
         return machine != workers.end() && !machine->second.dead && !machine->second.cut;
     }
     bool obey(Worker& machine, const Command& command) {
-        if (command.fence < machine.fence || command.tenure != machine.tenure)
+        if (command.fencing_token < machine.fencing_token || command.agent_epoch != machine.agent_epoch)
             return false;
-        machine.fence = command.fence;
+        machine.fencing_token = command.fencing_token;
         execute(machine, command.orders);
         return true;
     }
     void hold_while_hung(const Command& command) {
-        if (command.tenure == 0)
+        if (command.agent_epoch == 0)
             return; // a probe, which no session matches
         ++late_commands.held_by_hang;
         send(wait_step_s, [this, command] { arrive_late(command); });
@@ -71,9 +71,9 @@
             send(wait_step_s, [this, command] { arrive_late(command); });
             return;
         }
-        late_commands.refused_by_token += command.fence < machine.fence;
-        late_commands.refused_by_session += command.tenure != machine.tenure;
-        const bool former = command.fence >> ledger::fence_bits < newest_term();
+        late_commands.refused_by_token += command.fencing_token < machine.fencing_token;
+        late_commands.refused_by_session += command.agent_epoch != machine.agent_epoch;
+        const bool former = command.fencing_token >> ledger::token_counter_bits < newest_term();
         if (!obey(machine, command))
             return;
         ++late_commands.executed;
@@ -86,7 +86,7 @@
     std::uint64_t newest_term() const {
         std::uint64_t newest = 0;
         for (const auto& [id, machine] : workers)
-            newest = std::max(newest, machine.fence >> ledger::fence_bits);
+            newest = std::max(newest, machine.fencing_token >> ledger::token_counter_bits);
         return newest;
     }
 
--- a/tests/fault_scenario.hpp
+++ b/tests/fault_scenario.hpp
@@ -81,14 +81,14 @@
         if (k == 1)
             w.hung = true;
         if (k == 2)
-            f.deafen(id, f.names());
+            f.make_inbound_unreachable(id, f.names());
         if (k == 3)
-            f.mute.insert(id);
+            f.outbound_unreachable.insert(id);
     }
     f.send(for_s, [&f, list] {
         for (const auto& id : list) {
-            f.deaf.erase(id);
-            f.mute.erase(id);
+            f.inbound_unreachable.erase(id);
+            f.outbound_unreachable.erase(id);
             if (const auto w = f.workers.find(id); w != f.workers.end())
                 w->second.cut = w->second.hung = false;
         }
--- a/tests/fleet.hpp
+++ b/tests/fleet.hpp
@@ -60,7 +60,7 @@
     }
     // A machine that does not hear has a name of its own.
     std::string party(const Worker& w) const {
-        return deaf.contains(w.id) ? "deaf " + w.id : zone(w.zone);
+        return inbound_unreachable.contains(w.id) ? "deaf " + w.id : zone(w.zone);
     }
     std::vector<std::string> names() const {
         std::vector<std::string> out;
@@ -68,11 +68,11 @@
             out.push_back(n.name);
         return out;
     }
-    std::map<std::string, std::size_t> deaf; // to how many controllers
-    std::set<std::string> misses_answers;    // to reports, while orders reach them
+    std::map<std::string, std::size_t> inbound_unreachable; // to how many controllers
+    std::set<std::string> misses_answers;                   // to reports, while orders reach them
     // What it reports arrives; what these controllers answer or send it does not.
-    void deafen(const std::string& machine, const std::vector<std::string>& to) {
-        deaf[machine] = to.size();
+    void make_inbound_unreachable(const std::string& machine, const std::vector<std::string>& to) {
+        inbound_unreachable[machine] = to.size();
         for (const auto& name : to)
             set(name, "deaf " + machine, Mode::drop);
     }
@@ -133,7 +133,7 @@
     struct SimStore final : store::StateStore {
         SimStore(Fleet& f, std::size_t i) : fleet(f), i(i) {}
         static std::string word(const store::Call& c) {
-            if (std::holds_alternative<store::Hold>(c))
+            if (std::holds_alternative<store::CreateLease>(c))
                 return "hold";
             const auto* t = std::get_if<store::Transact>(&c);
             if (t == nullptr)
@@ -184,33 +184,34 @@
     };
     struct SimExecutor final : Executor {
         SimExecutor(Fleet& f, std::size_t i) : fleet(f), i(i) {}
-        void to_worker(const std::string& addr, std::uint64_t fence, std::uint64_t tenure, std::vector<Order> orders,
-                       double timeout_s, Done<Obeyed> done) {
+        void to_worker(const std::string& addr, std::uint64_t fencing_token, std::uint64_t agent_epoch,
+                       std::vector<Order> orders, double timeout_s, Done<Obeyed> done) {
             const auto it = fleet.workers.find(addr);
             const auto to = it == fleet.workers.end() ? "nowhere" : fleet.party(it->second);
             fleet.node_request<Obeyed>(
                 i, to, timeout_s,
-                [f = &fleet, addr, fence, tenure, orders = std::move(orders)](const Answer<Obeyed>& answer) {
-                    f->deliver({addr, fence, tenure, orders}, answer);
+                [f = &fleet, addr, fencing_token, agent_epoch,
+                 orders = std::move(orders)](const Answer<Obeyed>& answer) {
+                    f->deliver({addr, fencing_token, agent_epoch, orders}, answer);
                 },
                 std::move(done));
         }
         void command(const SendOrders& o, double timeout_s, std::function<void(OrdersAnswered&&)> done) override {
             fleet.sent(o.orders);
-            to_worker(o.addr, o.fence, o.tenure, o.orders, timeout_s,
+            to_worker(o.addr, o.fencing_token, o.agent_epoch, o.orders, timeout_s,
                       [done = std::move(done), id = o.machine, batch = o.batch](std::optional<Obeyed> a, bool sent) {
                           OrdersAnswered out{id, batch, a ? a->first : 0, sent, std::nullopt};
                           if (a)
-                              out.report = a->second;
+                              out.heartbeat = a->second;
                           done(std::move(out));
                       });
         }
-        void pass_on(const std::string& addr, std::string body, double timeout_s,
+        void forward(const std::string& addr, std::string body, double timeout_s,
                      std::function<void(HttpReply&&)> done) override {
             const auto o = codec::read_orders(body);
-            if (!o || !o->fence || !o->tenure)
+            if (!o || !o->fencing_token || !o->agent_epoch)
                 return done({400, "{}", true});
-            to_worker(addr, *o->fence, *o->tenure, o->list, timeout_s,
+            to_worker(addr, *o->fencing_token, *o->agent_epoch, o->list, timeout_s,
                       [done = std::move(done)](std::optional<Obeyed> a, bool sent) {
                           done(a ? HttpReply{a->first, codec::to_body(a->second), true} : HttpReply{0, "", sent});
                       });
@@ -346,7 +347,7 @@
         Answer<store::Answer> answer;
     };
     std::vector<Waiting> waiting;
-    std::uint64_t seen_epoch = 0;
+    std::uint64_t seen_revision = 0;
     std::int64_t now_ms() const {
         return static_cast<std::int64_t>(now * 1000);
     }
@@ -388,7 +389,7 @@
         if (store_down)
             return;
         engine->expire(now_ms());
-        const bool changed = std::exchange(seen_epoch, engine->data().epoch()) != engine->data().epoch();
+        const bool changed = std::exchange(seen_revision, engine->data().revision()) != engine->data().revision();
         for (std::size_t k = 0; k < waiting.size();) {
             auto a = refuses(waiting[k].node) ? std::nullopt : engine->look(waiting[k].w, changed, now_ms());
             if (!a) {
@@ -429,7 +430,7 @@
                 if (it == workers.end())
                     return;
                 it->second.dead = false;
-                it->second.lease_from = it->second.next_beat = now;
+                it->second.lease_from = it->second.next_heartbeat = now;
                 it->second.node = static_cast<std::size_t>(between(0, static_cast<double>(nodes.size()) - 0.01));
             });
         }
@@ -439,23 +440,23 @@
     }
 
     // --- machines: as the protocol says ---
-    void report_if_due(Worker& w) override {
-        if (w.in_flight || w.cut || now < w.next_beat)
+    void heartbeat_if_due(Worker& w) override {
+        if (w.in_flight || w.cut || now < w.next_heartbeat)
             return;
-        if (mute.contains(w.id)) {
+        if (outbound_unreachable.contains(w.id)) {
             w.node = (w.node + 1) % nodes.size();
-            w.next_beat = now + 5; // it waits for 4
+            w.next_heartbeat = now + 5; // it waits for 4
             return;
         }
         w.in_flight = true;
         const double sent = now;
-        const auto body = codec::to_body(report(w));
+        const auto body = codec::to_body(heartbeat(w));
         if (copies > 0 && chance() < copies)
             copy(zone(w.zone), body);
         if (kept_copies > 0 && chance() < kept_copies)
             kept.emplace_back(zone(w.zone), body);
-        http(party(w), w.node, {"POST", std::string(codec::path_report), "", body}, false, 4,
-             [this, id = w.id, sent, tenure = w.tenure](const std::optional<HttpReply>& a, bool) {
+        http(party(w), w.node, {"POST", std::string(codec::path_heartbeat), "", body}, false, 4,
+             [this, id = w.id, sent, agent_epoch = w.agent_epoch](const std::optional<HttpReply>& a, bool) {
                  const auto it = workers.find(id);
                  if (it == workers.end() || it->second.dead)
                      return;
@@ -463,7 +464,7 @@
                  x.in_flight = false;
                  if (misses_answers.contains(id)) {
                      x.node = (x.node + 1) % nodes.size();
-                     x.next_beat = now + 5; // it waits for 4
+                     x.next_heartbeat = now + 5; // it waits for 4
                      return;
                  }
                  const int status = a && !x.cut && !x.hung ? a->status : 0;
@@ -471,20 +472,20 @@
                      const auto to = index(codec::redirected_to(a->body));
                      if (to != SIZE_MAX && to != x.node) {
                          x.node = to;
-                         x.next_beat = now + between(0, 0.5);
+                         x.next_heartbeat = now + between(0, 0.5);
                          return;
                      }
                  }
                  if (status != 200) {
                      x.node = (x.node + 1) % nodes.size();
-                     x.next_beat = now + 1;
+                     x.next_heartbeat = now + 1;
                      return;
                  }
-                 x.next_beat = sent + settings.report_s * between(0.75, 1.25);
+                 x.next_heartbeat = sent + settings.report_s * between(0.75, 1.25);
                  const auto o = codec::read_orders(a->body);
-                 if (!o || !o->fence || *o->fence < x.fence || x.tenure != tenure)
+                 if (!o || !o->fencing_token || *o->fencing_token < x.fencing_token || x.agent_epoch != agent_epoch)
                      return;
-                 x.fence = *o->fence;
+                 x.fencing_token = *o->fencing_token;
                  x.lease_from = std::max(x.lease_from, sent);
                  execute(x, o->list);
              });
@@ -495,17 +496,17 @@
     void deliver_kept() {
         for (const auto& [from, body] : std::exchange(kept, {}))
             for (std::size_t to = 0; to < nodes.size(); ++to)
-                http(from, to, {"POST", std::string(codec::path_report), "", body}, false, 4,
+                http(from, to, {"POST", std::string(codec::path_heartbeat), "", body}, false, 4,
                      [](const std::optional<HttpReply>&, bool) {});
     }
-    std::set<std::string> mute; // reach no controller, while orders reach them
+    std::set<std::string> outbound_unreachable; // reach no controller, while orders reach them
     // Up to three, at any controller, some by way of another.
     void copy(const std::string& from, const std::string& body) {
         for (int k = 0; k < 3; ++k)
             send(chance() < 0.5 ? between(0.2, settings.lease_s) : between(1, 300), [this, from, body] {
                 const auto to = static_cast<std::size_t>(between(0, static_cast<double>(nodes.size()) - 0.01));
                 const bool relayed = chance() < 0.3;
-                const std::string path = (relayed ? peer_prefix : "") + std::string(codec::path_report);
+                const std::string path = (relayed ? peer_prefix : "") + std::string(codec::path_heartbeat);
                 http(from, to, {"POST", path, "", body}, relayed, 4, [](const std::optional<HttpReply>&, bool) {});
             });
     }
@@ -561,9 +562,9 @@
         run_store();
         run_users();
         for (auto& [id, w] : workers) {
-            const auto d = deaf.find(id);
-            const bool hears =
-                (d == deaf.end() || d->second < nodes.size()) && !misses_answers.contains(id) && !mute.contains(id);
+            const auto d = inbound_unreachable.find(id);
+            const bool hears = (d == inbound_unreachable.end() || d->second < nodes.size()) &&
+                               !misses_answers.contains(id) && !outbound_unreachable.contains(id);
             if (w.cut || w.hung || w.dead || w.well_since < 0 || !hears)
                 w.well_since = now;
         }
--- a/tests/machines.hpp
+++ b/tests/machines.hpp
@@ -55,8 +55,8 @@
     struct Worker {
         std::string id, zone, addr;
         bool spot = false, cut = false, dead = false, sick = false, hung = false;
-        std::uint64_t tenure = 1, counter = 0, fence = 0;
-        double lease_from = 0, next_beat = 0, rented_at = 0;
+        std::uint64_t agent_epoch = 1, counter = 0, fencing_token = 0;
+        double lease_from = 0, next_heartbeat = 0, rented_at = 0;
         std::size_t node = 0; // the controller it reports to
         bool in_flight = false;
         double well_since = -1; // not cut, hanging or dead
@@ -96,12 +96,12 @@
         return std::uniform_real_distribution<double>(a, b)(rng);
     }
     virtual std::optional<codec::Json> stored(const std::string& key) = 0; // in the store, at this moment
-    virtual void report_if_due(Worker& w) = 0;
+    virtual void heartbeat_if_due(Worker& w) = 0;
     virtual void lapsed(Worker& /*w*/) {}
     virtual void begun(const Worker::Run& /*t*/) {} // it makes progress
 
-    Report report(Worker& w) {
-        Report r{w.id, w.addr, "m8", w.zone, w.spot, w.tenure, ++w.counter, w.fence, -1, {}};
+    Heartbeat heartbeat(Worker& w) {
+        Heartbeat r{w.id, w.addr, "m8", w.zone, w.spot, w.agent_epoch, ++w.counter, w.fencing_token, -1, {}};
         for (const auto& t : w.tasks)
             r.tasks.push_back({t.job, t.index, t.try_no, t.state, t.cause, false});
         return r;
@@ -190,7 +190,7 @@
         if (now > w.lease_from + settings.lease_s) {
             lapsed(w);
             w.tasks.clear();
-            ++w.tenure;
+            ++w.agent_epoch;
             w.lease_from = now;
         }
         if (w.hung)
@@ -220,7 +220,7 @@
                 done_tasks.insert(fmt::format("{}/{}", t.job, t.index));
             }
         }
-        report_if_due(w);
+        heartbeat_if_due(w);
     }
     double run_s(std::uint32_t index) {
         return takes ? takes(index) : between(2, 12);
--- a/tests/test_chains.cpp
+++ b/tests/test_chains.cpp
@@ -210,7 +210,7 @@
     s.jobs.push_back({"j/wk-000002", waiting(after(2, {1})), 1, false});
     const auto settings = small_settings();
     Core core(settings, 2, s, 0, 0);
-    std::vector<Command> q{TypesKnown{small_types()}};
+    std::vector<Command> q{MachineTypesKnown{small_types()}};
     bool asked = false, open = false; // a transaction of something else
     for (const auto& e : core.step(q, 0.1, 0.1)) {
         asked = asked || std::holds_alternative<FindJob>(e);
@@ -253,7 +253,7 @@
             q.clear();
         }
     };
-    go(0.1, 2, {TypesKnown{small_types()}}); // the store does not answer
+    go(0.1, 2, {MachineTypesKnown{small_types()}}); // the store does not answer
     EXPECT_TRUE(final_sent);
     EXPECT_FALSE(ready_sent);
     final_sent = false;
@@ -330,7 +330,7 @@
     }
     Core core(settings, 2, s, 0, 0);
     std::mt19937 rng(1);
-    std::vector<Command> q{TypesKnown{small_types()}};
+    std::vector<Command> q{MachineTypesKnown{small_types()}};
     auto named = [&] {
         std::set<std::uint32_t> tasks;
         for (const auto& [k, v] : store)
@@ -406,7 +406,7 @@
     w.settings.value_kb = 2;
     w.check_orphaned = !p.back; // an old holder takes nothing along: see docs/operations.md
     w.capacity = 60;
-    w.beat_loss = w.order_loss = w.late = 0.02;
+    w.heartbeat_loss = w.order_loss = w.late = 0.02;
     for (auto& c : w.controllers)
         c.old = true;
     int n = 0;
--- a/tests/test_cluster.cpp
+++ b/tests/test_cluster.cpp
@@ -135,7 +135,7 @@
     w.settings.state_write_rps = 40;
     w.settings.txn_ops = 16;
     w.capacity = size.machines;
-    w.beat_loss = 0.02;
+    w.heartbeat_loss = 0.02;
     w.order_loss = 0.03;
     w.late = 0.02;
     int n = 0;
--- a/tests/test_codec.cpp
+++ b/tests/test_codec.cpp
@@ -62,16 +62,16 @@
         "tenure":1,"counter":88,"fence":41,"evictionInS":null,
         "shards":[{"shard":"wk-000412/3","try":2,"status":"running"},
                   {"shard":"wk-000398/0","try":1,"status":"ended","exitCause":"done"}]})";
-    const auto r = codec::report(good);
+    const auto r = codec::heartbeat(good);
     ASSERT_TRUE(r);
     EXPECT_EQ(r->tasks.size(), 2U);
     EXPECT_EQ(r->tasks[1].cause, ExitCause::done);
     for (std::size_t n = 0; n + 1 < good.size(); ++n)
-        EXPECT_FALSE(codec::report(good.substr(0, n))) << n;
-    EXPECT_FALSE(codec::report(R"({"host":"n-1","tenure":"1","counter":2})"));
-    EXPECT_FALSE(
-        codec::report(R"({"host":"n-1","tenure":1,"counter":2,"shards":[{"shard":"x","try":1,"status":"running"}]})"));
-    EXPECT_FALSE(codec::report(R"({"host":"n-1","tenure":1,"counter":2,"shards":{}})"));
+        EXPECT_FALSE(codec::heartbeat(good.substr(0, n))) << n;
+    EXPECT_FALSE(codec::heartbeat(R"({"host":"n-1","tenure":"1","counter":2})"));
+    EXPECT_FALSE(codec::heartbeat(
+        R"({"host":"n-1","tenure":1,"counter":2,"shards":[{"shard":"x","try":1,"status":"running"}]})"));
+    EXPECT_FALSE(codec::heartbeat(R"({"host":"n-1","tenure":1,"counter":2,"shards":{}})"));
 }
 
 TEST(Answers, OfCloudAndStoreAreCheckedBeforeUse) {
@@ -82,7 +82,7 @@
     EXPECT_FALSE(codec::item(R"({"k":"a"})"));
     EXPECT_FALSE(codec::page(R"({"entries":[{"k":"a"}],"epoch":3})"));
     EXPECT_FALSE(codec::events(R"({"events":[]})"));
-    EXPECT_FALSE(codec::hold_of(R"({"lease":"7"})"));
+    EXPECT_FALSE(codec::lease_of(R"({"lease":"7"})"));
     const auto e =
         codec::events(R"({"epoch":433,"events":[{"set":"c/9","data":{},"stamp":433},{"delete":"c/d","stamp":432}]})");
     ASSERT_TRUE(e);
