--- a/tests/test_connections.cpp
+++ b/tests/test_connections.cpp
@@ -80,9 +80,9 @@
         &l.loop,
         {connections, connections * 9 / 10, connections * 3 / 10},
         60,
-        [](const HttpRequest& r) { return r.path == codec::path_report ? ClientKind::worker : ClientKind::user; },
+        [](const HttpRequest& r) { return r.path == codec::path_heartbeat ? ClientKind::worker : ClientKind::user; },
         [this](HttpRequest&& r, const Responder& res) {
-            if (r.path == codec::path_report)
+            if (r.path == codec::path_heartbeat)
                 return res.send(200, "{}");
             held.emplace_back(seconds() + held_s, res);
         }};
@@ -106,8 +106,8 @@
                            told(r.status);
                        });
     }
-    void report(Client& c) {
-        ask(c, codec::path_report, [&c](int status) {
+    void heartbeat(Client& c) {
+        ask(c, codec::path_heartbeat, [&c](int status) {
             const double t = seconds();
             c.next = t + (status == 200 ? report_s : report_s / 10);
             if (status != 200)
@@ -123,7 +123,7 @@
         for (double t = began; t < began + for_s; t = seconds()) {
             for (auto& c : worker)
                 if (!c.asking && t >= c.next)
-                    report(c);
+                    heartbeat(c);
             for (auto& c : user)
                 if (!c.asking && t >= c.next)
                     ask(c, codec::path_jobs, [this, &c](int status) {
--- a/tests/test_core.cpp
+++ b/tests/test_core.cpp
@@ -21,7 +21,7 @@
     double now = 0;
     std::vector<Effect> effects;
     SendOrders launch;
-    std::uint64_t fence = std::uint64_t{7} << fence_bits;
+    std::uint64_t fencing_token = std::uint64_t{7} << token_counter_bits;
 
     bool store_answers = true;
 
@@ -47,14 +47,14 @@
             take({}, out);
         return out;
     }
-    static Report report(std::uint64_t counter, std::uint64_t fence, std::vector<ReportedTask> tasks = {},
-                         std::uint64_t tenure = 1) {
-        return {"n-1", "10.1.0.1:9000", "m8", "a", false, tenure, counter, fence, -1, std::move(tasks)};
+    static Heartbeat heartbeat(std::uint64_t counter, std::uint64_t fencing_token, std::vector<ReportedTask> tasks = {},
+                               std::uint64_t agent_epoch = 1) {
+        return {"n-1", "10.1.0.1:9000", "m8", "a", false, agent_epoch, counter, fencing_token, -1, std::move(tasks)};
     }
 
     OneTask() {
-        give(TypesKnown{small_types()});
-        give(Beat{report(1, fence), 1});
+        give(MachineTypesKnown{small_types()});
+        give(HeartbeatReceived{heartbeat(1, fencing_token), 1});
         find_launch(give(JobStored{job(1, Shape::service, 1, 4), 0}));
         find_launch(idle(0.5));
     }
@@ -70,8 +70,8 @@
     ASSERT_EQ(s.launch.orders.size(), 1U);
     s.give(OrdersAnswered{
         "n-1", s.launch.batch, 200, true,
-        OneTask::report(2, s.fence,
-                        {{"wk-000001", 0, s.launch.orders[0].try_no, TaskState::running, ExitCause::none, false}})});
+        OneTask::heartbeat(2, s.fencing_token,
+                           {{"wk-000001", 0, s.launch.orders[0].try_no, TaskState::running, ExitCause::none, false}})});
     s.store_answers = false; // the answer of the store is still out
     auto effects = s.give(JobStored{job(2, Shape::service, 1, 1), 0});
     for (auto& e : s.idle(1))
@@ -85,10 +85,10 @@
     OneTask s;
     // Answer lost; then a report from before the launch arrives late.
     s.give(OrdersAnswered{"n-1", s.launch.batch, 0, true, std::nullopt});
-    s.give(Beat{OneTask::report(2, 0), 2});
+    s.give(HeartbeatReceived{OneTask::heartbeat(2, 0), 2});
     EXPECT_EQ(s.core.live_tasks("wk-000001"), 1U);
     // So does one that has seen only the fence of the launch itself.
-    s.give(Beat{OneTask::report(3, s.fence), 3});
+    s.give(HeartbeatReceived{OneTask::heartbeat(3, s.fencing_token), 3});
     EXPECT_EQ(s.core.live_tasks("wk-000001"), 1U);
 }
 
@@ -99,29 +99,29 @@
     stored.jobs.push_back({"j/wk-000001", {{"spec", codec::to_json(spec)}, {"at", 0.0}}, 1, false});
     stored.intents.push_back({"i/3", {{"t", "n-1 a 1 wk-000001/0:5"}}, 1, false});
     Core core(settings, 7, stored, 0, 0);
-    auto beat = [&](std::uint64_t counter, std::uint64_t fence) {
-        std::vector<Command> q{Beat{OneTask::report(counter, fence), counter}};
+    auto heartbeat = [&](std::uint64_t counter, std::uint64_t fencing_token) {
+        std::vector<Command> q{HeartbeatReceived{OneTask::heartbeat(counter, fencing_token), counter}};
         core.step(q, 0.1, 0.1);
     };
     // Found by a seed of the world: held since before the launch, it carries the old term's fence.
-    beat(2, (std::uint64_t{6} << fence_bits) + 3);
+    heartbeat(2, (std::uint64_t{6} << token_counter_bits) + 3);
     EXPECT_EQ(core.live_tasks("wk-000001"), 1U);
-    beat(9, std::uint64_t{7} << fence_bits);
+    heartbeat(9, std::uint64_t{7} << token_counter_bits);
     EXPECT_EQ(core.live_tasks("wk-000001"), 0U);
 }
 
 TEST(Core, ARaisedFenceSeenInAReportSettlesALostLaunch) {
     OneTask s;
     s.give(OrdersAnswered{"n-1", s.launch.batch, 0, true, std::nullopt});
-    const auto answers = all<BeatAnswer>(s.give(Beat{OneTask::report(2, s.fence), 2}));
+    const auto answers = all<AnswerHeartbeat>(s.give(HeartbeatReceived{OneTask::heartbeat(2, s.fencing_token), 2}));
     ASSERT_EQ(answers.size(), 1U);
-    EXPECT_EQ(answers[0].fence, s.fence + 1);
+    EXPECT_EQ(answers[0].fencing_token, s.fencing_token + 1);
     // Started again under a new attempt: a launch is never sent twice.
     const auto first = s.launch.orders.at(0).try_no;
     s.launch = {};
-    s.find_launch(s.give(Beat{OneTask::report(3, s.fence + 1), 3}));
+    s.find_launch(s.give(HeartbeatReceived{OneTask::heartbeat(3, s.fencing_token + 1), 3}));
     s.find_launch(s.idle(1.5));
-    s.find_launch(s.give(Beat{OneTask::report(4, s.fence + 1), 4}));
+    s.find_launch(s.give(HeartbeatReceived{OneTask::heartbeat(4, s.fencing_token + 1), 4}));
     s.find_launch(s.idle(1));
     ASSERT_FALSE(s.launch.orders.empty());
     EXPECT_NE(s.launch.orders[0].try_no, first);
@@ -129,21 +129,21 @@
 
 TEST(Core, ANewTenureMeansThatAllTasksAreGone) {
     OneTask s;
-    s.give(
-        Beat{OneTask::report(2, s.fence,
-                             {{"wk-000001", 0, s.launch.orders[0].try_no, TaskState::running, ExitCause::none, false}}),
-             2});
+    s.give(HeartbeatReceived{
+        OneTask::heartbeat(2, s.fencing_token,
+                           {{"wk-000001", 0, s.launch.orders[0].try_no, TaskState::running, ExitCause::none, false}}),
+        2});
     EXPECT_EQ(s.core.view("wk-000001")->running, 1U);
-    s.give(Beat{OneTask::report(1, s.fence, {}, 2), 3});
+    s.give(HeartbeatReceived{OneTask::heartbeat(1, s.fencing_token, {}, 2), 3});
     EXPECT_EQ(s.core.view("wk-000001")->running, 0U);
 }
 
 TEST(Core, ASilentMachineIsOccupiedUntilItsLeaseHasSurelyRunOut) {
     OneTask s;
-    s.give(
-        Beat{OneTask::report(2, s.fence,
-                             {{"wk-000001", 0, s.launch.orders[0].try_no, TaskState::running, ExitCause::none, false}}),
-             2});
+    s.give(HeartbeatReceived{
+        OneTask::heartbeat(2, s.fencing_token,
+                           {{"wk-000001", 0, s.launch.orders[0].try_no, TaskState::running, ExitCause::none, false}}),
+        2});
     s.idle(s.settings.lease_s - 0.5);
     EXPECT_EQ(s.core.live_tasks("wk-000001"), 1U);
     s.idle(2);
@@ -175,11 +175,11 @@
     OneTask s;
     std::vector<Command> q;
     for (double t = s.now; t < s.now + 3 * s.settings.lease_s; t += 0.5) {
-        q.push_back(Beat{OneTask::report(2, s.fence), 77});
+        q.push_back(HeartbeatReceived{OneTask::heartbeat(2, s.fencing_token), 77});
         q.push_back(JobStored{job(5, Shape::array, 50, 4), 0});
         const auto effects = s.core.step(q, t, t, false);
-        EXPECT_EQ(effects.size(), all<BeatAnswer>(effects).size());
-        for (const auto& a : all<BeatAnswer>(effects))
+        EXPECT_EQ(effects.size(), all<AnswerHeartbeat>(effects).size());
+        for (const auto& a : all<AnswerHeartbeat>(effects))
             EXPECT_EQ(a.status, 503);
     }
     EXPECT_EQ(s.core.live_tasks("wk-000001"), 1U);
@@ -188,9 +188,9 @@
 
 TEST(Core, AHigherTermInAReportEndsTheOffice) {
     OneTask s;
-    const auto effects = s.give(Beat{OneTask::report(2, std::uint64_t{8} << fence_bits), 2});
+    const auto effects = s.give(HeartbeatReceived{OneTask::heartbeat(2, std::uint64_t{8} << token_counter_bits), 2});
     EXPECT_EQ(all<Resign>(effects).size(), 1U);
-    EXPECT_EQ(all<BeatAnswer>(effects).at(0).status, 503);
+    EXPECT_EQ(all<AnswerHeartbeat>(effects).at(0).status, 503);
     EXPECT_FALSE(s.core.view("wk-000001"));
 }
 
@@ -200,7 +200,8 @@
     const std::vector<ReportedTask> done{{"wk-000002", 0, 5, TaskState::ended, ExitCause::done, false}};
     auto reaps = [&](std::uint64_t counter) {
         std::size_t n = 0;
-        for (const auto& a : all<BeatAnswer>(s.give(Beat{OneTask::report(counter, s.fence, done), counter})))
+        for (const auto& a : all<AnswerHeartbeat>(
+                 s.give(HeartbeatReceived{OneTask::heartbeat(counter, s.fencing_token, done), counter})))
             for (const auto& o : a.orders)
                 n += o.verb == Verb::reap;
         return n;
@@ -212,9 +213,9 @@
 
 TEST(Core, AFinishedJobIsNotBroughtBackByALateEvent) {
     OneTask s;
-    s.give(CancelAsked{"wk-000001", 9});
+    s.give(CancellationRequested{"wk-000001", 9});
     s.idle(0.5);
-    s.give(Beat{OneTask::report(9, s.fence + 1), 2});
+    s.give(HeartbeatReceived{OneTask::heartbeat(9, s.fencing_token + 1), 2});
     s.idle(1);
     s.give(JobStored{job(1, Shape::service, 1, 4), 0});
     ASSERT_TRUE(s.core.view("wk-000001"));
@@ -226,8 +227,8 @@
     const auto before = s.core.machine_count();
     s.give(Released{{"n-1"}, true});
     EXPECT_EQ(s.core.live_tasks("wk-000001"), 0U);
-    s.give(Listed{{{"n-1", "10.1.0.1:9000", "m8", "a", "running", false, 50}}, 0});
-    EXPECT_EQ(all<BeatAnswer>(s.give(Beat{OneTask::report(50, 0), 50})).at(0).status, 503);
+    s.give(MachinesListed{{{"n-1", "10.1.0.1:9000", "m8", "a", "running", false, 50}}, 0});
+    EXPECT_EQ(all<AnswerHeartbeat>(s.give(HeartbeatReceived{OneTask::heartbeat(50, 0), 50})).at(0).status, 503);
     EXPECT_EQ(s.core.machine_count(), before - 1);
 }
 
@@ -249,37 +250,39 @@
                 }
             }
     };
-    give({TypesKnown{small_types()}, JobStored{job(1, Shape::array, 1, 4), 0},
-          Beat{OneTask::report(50, (std::uint64_t{6} << fence_bits) + 3), 1}});
+    give({MachineTypesKnown{small_types()}, JobStored{job(1, Shape::array, 1, 4), 0},
+          HeartbeatReceived{OneTask::heartbeat(50, (std::uint64_t{6} << token_counter_bits) + 3), 1}});
     EXPECT_EQ(launches, 0U);
     EXPECT_EQ(questions, 1U); // its answer proves it sooner than its next report
-    give({Beat{OneTask::report(51, std::uint64_t{7} << fence_bits), 2}});
+    give({HeartbeatReceived{OneTask::heartbeat(51, std::uint64_t{7} << token_counter_bits), 2}});
     EXPECT_EQ(launches, 1U);
 }
 
 // A copy would renew what counts as the lease of a machine that is gone, and be told what the live report should be.
 TEST(Core, ACopyOfAReportIsNoReport) {
     OneTask s;
-    const auto live = OneTask::report(
-        8, s.fence, {{"wk-000001", 0, s.launch.orders[0].try_no, TaskState::running, ExitCause::none, false}});
-    EXPECT_EQ(all<BeatAnswer>(s.give(Beat{live, 2})).at(0).status, 200);
-    s.give(OrdersAnswered{"n-1", s.launch.batch, 200, true, OneTask::report(10, s.fence, live.tasks)});
+    const auto live = OneTask::heartbeat(
+        8, s.fencing_token, {{"wk-000001", 0, s.launch.orders[0].try_no, TaskState::running, ExitCause::none, false}});
+    EXPECT_EQ(all<AnswerHeartbeat>(s.give(HeartbeatReceived{live, 2})).at(0).status, 200);
+    s.give(OrdersAnswered{"n-1", s.launch.batch, 200, true, OneTask::heartbeat(10, s.fencing_token, live.tasks)});
     // Sent before the answer that has overtaken it, it is owed an answer; but it renews nothing beyond that.
     s.idle(5);
-    EXPECT_EQ(all<BeatAnswer>(s.give(Beat{OneTask::report(9, s.fence), 3})).at(0).status, 200);
+    EXPECT_EQ(all<AnswerHeartbeat>(s.give(HeartbeatReceived{OneTask::heartbeat(9, s.fencing_token), 3})).at(0).status,
+              200);
     EXPECT_EQ(s.core.view("wk-000001")->running, 1U);
     for (double t = 0; t < s.settings.lease_s - 6; t += 0.5) {
-        EXPECT_EQ(all<BeatAnswer>(s.give(Beat{live, 4})).at(0).status, 503);
+        EXPECT_EQ(all<AnswerHeartbeat>(s.give(HeartbeatReceived{live, 4})).at(0).status, 503);
         s.idle(0.4);
     }
     EXPECT_EQ(s.core.live_tasks("wk-000001"), 1U);
-    s.give(Beat{live, 5});
+    s.give(HeartbeatReceived{live, 5});
     s.idle(2);
     EXPECT_EQ(s.core.live_tasks("wk-000001"), 0U);
     // Nor does one bring the machine back, once it has been forgotten.
     s.idle(4 * s.settings.list_lag_s + 3 * s.settings.lease_s);
-    EXPECT_EQ(all<BeatAnswer>(s.give(Beat{live, 6})).at(0).status, 503);
-    EXPECT_EQ(all<BeatAnswer>(s.give(Beat{OneTask::report(11, s.fence), 7})).at(0).status, 200);
+    EXPECT_EQ(all<AnswerHeartbeat>(s.give(HeartbeatReceived{live, 6})).at(0).status, 503);
+    EXPECT_EQ(all<AnswerHeartbeat>(s.give(HeartbeatReceived{OneTask::heartbeat(11, s.fencing_token), 7})).at(0).status,
+              200);
 }
 
 TEST(Core, CountsCopiesAndTheOldestWaitByClassAndTeam) {
@@ -291,7 +294,7 @@
         return -1.0;
     };
     const auto copies = value("heronshift_reports_dropped_total", "old");
-    t.give(Beat{OneTask::report(1, t.fence), 9}); // the one that was heard first
+    t.give(HeartbeatReceived{OneTask::heartbeat(1, t.fencing_token), 9}); // the one that was heard first
     EXPECT_EQ(value("heronshift_reports_dropped_total", "old"), copies + 1);
     t.give(JobStored{job(7, Shape::array, 1, 500), 3}); // fits no machine, and was ready 3 s ago
     t.idle(2);
--- a/tests/test_day.cpp
+++ b/tests/test_day.cpp
@@ -152,13 +152,13 @@
     if (orders_reach)
         f.misses_answers.insert(id);
     else
-        f.deafen(id, f.names());
+        f.make_inbound_unreachable(id, f.names());
     const double since = f.now;
     double known_at = -1, known_there = -1, gone_at = -1;
     int placed = 0;
     f.more = [&] {
         const auto* m = f.known(id);
-        if (known_at < 0 && m != nullptr && m->deaf()) {
+        if (known_at < 0 && m != nullptr && m->inbound_unreachable()) {
             known_at = f.now;
             known_there = f.nodes[*f.leader()].clock->now();
         }
@@ -193,7 +193,7 @@
         some.resize(5);
         const int before = f.lapses;
         for (const auto& id : some)
-            f.deafen(id, {f.nodes[*f.leader()].name});
+            f.make_inbound_unreachable(id, {f.nodes[*f.leader()].name});
         f.work(f.leases(4));
         EXPECT_EQ(first(f), "") << seed;
         EXPECT_EQ(f.lapses, before) << seed;
@@ -215,7 +215,7 @@
 TEST_P(Deafness, OfManyStartsTheirWorkElsewhereOnlyOnceItIsGone) {
     Day f(31, 5, 60);
     ASSERT_TRUE(f.settle(60));
-    f.deafen_some(GetParam().share, GetParam().zone, f.all_nodes(), f.leases(3));
+    f.make_some_inbound_unreachable(GetParam().share, GetParam().zone, f.all_nodes(), f.leases(3));
     for (const auto& [id, u] : f.asks)
         if (f.chance() < 0.1 && u.seen.done_at < 0)
             f.withdraw(id);
@@ -254,12 +254,12 @@
     ASSERT_TRUE(f.settle(40));
     const auto id = f.busy().at(0);
     auto& w = f.workers[id];
-    const auto body = codec::to_body(f.report(w));
+    const auto body = codec::to_body(f.heartbeat(w));
     const auto zone = Fleet::zone(w.zone);
     w.dead = true;
     const double since = f.now;
     f.more = [&] { // several a second, of one moment
-        f.http(zone, f.pick(3), {"POST", std::string(codec::path_report), "", body}, false, 4,
+        f.http(zone, f.pick(3), {"POST", std::string(codec::path_heartbeat), "", body}, false, 4,
                [](const std::optional<HttpReply>&, bool) {});
     };
     double freed_at = -1;
@@ -315,8 +315,8 @@
             try_out("job", {"GET", std::string(codec::path_jobs) + "/wk-000001", "", ""});
             try_out("submission",
                     {"POST", std::string(codec::path_jobs), "", codec::to_body(job(777, Shape::array, 1, 1))});
-            try_out("report",
-                    {"POST", std::string(codec::path_report), "", codec::to_body(f.report(f.workers.begin()->second))});
+            try_out("report", {"POST", std::string(codec::path_heartbeat), "",
+                               codec::to_body(f.heartbeat(f.workers.begin()->second))});
             f.work(1);
             for (const auto* what : {"up", "job", "submission", "report"}) {
                 // A standby may still know who held the office a moment ago.
--- a/tests/test_golden.cpp
+++ b/tests/test_golden.cpp
@@ -44,8 +44,8 @@
     return s;
 }
 
-Report full_report() {
-    Report r{"n-1", "10.0.0.9:9000", "g8", "a", true, 3, 88, 41, 90, {}};
+Heartbeat full_report() {
+    Heartbeat r{"n-1", "10.0.0.9:9000", "g8", "a", true, 3, 88, 41, 90, {}};
     r.tasks = {{"wk-000412", 0, 1, TaskState::fetching, ExitCause::none, false},
                {"wk-000412", 1, 2, TaskState::waiting, ExitCause::none, false},
                {"wk-000412", 2, 3, TaskState::running, ExitCause::none, true},
@@ -140,17 +140,17 @@
 
 // --- workers ---
 
-TEST_F(Golden, Report) {
+TEST_F(Golden, Heartbeat) {
     expect_golden("workers/report.json", codec::to_body(full_report()));
-    const auto read = codec::report(golden("workers/report.json"));
+    const auto read = codec::heartbeat(golden("workers/report.json"));
     ASSERT_TRUE(read);
     EXPECT_EQ(codec::to_body(*read), golden("workers/report.json"));
 }
 
 TEST_F(Golden, ReportOfAnEmptyMachine) {
-    const heronshift::Report empty{"n-2", "10.0.0.10:9000", "m4", "", false, 1, 0, 0, -1, {}};
+    const heronshift::Heartbeat empty{"n-2", "10.0.0.10:9000", "m4", "", false, 1, 0, 0, -1, {}};
     expect_golden("workers/report_empty.json", codec::to_body(empty));
-    const auto read = codec::report(golden("workers/report_empty.json"));
+    const auto read = codec::heartbeat(golden("workers/report_empty.json"));
     ASSERT_TRUE(read);
     EXPECT_LT(read->notice_s, 0);
     EXPECT_EQ(codec::to_body(*read), golden("workers/report_empty.json"));
@@ -160,16 +160,16 @@
     expect_golden("workers/orders.json", codec::orders(std::uint64_t{7} << 24, all_orders()));
     expect_golden("workers/orders_none.json", codec::orders(1, {}));
     const auto read = codec::read_orders(golden("workers/orders.json"));
-    ASSERT_TRUE(read && read->fence);
-    EXPECT_FALSE(read->tenure);
-    EXPECT_EQ(codec::orders(*read->fence, read->list), golden("workers/orders.json"));
+    ASSERT_TRUE(read && read->fencing_token);
+    EXPECT_FALSE(read->agent_epoch);
+    EXPECT_EQ(codec::orders(*read->fencing_token, read->list), golden("workers/orders.json"));
 }
 
 TEST_F(Golden, Commands) {
     expect_golden("workers/commands.json", codec::commands(std::uint64_t{7} << 24, 3, all_orders()));
     const auto read = codec::read_orders(golden("workers/commands.json"));
-    ASSERT_TRUE(read && read->fence && read->tenure);
-    EXPECT_EQ(codec::commands(*read->fence, *read->tenure, read->list), golden("workers/commands.json"));
+    ASSERT_TRUE(read && read->fencing_token && read->agent_epoch);
+    EXPECT_EQ(codec::commands(*read->fencing_token, *read->agent_epoch, read->list), golden("workers/commands.json"));
 }
 
 TEST_F(Golden, Redirect) {
@@ -248,20 +248,20 @@
 }
 
 TEST_F(Golden, StoreTransactionAnswers) {
-    expect_golden("store/epoch.json", codec::epoch_answer(433));
+    expect_golden("store/epoch.json", codec::revision_answer(433));
     expect_golden("store/failed.json", codec::failed_answer({"office", "round"}, 433));
-    EXPECT_EQ(codec::epoch_of(golden("store/epoch.json")), 433U);
-    EXPECT_EQ(codec::epoch_of(golden("store/failed.json")), 433U);
+    EXPECT_EQ(codec::revision_of(golden("store/epoch.json")), 433U);
+    EXPECT_EQ(codec::revision_of(golden("store/failed.json")), 433U);
     const auto read = codec::failed_guards(golden("store/failed.json"));
     ASSERT_TRUE(read);
     EXPECT_EQ(codec::failed_answer(*read, 433), golden("store/failed.json"));
 }
 
 TEST_F(Golden, StoreLeases) {
-    expect_golden("store/hold_request.json", codec::hold_request(2.5));
-    expect_golden("store/hold.json", codec::hold_answer(7));
+    expect_golden("store/hold_request.json", codec::lease_request(2.5));
+    expect_golden("store/hold.json", codec::lease_answer(7));
     EXPECT_EQ(codec::ttl_ms_of(golden("store/hold_request.json")), 2500);
-    EXPECT_EQ(codec::hold_of(golden("store/hold.json")), 7U);
+    EXPECT_EQ(codec::lease_of(golden("store/hold.json")), 7U);
 }
 
 // --- peers ---
@@ -286,10 +286,10 @@
 
 TEST_F(Golden, Paths) {
     std::string lines;
-    for (const auto path : {codec::path_jobs, codec::path_health, codec::path_report, codec::path_commands,
+    for (const auto path : {codec::path_jobs, codec::path_health, codec::path_heartbeat, codec::path_commands,
                             codec::path_status, codec::path_types, codec::path_rentals, codec::path_release,
-                            codec::path_store, codec::path_txn, codec::path_holds, codec::path_follow,
-                            codec::suffix_cancel, codec::suffix_extend, std::string_view(membership::peer_view)})
+                            codec::path_store, codec::path_txn, codec::path_leases, codec::path_follow,
+                            codec::suffix_cancel, codec::suffix_renew, std::string_view(membership::peer_view)})
         lines += std::string(path) + '\n';
     lines.pop_back();
     expect_golden("paths.txt", lines);
--- a/tests/test_golden_controller.cpp
+++ b/tests/test_golden_controller.cpp
@@ -44,7 +44,7 @@
     }
     void put(const std::string& key, const std::string& value) {
         engine.data().begin();
-        engine.data().put(key, {value, engine.data().next_epoch(), 0});
+        engine.data().put(key, {value, engine.data().next_revision(), 0});
         engine.data().commit();
     }
     std::string value(const std::string& key) {
@@ -88,7 +88,7 @@
     void types(double, std::function<void(std::optional<std::vector<MachineType>>&&)> done) override {
         done(types_known ? std::optional(small_types()) : std::nullopt);
     }
-    void pass_on(const std::string&, std::string, double, std::function<void(HttpReply&&)> done) override {
+    void forward(const std::string&, std::string, double, std::function<void(HttpReply&&)> done) override {
         done({0, "", passes_on});
     }
     bool types_known = true, passes_on = true;
@@ -213,7 +213,7 @@
 
 TEST_F(Golden, AnswersToWorkers) {
     LoneController c;
-    const std::string path(codec::path_report);
+    const std::string path(codec::path_heartbeat);
     std::string said = c.ask("POST", path, report_of(1));
     c.run(6);
     said += c.ask("POST", path, report_of(2));
@@ -232,13 +232,13 @@
     c.state->put("office", golden("records/office_of_peer.json"));
     c.run(1);
     const std::string jobs(codec::path_jobs);
-    std::string said = c.ask("POST", std::string(codec::path_report), report_of(1));
+    std::string said = c.ask("POST", std::string(codec::path_heartbeat), report_of(1));
     said += c.ask("POST", jobs, codec::to_body(job(1, Shape::array, 2, 1)));
     said += c.ask("GET", jobs + "/wk-000001");
     said += c.ask("POST", jobs + "/wk-000001/cancel");
     said += c.ask("GET", "/peer/office");
     said += c.ask("POST", "/peer" + jobs + "/wk-000001/cancel");
-    said += c.ask("POST", "/peer" + std::string(codec::path_report), report_of(2));
+    said += c.ask("POST", "/peer" + std::string(codec::path_heartbeat), report_of(2));
     expect_golden("peers/answers_of_a_standby.txt", without_last_line_end(said));
 }
 
@@ -247,7 +247,7 @@
     c.store_down = true;
     c.run(6);
     expect_golden("workers/answers_no_leader.txt",
-                  without_last_line_end(c.ask("POST", std::string(codec::path_report), report_of(1))));
+                  without_last_line_end(c.ask("POST", std::string(codec::path_heartbeat), report_of(1))));
 }
 
 TEST_F(Golden, AnswersToPeers) {
--- a/tests/test_golden_records.cpp
+++ b/tests/test_golden_records.cpp
@@ -68,7 +68,7 @@
     const auto text_of = [](const std::vector<intents::Intent>& all) {
         intents::Writer writer;
         for (const auto& i : all)
-            writer.add(i.machine, i.zone, i.tenure, i.job, i.index, i.try_no);
+            writer.add(i.machine, i.zone, i.agent_epoch, i.job, i.index, i.try_no);
         return writer.take();
     };
     expect_golden("records/placements.txt", text_of(list));
@@ -109,7 +109,7 @@
     std::unique_ptr<Core> core;
     double now = 0;
     std::uint64_t reports = 0;
-    std::vector<Command> next{TypesKnown{small_types()}};
+    std::vector<Command> next{MachineTypesKnown{small_types()}};
     std::map<std::pair<std::string, std::uint32_t>, ReportedTask> tasks; // on the machine
 
     explicit OneMachine(const Snapshot& stored) {
@@ -120,8 +120,8 @@
         store["j/" + spec.id] = codec::to_record({spec, started_wall + now, -1, waits, {}});
         next.push_back(JobStored{spec, 0, -1, waits});
     }
-    Report report() {
-        Report r{"n-1", "10.1.0.1:9000", "m8", "a", false, 1, ++reports, term << fence_bits, -1, {}};
+    Heartbeat heartbeat() {
+        Heartbeat r{"n-1", "10.1.0.1:9000", "m8", "a", false, 1, ++reports, term << token_counter_bits, -1, {}};
         for (const auto& [name, t] : tasks)
             r.tasks.push_back(t);
         return r;
@@ -152,9 +152,9 @@
             }
             if (const auto* o = std::get_if<SendOrders>(&e)) {
                 obey(o->orders);
-                next.push_back(OrdersAnswered{o->machine, o->batch, 200, true, report()});
+                next.push_back(OrdersAnswered{o->machine, o->batch, 200, true, heartbeat()});
             }
-            if (const auto* a = std::get_if<BeatAnswer>(&e))
+            if (const auto* a = std::get_if<AnswerHeartbeat>(&e))
                 obey(a->orders);
         }
         now += 0.125; // a sum of such is exact
@@ -162,7 +162,7 @@
     void run(double seconds) {
         for (const double until = now + seconds; now < until;) {
             if (std::fmod(now, 1) == 0)
-                next.push_back(Beat{report(), reports});
+                next.push_back(HeartbeatReceived{heartbeat(), reports});
             step();
         }
     }
@@ -197,7 +197,7 @@
         w.end("wk-000001", index);
     w.end("wk-000003", 0);
     w.run(8);
-    w.next.push_back(CancelAsked{"wk-000006", 1});
+    w.next.push_back(CancellationRequested{"wk-000006", 1});
     w.run(1);
     return w.store;
 }
@@ -291,7 +291,7 @@
         EXPECT_TRUE(read.unproven.empty() && !read.damaged) << key;
         intents::Writer writer;
         for (const auto& i : read.intents)
-            writer.add(i.machine, i.zone, i.tenure, i.job, i.index, i.try_no);
+            writer.add(i.machine, i.zone, i.agent_epoch, i.job, i.index, i.try_no);
         EXPECT_EQ(writer.take(), text) << key;
         ++records;
     }
--- a/tests/test_large_fleet.cpp
+++ b/tests/test_large_fleet.cpp
@@ -42,7 +42,7 @@
     static std::string name(int machine) {
         return fmt::format("n-{:06}", machine);
     }
-    static Report report_of(int machine, std::uint64_t counter) {
+    static Heartbeat report_of(int machine, std::uint64_t counter) {
         const auto id = name(machine);
         const ReportedTask task{
             "wk-000001", static_cast<std::uint32_t>(machine), 7, TaskState::running, ExitCause::none, false};
@@ -51,9 +51,9 @@
     // The status of the answer.
     int hear(int machine, std::uint64_t counter) {
         out.clear();
-        ledger.heard(Beat{report_of(machine, counter), counter});
+        ledger.heard(HeartbeatReceived{report_of(machine, counter), counter});
         for (const auto& effect : out)
-            if (const auto* answer = std::get_if<BeatAnswer>(&effect))
+            if (const auto* answer = std::get_if<AnswerHeartbeat>(&effect))
                 return answer->status;
         return 0;
     }
@@ -71,7 +71,7 @@
         ledger.released(Released{{id}, true});
     }
     void list(int from, int to) {
-        Listed all;
+        MachinesListed all;
         for (int i = from; i < to; ++i)
             all.machines.push_back({name(i), name(i), "m8", "a", "running", false, 1});
         ledger.listed(all);
@@ -105,7 +105,7 @@
         refused += fleet.hear(i, 11) == 503; // newer than what was heard, sent before the machine went
     fleet.list(0, fleet_size);
     EXPECT_EQ(refused, lost_size);
-    EXPECT_EQ(fleet.ledger.counters().gone_reports, lost_size);
+    EXPECT_EQ(fleet.ledger.counters().heartbeats_of_gone_machines, lost_size);
     EXPECT_EQ(fleet.known(), fleet_size - lost_size);
     EXPECT_EQ(fleet.whole_job().live, fleet_size - lost_size);
 }
@@ -129,7 +129,7 @@
         refused += fleet.hear(i, 10 - static_cast<std::uint64_t>(i % 3)) == 503;
     fleet.list(0, fleet_size);
     EXPECT_EQ(refused, lost_size);
-    EXPECT_EQ(fleet.ledger.counters().old_reports, lost_size);
+    EXPECT_EQ(fleet.ledger.counters().stale_heartbeats, lost_size);
     EXPECT_EQ(fleet.up(), fleet_size - lost_size);
     EXPECT_EQ(fleet.whole_job().live, fleet_size - lost_size);
     // One of them is back: its next heartbeat is news.
@@ -236,11 +236,12 @@
     Snapshot empty;
     empty.jobs.push_back(stored_job);
     Core leader(s, 1, empty, 0, 0);
-    std::vector<Command> commands{TypesKnown{small_types()}};
-    std::map<std::string, Report> reports;
+    std::vector<Command> commands{MachineTypesKnown{small_types()}};
+    std::map<std::string, Heartbeat> reports;
     for (int i = 0; i < machines; ++i) {
         const auto id = LargeFleet::name(i);
-        reports[id] = {id, id, "m8", i % 2 == 0 ? "a" : "b", false, 1, 0, std::uint64_t{1} << fence_bits, -1, {}};
+        reports[id] = {id, id, "m8", i % 2 == 0 ? "a" : "b", false, 1, 0, std::uint64_t{1} << token_counter_bits,
+                       -1, {}};
     }
     std::map<std::string, codec::Json> records; // of placements, as stored
     std::size_t launched = 0, longest = 0;
@@ -248,9 +249,9 @@
     for (; now < 60 && launched < machines; now += 0.05) {
         if (now >= next_report) {
             next_report += s.report_s;
-            for (auto& [id, report] : reports) {
-                ++report.counter;
-                commands.emplace_back(Beat{report, 1});
+            for (auto& [id, heartbeat] : reports) {
+                ++heartbeat.counter;
+                commands.emplace_back(HeartbeatReceived{heartbeat, 1});
             }
         }
         bool stored = false;
--- a/tests/test_ledger.cpp
+++ b/tests/test_ledger.cpp
@@ -19,22 +19,22 @@
 };
 
 // Machines of both zones and kinds, and a policy that proposes whatever it is told to.
-struct Desk {
+struct HeartbeatHandler {
     Settings settings = small_settings();
     std::vector<Effect> out;
     NoBooks books;
     Ledger ledger{settings, 1, 0, 0, out};
     std::uint64_t counter = 0;
 
-    Desk() {
+    HeartbeatHandler() {
         ledger.keep(books);
         ledger.types_known(small_types());
         for (const auto* id : {"a1", "a2", "b1", "s1"})
             up(id);
     }
     void up(const std::string& id) {
-        Report r{id, id, "m8", id[0] == 'b' ? "b" : "a", id[0] == 's', 1, ++counter, 0, -1, {}};
-        ledger.heard(Beat{r, counter});
+        Heartbeat r{id, id, "m8", id[0] == 'b' ? "b" : "a", id[0] == 's', 1, ++counter, 0, -1, {}};
+        ledger.receive_heartbeat(HeartbeatReceived{r, counter});
     }
     const ledger::Job& add(const JobSpec& s, bool waits = false) {
         JobStored c{s, 0, -1, waits};
@@ -53,7 +53,7 @@
 };
 
 TEST(Ledger, RefusesAPlaceThatTheJobDoesNotAllow) {
-    Desk d;
+    HeartbeatHandler d;
     auto s = job(1, Shape::service, 4, 1);
     EXPECT_EQ(d.refusal(d.add(s), "s1"), "a type, zone or kind that the job does not allow"); // no spot
     s = job(2, Shape::array, 4, 1);
@@ -67,7 +67,7 @@
 }
 
 TEST(Ledger, RefusesToSplitOrCrowdAJob) {
-    Desk d;
+    HeartbeatHandler d;
     auto s = job(1, Shape::gang, 3, 1);
     s.one_zone = true;
     const auto& together = d.add(s);
@@ -84,7 +84,7 @@
 }
 
 TEST(Ledger, RefusesWhatExceedsRoomOrLimit) {
-    Desk d;
+    HeartbeatHandler d;
     const auto& big = d.add(job(1, Shape::array, 9, 5)); // machines of 8 CPUs
     EXPECT_EQ(d.refusal(big, "a1"), "");
     EXPECT_EQ(d.refusal(big, "a1"), "no room");
@@ -99,7 +99,7 @@
 }
 
 TEST(Ledger, RefusesWhatWaitsIsOverOrOnItsWayOut) {
-    Desk d;
+    HeartbeatHandler d;
     auto s = job(2, Shape::array, 2, 1);
     s.needs = {"wk-000001"};
     const auto& waits = d.add(s, true);
@@ -115,7 +115,7 @@
 
 // A refused proposal changes nothing and is said in the log.
 TEST(Ledger, ARefusedProposalLeavesTheStateAsItWas) {
-    Desk d;
+    HeartbeatHandler d;
     const auto& j = d.add(job(1, Shape::service, 2, 1));
     d.out.clear();
     EXPECT_FALSE(d.ledger.place(j, d.machine("s1")));
--- a/tests/test_local.cpp
+++ b/tests/test_local.cpp
@@ -173,10 +173,11 @@
                 machine = page->machines.at(0).addr;
         }
     }
-    Report command(std::uint64_t fence, std::uint64_t tenure, const std::vector<Order>& list, int status = 200) {
-        const auto r = ask(machine, "POST", "/commands", codec::commands(fence, tenure, list));
+    Heartbeat command(std::uint64_t fencing_token, std::uint64_t agent_epoch, const std::vector<Order>& list,
+                      int status = 200) {
+        const auto r = ask(machine, "POST", "/commands", codec::commands(fencing_token, agent_epoch, list));
         EXPECT_EQ(r.status, status);
-        return codec::report(r.body).value_or(Report{});
+        return codec::heartbeat(r.body).value_or(Heartbeat{});
     }
 };
 
@@ -199,7 +200,7 @@
     rent();
     auto r = command(7, 1, {{Verb::launch, "wk-1", 0, 1, 0}});
     ASSERT_EQ(r.tasks.size(), 1U);
-    EXPECT_EQ(r.fence, 7U);
+    EXPECT_EQ(r.fencing_token, 7U);
     EXPECT_EQ(command(6, 1, {{Verb::launch, "wk-1", 1, 1, 0}}, 409).tasks.size(), 1U);
     EXPECT_EQ(command(7, 2, {{Verb::launch, "wk-1", 1, 1, 0}}, 409).tasks.size(), 1U);
     EXPECT_EQ(ask(machine, "POST", "/commands", "{}").status, 400);
@@ -220,9 +221,10 @@
     rent();
     platform->any()->late_until = platform->now() + 0.6;
     int answered = 0, given_up = 0;
-    const auto send = [&](std::uint64_t fence, std::uint32_t index) {
-        client->request(machine, "POST", "/commands", codec::commands(fence, 1, {{Verb::launch, "wk-1", index, 1, 0}}),
-                        0.2, [&](HttpReply&& r) { ++(r.status == 0 && r.sent ? given_up : answered); });
+    const auto send = [&](std::uint64_t fencing_token, std::uint32_t index) {
+        client->request(machine, "POST", "/commands",
+                        codec::commands(fencing_token, 1, {{Verb::launch, "wk-1", index, 1, 0}}), 0.2,
+                        [&](HttpReply&& r) { ++(r.status == 0 && r.sent ? given_up : answered); });
     };
     send(7, 0);
     send(6, 1); // of an earlier holder
@@ -231,8 +233,8 @@
         client->sweep();
     }
     EXPECT_EQ(given_up, 2);
-    EXPECT_EQ(platform->sum().fence, 0U); // nothing has arrived
-    while (platform->sum().fence == 0)
+    EXPECT_EQ(platform->sum().fencing_token, 0U); // nothing has arrived
+    while (platform->sum().fencing_token == 0)
         uv_run(&loop, UV_RUN_ONCE);
     const auto r = command(7, 1, {});
     ASSERT_EQ(r.tasks.size(), 1U);
--- a/tests/test_meetings.cpp
+++ b/tests/test_meetings.cpp
@@ -414,10 +414,10 @@
                      for (const auto& [id, w] : f.workers)
                          if (f.chance() < 0.4)
                              list.push_back(id);
-                     f.mute.insert(list.begin(), list.end());
+                     f.outbound_unreachable.insert(list.begin(), list.end());
                      f.send(f.leases(f.between(0.4, 1.4)), [&f, list] {
                          for (const auto& id : list)
-                             f.mute.erase(id);
+                             f.outbound_unreachable.erase(id);
                      });
                      f.send(2, [&f] { some_cancel(f, 0.3); });
                  }
--- a/tests/test_records.cpp
+++ b/tests/test_records.cpp
@@ -12,7 +12,7 @@
                                           {"n-2", "", 1, "wk-000002", 1, 71},  {"n-2", "", 1, "wk-000002", 3, 71}};
     intents::Writer w;
     for (const auto& i : in)
-        w.add(i.machine, i.zone, i.tenure, i.job, i.index, i.try_no);
+        w.add(i.machine, i.zone, i.agent_epoch, i.job, i.index, i.try_no);
     const auto text = w.take();
     EXPECT_EQ(text, "n-1 a 1 wk-000001/3-4:70 wk-000001/5:71\nn-1 a 2 wk-000002/0:71\n"
                     "n-2 - 1 wk-000002/1:71 wk-000002/3:71");
@@ -53,8 +53,8 @@
     return core.step(q, now, now);
 }
 
-Report beat(const std::string& id, std::uint64_t counter, std::uint64_t fence) {
-    return {id, "10.1.0.1:9000", "m8", "a", false, 1, counter, fence, -1, {}};
+Heartbeat heartbeat(const std::string& id, std::uint64_t counter, std::uint64_t fencing_token) {
+    return {id, "10.1.0.1:9000", "m8", "a", false, 1, counter, fencing_token, -1, {}};
 }
 
 // A core whose store always answers; counts the launches it sends.
@@ -93,12 +93,13 @@
     stored.intents.push_back({"i/0", {{"t", "n-9 a 1 wk-00"}}, 1, false});
     Core core(settings, 7, stored, 0, 0);
     Launches l{core};
-    l.give({TypesKnown{small_types()}, Beat{beat("n-1", 1, std::uint64_t{7} << fence_bits), 1}});
+    l.give({MachineTypesKnown{small_types()},
+            HeartbeatReceived{heartbeat("n-1", 1, std::uint64_t{7} << token_counter_bits), 1}});
     EXPECT_EQ(l.within(2), 0);
-    l.give({Beat{beat("n-9", 1, 0), 2}}); // has not seen our term: proves nothing
+    l.give({HeartbeatReceived{heartbeat("n-9", 1, 0), 2}}); // has not seen our term: proves nothing
     EXPECT_EQ(l.within(0.5), 0);
-    l.give({Beat{beat("n-9", 2, std::uint64_t{7} << fence_bits), 3},
-            Beat{beat("n-1", 2, std::uint64_t{7} << fence_bits), 4}});
+    l.give({HeartbeatReceived{heartbeat("n-9", 2, std::uint64_t{7} << token_counter_bits), 3},
+            HeartbeatReceived{heartbeat("n-1", 2, std::uint64_t{7} << token_counter_bits), 4}});
     EXPECT_EQ(l.within(2), 2);
 }
 
@@ -109,9 +110,9 @@
     stored.images.push_back(
         {"c/0", codec::parse(R"({"names":[["other",1],["img",0.5]],"held":{"n-2":[1],"n-1":[0,7]}})"), 1, false});
     Core core(settings, 7, stored, 0, 0);
-    std::vector<Command> q{TypesKnown{small_types()}};
+    std::vector<Command> q{MachineTypesKnown{small_types()}};
     for (const auto* id : {"n-1", "n-2", "n-3"})
-        q.emplace_back(Beat{beat(id, 1, std::uint64_t{7} << fence_bits), 1});
+        q.emplace_back(HeartbeatReceived{heartbeat(id, 1, std::uint64_t{7} << token_counter_bits), 1});
     std::string where;
     bool stored_now = false;
     for (double t = 0.1; t < 2; t += 0.05) {
@@ -139,7 +140,7 @@
                               false});
     Core core(settings, 7, stored, 0, 0);
     for (double t = 0.1; t < settings.lease_s; t += 0.2)
-        for (const auto& e : step(core, t, {TypesKnown{small_types()}}))
+        for (const auto& e : step(core, t, {MachineTypesKnown{small_types()}}))
             EXPECT_FALSE(std::holds_alternative<Rent>(e)) << "at " << t;
 }
 
@@ -218,11 +219,12 @@
         Snapshot s;
         s.learned.push_back({"l/0", learned, 1, false});
         Core core(settings, 7, s, 0, 100);
-        std::vector<Command> q{TypesKnown{small_types()},
-                               Listed{{{"n-1", "10.1.0.1:9000", "m8", "a", "running", false, 100}}, 0}};
+        std::vector<Command> q{MachineTypesKnown{small_types()},
+                               MachinesListed{{{"n-1", "10.1.0.1:9000", "m8", "a", "running", false, 100}}, 0}};
         std::uint64_t counter = 0;
         for (double now = 0.05; now < 15; now += 0.5) {
-            q.emplace_back(Beat{beat("n-1", ++counter, std::uint64_t{7} << fence_bits), counter});
+            q.emplace_back(
+                HeartbeatReceived{heartbeat("n-1", ++counter, std::uint64_t{7} << token_counter_bits), counter});
             for (const auto& e : core.step(q, now, 100 + now)) {
                 if (std::holds_alternative<Release>(e))
                     return now;
--- a/tests/test_replay.cpp
+++ b/tests/test_replay.cpp
@@ -43,7 +43,7 @@
 void play(World& w, const std::string& path, std::uint64_t most_bytes = 1 << 30) {
     CommandLog log(path, most_bytes);
     w.log = &log;
-    w.beat_loss = w.order_loss = 0.1;
+    w.heartbeat_loss = w.order_loss = 0.1;
     w.acquire_leadership();
     w.submit(job(1, Shape::array, 12, 2));
     w.submit(job(2, Shape::gang, 3, 4));
--- a/tests/test_same.cpp
+++ b/tests/test_same.cpp
@@ -27,7 +27,7 @@
 
 constexpr double report_s = 30, lease_s = 180;
 constexpr double step_s = report_s / 20 * 1.001; // the core's own tick is due in each
-constexpr double reports_after = 0.2;            // of a step: sooner than the pass after the one at its beginning
+constexpr double heartbeats_after = 0.2;         // of a step: sooner than the pass after the one at its beginning
 constexpr int quiet_turns = 8;                   // of the loop: more than any message takes on loopback
 constexpr int most_steps = 6000;
 #ifdef __SANITIZE_ADDRESS__
@@ -154,12 +154,12 @@
     // First the controllers decide, by what had reached them before; then users ask, so soon after that no
     // pass is due again; then machines report what has become of their tasks.
     void step(const std::function<void()>& ask = {}) {
-        clock->at += (1 - reports_after) * step_s;
+        clock->at += (1 - heartbeats_after) * step_s;
         settle(false);
         if (ask)
             ask();
         settle(false);
-        clock->at += reports_after * step_s;
+        clock->at += heartbeats_after * step_s;
         settle(true);
         std::sort(now_launched.begin(), now_launched.end());
         for (auto& l : now_launched)
--- a/tests/test_scheduler.cpp
+++ b/tests/test_scheduler.cpp
@@ -81,8 +81,8 @@
         o.state_file = file;
         return o;
     }
-    void reports_to(const Scheduler& s) {
-        platform->report_to({{"copy", fmt::format("127.0.0.1:{}", s.port())}});
+    void set_heartbeat_handler(const Scheduler& s) {
+        platform->heartbeat_to({{"copy", fmt::format("127.0.0.1:{}", s.port())}});
     }
     void want(const JobSpec& s) {
         platform->know(s);
@@ -214,7 +214,7 @@
 
 TEST_F(Embedded, RunsJobsOnTheProgramsLoop) {
     auto s = std::make_unique<Scheduler>(&loop, options());
-    reports_to(*s);
+    set_heartbeat_handler(*s);
     std::vector<Change> changes;
     s->subscribe([&](const Change& c) { changes.push_back(c); });
     want(job(1));
@@ -267,7 +267,7 @@
 
 TEST_F(Embedded, OnAThreadItTakesCallsFromAnyThread) {
     auto s = std::make_unique<Scheduler>(options());
-    reports_to(*s);
+    set_heartbeat_handler(*s);
     constexpr int callers = 4, each = 5;
     for (int n = 0; n < callers * each; ++n)
         want(job(n + 1, 1));
@@ -325,7 +325,7 @@
     second.settings.name = "other";
     auto one = std::make_unique<Scheduler>(first);
     ASSERT_TRUE(until([&] { return one->is_active_leader(); }));
-    reports_to(*one);
+    set_heartbeat_handler(*one);
     Scheduler two(second);
     want(job(1));
     Reply a;
@@ -336,7 +336,7 @@
     EXPECT_FALSE(two.is_active_leader());
     one.reset();
     ASSERT_TRUE(until([&] { return two.is_active_leader(); }));
-    platform->report_to({{"other", fmt::format("127.0.0.1:{}", two.port())}});
+    platform->heartbeat_to({{"other", fmt::format("127.0.0.1:{}", two.port())}});
     want(job(2));
     Reply b;
     submit(two, job(2), &b);
@@ -364,7 +364,7 @@
     Scheduler one(&loop, o);
     ASSERT_TRUE(until([&] { return one.is_active_leader(); }));
     auto two = std::make_unique<Scheduler>(two_o); // on a thread
-    platform->report_to(
+    platform->heartbeat_to(
         {{"copy", fmt::format("127.0.0.1:{}", one.port())}, {"other", fmt::format("127.0.0.1:{}", two->port())}});
     Users users(*this, {fmt::format("127.0.0.1:{}", one.port()), fmt::format("127.0.0.1:{}", two->port())}, 6);
     ASSERT_TRUE(until([&] { return users.serve(), history.starts() > 0; }));
@@ -413,7 +413,7 @@
     Scheduler two(&loop, second);
     const std::vector<std::string> addresses{fmt::format("127.0.0.1:{}", one.port()),
                                              fmt::format("127.0.0.1:{}", two.port())};
-    platform->report_to({{"copy", addresses[0]}, {"other", addresses[1]}});
+    platform->heartbeat_to({{"copy", addresses[0]}, {"other", addresses[1]}});
     Users users(*this, addresses, 14);
     bool both = false;
     const auto watch = [&] {
@@ -427,8 +427,8 @@
     // A report that it took would renew a lease which the other counts as running out.
     HttpClient worker(&loop, 1, 4);
     int status = 0;
-    const Report report{"n-000001", "127.0.0.1:1", "m8", "a", false, 1, 1000, 0, -1, {}};
-    worker.request(addresses[0], "POST", std::string(codec::path_report), codec::to_body(report), 5,
+    const Heartbeat heartbeat{"n-000001", "127.0.0.1:1", "m8", "a", false, 1, 1000, 0, -1, {}};
+    worker.request(addresses[0], "POST", std::string(codec::path_heartbeat), codec::to_body(heartbeat), 5,
                    [&](HttpReply&& r) { status = r.status; });
     ASSERT_TRUE(until([&] { return watch(), status != 0; }));
     EXPECT_TRUE(status == 503 || status == 421) << status;
@@ -446,7 +446,7 @@
 TEST_F(Embedded, ACopyThatLosesItsStoreStopsActingAndGoesOnLater) {
     auto service = state_service();
     Scheduler s(&loop, on(*service));
-    reports_to(s);
+    set_heartbeat_handler(s);
     Users users(*this, {fmt::format("127.0.0.1:{}", s.port())}, 12);
     int n = 100;
     for (const auto mood : {store::StoreServer::Mood::out, store::StoreServer::Mood::silent}) {
@@ -477,7 +477,7 @@
     const local::Port port;
     o.settings.listen.port = port.number();
     const auto address = o.settings.listen.str();
-    platform->report_to({{"copy", address}});
+    platform->heartbeat_to({{"copy", address}});
     pid_t child = -1;
     auto start = [&] { child = program(o); };
     auto stop = [&] { kill_program(child); };
@@ -512,7 +512,7 @@
         names.emplace_back(o.settings.name, addresses.back());
         copies.push_back(program(o));
     }
-    platform->report_to(names);
+    platform->heartbeat_to(names);
     Users users(*this, addresses, 40);
     // Both are there before the first is frozen: one that is frozen while it makes the file keeps the other from
     // starting, which then says so and ends.
@@ -542,7 +542,7 @@
     EXPECT_TRUE(until([&] { return users.serve(); }));
     for (const auto pid : copies)
         kill_program(pid);
-    EXPECT_GE(platform->sum().fence >> ledger::fence_bits, 2U) << "nobody ever took over";
+    EXPECT_GE(platform->sum().fencing_token >> ledger::token_counter_bits, 2U) << "nobody ever took over";
     EXPECT_EQ(history.broken(), std::vector<std::string>{});
     EXPECT_TRUE(history.unfinished().empty());
 }
@@ -558,8 +558,8 @@
     EXPECT_STREQ(why, "/no/such.toml: cannot be read");
     EXPECT_EQ(hs_start("/no/such.toml", nullptr, &s, why, 4), HS_SETTINGS);
     EXPECT_STREQ(why, "/no"); // cut, and ended
-    int elsewhere = 0;
-    auto* wrong = reinterpret_cast<hs_scheduler*>(&elsewhere);
+    int not_leader_response = 0;
+    auto* wrong = reinterpret_cast<hs_scheduler*>(&not_leader_response);
     for (auto* x : {static_cast<hs_scheduler*>(nullptr), wrong}) {
         EXPECT_EQ(hs_submit(x, "{}", done, nullptr), HS_INVALID);
         EXPECT_EQ(hs_get(x, "wk-1", done, nullptr), HS_INVALID);
--- a/tests/test_store.cpp
+++ b/tests/test_store.cpp
@@ -83,14 +83,14 @@
     Answer txn(const std::vector<Guard>& g, const std::vector<Write>& w) {
         return l.ask(s, [&](auto& x, auto d) { x.transact(g, w, patience_s, d); });
     }
-    Answer hold(double ttl) {
-        return l.ask(s, [&](auto& x, auto d) { x.hold(ttl, patience_s, d); });
+    Answer create_lease(double ttl) {
+        return l.ask(s, [&](auto& x, auto d) { x.create_lease(ttl, patience_s, d); });
     }
-    Answer extend(std::uint64_t h) {
-        return l.ask(s, [&](auto& x, auto d) { x.extend(h, patience_s, d); });
+    Answer renew_lease(std::uint64_t h) {
+        return l.ask(s, [&](auto& x, auto d) { x.renew_lease(h, patience_s, d); });
     }
-    Answer end_hold(std::uint64_t h) {
-        return l.ask(s, [&](auto& x, auto d) { x.end_hold(h, patience_s, d); });
+    Answer revoke_lease(std::uint64_t h) {
+        return l.ask(s, [&](auto& x, auto d) { x.revoke_lease(h, patience_s, d); });
     }
     Answer follow(const std::string& under, std::uint64_t since, double block) {
         return l.ask(s, [&](auto& x, auto d) { x.follow(under, since, block, d); });
@@ -144,25 +144,25 @@
     const auto b = s.get("a/b"), c = s.get("a/c");
     ASSERT_TRUE(b.item && c.item);
     EXPECT_EQ(b.item->value, (Json{{"n", 1}}));
-    EXPECT_EQ(b.item->stamp, first.epoch);
-    EXPECT_EQ(c.item->stamp, first.epoch); // every change of a transaction has the same
+    EXPECT_EQ(b.item->mod_revision, first.revision);
+    EXPECT_EQ(c.item->mod_revision, first.revision); // every change of a transaction has the same
     const auto second = s.txn({}, {{"a/c", std::nullopt, 0}});
-    EXPECT_GT(second.epoch, first.epoch);
+    EXPECT_GT(second.revision, first.revision);
     EXPECT_EQ(s.get("a/c").status, 404);
-    EXPECT_EQ(s.get("a/b").item->stamp, first.epoch);
+    EXPECT_EQ(s.get("a/b").item->mod_revision, first.revision);
 }
 
 TEST_P(Contract, AGuardThatFailsStopsAll) {
     Rig r(GetParam());
     auto s = r.easy();
     const auto a = s.txn({}, {{"a", Json(1), 0}});
-    const auto refused = s.txn({{"a", a.epoch}, {"b", 7}}, {{"a", Json(2), 0}, {"c", Json(3), 0}});
+    const auto refused = s.txn({{"a", a.revision}, {"b", 7}}, {{"a", Json(2), 0}, {"c", Json(3), 0}});
     EXPECT_EQ(refused.status, 409);
     EXPECT_EQ(refused.failed, std::vector<std::string>{"b"});
     EXPECT_EQ(s.get("a").item->value, Json(1));
     EXPECT_EQ(s.get("c").status, 404);
-    EXPECT_EQ(s.txn({{"a", a.epoch}}, {}).status, 200); // only compares
-    EXPECT_EQ(s.txn({{"a", 0}}, {}).status, 409);       // it exists
+    EXPECT_EQ(s.txn({{"a", a.revision}}, {}).status, 200); // only compares
+    EXPECT_EQ(s.txn({{"a", 0}}, {}).status, 409);          // it exists
 }
 
 TEST_P(Contract, AListComesInPagesInTheOrderOfKeys) {
@@ -188,17 +188,17 @@
 TEST_P(Contract, KeysGoWithTheirHold) {
     Rig r(GetParam());
     auto s = r.easy();
-    const auto h = s.hold(60);
+    const auto h = s.create_lease(60);
     ASSERT_EQ(h.status, 200);
     ASSERT_EQ(s.txn({}, {{"on", Json(1), h.lease}, {"off", Json(1), h.lease}}).status, 200);
-    EXPECT_EQ(s.get("on").item->hold, h.lease);
+    EXPECT_EQ(s.get("on").item->lease, h.lease);
     ASSERT_EQ(s.txn({}, {{"off", Json(2), 0}}).status, 200); // without the hold it is detached
-    EXPECT_EQ(s.extend(h.lease).status, 200);
-    const auto before = s.list("").epoch;
-    EXPECT_EQ(s.end_hold(h.lease).status, 200);
+    EXPECT_EQ(s.renew_lease(h.lease).status, 200);
+    const auto before = s.list("").revision;
+    EXPECT_EQ(s.revoke_lease(h.lease).status, 200);
     EXPECT_EQ(s.get("on").status, 404);
     EXPECT_EQ(s.get("off").status, 200);
-    EXPECT_EQ(s.extend(h.lease).status, 404);
+    EXPECT_EQ(s.renew_lease(h.lease).status, 404);
     const auto refused = s.txn({{"off", 99}}, {{"x", Json(1), h.lease}}); // whatever the guards
     EXPECT_EQ(refused.status, 400);
     EXPECT_EQ(refused.error, "no such lease");
@@ -206,16 +206,16 @@
     ASSERT_EQ(gone.items.size(), 1U);
     EXPECT_TRUE(gone.items[0].deleted);
     // One that nobody renews ends by itself.
-    const auto brief = s.hold(0.1);
+    const auto brief = s.create_lease(0.1);
     s.txn({}, {{"brief", Json(1), brief.lease}});
     r.loop.wait([&] { return s.get("brief").status == 404; }, *r.store);
-    EXPECT_EQ(s.hold(0.05).status, 400);
+    EXPECT_EQ(s.create_lease(0.05).status, 400);
 }
 
 TEST_P(Contract, AFollowWaitsForAChange) {
     Rig r(GetParam());
     auto s = r.easy();
-    const auto at = s.txn({}, {{"c/1", Json(1), 0}}).epoch;
+    const auto at = s.txn({}, {{"c/1", Json(1), 0}}).revision;
     std::optional<Answer> got;
     r.store->follow("c/", at, patience_s, [&](Answer&& a) { got = std::move(a); });
     s.txn({}, {{"d/1", Json(1), 0}}); // not below the prefix
@@ -226,14 +226,14 @@
     EXPECT_EQ(got->items[0].key, "c/2");
     EXPECT_EQ(got->items[0].value, Json("x"));
     EXPECT_TRUE(got->items[1].deleted);
-    EXPECT_EQ(s.follow("c/", at, 0).items.size(), 2U);            // what was missed comes at once
-    EXPECT_EQ(s.follow("c/", got->epoch, 0.05).items.size(), 0U); // and nothing after a while
+    EXPECT_EQ(s.follow("c/", at, 0).items.size(), 2U);               // what was missed comes at once
+    EXPECT_EQ(s.follow("c/", got->revision, 0.05).items.size(), 0U); // and nothing after a while
 }
 
 TEST_P(Contract, WhatWasForgottenMustBeReadAgain) {
     Rig r(GetParam(), {0, 0, 4000, 16});
     auto s = r.easy();
-    const auto start = s.txn({}, {{"a", Json(0), 0}}).epoch;
+    const auto start = s.txn({}, {{"a", Json(0), 0}}).revision;
     for (int i = 0; i < 12; ++i) {
         std::vector<Write> many;
         many.reserve(1000);
@@ -242,7 +242,7 @@
         ASSERT_EQ(s.txn({}, many).status, 200);
     }
     EXPECT_EQ(s.follow("", start - 1, 0).status, 410);
-    EXPECT_EQ(s.follow("", s.list("nothing/").epoch, 0).status, 200);
+    EXPECT_EQ(s.follow("", s.list("nothing/").revision, 0).status, 200);
 }
 
 TEST_P(Contract, WhatIsNotAllowedIsRefused) {
@@ -277,7 +277,7 @@
 TEST(RemoteStore, AnOutageIs503AndSilenceIsNoAnswer) {
     Rig r(Kind::remote);
     auto s = r.easy();
-    const auto h = s.hold(0.2);
+    const auto h = s.create_lease(0.2);
     s.txn({}, {{"a", Json(1), h.lease}});
     r.server->set_mood(StoreServer::Mood::out);
     EXPECT_EQ(s.get("a").status, 503);
@@ -286,7 +286,7 @@
     EXPECT_EQ(s.get("a").status, 200); // it has its full time again
     r.server->set_mood(StoreServer::Mood::busy);
     EXPECT_EQ(s.get("a").status, 429);
-    EXPECT_EQ(s.extend(h.lease).status, 429);
+    EXPECT_EQ(s.renew_lease(h.lease).status, 429);
     r.server->set_mood(StoreServer::Mood::silent);
     const auto silent = r.loop.ask(*r.store, [](auto& x, auto d) { x.get("a", 0.1, d); });
     EXPECT_EQ(silent.status, 0);
@@ -310,12 +310,12 @@
             return status == 200;
         };
         e.data().begin();
-        const auto hold = e.hold(1000, 5000).lease;
-        ASSERT_EQ(e.transact({}, {{"office", Json("us"), hold}}, 5000).status, 200);
+        const auto lease = e.create_lease(1000, 5000).lease;
+        ASSERT_EQ(e.transact({}, {{"office", Json("us"), lease}}, 5000).status, 200);
         e.data().commit();
         EXPECT_TRUE(held(5999));
         e.data().begin();
-        EXPECT_EQ(e.extend(hold, 5999).status, 200); // counted from here
+        EXPECT_EQ(e.renew_lease(lease, 5999).status, 200); // counted from here
         e.data().commit();
         EXPECT_TRUE(held(6998));
         EXPECT_FALSE(held(7001));
@@ -392,7 +392,7 @@
     Loop l;
     auto one = open_file(l, path), two = open_file(l, path);
     Easy a{l, *one}, b{l, *two};
-    const auto at = a.txn({{"office", 0}}, {{"office", Json("one"), 0}}).epoch;
+    const auto at = a.txn({{"office", 0}}, {{"office", Json("one"), 0}}).revision;
     EXPECT_EQ(b.get("office").item->value, Json("one"));
     EXPECT_EQ(b.txn({{"office", 0}}, {{"office", Json("two"), 0}}).status, 409);
     std::optional<Answer> got;
@@ -402,7 +402,7 @@
     ASSERT_EQ(got->items.size(), 1U);
     EXPECT_EQ(got->items[0].value, Json("again"));
     // A hold that the one does not renew is ended by the other.
-    const auto h = a.hold(0.1);
+    const auto h = a.create_lease(0.1);
     a.txn({}, {{"held", Json(1), h.lease}});
     one.reset();
     l.wait([&] { return b.get("held").status == 404; }, *two);
@@ -535,7 +535,7 @@
                 e.data().begin();
                 const auto row = e.data().get("n");
                 const std::uint32_t n = row ? static_cast<std::uint32_t>(std::stoul(row->data)) + 1 : 1;
-                const auto a = e.transact({{"n", row ? row->stamp : 0}}, {{"n", Json(n), 0}}, 0);
+                const auto a = e.transact({{"n", row ? row->mod_revision : 0}}, {{"n", Json(n), 0}}, 0);
                 if (a.status != 200 || !e.data().commit() || write(out[1], &n, sizeof n) != sizeof n)
                     _exit(1);
             }
--- a/tests/test_world.cpp
+++ b/tests/test_world.cpp
@@ -107,7 +107,7 @@
 
 TEST_P(Trouble, BreaksNoRule) {
     World w(GetParam());
-    w.beat_loss = 0.05;
+    w.heartbeat_loss = 0.05;
     w.order_loss = 0.1;
     w.late = 0.05;
     w.acquire_leadership();
--- a/tests/troubles.hpp
+++ b/tests/troubles.hpp
@@ -76,7 +76,8 @@
     // --- those that were added ---
 
     // Reports of these machines arrive; what these controllers say to them does not.
-    void deafen_some(double share, const std::string& zone_only, const std::vector<std::size_t>& to, double for_s) {
+    void make_some_inbound_unreachable(double share, const std::string& zone_only, const std::vector<std::size_t>& to,
+                                       double for_s) {
         std::vector<std::string> names, list;
         for (const auto i : to)
             names.push_back(nodes[i].name);
@@ -86,10 +87,10 @@
         if (list.empty() && !workers.empty())
             list.push_back(std::next(workers.begin(), static_cast<long>(pick(workers.size())))->first);
         for (const auto& id : list)
-            deafen(id, names);
+            make_inbound_unreachable(id, names);
         send(for_s, [this, list] {
             for (const auto& id : list)
-                deaf.erase(id);
+                inbound_unreachable.erase(id);
         });
     }
     std::vector<std::size_t> all_nodes() const {
@@ -115,7 +116,10 @@
         if (c < 0.2) {
             const auto to = chance() < 0.4 ? std::vector{leader().value_or(i)} : all_nodes();
             const double kind = chance();
-            deafen_some(kind < 0.4 ? 0 : kind < 0.7 ? 0.33 : 1, kind < 0.7 ? "" : settings.zones[pick(3)], to, for_s);
+            make_some_inbound_unreachable(kind < 0.4   ? 0
+                                          : kind < 0.7 ? 0.33
+                                                       : 1,
+                                          kind < 0.7 ? "" : settings.zones[pick(3)], to, for_s);
         } else if (c < 0.3) {
             copies = 0.3;
             send(2 * for_s, [this] { copies = 0; });
@@ -150,7 +154,7 @@
             return;
         }
         w.tasks.clear();
-        ++w.tenure;
+        ++w.agent_epoch;
         w.lease_from = now;
     }
 };
--- a/tests/users.hpp
+++ b/tests/users.hpp
@@ -15,7 +15,7 @@
     struct User {
         Seen seen;
         bool cancels = false, asking = false;
-        double next_at = 0, answered_at = -1, repeat_at = -1;
+        double next_at = 0, last_answered_at = -1, repeat_at = -1;
         [[nodiscard]] bool accepted() const {
             return seen.accepted_at >= 0;
         }
@@ -149,8 +149,8 @@
         if (!j || (a->status != 200 && a->status != 201))
             return;
         if (over_at >= 0)
-            u.seen.silent_s = std::max(u.seen.silent_s, now - std::max(u.answered_at, over_at));
-        u.answered_at = now;
+            u.seen.silent_s = std::max(u.seen.silent_s, now - std::max(u.last_answered_at, over_at));
+        u.last_answered_at = now;
         const bool news = !u.accepted() || Answers::is_final(j->status);
         if (!u.accepted())
             u.seen.accepted_at = now;
@@ -171,9 +171,9 @@
     // once more. After so many seconds: what is wrong.
     std::string day_end(double seconds, double excused_s = 0) {
         heal();
-        deaf.clear();
+        inbound_unreachable.clear();
         misses_answers.clear();
-        mute.clear();
+        outbound_unreachable.clear();
         copies = kept_copies = late_writes = lost_answers = late_commands.share = 0;
         if (store_down)
             end_outage();
@@ -198,7 +198,7 @@
                     running.insert(t.job);
         std::vector<Seen> all;
         for (auto& [id, u] : asks) {
-            u.seen.silent_s = std::max(u.seen.silent_s, now - std::max(u.answered_at, over_at));
+            u.seen.silent_s = std::max(u.seen.silent_s, now - std::max(u.last_answered_at, over_at));
             u.seen.repeated_ok = u.repeat_at < 0;
             u.seen.cancelled = u.cancels;
             u.seen.running = running.contains(id);
--- a/tests/world.hpp
+++ b/tests/world.hpp
@@ -41,7 +41,7 @@
         }
     }
     Settings old_settings = settings;
-    double beat_loss = 0, order_loss = 0, late = 0;
+    double heartbeat_loss = 0, order_loss = 0, late = 0;
     bool store_down = false, strict = false; // strict: the store's lower limits hold
     bool check_orphaned = true;
     std::map<std::string, codec::Json> store;
@@ -59,7 +59,7 @@
     std::vector<Message> messages;
     std::vector<Controller> controllers;
     std::unique_ptr<Core>& core; // of the first
-    std::map<std::uint64_t, std::function<void(int, std::uint64_t, std::vector<Order>)>> beats;
+    std::map<std::uint64_t, std::function<void(int, std::uint64_t, std::vector<Order>)>> heartbeats;
     std::map<std::uint64_t, std::string> cancels;
     std::uint64_t handles = 0;
     int capacity = 6;            // machines left to rent
@@ -115,7 +115,7 @@
         if (log != nullptr)
             log->begin(settings, c.term, s, now * c.rate, now);
         c.core = std::make_unique<Core>(c.old ? old_settings : settings, c.term, s, now * c.rate, now);
-        c.queue.push_back(TypesKnown{small_types()});
+        c.queue.push_back(MachineTypesKnown{small_types()});
         c.queue.push_back(list());
     }
 
@@ -137,8 +137,8 @@
         workers.erase(it);
     }
 
-    Listed list() const {
-        Listed l;
+    MachinesListed list() const {
+        MachinesListed l;
         for (const auto& [id, w] : workers)
             if (!w.dead)
                 l.machines.push_back({w.id, w.addr, "m8", w.zone, "running", w.spot, now - w.rented_at});
@@ -167,7 +167,7 @@
                 continue;
             const auto h = ++handles;
             cancels[h] = id;
-            c.queue.push_back(CancelAsked{id, h});
+            c.queue.push_back(CancellationRequested{id, h});
         }
     }
 
@@ -189,18 +189,18 @@
         return it == store.end() ? std::nullopt : std::optional(it->second);
     }
 
-    void report_if_due(Worker& w) override {
-        if (now < w.next_beat)
+    void heartbeat_if_due(Worker& w) override {
+        if (now < w.next_heartbeat)
             return;
-        w.next_beat = now + settings.report_s * between(0.75, 1.25);
+        w.next_heartbeat = now + settings.report_s * between(0.75, 1.25);
         if (w.cut)
             return;
         const double sent = now;
-        auto r = report(w);
+        auto r = heartbeat(w);
         const double delay = chance() < late ? between(5, 60) : between(0, 0.2);
-        if (chance() < beat_loss)
+        if (chance() < heartbeat_loss)
             return;
-        send(delay, [this, id = w.id, r, sent, tenure = w.tenure, node = w.node] {
+        send(delay, [this, id = w.id, r, sent, agent_epoch = w.agent_epoch, node = w.node] {
             auto& c = controllers[node];
             auto refused = [this, id] {
                 if (auto it = workers.find(id); it != workers.end())
@@ -210,22 +210,23 @@
             if (!c.core || c.no_workers)
                 return refused();
             const auto h = ++handles;
-            beats[h] = [this, id, sent, tenure, refused](int status, std::uint64_t fence, std::vector<Order> orders) {
+            heartbeats[h] = [this, id, sent, agent_epoch, refused](int status, std::uint64_t fencing_token,
+                                                                   std::vector<Order> orders) {
                 if (status != 200)
                     return refused();
-                send(between(0, 0.2), [this, id, sent, tenure, fence, orders] {
+                send(between(0, 0.2), [this, id, sent, agent_epoch, fencing_token, orders] {
                     auto it = workers.find(id);
                     if (it == workers.end() || it->second.dead || it->second.hung || it->second.cut)
                         return;
                     auto& x = it->second;
-                    if (now > sent + 4 || x.tenure != tenure || fence < x.fence)
+                    if (now > sent + 4 || x.agent_epoch != agent_epoch || fencing_token < x.fencing_token)
                         return;
-                    x.fence = fence;
+                    x.fencing_token = fencing_token;
                     x.lease_from = std::max(x.lease_from, sent);
                     execute(x, orders);
                 });
             };
-            c.queue.push_back(Beat{r, h});
+            c.queue.push_back(HeartbeatReceived{r, h});
         });
     }
 
@@ -275,22 +276,22 @@
                         return;
                     auto& w = it->second;
                     OrdersAnswered a{o.machine, o.batch, 409, true, std::nullopt};
-                    if (o.fence >= w.fence && o.tenure == w.tenure) {
-                        w.fence = o.fence;
+                    if (o.fencing_token >= w.fencing_token && o.agent_epoch == w.agent_epoch) {
+                        w.fencing_token = o.fencing_token;
                         execute(w, o.orders);
                         a.status = 200;
                     }
-                    a.report = report(w);
+                    a.heartbeat = heartbeat(w);
                     if (!held)
                         send(between(0, 0.1), [answer, a] { answer(a); });
                 });
             send(1.0, [answer, o = *o] { answer({o.machine, o.batch, 0, true, std::nullopt}); });
-        } else if (const auto* b = std::get_if<BeatAnswer>(&effect)) {
-            if (auto it = beats.find(b->handle); it != beats.end()) {
-                it->second(b->status, b->fence, b->orders);
-                beats.erase(it);
+        } else if (const auto* b = std::get_if<AnswerHeartbeat>(&effect)) {
+            if (auto it = heartbeats.find(b->handle); it != heartbeats.end()) {
+                it->second(b->status, b->fencing_token, b->orders);
+                heartbeats.erase(it);
             }
-        } else if (const auto* a = std::get_if<CancelAnswer>(&effect)) {
+        } else if (const auto* a = std::get_if<AnswerCancellation>(&effect)) {
             if (a->status.empty())
                 return;
             const auto& id = cancels[a->handle];
@@ -312,7 +313,7 @@
                     w.zone = r.zone;
                     w.addr = id;
                     w.spot = r.spot;
-                    w.lease_from = w.next_beat = now;
+                    w.lease_from = w.next_heartbeat = now;
                     workers[id] = w;
                 });
             }
--- a/tools/measure.cpp
+++ b/tools/measure.cpp
@@ -89,12 +89,12 @@
     return v[std::min(v.size() - 1, static_cast<std::size_t>(q * static_cast<double>(v.size())))];
 }
 
-enum class Way { in_process, thread, daemon };
+enum class Route { in_process, thread, daemon };
 
 // One way to run the scheduler, with its own stand-ins, store and load.
 class Trial {
 public:
-    Trial(Way way, bool fsync, std::string path) : way_(way), path_(std::move(path)), history_({}, 15) {
+    Trial(Route way, bool fsync, std::string path) : way_(way), path_(std::move(path)), history_({}, 15) {
         remove_file(path_);
         uv_loop_init(&loop_);
         local::PlatformPlan plan;
@@ -112,7 +112,7 @@
         SchedulerOptions o;
         o.settings = settings();
         o.state = [path = path_, fsync](uv_loop_t* l) { return file(l, path, fsync); };
-        if (way == Way::in_process) {
+        if (way == Route::in_process) {
             o.executor = [this](uv_loop_t*) { return platform_->executor(); };
             scheduler_ = std::make_unique<Scheduler>(&loop_, o);
             return;
@@ -121,9 +121,9 @@
         o.settings.cloud = {"127.0.0.1", platform_->port()};
         o.settings.listen = {"127.0.0.1", port_.number()};
         o.settings.peer_listen = {"127.0.0.1", 0};
-        platform_->report_to({{"copy", o.settings.listen.str()}});
+        platform_->heartbeat_to({{"copy", o.settings.listen.str()}});
         address_ = o.settings.listen.str();
-        if (way == Way::thread) {
+        if (way == Route::thread) {
             scheduler_ = std::make_unique<Scheduler>(o);
             return;
         }
@@ -194,7 +194,7 @@
         attempt(s);
     }
     void attempt(const JobSpec& s) {
-        if (way_ == Way::daemon) {
+        if (way_ == Route::daemon) {
             users_->request(address_, "POST", std::string(codec::path_jobs), codec::to_body(s), 5,
                             [this, s](HttpReply&& r) { answered(s, r.status); });
             return;
@@ -234,7 +234,7 @@
         }
     }
 
-    Way way_;
+    Route way_;
     std::string path_, address_;
     uv_loop_t loop_{};
     local::History history_;
@@ -254,12 +254,12 @@
 void compare(const std::string& folder, int jobs, double rate, double seconds) {
     std::cout << fmt::format("{:22} {:>8} {:>10} {:>10} {:>8}\n", "", "jobs/s", "p50 ms", "p99 ms", "MB");
     for (const bool fsync : {true, false})
-        for (const auto way : {Way::daemon, Way::thread, Way::in_process}) {
+        for (const auto way : {Route::daemon, Route::thread, Route::in_process}) {
             Trial t(way, fsync, folder + "/measure.state");
             t.name_ = fmt::format("{}{}",
-                                  way == Way::daemon   ? "daemon"
-                                  : way == Way::thread ? "library, own thread"
-                                                       : "library, in process",
+                                  way == Route::daemon   ? "daemon"
+                                  : way == Route::thread ? "library, own thread"
+                                                         : "library, in process",
                                   fsync ? "" : " *");
             t.run(jobs, rate, seconds);
         }
