--- a/include/heronshift/agents/desk.hpp
+++ b/include/heronshift/agents/desk.hpp
@@ -67,7 +67,7 @@
     [[nodiscard]] Route route_of(const Heartbeat& r);
     void relay(Heartbeat&& r, RawRequest&& whole, double since);
     void send_by(const std::string& peer, const SendOrders& o, std::function<void(OrdersAnswered&&)> done);
-    void note_launches(const std::vector<Order>& orders);
+    void record_launches(const std::vector<Order>& orders);
 
     const Settings& s_;
     Later& later_;
--- a/include/heronshift/ledger/state.hpp
+++ b/include/heronshift/cluster/cluster_data.hpp
@@ -17,17 +17,17 @@
 #include <unordered_map>
 #include <vector>
 
-namespace heronshift::ledger {
+namespace heronshift::cluster {
 
 // A pointer that is as const as what holds it, so that a const view cannot be written through.
-template <class T> using Deep = std::experimental::propagate_const<T>;
+template <class T> using PropagateConst = std::experimental::propagate_const<T>;
 
 // fence = term << fence_bits | raises within the term. Each machine's are its own, whatever their number: one for each
 // launch whose outcome is open or lease that ran out, so one in report_s / 2 at most. 2^24 of them take nine months of
 // one term with report_s 3; terms have 40 bits.
 inline constexpr int token_counter_bits = 24;
 // attempt = term << try_bits | passes within the term, one in report_s / 60 at most: seven years of a term.
-inline constexpr int try_bits = 32;
+inline constexpr int attempt_counter_bits = 32;
 
 enum class Phase : std::uint8_t { intent, storing, stored, sent, fetching, waiting, running, saving };
 enum class Final : std::uint8_t { none, done, cancelled };
@@ -44,10 +44,10 @@
 };
 
 struct Entry { // one task on one machine, as far as anyone can tell
-    Deep<Machine*> machine = nullptr;
-    Deep<Job*> job = nullptr;
+    PropagateConst<Machine*> machine = nullptr;
+    PropagateConst<Job*> job = nullptr;
     std::uint32_t index = 0;
-    std::uint64_t try_no = 0, agent_epoch = 0, fencing_token = 0;
+    std::uint64_t attempt = 0, agent_epoch = 0, fencing_token = 0;
     Phase phase = Phase::intent;
     bool recorded = false; // its record is in the store
     bool seen = false;     // in a report of this machine
@@ -67,13 +67,13 @@
     double submitted = 0, start_within_s = -1; // the aim of its class, below zero: none
     double ready = 0;                          // since when: all but the deadline counts from there
     bool waits = false;                        // for jobs it needs; nothing of it may start
-    bool dated = true;                         // its record no longer says that it waits
+    bool ready_recorded = true;                // its record no longer says that it waits
     std::vector<std::string> unmet;            // needed, and not known to be done in the store
-    Rank rank = Rank::normal;                  // the most urgent of its own and those that need it
+    Priority priority = Priority::normal;      // the most urgent of its own and those that need it
     double latest = -1;                        // when those that need it want it done; below zero: never
     std::vector<Task> tasks;
     std::deque<std::uint32_t> pending;
-    std::vector<Deep<Entry*>> entries;
+    std::vector<PropagateConst<Entry*>> entries;
     std::uint32_t done = 0, live = 0, running = 0;
     Final final = Final::none;
     bool final_stored = false, final_queued = false, guaranteed = false;
@@ -82,7 +82,7 @@
     std::vector<std::uint32_t> unstored; // done, not yet in the store
     std::vector<std::uint32_t> zone_live;
     std::uint32_t on_pool = 0;
-    std::uint64_t gang_try = 0;
+    std::uint64_t gang_attempt = 0;
     bool gang_breaking = false;
     double not_before = 0;
     int error_streak = 0;
@@ -122,7 +122,7 @@
     double inbound_unreachable_until = -1; // its lease ran out again though we answered: trusted only after that
     double relay_orders_until = -1;        // orders do not reach it directly: by way of others until then
     double known_since = 0, up_since = -1;
-    std::vector<Deep<std::unique_ptr<Entry>>> entries;
+    std::vector<PropagateConst<std::unique_ptr<Entry>>> entries;
     Resources used, whole;
     Resources firm;             // used by what nothing takes the place of
     bool retiring = false;      // to become empty and go back
@@ -139,7 +139,7 @@
     bool wants_orders = false;
     bool to_be_asked = false;           // waits to be asked for a report
     const void* reserved_for = nullptr; // room is being made for this job; only compared
-    Rank reserved_rank = Rank::low;
+    Priority reserved_priority = Priority::low;
     double reserved_until = -1;
     int reserved_tasks = 0;
     double slow_until = -1; // its tasks take far longer than their siblings elsewhere
@@ -157,7 +157,7 @@
 struct Team {
     TeamLimits limits;
     Resources used;
-    std::vector<Deep<Job*>> jobs;
+    std::vector<PropagateConst<Job*>> jobs;
 };
 
 struct Pending { // rentals asked for, not answered
@@ -180,16 +180,16 @@
     }
 };
 
-struct State {
-    explicit State(const Settings& s) : settings(s) {}
+struct ClusterData {
+    explicit ClusterData(const Settings& s) : settings(s) {}
     const Settings& settings;
     std::uint64_t term = 0;
     double now = 0, wall = 0, started = 0;
     double unserved_at = -1e18; // when the store last was late or refused: then jobs may come and not be stored
     std::vector<MachineType> types;
     std::vector<Team> teams;
-    std::unordered_map<std::string, Deep<std::unique_ptr<Job>>> jobs;
-    std::map<std::string, Deep<std::unique_ptr<Machine>>> machines;
+    std::unordered_map<std::string, PropagateConst<std::unique_ptr<Job>>> jobs;
+    std::map<std::string, PropagateConst<std::unique_ptr<Machine>>> machines;
     std::vector<double> image_gb; // by image
     std::map<std::string, Pending> rentals;
     std::map<std::string, double> no_capacity; // "type/zone/kind" -> not before
@@ -231,4 +231,4 @@
     [[nodiscard]] bool allowed_there(const Job& j, const Machine& m) const;
 };
 
-} // namespace heronshift::ledger
+} // namespace heronshift::cluster
--- a/include/heronshift/ledger/ledger.hpp
+++ b/include/heronshift/cluster/cluster_state.hpp
@@ -6,9 +6,9 @@
 // store holds: Bookkeeping (records/) is told of what has to go there.
 #pragma once
 
-#include "heronshift/ledger/departed.hpp"
-#include "heronshift/ledger/proposals.hpp"
-#include "heronshift/ledger/state.hpp"
+#include "heronshift/cluster/cluster_data.hpp"
+#include "heronshift/cluster/departed_machines.hpp"
+#include "heronshift/cluster/proposals.hpp"
 #include "heronshift/remembered.hpp"
 
 #include <optional>
@@ -17,7 +17,7 @@
 class Records;
 }
 
-namespace heronshift::ledger {
+namespace heronshift::cluster {
 
 struct JobView {
     std::string_view status;
@@ -26,25 +26,25 @@
 };
 
 // Told by the ledger of what has to be stored.
-class Bookkeeping {
+class PersistenceListener {
 public:
-    virtual ~Bookkeeping() = default;
+    virtual ~PersistenceListener() = default;
     virtual void added(Job& j) = 0;
     virtual void added(Entry& e) = 0;
     virtual void removed(Entry& e) = 0;
-    enum class Urgency : std::uint8_t { cancelled, done, taken_along };
+    enum class Urgency : std::uint8_t { cancelled, done, cancelled_with_dependency };
     virtual void final_due(Job& j, Urgency u) = 0; // its final state, or that nothing is left of it
     virtual void progressed(Job& j) = 0;
     virtual void became_ready(Job& j) = 0;
 };
 
-class Ledger final : public Proposals {
+class ClusterState final : public Proposals {
 public:
-    Ledger(const Settings& settings, std::uint64_t term, double now, double wall, std::vector<Effect>& out);
-    void keep(Bookkeeping& b) {
-        books_ = &b;
+    ClusterState(const Settings& settings, std::uint64_t term, double now, double wall, std::vector<Effect>& out);
+    void set_persistence(PersistenceListener& b) {
+        persistence_ = &b;
     }
-    [[nodiscard]] const State& view() const {
+    [[nodiscard]] const ClusterData& view() const {
         return st_;
     }
     void set_time(double now, double wall) {
@@ -61,7 +61,7 @@
     void released(const Released& c);
     void listed(const MachinesListed& c);
     void types_known(std::vector<MachineType>&& types);
-    void lapse_machines();
+    void expire_leases();
 
     // What policies propose, see proposals.hpp.
     bool place(const Job& j, const Machine& m) override;
@@ -70,7 +70,7 @@
     void preempt(const Entry& e) override;
     void move_away(const Entry& e, double drain_s) override;
     void gang_whole(const Job& j) override;
-    void reserve(const Machine& m, const Job& j, int tasks, double until, Rank against) override;
+    void reserve(const Machine& m, const Job& j, int tasks, double until, Priority against) override;
     void room_asked(const Job& j, double until) override;
     void good_room(const Job& j, bool being_made) override;
     void set_pool(const std::vector<const Machine*>& pool, const Resources& service_shape) override;
@@ -87,27 +87,27 @@
     void presume_dead(const Machine& m) override;
     void give_back(const Machine& m) override;
     void release(std::vector<std::string> machines) override;
-    void touch() override {
-        dirty_ = true;
+    void request_pass() override {
+        needs_scheduling_ = true;
     }
-    void note(int level, std::string text) override {
-        out_.emplace_back(Note{level, std::move(text)});
+    void log(int level, std::string text) override {
+        out_.emplace_back(LogLine{level, std::move(text)});
     }
-    void next_pass() { // of placement: attempts of different passes differ
-        ++try_seq_;
+    void begin_pass() { // of placement: attempts of different passes differ
+        ++pass_counter_;
     }
 
     [[nodiscard]] std::uint64_t passes() const {
-        return try_seq_;
+        return pass_counter_;
     }
 
     // What is due: orders to machines, questions, reads of the store.
     void send_due_orders();
-    void find_needs();
+    void find_dependencies();
 
     // From the bookkeeping: the store holds it.
-    void need_settled(const std::string& id, Final f);
-    void finalize(Job& j, Final f, bool taken_along = false);
+    void dependency_settled(const std::string& id, Final f);
+    void finalize(Job& j, Final f, bool cancelled_with_dependency = false);
     void remember_final(const Job& j);
     void forget_job(Job& j);
 
@@ -123,12 +123,12 @@
         st_.unserved_at = st_.now;
     }
     void settled() { // placement has seen what changed
-        dirty_ = false;
+        needs_scheduling_ = false;
     }
-    [[nodiscard]] bool dirty() const {
-        return dirty_;
+    [[nodiscard]] bool needs_scheduling() const {
+        return needs_scheduling_;
     }
-    [[nodiscard]] double lease_surely_s() const; // when a worker's lease has run out for sure
+    [[nodiscard]] double lease_expiry_s() const; // when a worker's lease has run out for sure
     struct Counters {
         std::uint64_t launched = 0, lost = 0, preempted = 0, moved = 0;
         std::uint64_t stale_heartbeats = 0,
@@ -155,14 +155,14 @@
     // ledger.cpp
     Job* find_job(const std::string& id);
     void update_entry(Entry& e, const ReportedTask& t);
-    void note_seen(Entry& e);
+    void mark_seen(Entry& e);
     void store_cancellation(Job& j);
     void launch_settled(Job& j);
     static bool launch_open(const Entry& e);
     void task_exited(Entry& e, const ReportedTask& t);
-    void note_run(Job& j, const Machine& m, double ran);
+    void record_run_time(Job& j, const Machine& m, double ran);
     void mark_done(Job& j, std::uint32_t index);
-    Entry& add_entry(Machine& m, Job& j, std::uint32_t index, std::uint64_t try_no);
+    Entry& add_entry(Machine& m, Job& j, std::uint32_t index, std::uint64_t attempt);
     void remove_entry(Entry& e);
     void queue_task(Job& j, std::uint32_t index);
     void break_gang(Job& j);
@@ -187,35 +187,35 @@
     static CachedImage* cached(Machine& m, int image);
     void use_image(Machine& m, int image, bool ready);
     void want_orders(Machine& m);
-    void want_report(Machine& m);
+    void want_heartbeat(Machine& m);
     void forget_machine(const std::string& id, bool released);
     void dispatch(Machine& m);
     [[nodiscard]] std::size_t max_asked_at_once() const;
     void ask_machines();
     std::vector<Order> standing_orders(Machine& m);
-    void note_spot_loss();
+    void record_spot_loss();
 
     // needs.cpp: jobs that wait for others
     void join(Job& j);
-    void wait_for_needs(Job& j);
+    void wait_for_dependencies(Job& j);
     void become_ready(Job& j);
-    void raise_needs(Job& from);
+    void propagate_urgency(Job& from);
     void look_for(const std::string& id, double at);
-    void forget_needs(Job& j);
+    void forget_dependencies(Job& j);
 
-    State st_;
+    ClusterData st_;
     std::vector<Effect>& out_;
-    Bookkeeping* books_ = nullptr;
-    bool dirty_ = true, resigned_ = false;
-    std::uint64_t try_seq_ = 0, batch_seq_ = 0, claim_seq_ = 0, heartbeat_seq_ = 0;
+    PersistenceListener* persistence_ = nullptr;
+    bool needs_scheduling_ = true, resigned_ = false;
+    std::uint64_t pass_counter_ = 0, batch_seq_ = 0, claim_seq_ = 0, heartbeat_seq_ = 0;
     Counters counters_;
     // Who needs a job that is not done, by name: either may be known here before the other.
-    std::unordered_map<std::string, std::set<std::string>> needed_by_;
+    std::unordered_map<std::string, std::set<std::string>> dependents_;
     std::multimap<double, std::string> to_find_; // needed and not known here, by when to ask
     std::size_t finding_ = 0;
     // Final states are immutable, so old ones may be answered from here. It holds more jobs than
     // a watch can lag behind, so a late event never brings a finished job back.
-    Remembered<Final> recent_;
+    Remembered<Final> recent_finals_;
     DepartedMachines departed_;
     std::size_t releases_under_way_ = 0; // machines
     double stale_heartbeats_logged_at_ = -1e18;
@@ -226,4 +226,4 @@
     std::unordered_map<std::string, std::vector<int>> image_hints_; // of machines not known yet
 };
 
-} // namespace heronshift::ledger
+} // namespace heronshift::cluster
--- a/include/heronshift/ledger/departed.hpp
+++ b/include/heronshift/cluster/departed_machines.hpp
@@ -11,7 +11,7 @@
 #include <string>
 #include <unordered_map>
 
-namespace heronshift::ledger {
+namespace heronshift::cluster {
 
 // How old a heartbeat, list or watch event can be when it arrives. A heartbeat's sender closes its connection
 // after 4 s, a fifth of the usual lease, and reports anew; what is left of it lives in buffers on the way, where
@@ -55,4 +55,4 @@
     std::list<std::string> order_; // the first to depart first
 };
 
-} // namespace heronshift::ledger
+} // namespace heronshift::cluster
--- a/include/heronshift/ledger/proposals.hpp
+++ b/include/heronshift/cluster/proposals.hpp
@@ -2,9 +2,9 @@
 // counts, and nothing depends on a policy being right.
 #pragma once
 
-#include "heronshift/ledger/state.hpp"
+#include "heronshift/cluster/cluster_data.hpp"
 
-namespace heronshift::ledger {
+namespace heronshift::cluster {
 
 class Proposals {
 public:
@@ -18,7 +18,7 @@
     virtual void preempt(const Entry& e) = 0;
     virtual void move_away(const Entry& e, double drain_s) = 0;
     // Room on a machine is kept for a job, against others of this rank and below, or was looked for, until then.
-    virtual void reserve(const Machine& m, const Job& j, int tasks, double until, Rank against) = 0;
+    virtual void reserve(const Machine& m, const Job& j, int tasks, double until, Priority against) = 0;
     virtual void room_asked(const Job& j, double until) = 0;
     virtual void good_room(const Job& j, bool being_made) = 0;
     virtual void gang_whole(const Job& j) = 0;
@@ -36,8 +36,8 @@
     virtual void presume_dead(const Machine& m) = 0;
     virtual void give_back(const Machine& m) = 0;
     virtual void release(std::vector<std::string> machines) = 0;
-    virtual void touch() = 0; // more could be placed in the next pass
-    virtual void note(int level, std::string text) = 0;
+    virtual void request_pass() = 0; // more could be placed in the next pass
+    virtual void log(int level, std::string text) = 0;
 };
 
-} // namespace heronshift::ledger
+} // namespace heronshift::cluster
--- a/include/heronshift/core/core.hpp
+++ b/include/heronshift/core/core.hpp
@@ -5,7 +5,7 @@
 // records (what the store holds); decides only in which order they have their turn.
 #pragma once
 
-#include "heronshift/ledger/ledger.hpp"
+#include "heronshift/cluster/cluster_state.hpp"
 #include "heronshift/messages.hpp"
 #include "heronshift/metrics/metrics.hpp"
 #include "heronshift/policies/capacity.hpp"
@@ -19,9 +19,9 @@
 
 namespace heronshift {
 
-using ledger::JobView;
-using ledger::token_counter_bits;
-using ledger::try_bits;
+using cluster::attempt_counter_bits;
+using cluster::JobView;
+using cluster::token_counter_bits;
 
 class Core {
 public:
@@ -39,7 +39,7 @@
 
     // None: not known here, ask the store. An answer is never older than what was told before.
     [[nodiscard]] std::optional<JobView> view(const std::string& id) const {
-        return ledger_.job(id);
+        return cluster_.job(id);
     }
     [[nodiscard]] std::vector<metrics::Value> metrics() const;
 
@@ -50,10 +50,10 @@
     [[nodiscard]] std::size_t live_tasks(const std::string& job) const;
     [[nodiscard]] std::size_t machines_up() const;
     [[nodiscard]] std::size_t machine_count() const {
-        return ledger_.view().machines.size();
+        return cluster_.view().machines.size();
     }
-    [[nodiscard]] const ledger::State& state() const {
-        return ledger_.view();
+    [[nodiscard]] const cluster::ClusterData& state() const {
+        return cluster_.view();
     }
 
 private:
@@ -61,7 +61,7 @@
 
     const Settings& s_;
     std::vector<Effect> effects_;
-    ledger::Ledger ledger_;
+    cluster::ClusterState cluster_;
     Records records_;
     policies::Placement placement_;
     policies::Rounds rounds_;
--- a/include/heronshift/gateway/gateway.hpp
+++ b/include/heronshift/gateway/gateway.hpp
@@ -72,11 +72,11 @@
         Responder res;
         bool forwarded = false;
         double since = 0;
-        std::size_t next_need = 0;
+        std::size_t next_dependency = 0;
         int tries = 0;
     };
     using Open = std::shared_ptr<Submission>;
-    void check_needs(const Open& s);
+    void check_dependencies(const Open& s);
     void accept(const Open& s);
     void store_job(const Open& s);
     void stored(const Open& s, store::Answer&& r, double at, double began);
--- a/include/heronshift/local/cloud.hpp
+++ b/include/heronshift/local/cloud.hpp
@@ -147,7 +147,7 @@
         StandInWorker* on;
         StandInWorker::Run* run;
     };
-    std::vector<Mate> mates(const std::string& job, std::uint64_t try_no);
+    std::vector<Mate> mates(const std::string& job, std::uint64_t attempt);
 
     uv_loop_t* loop_;
     PlatformPlan plan_;
--- a/include/heronshift/local/history.hpp
+++ b/include/heronshift/local/history.hpp
@@ -56,7 +56,7 @@
     [[nodiscard]] bool over(const Job& j) const {
         return j.done.size() >= j.spec.tasks;
     }
-    [[nodiscard]] bool taken_along(const std::string& id) const; // a cancellation reaches it
+    [[nodiscard]] bool cancelled_with_dependency(const std::string& id) const; // a cancellation reaches it
     std::vector<TeamLimits> teams_;
     double cancel_s_;
     std::map<std::string, Job> jobs_;
--- a/include/heronshift/messages.hpp
+++ b/include/heronshift/messages.hpp
@@ -99,12 +99,12 @@
 struct Resign {
     std::string why;
 };
-struct Note {      // one line for the log
+struct LogLine {   // one line for the log
     int level = 0; // 0 debug, 1 info, 2 warning
     std::string text;
 };
 using Effect =
-    std::variant<Commit, SendOrders, AnswerHeartbeat, AnswerCancellation, Rent, Release, FindJob, Resign, Note>;
+    std::variant<Commit, SendOrders, AnswerHeartbeat, AnswerCancellation, Rent, Release, FindJob, Resign, LogLine>;
 
 // The age of a stored job by the wall clock (seconds since 1970).
 JobStored job_stored(codec::StoredJob&& r, double wall);
--- a/include/heronshift/policies/capacity.hpp
+++ b/include/heronshift/policies/capacity.hpp
@@ -1,19 +1,19 @@
 // Capacity: what to rent, keep, empty and give back. Owns how many machines gangs should find ready.
 #pragma once
 
-#include "heronshift/ledger/proposals.hpp"
+#include "heronshift/cluster/proposals.hpp"
 #include "heronshift/policies/common.hpp"
 
 namespace heronshift::policies {
 
 class Capacity {
 public:
-    Capacity(const State& view, ledger::Proposals& out) : v_(view), s_(view.settings), out_(out) {}
+    Capacity(const ClusterData& view, cluster::Proposals& out) : v_(view), s_(view.settings), out_(out) {}
     void plan_capacity();
     void plan_shrink();
     void return_machines();
     void watch_silent();
-    void note_fleet(); // one line a kind of machine, for operators
+    void log_fleet(); // one line a kind of machine, for operators
 
 private:
     struct Cpus {
@@ -39,9 +39,9 @@
                                  const std::map<int, std::pair<int, int>>& inbound_unreachable_by_zone) const;
     void queue_rentals(std::map<std::string, Pending>& wanted);
 
-    const State& v_;
+    const ClusterData& v_;
     const Settings& s_;
-    ledger::Proposals& out_;
+    cluster::Proposals& out_;
     double keep_ready_ = 0, next_silent_ = 0;
     // Of one plan:
     std::vector<Source> sources_;
--- a/include/heronshift/policies/placement.hpp
+++ b/include/heronshift/policies/placement.hpp
@@ -2,7 +2,7 @@
 // it last looked for slow machines; reads a const view and proposes.
 #pragma once
 
-#include "heronshift/ledger/proposals.hpp"
+#include "heronshift/cluster/proposals.hpp"
 #include "heronshift/policies/common.hpp"
 #include "heronshift/policies/room_index.hpp"
 
@@ -10,7 +10,8 @@
 
 class Placement {
 public:
-    Placement(const State& view, ledger::Proposals& out) : v_(view), s_(view.settings), out_(out), index_(view) {}
+    Placement(const ClusterData& view, cluster::Proposals& out)
+        : v_(view), s_(view.settings), out_(out), index_(view) {}
     void schedule();
     [[nodiscard]] std::size_t waiting() const { // jobs, at the last pass
         return waiting_;
@@ -56,17 +57,17 @@
     int make_room(const Job& j, double cap);
     const std::vector<Release>& releases_on(std::size_t position);
     [[nodiscard]] bool may_await(const Machine& m, const Job& j) const;
-    void await_first(const Job& j, double within_s, Rank against);
-    void await_room(const Job& j, int most, double within_s, Rank against);
+    void await_first(const Job& j, double within_s, Priority against);
+    void await_room(const Job& j, int most, double within_s, Priority against);
     void begin_waiting(const std::vector<const Job*>& jobs);
     [[nodiscard]] int quota_left(const Job& j) const;
     [[nodiscard]] double rest_of(const Entry& e) const;
     [[nodiscard]] double loss_of(const Entry& e) const;
     void mark_slow(const Machine& m);
 
-    const State& v_;
+    const ClusterData& v_;
     const Settings& s_;
-    ledger::Proposals& out_;
+    cluster::Proposals& out_;
     std::size_t waiting_ = 0;
     std::vector<const Job*> first_of_team_; // whose limit is left to this one until it has begun; by team
     bool ordinary_waits_ = false;           // an array that may not use spot machines
--- a/include/heronshift/policies/rounds.hpp
+++ b/include/heronshift/policies/rounds.hpp
@@ -1,14 +1,14 @@
 // Rounds: pull-back from overflow to the pool, then reordering, both capped (the paper's algorithm 2).
 #pragma once
 
-#include "heronshift/ledger/proposals.hpp"
+#include "heronshift/cluster/proposals.hpp"
 #include "heronshift/policies/common.hpp"
 
 namespace heronshift::policies {
 
 class Rounds {
 public:
-    Rounds(const State& view, ledger::Proposals& out) : v_(view), s_(view.settings), out_(out) {}
+    Rounds(const ClusterData& view, cluster::Proposals& out) : v_(view), s_(view.settings), out_(out) {}
     void plan_round();
 
 private:
@@ -20,9 +20,9 @@
     void reorder(std::vector<const Machine*>& pool_machines, std::vector<const Machine*>& leaving,
                  const std::vector<const Machine*>& to, int cap, Planned& planned);
 
-    const State& v_;
+    const ClusterData& v_;
     const Settings& s_;
-    ledger::Proposals& out_;
+    cluster::Proposals& out_;
 };
 
 } // namespace heronshift::policies
--- a/include/heronshift/records/intents.hpp
+++ b/include/heronshift/records/intents.hpp
@@ -16,7 +16,7 @@
     std::uint64_t agent_epoch = 0;
     std::string job;
     std::uint32_t index = 0;
-    std::uint64_t try_no = 0;
+    std::uint64_t attempt = 0;
     friend bool operator==(const Intent&, const Intent&) = default;
 };
 
@@ -25,7 +25,7 @@
 class Writer {
 public:
     void add(std::string_view machine, std::string_view zone, std::uint64_t agent_epoch, std::string_view job,
-             std::uint32_t index, std::uint64_t try_no);
+             std::uint32_t index, std::uint64_t attempt);
     [[nodiscard]] std::size_t size() const {
         return text_.size() + 64;
     }
@@ -34,7 +34,7 @@
 private:
     void end_range();
     std::string text_, machine_, zone_, job_;
-    std::uint64_t agent_epoch_ = 0, try_no_ = 0;
+    std::uint64_t agent_epoch_ = 0, attempt_ = 0;
     std::uint32_t first_ = 0, last_ = 0;
     bool open_ = false;
 };
--- a/include/heronshift/records/records.hpp
+++ b/include/heronshift/records/records.hpp
@@ -7,7 +7,7 @@
 // recorded, final_queued, dated) are its own to write.
 #pragma once
 
-#include "heronshift/ledger/ledger.hpp"
+#include "heronshift/cluster/cluster_state.hpp"
 #include "heronshift/records/intents.hpp"
 
 namespace heronshift {
@@ -18,23 +18,24 @@
     std::vector<codec::Item> earlier; // of the layout before: a record a machine, one a job
 };
 
-class Records final : public ledger::Bookkeeping {
+class Records final : public cluster::PersistenceListener {
 public:
     // Enters what the store holds into the ledger, as it stands.
-    Records(ledger::Ledger& ledger, const Settings& settings, const Snapshot& stored, double wall,
+    Records(cluster::ClusterState& cluster, const Settings& settings, const Snapshot& stored, double wall,
             std::vector<Effect>& out);
 
-    void added(ledger::Job& j) override;
-    void added(ledger::Entry& e) override;
-    void removed(ledger::Entry& e) override;
-    void final_due(ledger::Job& j, Urgency u) override;
-    void progressed(ledger::Job& j) override;
-    void became_ready(ledger::Job& j) override;
+    void added(cluster::Job& j) override;
+    void added(cluster::Entry& e) override;
+    void removed(cluster::Entry& e) override;
+    void final_due(cluster::Job& j, Urgency u) override;
+    void progressed(cluster::Job& j) override;
+    void became_ready(cluster::Job& j) override;
 
     void collect_commit(); // the next transaction, if one is due and none is in flight
     void committed(const Committed& c);
     [[nodiscard]] bool waiting() const { // for the budget
-        return !txn_open_ && (!finals_.empty() || !taken_along_.empty() || !readies_.empty() || !unrecorded_.empty());
+        return !txn_open_ &&
+               (!finals_.empty() || !cancelled_with_dependency_.empty() || !readies_.empty() || !unrecorded_.empty());
     }
     [[nodiscard]] bool late(double after_s) const { // the store's answer
         return txn_open_ && l_.view().now - sent_at_ > after_s;
@@ -44,8 +45,8 @@
     }
 
 private:
-    using Entry = ledger::Entry;
-    using Job = ledger::Job;
+    using Entry = cluster::Entry;
+    using Job = cluster::Job;
     struct Draft;
     void load(const Snapshot& s, double wall);
     void load_intent(const intents::Intent& i, int slot);
@@ -67,11 +68,11 @@
     void leave_slot(Entry& e);
     void drop_job(Job& j);
     static std::size_t bucket_of(const std::string& id);
-    void note(int level, std::string text) {
-        l_.note(level, std::move(text));
+    void log(int level, std::string text) {
+        l_.log(level, std::move(text));
     }
 
-    ledger::Ledger& l_;
+    cluster::ClusterState& l_;
     const Settings& s_;
     std::vector<Effect>& out_;
     // The transaction being built and the one in flight.
@@ -79,10 +80,10 @@
     double sent_at_ = 0; // the one in flight
     double write_tokens_ = 0, tokens_at_ = 0;
     std::deque<Job*> finals_, readies_;
-    std::deque<Job*> taken_along_;         // by a cancellation, maybe hundreds: after all other final states
-    bool finals_only_ = false;             // the last transaction held no placement
-    std::size_t most_value_, most_ops_;    // of one record and one transaction: what the store takes
-    std::deque<std::string> gone_records_; // keys that mean nothing any more
+    std::deque<Job*> cancelled_with_dependency_; // by a cancellation, maybe hundreds: after all other final states
+    bool finals_only_ = false;                   // the last transaction held no placement
+    std::size_t most_value_, most_ops_;          // of one record and one transaction: what the store takes
+    std::deque<std::string> gone_records_;       // keys that mean nothing any more
     // Placements are stored in a ring of records: new ones go, with what is still live of it, into
     // the record that was written longest ago. So a launch costs its share of one write.
     struct Slot {
@@ -101,7 +102,7 @@
     std::vector<Bucket> buckets_;
     double next_idle_write_ = 0, next_images_ = 0, next_learned_ = 0;
     struct InFlight {
-        std::vector<std::pair<Job*, ledger::Final>> finals, moves;
+        std::vector<std::pair<Job*, cluster::Final>> finals, moves;
         std::vector<Job*> readies;
         std::vector<std::pair<Job*, std::vector<std::uint32_t>>> progress;
         std::vector<std::size_t> slots, buckets;
--- a/include/heronshift/types.hpp
+++ b/include/heronshift/types.hpp
@@ -12,7 +12,7 @@
 /// How the tasks of a job belong together: an array's run one by one, a gang's all at once, a service's for good.
 enum class Shape : std::uint8_t { array, gang, service };
 /// A job's priority. Smaller means more urgent.
-enum class Rank : std::uint8_t { critical, high, normal, low };
+enum class Priority : std::uint8_t { critical, high, normal, low };
 
 /// An amount of resources, of a task or of a machine.
 struct Resources {
@@ -64,7 +64,7 @@
     /// How its tasks belong together.
     Shape shape = Shape::array;
     /// Its priority.
-    Rank rank = Rank::normal;
+    Priority priority = Priority::normal;
     /// The number of its tasks, 1 to 100,000.
     std::uint32_t tasks = 1;
     /// What each task needs.
@@ -92,9 +92,9 @@
     /// When it should be done, in seconds after its submission; below zero: no deadline.
     double deadline_s = -1;
     /// Ids of the jobs that must be done before any task of this one starts.
-    std::vector<std::string> needs;
+    std::vector<std::string> dependencies;
     /// As stored: `needs` cannot be read.
-    bool needs_damaged = false;
+    bool dependencies_damaged = false;
 };
 
 /// A type of machine that the cloud rents out.
@@ -130,7 +130,7 @@
     /// Its index in the job, from 0.
     std::uint32_t index = 0;
     /// The number of the attempt; a later attempt has a greater one.
-    std::uint64_t try_no = 0;
+    std::uint64_t attempt = 0;
     /// What it does.
     TaskState state = TaskState::running;
     /// Why it ended; `none` while it has not.
@@ -174,7 +174,7 @@
     /// The task's index in the job, from 0.
     std::uint32_t index = 0;
     /// The number of the attempt.
-    std::uint64_t try_no = 0;
+    std::uint64_t attempt = 0;
     /// For a stop: the time that the task has for saving its progress, in seconds.
     double drain_s = 0;
 };
--- a/src/agents/desk.cpp
+++ b/src/agents/desk.cpp
@@ -211,7 +211,7 @@
         open.done({});
 }
 
-void HeartbeatHandler::note_launches(const std::vector<Order>& orders) {
+void HeartbeatHandler::record_launches(const std::vector<Order>& orders) {
     for (const auto& o : orders)
         if (o.verb == Verb::launch)
             took_.first_launches.launched(o.job, later_.now(), took_.launch);
@@ -224,7 +224,7 @@
     const auto open = std::move(it->second);
     open_.erase(it);
     took_.heartbeat.add(later_.now() - open.since);
-    note_launches(a.orders);
+    record_launches(a.orders);
     // A late copy, which the core refuses, says nothing of the way that it came.
     if (a.status == 200)
         open.relayed ? members_.heartbeat_relayed(open.zone, open.addr)
@@ -237,7 +237,7 @@
 }
 
 void HeartbeatHandler::send(const SendOrders& o, std::function<void(OrdersAnswered&&)> done) {
-    note_launches(o.orders);
+    record_launches(o.orders);
     if (o.prefer_relay || members_.any_zone_lost())
         if (const auto zone = host_.zone_of(o.machine);
             o.prefer_relay || members_.zone(zone) == membership::Reach::lost)
--- a/src/ledger/departed.cpp
+++ b/src/cluster/departed_machines.cpp
@@ -1,8 +1,8 @@
-#include "heronshift/ledger/departed.hpp"
+#include "heronshift/cluster/departed_machines.hpp"
 
 #include "heronshift/memory_share.hpp"
 
-namespace heronshift::ledger {
+namespace heronshift::cluster {
 namespace {
 
 constexpr double max_message_age_leases = 30; // ten minutes at the usual lease
@@ -56,4 +56,4 @@
     records_.erase(it);
 }
 
-} // namespace heronshift::ledger
+} // namespace heronshift::cluster
--- a/src/ledger/needs.cpp
+++ b/src/cluster/dependencies.cpp
@@ -1,46 +1,45 @@
 // Jobs that wait for others: when they are ready, what a cancellation takes along, and what those
 // that need a job make of its order.
-#include "heronshift/ledger/ledger.hpp"
+#include "heronshift/cluster/cluster_state.hpp"
 
 #include <algorithm>
 #include <fmt/format.h>
 #include <fmt/ranges.h>
 
-namespace heronshift::ledger {
+namespace heronshift::cluster {
 namespace {
 
-constexpr std::size_t finds_at_once = 8;
+constexpr std::size_t max_concurrent_lookups = 8;
 constexpr double estimate_slack = 1.3; // owners' estimates of chained work are wrong by a third
 
 } // namespace
 
 // From now on it is work like any other: it waits for room, counts to its team and may be rented for.
-void Ledger::join(Job& j) {
+void ClusterState::join(Job& j) {
     j.tasks.resize(j.spec.tasks); // a flood of waiting jobs costs no memory for tasks
     if (j.team >= 0) {
         auto& list = st_.teams[static_cast<std::size_t>(j.team)].jobs; // in the order they became ready
         const auto at = std::find_if(list.rbegin(), list.rend(), [&](const auto& o) { return o->ready <= j.ready; });
         list.emplace(at.base(), &j);
     }
-    note(0,
-         fmt::format("job {} of class {} and team {}: {} tasks of {:.1f} CPUs, {:.0f} s expected, {:.1f} s after its "
-                     "submission",
-                     j.spec.id, j.spec.job_class, j.spec.team, j.spec.tasks, j.spec.each.cpus, j.spec.estimate_s,
-                     st_.now - j.submitted));
+    log(0, fmt::format("job {} of class {} and team {}: {} tasks of {:.1f} CPUs, {:.0f} s expected, {:.1f} s after its "
+                       "submission",
+                       j.spec.id, j.spec.job_class, j.spec.team, j.spec.tasks, j.spec.each.cpus, j.spec.estimate_s,
+                       st_.now - j.submitted));
     for (std::uint32_t i = 0; i < j.spec.tasks; ++i)
         queue_task(j, i);
     offer(j);
-    dirty_ = true;
+    needs_scheduling_ = true;
 }
 
 // A need counts as met only once the store holds that it is done: what only this memory knows might
 // be run again by the next holder, and then a start would have been too early.
-void Ledger::wait_for_needs(Job& j) {
+void ClusterState::wait_for_dependencies(Job& j) {
     j.waits = true;
-    j.dated = false;
+    j.ready_recorded = false;
     bool doomed = false;
-    for (const auto& id : j.spec.needs) {
-        if (const auto* r = recent_.find(id); r != nullptr) {
+    for (const auto& id : j.spec.dependencies) {
+        if (const auto* r = recent_finals_.find(id); r != nullptr) {
             doomed = doomed || *r == Final::cancelled;
             continue;
         }
@@ -50,42 +49,42 @@
             continue;
         }
         j.unmet.push_back(id);
-        needed_by_[id].insert(j.spec.id);
+        dependents_[id].insert(j.spec.id);
         if (n == nullptr)
             look_for(id, st_.now);
     }
-    if (j.spec.needs_damaged) {
+    if (j.spec.dependencies_damaged) {
         j.unmet.emplace_back(); // never settled
-        note(2, fmt::format("job {} waits: its record does not say for which jobs", j.spec.id));
+        log(2, fmt::format("job {} waits: its record does not say for which jobs", j.spec.id));
     }
-    note(0, fmt::format("job {} of class {} waits for {}", j.spec.id, j.spec.job_class, fmt::join(j.unmet, " ")));
-    raise_needs(j);
+    log(0, fmt::format("job {} of class {} waits for {}", j.spec.id, j.spec.job_class, fmt::join(j.unmet, " ")));
+    propagate_urgency(j);
     if (doomed)
         finalize(j, Final::cancelled, true);
     else if (j.unmet.empty())
         become_ready(j);
 }
 
-void Ledger::become_ready(Job& j) {
+void ClusterState::become_ready(Job& j) {
     j.waits = false;
     j.ready = st_.now;
-    books_->became_ready(j);
-    note(0, fmt::format("job {} is ready, {:.1f} s after it was submitted", j.spec.id, st_.now - j.submitted));
+    persistence_->became_ready(j);
+    log(0, fmt::format("job {} is ready, {:.1f} s after it was submitted", j.spec.id, st_.now - j.submitted));
     join(j);
 }
 
 // Called once the final state of a job is in the store. A cancellation takes along all that need it,
 // directly or not: as the first one is stored, every later holder finds the same.
-void Ledger::need_settled(const std::string& id, Final f) {
+void ClusterState::dependency_settled(const std::string& id, Final f) {
     std::vector<std::string> settled{id};
     while (!settled.empty()) {
-        const auto it = needed_by_.find(settled.back());
+        const auto it = dependents_.find(settled.back());
         const auto need = std::move(settled.back());
         settled.pop_back();
-        if (it == needed_by_.end())
+        if (it == dependents_.end())
             continue;
         const auto list = std::move(it->second);
-        needed_by_.erase(it);
+        dependents_.erase(it);
         for (const auto& by : list) {
             auto* j = find_job(by);
             if (j == nullptr || j->final != Final::none || !j->waits)
@@ -96,7 +95,7 @@
                     become_ready(*j);
                 continue;
             }
-            note(1, fmt::format("job {} is cancelled, as {} is, which it needs", by, need));
+            log(1, fmt::format("job {} is cancelled, as {} is, which it needs", by, need));
             finalize(*j, Final::cancelled, true);
             settled.push_back(by);
         }
@@ -105,7 +104,7 @@
 
 // The backward pass: a job is as urgent as the most urgent that needs it, and is to be done before
 // the latest start of those. It goes on only where it changes something.
-void Ledger::raise_needs(Job& from) {
+void ClusterState::propagate_urgency(Job& from) {
     std::vector<Job*> stack{&from};
     while (!stack.empty()) {
         auto& j = *stack.back();
@@ -120,8 +119,8 @@
             if (n == nullptr || n->final != Final::none)
                 continue;
             bool changed = false;
-            if (j.rank < n->rank) {
-                n->rank = j.rank;
+            if (j.priority < n->priority) {
+                n->priority = j.priority;
                 changed = true;
             }
             if (start >= 0 && (n->latest < 0 || start < n->latest)) {
@@ -134,25 +133,25 @@
     }
 }
 
-void Ledger::look_for(const std::string& id, double at) {
+void ClusterState::look_for(const std::string& id, double at) {
     to_find_.emplace(at, id);
 }
 
 // Jobs that others need and that are not known here: finished before this term, or accepted by
 // another node a moment ago.
-void Ledger::find_needs() {
-    while (finding_ < finds_at_once && !to_find_.empty() && to_find_.begin()->first <= st_.now) {
+void ClusterState::find_dependencies() {
+    while (finding_ < max_concurrent_lookups && !to_find_.empty() && to_find_.begin()->first <= st_.now) {
         auto id = std::move(to_find_.begin()->second);
         to_find_.erase(to_find_.begin());
-        if (!needed_by_.contains(id))
+        if (!dependents_.contains(id))
             continue;
         if (const auto* n = find_job(id); n != nullptr) {
             if (n->final_stored)
-                need_settled(id, n->final);
+                dependency_settled(id, n->final);
             continue;
         }
-        if (const auto* r = recent_.find(id); r != nullptr) {
-            need_settled(id, *r);
+        if (const auto* r = recent_finals_.find(id); r != nullptr) {
+            dependency_settled(id, *r);
             continue;
         }
         ++finding_;
@@ -160,13 +159,13 @@
     }
 }
 
-void Ledger::found(JobFound& c) {
+void ClusterState::found(JobFound& c) {
     if (finding_ > 0)
         --finding_;
     switch (c.state) {
     case Known::done:
     case Known::cancelled:
-        need_settled(c.id, c.state == Known::done ? Final::done : Final::cancelled);
+        dependency_settled(c.id, c.state == Known::done ? Final::done : Final::cancelled);
         break;
     case Known::open:
         if (c.job)
@@ -177,21 +176,21 @@
         look_for(c.id, st_.now + st_.settings.report_s / 10);
         break;
     case Known::never:
-        if (const auto it = needed_by_.find(c.id); it != needed_by_.end())
-            note(2, fmt::format("job {} and {} others wait for {}, of which the store knows nothing",
-                                *it->second.begin(), it->second.size() - 1, c.id));
+        if (const auto it = dependents_.find(c.id); it != dependents_.end())
+            log(2, fmt::format("job {} and {} others wait for {}, of which the store knows nothing",
+                               *it->second.begin(), it->second.size() - 1, c.id));
     }
 }
 
-void Ledger::forget_needs(Job& j) {
+void ClusterState::forget_dependencies(Job& j) {
     for (const auto& id : j.unmet) {
-        const auto it = needed_by_.find(id);
-        if (it == needed_by_.end())
+        const auto it = dependents_.find(id);
+        if (it == dependents_.end())
             continue;
         it->second.erase(j.spec.id);
         if (it->second.empty())
-            needed_by_.erase(it);
+            dependents_.erase(it);
     }
 }
 
-} // namespace heronshift::ledger
+} // namespace heronshift::cluster
--- a/src/ledger/report_requests.cpp
+++ b/src/cluster/heartbeat_requests.cpp
@@ -1,9 +1,9 @@
 // Machines that are asked for a report: after a takeover, and those that have not shown the leader's term yet.
-#include "heronshift/ledger/ledger.hpp"
+#include "heronshift/cluster/cluster_state.hpp"
 
 #include <algorithm>
 
-namespace heronshift::ledger {
+namespace heronshift::cluster {
 namespace {
 
 constexpr std::size_t min_asked_at_once = 40; // machines asked for a report
@@ -13,7 +13,7 @@
 
 // Once in the queue, however often it reports before its turn: machines that do not hear us stay unproven, and
 // 2,000 of them would queue up faster than they can be asked.
-void Ledger::want_report(Machine& m) {
+void ClusterState::want_heartbeat(Machine& m) {
     if (m.to_be_asked)
         return;
     m.to_be_asked = true;
@@ -23,7 +23,7 @@
 // All machines within a lease, if each takes its whole time to answer, as far as there are sockets: 64 at once with
 // fd_limit 1024, for which 2,000 machines that do not answer take two leases and a half. Machines that can reach
 // us need no question: they report by themselves within report_s.
-std::size_t Ledger::max_asked_at_once() const {
+std::size_t ClusterState::max_asked_at_once() const {
     const auto& s = st_.settings;
     const double answer_s = s.report_s / 2;
     const auto within_lease = static_cast<std::size_t>(static_cast<double>(st_.machines.size()) * answer_s / s.lease_s);
@@ -33,7 +33,7 @@
 
 // After a takeover workers find us one by one as their reports to others fail. Asked directly they
 // tell at once what they run, and having seen our term they prove what they do not run.
-void Ledger::ask_machines() {
+void ClusterState::ask_machines() {
     const auto max_asked = max_asked_at_once();
     while (!to_ask_.empty() && asking_ < max_asked) {
         auto* m = find_machine(to_ask_.front());
@@ -58,4 +58,4 @@
     }
 }
 
-} // namespace heronshift::ledger
+} // namespace heronshift::cluster
--- a/src/ledger/ledger.cpp
+++ b/src/cluster/jobs.cpp
@@ -1,5 +1,5 @@
 // Jobs and their tasks: what comes, goes, is done or lost, and the entries that tie tasks to machines.
-#include "heronshift/ledger/ledger.hpp"
+#include "heronshift/cluster/cluster_state.hpp"
 
 #include "heronshift/memory_share.hpp"
 
@@ -7,7 +7,7 @@
 #include <cmath>
 #include <fmt/format.h>
 
-namespace heronshift::ledger {
+namespace heronshift::cluster {
 namespace {
 
 constexpr double most_gaps = 50; // between arrays that come, averaged
@@ -29,8 +29,9 @@
 
 } // namespace
 
-Ledger::Ledger(const Settings& settings, std::uint64_t term, double now, double wall, std::vector<Effect>& out)
-    : st_(settings), out_(out), recent_(max_recent_finals(settings)), departed_(settings) {
+ClusterState::ClusterState(const Settings& settings, std::uint64_t term, double now, double wall,
+                           std::vector<Effect>& out)
+    : st_(settings), out_(out), recent_finals_(max_recent_finals(settings)), departed_(settings) {
     st_.term = term;
     st_.now = st_.started = now;
     st_.wall = wall;
@@ -38,19 +39,19 @@
         st_.teams.push_back({t, {}, {}});
 }
 
-Job* Ledger::find_job(const std::string& id) {
+Job* ClusterState::find_job(const std::string& id) {
     const auto it = st_.jobs.find(id);
     return it == st_.jobs.end() ? nullptr : it->second.get();
 }
 
-void Ledger::add_job(JobStored& c) {
-    if (st_.jobs.contains(c.spec.id) || recent_.contains(c.spec.id))
+void ClusterState::add_job(JobStored& c) {
+    if (st_.jobs.contains(c.spec.id) || recent_finals_.contains(c.spec.id))
         return;
     auto j = std::make_unique<Job>();
     j->spec = std::move(c.spec);
     j->submitted = st_.now - c.age_s;
     j->ready = st_.now - (c.ready_age_s >= 0 ? c.ready_age_s : c.age_s);
-    j->rank = j->spec.rank;
+    j->priority = j->spec.priority;
     j->zone_live.resize(st_.settings.zones.size() + 1);
     if (j->spec.shape == Shape::service)
         for (const auto& o : st_.settings.objectives)
@@ -61,21 +62,21 @@
         if (st_.teams[i].limits.name == j->spec.team)
             j->team = static_cast<int>(i);
     auto& stored = *j;
-    books_->added(stored);
+    persistence_->added(stored);
     st_.jobs.emplace(j->spec.id, std::move(j));
-    if (const auto it = needed_by_.find(stored.spec.id); it != needed_by_.end())
+    if (const auto it = dependents_.find(stored.spec.id); it != dependents_.end())
         for (const auto& by : it->second)
             if (auto* n = find_job(by); n != nullptr)
-                raise_needs(*n);
+                propagate_urgency(*n);
     if (c.waits)
-        wait_for_needs(stored);
+        wait_for_dependencies(stored);
     else
         join(stored);
 }
 
 // In the order of their indices: in which order reports came must not decide which is next. What comes back was
 // placed early, so its place is near the front.
-void Ledger::queue_task(Job& j, std::uint32_t index) {
+void ClusterState::queue_task(Job& j, std::uint32_t index) {
     auto& t = j.tasks[index];
     if (t.queued || t.done || t.live > 0)
         return;
@@ -84,7 +85,7 @@
     p.insert(p.empty() || p.back() < index ? p.end() : std::lower_bound(p.begin(), p.end(), index), index);
 }
 
-void Ledger::cancel(const CancellationRequested& c) {
+void ClusterState::cancel(const CancellationRequested& c) {
     auto* j = find_job(c.id);
     if (j == nullptr) {
         const auto v = job(c.id);
@@ -101,26 +102,26 @@
         finalize(*j, Final::cancelled);
 }
 
-void Ledger::finalize(Job& j, Final f, bool taken_along) {
+void ClusterState::finalize(Job& j, Final f, bool cancelled_with_dependency) {
     j.final = f;
     // Nobody has any use for what runs after a cancellation was asked for; the answer still
     // waits for the store.
-    note(0, fmt::format("job {} of class {}, {} tasks, {} {:.1f} s after it was submitted{}", j.spec.id,
-                        j.spec.job_class, j.spec.tasks, f == Final::done ? "done" : "cancelled", st_.now - j.submitted,
-                        j.spec.deadline_s >= 0 ? fmt::format(", due after {:.1f} s", j.spec.deadline_s) : ""));
+    log(0, fmt::format("job {} of class {}, {} tasks, {} {:.1f} s after it was submitted{}", j.spec.id,
+                       j.spec.job_class, j.spec.tasks, f == Final::done ? "done" : "cancelled", st_.now - j.submitted,
+                       j.spec.deadline_s >= 0 ? fmt::format(", due after {:.1f} s", j.spec.deadline_s) : ""));
     for (auto& e : j.entries)
         stop_entry(*e, 0);
-    dirty_ = true;
+    needs_scheduling_ = true;
     if (f != Final::cancelled)
-        books_->final_due(j, Bookkeeping::Urgency::done);
-    else if (taken_along)
-        books_->final_due(j, Bookkeeping::Urgency::taken_along);
+        persistence_->final_due(j, PersistenceListener::Urgency::done);
+    else if (cancelled_with_dependency)
+        persistence_->final_due(j, PersistenceListener::Urgency::cancelled_with_dependency);
     else
         store_cancellation(j);
 }
 
 // A launch was sent and its outcome is not known: the machine may still carry it out.
-bool Ledger::launch_open(const Entry& e) {
+bool ClusterState::launch_open(const Entry& e) {
     return e.phase == Phase::sent && !e.seen;
 }
 
@@ -128,34 +129,34 @@
 // start. So it is stored only once no launch is open, of this leader or an earlier one: seen in a report, refused,
 // ruled out by a raised fencing token, or its machine's lease has run out.
 // (LateCommands: launches that came seconds late were carried out after the confirmation.)
-void Ledger::store_cancellation(Job& j) {
+void ClusterState::store_cancellation(Job& j) {
     const auto open = std::count_if(j.entries.begin(), j.entries.end(), [](const auto& e) { return launch_open(*e); });
     j.open_launches = static_cast<std::uint32_t>(open);
     if (open == 0)
-        books_->final_due(j, Bookkeeping::Urgency::cancelled);
+        persistence_->final_due(j, PersistenceListener::Urgency::cancelled);
 }
 
-void Ledger::launch_settled(Job& j) {
+void ClusterState::launch_settled(Job& j) {
     if (j.open_launches == 0)
         return;
     --j.open_launches;
     if (j.open_launches == 0)
-        books_->final_due(j, Bookkeeping::Urgency::cancelled);
+        persistence_->final_due(j, PersistenceListener::Urgency::cancelled);
 }
 
-Entry& Ledger::add_entry(Machine& m, Job& j, std::uint32_t index, std::uint64_t try_no) {
+Entry& ClusterState::add_entry(Machine& m, Job& j, std::uint32_t index, std::uint64_t attempt) {
     auto& e = *m.entries.emplace_back(std::make_unique<Entry>());
     e.machine = &m;
     e.job = &j;
     e.index = index;
-    e.try_no = try_no;
+    e.attempt = attempt;
     e.agent_epoch = m.agent_epoch;
     e.fencing_token = m.fencing_token;
     e.placed_at = st_.now;
     e.at_machine = m.entries.size() - 1;
     e.at_job = j.entries.size();
     j.entries.emplace_back(&e);
-    books_->added(e);
+    persistence_->added(e);
     m.used += j.spec.each;
     if (j.spec.shape != Shape::array)
         m.firm += j.spec.each;
@@ -171,10 +172,10 @@
     return e;
 }
 
-void Ledger::remove_entry(Entry& gone) {
+void ClusterState::remove_entry(Entry& gone) {
     auto& m = *gone.machine;
     auto& j = *gone.job;
-    books_->removed(gone);
+    persistence_->removed(gone);
     if (gone.at_job + 1 < j.entries.size())
         j.entries[gone.at_job] = std::move(j.entries.back());
     j.entries[gone.at_job]->at_job = gone.at_job;
@@ -208,18 +209,18 @@
     if (open)
         queue_task(j, e.index);
     // What a stale record named of an earlier attempt says nothing about this one.
-    if (j.spec.shape == Shape::gang && open && e.try_no == j.gang_try)
+    if (j.spec.shape == Shape::gang && open && e.attempt == j.gang_attempt)
         break_gang(j);
     if (j.live == 0) {
         j.gang_breaking = false;
         if (j.final != Final::none && j.final_stored)
-            books_->final_due(j, Bookkeeping::Urgency::done);
+            persistence_->final_due(j, PersistenceListener::Urgency::done);
     }
-    dirty_ = true;
+    needs_scheduling_ = true;
 }
 
 // A gang that lost a task is stopped whole; it starts again once every old task is proven gone.
-void Ledger::break_gang(Job& j) {
+void ClusterState::break_gang(Job& j) {
     if (j.gang_breaking || j.live == 0)
         return;
     j.gang_breaking = true;
@@ -227,7 +228,7 @@
         stop_entry(*e, 0);
 }
 
-void Ledger::stop_entry(Entry& e, double drain_s) {
+void ClusterState::stop_entry(Entry& e, double drain_s) {
     if (e.stop && e.drain_s <= drain_s)
         return;
     e.stop = true;
@@ -236,7 +237,7 @@
     want_orders(*e.machine);
 }
 
-void Ledger::mark_done(Job& j, std::uint32_t index) {
+void ClusterState::mark_done(Job& j, std::uint32_t index) {
     auto& t = j.tasks[index];
     if (t.done)
         return;
@@ -255,11 +256,11 @@
         if (j.final == Final::none)
             finalize(j, Final::done);
     } else {
-        books_->progressed(j);
+        persistence_->progressed(j);
     }
 }
 
-void Ledger::task_exited(Entry& e, const ReportedTask& t) {
+void ClusterState::task_exited(Entry& e, const ReportedTask& t) {
     auto& m = *e.machine;
     auto& j = *e.job;
     auto& task = j.tasks[e.index];
@@ -267,8 +268,8 @@
     case ExitCause::done:
         m.failed_jobs.clear();
         // Of what an earlier holder started nobody knows how long it ran.
-        if (e.running_at >= 0 && task.saved_s <= 0 && e.try_no >> try_bits == st_.term)
-            note_run(j, m, st_.now - e.running_at);
+        if (e.running_at >= 0 && task.saved_s <= 0 && e.attempt >> attempt_counter_bits == st_.term)
+            record_run_time(j, m, st_.now - e.running_at);
         mark_done(j, e.index);
         break;
     case ExitCause::stopped:
@@ -276,7 +277,7 @@
             task.saved_s += static_cast<float>(st_.now - e.running_at);
         break;
     case ExitCause::error:
-        note(1, fmt::format("task {}/{} failed on {}", j.spec.id, e.index, m.id));
+        log(1, fmt::format("task {}/{} failed on {}", j.spec.id, e.index, m.id));
         j.error_machines.insert(m.id);
         ++j.error_streak;
         if (task.failures < 200)
@@ -294,14 +295,14 @@
             m.avoid_until = std::max(m.avoid_until, st_.now + st_.settings.lease_s);
             if ((m.failed_jobs.size() >= 2 || j.had_success) && !m.bad) {
                 m.bad = true;
-                note(2, fmt::format("machine {} fails its tasks, taken out of use", m.id));
+                log(2, fmt::format("machine {} fails its tasks, taken out of use", m.id));
             }
         }
         break;
     case ExitCause::no_room:
     case ExitCause::busy:
     case ExitCause::unknown:
-        note(1, fmt::format("task {}/{} refused by {}", j.spec.id, e.index, m.id));
+        log(1, fmt::format("task {}/{} refused by {}", j.spec.id, e.index, m.id));
         m.avoid_until = std::max(m.avoid_until, st_.now + st_.settings.report_s);
         j.not_before = std::max(j.not_before, st_.now + st_.settings.report_s / 3);
         break;
@@ -310,15 +311,15 @@
     }
 }
 
-void Ledger::note_seen(Entry& e) {
+void ClusterState::mark_seen(Entry& e) {
     const bool was_open = launch_open(e);
     e.seen = true;
     if (was_open)
         launch_settled(*e.job);
 }
 
-void Ledger::update_entry(Entry& e, const ReportedTask& t) {
-    note_seen(e);
+void ClusterState::update_entry(Entry& e, const ReportedTask& t) {
+    mark_seen(e);
     const auto was = e.phase;
     switch (t.state) {
     case TaskState::fetching:
@@ -341,8 +342,8 @@
         ++j.running;
         if (e.running_at < 0) {
             e.running_at = st_.now;
-            note(0, fmt::format("task {}/{} runs on {}, {:.1f} s after it was placed, {:.1f} s after its job was ready",
-                                j.spec.id, e.index, e.machine->id, st_.now - e.placed_at, st_.now - j.ready));
+            log(0, fmt::format("task {}/{} runs on {}, {:.1f} s after it was placed, {:.1f} s after its job was ready",
+                               j.spec.id, e.index, e.machine->id, st_.now - e.placed_at, st_.now - j.ready));
         }
         if (j.first_start < 0)
             j.first_start = st_.now;
@@ -353,12 +354,12 @@
         use_image(*e.machine, j.image, true);
 }
 
-std::optional<JobView> Ledger::job(const std::string& id) const {
+std::optional<JobView> ClusterState::job(const std::string& id) const {
     const auto it = st_.jobs.find(id);
     if (resigned_)
         return {};
     if (it == st_.jobs.end()) {
-        const auto* r = recent_.find(id);
+        const auto* r = recent_finals_.find(id);
         if (r == nullptr)
             return {};
         return JobView{*r == Final::done ? codec::status_done : codec::status_cancelled, 0, 0};
@@ -375,19 +376,19 @@
     return v;
 }
 
-void Ledger::remember_final(const Job& j) {
-    recent_.add(j.spec.id, j.final);
+void ClusterState::remember_final(const Job& j) {
+    recent_finals_.add(j.spec.id, j.final);
 }
 
-void Ledger::forget_job(Job& j) {
+void ClusterState::forget_job(Job& j) {
     if (j.team >= 0)
         std::erase_if(st_.teams[static_cast<std::size_t>(j.team)].jobs, [&](const auto& x) { return x == &j; });
-    forget_needs(j);
+    forget_dependencies(j);
     st_.jobs.erase(std::string(j.spec.id));
 }
 
 // Work that arrays bring, averaged over a while: what is kept for those to come.
-void Ledger::offer(const Job& j) {
+void ClusterState::offer(const Job& j) {
     if (j.spec.shape != Shape::array)
         return;
     auto& l = st_.learned;
@@ -405,7 +406,7 @@
 
 // Tasks of one job take much the same time, so the longest of those that are through tells what is
 // too long, long before any estimate would.
-void Ledger::note_run(Job& j, const Machine& m, double ran) {
+void ClusterState::record_run_time(Job& j, const Machine& m, double ran) {
     if (j.spec.shape != Shape::array)
         return;
     if (j.spec.estimate_s > 0) {
@@ -420,4 +421,4 @@
         j.longest_run = std::max(j.longest_run, ran);
 }
 
-} // namespace heronshift::ledger
+} // namespace heronshift::cluster
--- a/src/ledger/machines.cpp
+++ b/src/cluster/machines.cpp
@@ -1,16 +1,16 @@
 // Machines: what they say, what proves that a task is not there, what they are told, rentals and the list.
-#include "heronshift/ledger/ledger.hpp"
+#include "heronshift/cluster/cluster_state.hpp"
 
 #include <algorithm>
 #include <cmath>
 #include <fmt/format.h>
 #include <tuple>
 
-namespace heronshift::ledger {
+namespace heronshift::cluster {
 namespace {
 
 // Steady clocks drift apart by up to 0.05%; twice that, and some for timer steps.
-constexpr double drift = 1.001;
+constexpr double clock_drift = 1.001;
 constexpr double lease_margin_heartbeats = 0.05; // of report_s
 // To a machine at once; the rest follow its answer. A machine runs tens of tasks, however many machines there are.
 constexpr std::size_t max_orders = 200;
@@ -19,12 +19,12 @@
 
 } // namespace
 
-Machine* Ledger::find_machine(const std::string& id) {
+Machine* ClusterState::find_machine(const std::string& id) {
     const auto it = st_.machines.find(id);
     return it == st_.machines.end() ? nullptr : it->second.get();
 }
 
-void Ledger::bind_type(Machine& m) {
+void ClusterState::bind_type(Machine& m) {
     for (std::size_t i = 0; i < st_.types.size(); ++i)
         if (st_.types[i].name == m.type_name) {
             m.type = static_cast<int>(i);
@@ -43,8 +43,8 @@
     }
 }
 
-Machine& Ledger::learn_machine(const std::string& id, const std::string& addr, const std::string& type,
-                               const std::string& zone, bool spot) {
+Machine& ClusterState::learn_machine(const std::string& id, const std::string& addr, const std::string& type,
+                                     const std::string& zone, bool spot) {
     auto& slot = st_.machines[id];
     if (!slot) {
         slot = std::make_unique<Machine>();
@@ -76,18 +76,18 @@
     return *slot;
 }
 
-double Ledger::lease_surely_s() const {
-    return st_.settings.lease_s * drift + st_.settings.report_s * lease_margin_heartbeats;
+double ClusterState::lease_expiry_s() const {
+    return st_.settings.lease_s * clock_drift + st_.settings.report_s * lease_margin_heartbeats;
 }
 
-int Ledger::image_id(const std::string& name, double gb) {
+int ClusterState::image_id(const std::string& name, double gb) {
     const auto [it, fresh] = image_ids_.emplace(name, static_cast<int>(st_.image_gb.size()));
     if (fresh)
         st_.image_gb.push_back(gb);
     return it->second;
 }
 
-CachedImage* Ledger::cached(Machine& m, int image) {
+CachedImage* ClusterState::cached(Machine& m, int image) {
     for (auto& c : m.images)
         if (c.image == image)
             return &c;
@@ -95,7 +95,7 @@
 }
 
 // A machine keeps the images used last; what its cache cannot hold beside them is forgotten here too.
-void Ledger::use_image(Machine& m, int image, bool ready) {
+void ClusterState::use_image(Machine& m, int image, bool ready) {
     auto* c = cached(m, image);
     if (c == nullptr)
         c = &m.images.emplace_back(CachedImage{image, false, st_.now});
@@ -116,14 +116,14 @@
     }
 }
 
-void Ledger::want_orders(Machine& m) {
+void ClusterState::want_orders(Machine& m) {
     if (m.wants_orders)
         return;
     m.wants_orders = true;
     to_dispatch_.push_back(&m);
 }
 
-void Ledger::forget_machine(const std::string& id, bool released) {
+void ClusterState::forget_machine(const std::string& id, bool released) {
     const auto it = st_.machines.find(id);
     if (it == st_.machines.end())
         return;
@@ -136,13 +136,13 @@
 }
 
 // All tasks here are gone for good; what a transaction under way names is settled by its outcome.
-void Ledger::lose_entries(Machine& m) {
+void ClusterState::lose_entries(Machine& m) {
     for (std::size_t i = m.entries.size(); i-- > 0;)
         if (m.entries[i]->phase != Phase::storing)
             remove_entry(*m.entries[i]);
 }
 
-bool Ledger::may_reap(const ReportedTask& t) {
+bool ClusterState::may_reap(const ReportedTask& t) {
     if (t.cause != ExitCause::done)
         return true;
     const auto* j = find_job(t.job);
@@ -151,15 +151,15 @@
     return t.index >= j->tasks.size() || j->tasks[t.index].stored;
 }
 
-Entry* Ledger::find_entry(Machine& m, const ReportedTask& t) {
+Entry* ClusterState::find_entry(Machine& m, const ReportedTask& t) {
     for (auto& e : m.entries)
-        if (e->index == t.index && e->try_no == t.try_no && e->job->spec.id == t.job)
+        if (e->index == t.index && e->attempt == t.attempt && e->job->spec.id == t.job)
             return e.get();
     return nullptr;
 }
 
 // Another holder has come: however old the report is.
-bool Ledger::outdated(const Heartbeat& r) {
+bool ClusterState::outdated(const Heartbeat& r) {
     if (r.fencing_token >> token_counter_bits <= st_.term)
         return false;
     resigned_ = true;
@@ -167,7 +167,7 @@
     return true;
 }
 
-void Ledger::apply_heartbeat(Machine& m, const Heartbeat& r, std::vector<Order>& reaps) {
+void ClusterState::apply_heartbeat(Machine& m, const Heartbeat& r, std::vector<Order>& reaps) {
     const bool ours = r.fencing_token >> token_counter_bits == st_.term;
     if (ours && r.fencing_token > m.fencing_token)
         m.fencing_token = r.fencing_token;
@@ -176,7 +176,7 @@
         return; // late: its task list is as old as the report
     if (ours) {
         st_.unproven_machines.erase(m.id);
-        dirty_ = dirty_ || !m.proven;
+        needs_scheduling_ = needs_scheduling_ || !m.proven;
         m.proven = true;
     }
     if (r.agent_epoch > m.agent_epoch) {
@@ -202,11 +202,11 @@
         m.status = Status::up;
         if (m.up_since < 0) {
             m.up_since = st_.now;
-            note(0, fmt::format("machine {} is up, {:.0f} s after it was asked for", m.id, st_.now - m.known_since));
+            log(0, fmt::format("machine {} is up, {:.0f} s after it was asked for", m.id, st_.now - m.known_since));
         }
         if (m.entries.empty())
             m.empty_since = st_.now;
-        dirty_ = true;
+        needs_scheduling_ = true;
     }
     const auto mark = ++heartbeat_seq_;
     std::vector<std::pair<Entry*, const ReportedTask*>> ended;
@@ -223,7 +223,7 @@
                 j != nullptr && t.cause == ExitCause::done && t.index < j->tasks.size() && j->final == Final::none)
                 mark_done(*j, t.index);
             if (may_reap(t))
-                reaps.push_back({Verb::reap, t.job, t.index, t.try_no, 0});
+                reaps.push_back({Verb::reap, t.job, t.index, t.attempt, 0});
             continue;
         }
         if (e != nullptr) {
@@ -233,12 +233,12 @@
         // A task that we do not know to be here. It occupies its place all the same.
         auto* j = find_job(t.job);
         if (j == nullptr || t.index >= j->tasks.size()) {
-            reaps.push_back({Verb::stop, t.job, t.index, t.try_no, 0});
+            reaps.push_back({Verb::stop, t.job, t.index, t.attempt, 0});
             continue;
         }
         const bool wanted = j->final == Final::none && !j->tasks[t.index].done && j->tasks[t.index].live == 0 &&
-                            (j->spec.shape != Shape::gang || j->gang_try == t.try_no);
-        auto& fresh = add_entry(m, *j, t.index, t.try_no);
+                            (j->spec.shape != Shape::gang || j->gang_attempt == t.attempt);
+        auto& fresh = add_entry(m, *j, t.index, t.attempt);
         fresh.listed = mark;
         update_entry(fresh, t);
         if (!wanted)
@@ -258,18 +258,18 @@
         remove_entry(*e);
     for (const auto& [e, t] : ended)
         if (may_reap(*t))
-            reaps.push_back({Verb::reap, t->job, t->index, t->try_no, 0});
+            reaps.push_back({Verb::reap, t->job, t->index, t->attempt, 0});
     if (r.notice_s >= 0 && !m.draining) {
-        note_spot_loss();
+        record_spot_loss();
         m.draining = true;
         m.notice_until = st_.now + r.notice_s;
-        note(1, fmt::format("machine {} is taken back in {:.0f} s", m.id, r.notice_s));
-        dirty_ = true;
+        log(1, fmt::format("machine {} is taken back in {:.0f} s", m.id, r.notice_s));
+        needs_scheduling_ = true;
     }
 }
 
 // Its lease ran out, as a report says or an answer to orders.
-void Ledger::lease_restarted(Machine& m) {
+void ClusterState::lease_restarted(Machine& m) {
     const double now = st_.now;
     ++m.fencing_token; // that it shows this one, told from now on, will prove that it hears
     // Orders may reach it, and the fence with them, while answers do not: then its lease runs out again and again.
@@ -285,7 +285,7 @@
 // Reports may come while neither answers nor orders reach their machine: its lease ends, it begins anew, and
 // all that is placed there is lost again. What it has heard shows in its fence, and in a lease that runs out
 // though its reports were answered.
-void Ledger::update_inbound_reachability(Machine& m, const Heartbeat& r) {
+void ClusterState::update_inbound_reachability(Machine& m, const Heartbeat& r) {
     const double now = st_.now;
     if (r.fencing_token >= m.acknowledged_token)
         m.heartbeats_without_token = 0;
@@ -296,21 +296,21 @@
     if (inbound_unreachable == m.inbound_unreachable())
         return;
     m.inbound_unreachable_since = inbound_unreachable ? now : -1;
-    dirty_ = true;
-    note(1,
-         inbound_unreachable
-             ? fmt::format("machine {} does not hear: its reports come, what they are answered does not reach it", m.id)
-             : fmt::format("machine {} hears again", m.id));
+    needs_scheduling_ = true;
+    log(1,
+        inbound_unreachable
+            ? fmt::format("machine {} does not hear: its reports come, what they are answered does not reach it", m.id)
+            : fmt::format("machine {} hears again", m.id));
 }
 
-void Ledger::log_stale_heartbeats() {
+void ClusterState::log_stale_heartbeats() {
     const bool first = st_.now - stale_heartbeats_logged_at_ > st_.settings.lease_s;
     stale_heartbeats_logged_at_ = st_.now;
     if (first)
-        note(1, "old reports come late, they count for nothing");
+        log(1, "old reports come late, they count for nothing");
 }
 
-std::vector<Order> Ledger::standing_orders(Machine& m) {
+std::vector<Order> ClusterState::standing_orders(Machine& m) {
     std::vector<Order> out;
     for (auto& e : m.entries)
         if (e->stop && e->phase >= Phase::sent) {
@@ -318,13 +318,13 @@
             if (e->phase == Phase::saving && e->drain_s > 0)
                 continue;
             e->stop_at = st_.now;
-            out.push_back({Verb::stop, e->job->spec.id, e->index, e->try_no, e->drain_s});
+            out.push_back({Verb::stop, e->job->spec.id, e->index, e->attempt, e->drain_s});
         }
     return out;
 }
 
 // Of a machine that was lost and forgotten: what is no newer than its last heartbeat is no sign of life.
-bool Ledger::copy_of_departed(const Heartbeat& r) {
+bool ClusterState::copy_of_departed(const Heartbeat& r) {
     const auto* last = departed_.find(r.machine);
     if (last == nullptr || std::tie(r.agent_epoch, r.counter) > std::tie(last->agent_epoch, last->counter))
         return false;
@@ -335,7 +335,7 @@
 
 // Copies of reports may come late, from seconds to well over a lease, and in any order: they count for nothing,
 // not even as a sign of life. Else a machine that is long gone would keep its tasks for as long as they come.
-void Ledger::receive_heartbeat(const HeartbeatReceived& c) {
+void ClusterState::receive_heartbeat(const HeartbeatReceived& c) {
     const auto& r = c.heartbeat;
     const auto refuse = [&] { out_.push_back(AnswerHeartbeat{c.handle, 503, 0, {}}); };
     if (departed_.released(r.machine)) {
@@ -364,13 +364,13 @@
         m.token_acknowledged_at = st_.now;
     }
     if (!m.proven)
-        want_report(m); // an answer to empty orders proves that it is there
+        want_heartbeat(m); // an answer to empty orders proves that it is there
     auto stops = standing_orders(m);
     orders.insert(orders.end(), stops.begin(), stops.end());
     out_.push_back(AnswerHeartbeat{c.handle, 200, m.fencing_token, std::move(orders)});
 }
 
-void Ledger::dispatch(Machine& m) {
+void ClusterState::dispatch(Machine& m) {
     SendOrders o;
     for (auto& e : m.entries) {
         if (o.orders.size() >= max_orders) {
@@ -379,7 +379,7 @@
         }
         if (e->stop && e->phase >= Phase::sent && e->stop_at < 0) {
             e->stop_at = st_.now;
-            o.orders.push_back({Verb::stop, e->job->spec.id, e->index, e->try_no, e->drain_s});
+            o.orders.push_back({Verb::stop, e->job->spec.id, e->index, e->attempt, e->drain_s});
         }
     }
     for (std::size_t i = m.entries.size(); i-- > 0;) {
@@ -400,7 +400,7 @@
         e.phase = Phase::sent;
         e.fencing_token = m.fencing_token;
         ++counters_.launched;
-        o.orders.push_back({Verb::launch, e.job->spec.id, e.index, e.try_no, 0});
+        o.orders.push_back({Verb::launch, e.job->spec.id, e.index, e.attempt, 0});
     }
     if (o.orders.empty())
         return;
@@ -413,7 +413,7 @@
     out_.push_back(std::move(o));
 }
 
-void Ledger::answered(const OrdersAnswered& c) {
+void ClusterState::answered(const OrdersAnswered& c) {
     auto* m = find_machine(c.machine);
     if (m == nullptr || m->batch != c.batch)
         return;
@@ -434,14 +434,14 @@
     }
     want_orders(*m);
     const auto fencing_token = m->fencing_token;
-    auto outstanding = [&](const Deep<std::unique_ptr<Entry>>& e) {
+    auto outstanding = [&](const PropagateConst<std::unique_ptr<Entry>>& e) {
         return e->phase == Phase::sent && !e->seen && e->fencing_token == fencing_token;
     };
     if (c.status == 200 && c.heartbeat && c.heartbeat->agent_epoch == m->agent_epoch) {
         // The body is the report after the commands: what it does not list did not start.
         for (auto& e : m->entries)
             if (outstanding(e) && c.heartbeat->counter > m->counter)
-                note_seen(*e);
+                mark_seen(*e);
         apply_heartbeat(*m, *c.heartbeat, reaps);
         // A newer report overtook this answer without settling a launch: raise the fence.
         if (std::any_of(m->entries.begin(), m->entries.end(), outstanding))
@@ -464,21 +464,21 @@
     // and seeing the raised value in a report proves that they no longer can be.
     ++m->fencing_token;
     m->avoid_until = std::max(m->avoid_until, st_.now + st_.settings.report_s / 2);
-    note(0, fmt::format("no answer of {} to commands, fence raised to {}", m->id, m->fencing_token));
+    log(0, fmt::format("no answer of {} to commands, fence raised to {}", m->id, m->fencing_token));
 }
 
-void Ledger::lapse_machines() {
-    const double lease = lease_surely_s();
+void ClusterState::expire_leases() {
+    const double lease = lease_expiry_s();
     std::vector<std::string> remove;
     for (auto& [id, mp] : st_.machines) {
         auto& m = *mp;
         if (m.status == Status::up && st_.now > m.lease_started_at + lease) {
             if (!m.entries.empty())
-                note(2, fmt::format("lease of {} has lapsed, {} tasks lost", id, m.entries.size()));
+                log(2, fmt::format("lease of {} has lapsed, {} tasks lost", id, m.entries.size()));
             for (const auto& e : m.entries)
                 counters_.lost += e->phase >= Phase::sent;
             if (m.spot)
-                note_spot_loss();
+                record_spot_loss();
             lose_entries(m);
             m.status = Status::lost;
             m.empty_since = st_.now;
@@ -496,7 +496,7 @@
         forget_machine(id, false);
 }
 
-void Ledger::rented(const Rented& c) {
+void ClusterState::rented(const Rented& c) {
     const auto it = st_.rentals.find(c.claim);
     if (it == st_.rentals.end())
         return;
@@ -507,8 +507,8 @@
             auto& m = learn_machine(id, "", p.type, p.zone, p.spot);
             m.known_since = p.asked;
         }
-        note(1, fmt::format("rented {} of {} {} in {}{}", c.machines.size(), p.count, p.type, p.zone,
-                            p.spot ? " (spot)" : ""));
+        log(1, fmt::format("rented {} of {} {} in {}{}", c.machines.size(), p.count, p.type, p.zone,
+                           p.spot ? " (spot)" : ""));
         if (static_cast<int>(c.machines.size()) < p.count)
             st_.no_capacity[fmt::format("{}/{}/{}", p.type, p.zone, p.spot)] = st_.now + 2 * st_.settings.report_s;
         st_.rentals.erase(it);
@@ -524,7 +524,7 @@
     }
 }
 
-void Ledger::released(const Released& c) {
+void ClusterState::released(const Released& c) {
     releases_under_way_ -= std::min(releases_under_way_, c.machines.size());
     for (const auto& id : c.machines) {
         auto* m = find_machine(id);
@@ -541,10 +541,10 @@
             continue; // asked again once the store has answered
         forget_machine(id, true);
     }
-    dirty_ = true;
+    needs_scheduling_ = true;
 }
 
-void Ledger::listed(const MachinesListed& c) {
+void ClusterState::listed(const MachinesListed& c) {
     for (const auto& l : c.machines) {
         // The list lags: what was released may still be in it for a while.
         if (departed_.released(l.id))
@@ -555,26 +555,26 @@
         // which no machine was emptied for a minute after each change of office, 300 too many kept.
         m.known_since = std::min(m.known_since, st_.now - l.age_s);
         if (l.status == "failed" && !m.releasing) {
-            note(1, fmt::format("machine {} has failed", m.id));
+            log(1, fmt::format("machine {} has failed", m.id));
             lose_entries(m);
             m.status = Status::lost;
             m.bad = true;
         }
         if (!st_.asked_all && l.status == "running")
-            want_report(m);
+            want_heartbeat(m);
     }
     st_.asked_all = true;
-    dirty_ = true;
+    needs_scheduling_ = true;
 }
 
-void Ledger::types_known(std::vector<MachineType>&& types) {
+void ClusterState::types_known(std::vector<MachineType>&& types) {
     st_.types = std::move(types);
     for (auto& [id, m] : st_.machines)
         bind_type(*m);
-    dirty_ = true;
+    needs_scheduling_ = true;
 }
 
-void Ledger::send_due_orders() {
+void ClusterState::send_due_orders() {
     const auto due = std::move(to_dispatch_);
     to_dispatch_.clear();
     for (auto* m : due) {
@@ -585,10 +585,10 @@
     ask_machines();
 }
 
-void Ledger::note_spot_loss() {
+void ClusterState::record_spot_loss() {
     auto& l = st_.learned;
     l.spot_losses = l.spot_losses * std::exp(-(st_.now - l.spot_losses_at) / st_.average_s()) + 1;
     l.spot_losses_at = st_.now;
 }
 
-} // namespace heronshift::ledger
+} // namespace heronshift::cluster
--- a/src/ledger/state.cpp
+++ b/src/cluster/placement_rules.cpp
@@ -1,24 +1,24 @@
 // The rules of where a task may run, and other questions about the state.
-#include "heronshift/ledger/state.hpp"
+#include "heronshift/cluster/cluster_data.hpp"
 
 #include <cmath>
 
-namespace heronshift::ledger {
+namespace heronshift::cluster {
 namespace {
 
 constexpr double offered_leases = 3; // lengths of a lease over which offered work is averaged
 
 } // namespace
 
-double State::average_s() const {
+double ClusterData::average_s() const {
     return offered_leases * settings.lease_s;
 }
 
-double State::work_left(const Job& j) const {
+double ClusterData::work_left(const Job& j) const {
     return j.spec.each.cpus * (j.spec.tasks - j.done) * std::max(1.0, j.spec.estimate_s);
 }
 
-double State::due_at(const Job& j) const {
+double ClusterData::due_at(const Job& j) const {
     double due = j.spec.deadline_s >= 0 ? j.submitted + j.spec.deadline_s : 1e18;
     if (j.latest >= 0)
         due = std::min(due, j.latest);
@@ -29,7 +29,7 @@
     return due < 1e18 ? due : -1;
 }
 
-int State::quota_room(const Job& j) const {
+int ClusterData::quota_room(const Job& j) const {
     if (j.team < 0)
         return 0;
     const auto& t = teams[static_cast<std::size_t>(j.team)];
@@ -41,7 +41,7 @@
     return static_cast<int>(std::floor(std::max(0.0, n)));
 }
 
-bool State::allowed_there(const Job& j, const Machine& m) const {
+bool ClusterData::allowed_there(const Job& j, const Machine& m) const {
     const auto& spec = j.spec;
     if (m.zone < 0 || m.type < 0 || (m.spot && !spec.spot))
         return false;
@@ -56,7 +56,7 @@
     return !spec.spread || j.zone_live[zone] + j.zone_live.back() < (spec.tasks + 1) / 2;
 }
 
-const char* State::refusal(const Job& j, const Machine& m) const {
+const char* ClusterData::refusal(const Job& j, const Machine& m) const {
     if (j.waits)
         return "the jobs that it needs are not done";
     if (j.final != Final::none)
@@ -74,4 +74,4 @@
     return nullptr;
 }
 
-} // namespace heronshift::ledger
+} // namespace heronshift::cluster
--- a/src/ledger/proposals.cpp
+++ b/src/cluster/proposals.cpp
@@ -1,17 +1,17 @@
 // What policies propose, checked and entered.
-#include "heronshift/ledger/ledger.hpp"
+#include "heronshift/cluster/cluster_state.hpp"
 
 #include <algorithm>
 #include <fmt/format.h>
 
-namespace heronshift::ledger {
+namespace heronshift::cluster {
 
 // Every placement comes through here; a rule that it would break stops it, whoever planned it.
-bool Ledger::place(const Job& job, const Machine& machine) {
+bool ClusterState::place(const Job& job, const Machine& machine) {
     auto& j = own(job);
     auto& m = own(machine);
     if (const auto* why = st_.refusal(j, m); why != nullptr) {
-        note(2, fmt::format("no task of job {} on {}: {}", j.spec.id, m.id, why));
+        log(2, fmt::format("no task of job {} on {}: {}", j.spec.id, m.id, why));
         return false;
     }
     while (!j.pending.empty()) {
@@ -21,10 +21,10 @@
         if (j.tasks[i].done || j.tasks[i].live > 0)
             continue;
         // A task is placed once a pass at most, so the pass makes the attempt unique.
-        const auto try_no = (st_.term << try_bits) + try_seq_;
+        const auto attempt = (st_.term << attempt_counter_bits) + pass_counter_;
         if (j.spec.shape == Shape::gang)
-            j.gang_try = try_no;
-        add_entry(m, j, i, try_no);
+            j.gang_attempt = attempt;
+        add_entry(m, j, i, attempt);
         // What was made room for is there: others may have the rest.
         if (m.reserved_for == &j && --m.reserved_tasks <= 0)
             m.reserved_for = nullptr;
@@ -33,7 +33,7 @@
     return false;
 }
 
-void Ledger::drop_settled(const Job& job, bool all) {
+void ClusterState::drop_settled(const Job& job, bool all) {
     auto& j = own(job);
     const auto settled = [&](std::uint32_t i) {
         const bool over = j.tasks[i].done || j.tasks[i].live > 0;
@@ -49,42 +49,42 @@
         j.pending.pop_front();
 }
 
-void Ledger::stop(const Entry& e, double drain_s) {
+void ClusterState::stop(const Entry& e, double drain_s) {
     stop_entry(own(e), drain_s);
 }
 
-void Ledger::preempt(const Entry& e) {
+void ClusterState::preempt(const Entry& e) {
     stop_entry(own(e), 0);
     ++counters_.preempted;
 }
 
-void Ledger::move_away(const Entry& e, double drain_s) {
+void ClusterState::move_away(const Entry& e, double drain_s) {
     stop_entry(own(e), drain_s);
     own(e).moving = true;
     ++counters_.moved;
 }
 
-void Ledger::gang_whole(const Job& j) {
+void ClusterState::gang_whole(const Job& j) {
     own(j).gang_breaking = false;
 }
 
-void Ledger::reserve(const Machine& machine, const Job& j, int tasks, double until, Rank against) {
+void ClusterState::reserve(const Machine& machine, const Job& j, int tasks, double until, Priority against) {
     auto& m = own(machine);
     m.reserved_for = &j;
-    m.reserved_rank = against;
+    m.reserved_priority = against;
     m.reserved_until = until;
     m.reserved_tasks = tasks;
 }
 
-void Ledger::room_asked(const Job& j, double until) {
+void ClusterState::room_asked(const Job& j, double until) {
     own(j).room_until = until;
 }
 
-void Ledger::good_room(const Job& j, bool being_made) {
+void ClusterState::good_room(const Job& j, bool being_made) {
     own(j).good_room = being_made;
 }
 
-void Ledger::set_pool(const std::vector<const Machine*>& pool, const Resources& service_shape) {
+void ClusterState::set_pool(const std::vector<const Machine*>& pool, const Resources& service_shape) {
     st_.service_shape = service_shape;
     for (auto& [id, m] : st_.machines)
         m->pool = false;
@@ -92,12 +92,12 @@
         own(*m).pool = true;
 }
 
-void Ledger::set_common_shape(const Resources& r) {
+void ClusterState::set_common_shape(const Resources& r) {
     st_.common_shape = r;
 }
 
 // A job is within its team's guarantee if it fits into that with the team's earlier ones.
-void Ledger::mark_guarantees() {
+void ClusterState::mark_guarantees() {
     for (auto& t : st_.teams) {
         double cpus = 0, gpus = 0;
         for (auto& j : t.jobs) {
@@ -113,52 +113,52 @@
     }
 }
 
-void Ledger::blame(const Entry& e) {
+void ClusterState::blame(const Entry& e) {
     auto& blamed = own(e).job->tasks[e.index].blamed;
     if (blamed < 4)
         ++blamed;
 }
 
-void Ledger::slow(const Machine& m, double until) {
+void ClusterState::slow(const Machine& m, double until) {
     own(m).slow_until = until;
     ++own(m).slow_seen;
 }
 
-void Ledger::retire(const Machine& m, bool leave) {
+void ClusterState::retire(const Machine& m, bool leave) {
     own(m).retiring = leave;
     if (!leave)
-        dirty_ = true;
+        needs_scheduling_ = true;
 }
 
-void Ledger::rent(const Pending& p) {
+void ClusterState::rent(const Pending& p) {
     // The term makes the name unique among all holders there ever were.
     const auto claim = fmt::format("r-{}-{}", st_.term, ++claim_seq_);
     st_.rentals[claim] = p;
     out_.emplace_back(Rent{claim, p.type, p.zone, p.spot, p.count});
 }
 
-void Ledger::ask(const Machine& m) {
+void ClusterState::ask(const Machine& m) {
     own(m).asked_at = st_.now;
     to_ask_.push_back(m.id);
 }
 
-void Ledger::presume_dead(const Machine& m) {
+void ClusterState::presume_dead(const Machine& m) {
     own(m).presumed_dead = true;
 }
 
-void Ledger::give_back(const Machine& machine) {
+void ClusterState::give_back(const Machine& machine) {
     auto& m = own(machine);
     m.releasing = m.release_asked = true;
     if (!m.presumed_dead)
         return;
-    note_spot_loss();
-    note(1, fmt::format("spot machine {} is silent, {} tasks start elsewhere once it is surely gone", m.id,
-                        m.entries.size()));
+    record_spot_loss();
+    log(1, fmt::format("spot machine {} is silent, {} tasks start elsewhere once it is surely gone", m.id,
+                       m.entries.size()));
 }
 
 // A machine that is given back must stay known as gone for as long as late messages may name it. Without room for
 // that it stays rented, takes no work, and is asked for again.
-void Ledger::release(std::vector<std::string> machines) {
+void ClusterState::release(std::vector<std::string> machines) {
     const auto room = departed_.room_for(releases_under_way_ + machines.size(), st_.now);
     const auto may_go = std::min(machines.size(), room - std::min(room, releases_under_way_));
     for (auto i = may_go; i < machines.size(); ++i)
@@ -167,8 +167,8 @@
             m->release_retry = st_.now + st_.settings.report_s;
         }
     if (may_go < machines.size())
-        note(2, fmt::format("{} machines stay rented for now: {} departed lately", machines.size() - may_go,
-                            departed_.size()));
+        log(2, fmt::format("{} machines stay rented for now: {} departed lately", machines.size() - may_go,
+                           departed_.size()));
     machines.resize(may_go);
     if (machines.empty())
         return;
@@ -176,4 +176,4 @@
     out_.emplace_back(Release{std::move(machines)});
 }
 
-} // namespace heronshift::ledger
+} // namespace heronshift::cluster
--- a/src/codec/jobs.cpp
+++ b/src/codec/jobs.cpp
@@ -79,23 +79,26 @@
 const char* name_of(Shape s) {
     return s == Shape::array ? "array" : s == Shape::gang ? "gang" : "daemon";
 }
-std::optional<Rank> rank_of(const std::string& s) {
+std::optional<Priority> priority_of(const std::string& s) {
     if (s == "critical")
-        return Rank::critical;
+        return Priority::critical;
     if (s == "high")
-        return Rank::high;
+        return Priority::high;
     if (s == "normal")
-        return Rank::normal;
+        return Priority::normal;
     if (s == "low")
-        return Rank::low;
+        return Priority::low;
     return {};
 }
-const char* name_of(Rank r) {
-    return r == Rank::critical ? "critical" : r == Rank::high ? "high" : r == Rank::normal ? "normal" : "low";
+const char* name_of(Priority r) {
+    return r == Priority::critical ? "critical"
+           : r == Priority::high   ? "high"
+           : r == Priority::normal ? "normal"
+                                   : "low";
 }
 
 // False if it is no list of job ids. Repeats count once.
-bool read_needs(const Json& j, std::vector<std::string>& out) {
+bool read_dependencies(const Json& j, std::vector<std::string>& out) {
     const auto* f = field(j, "waitsOn");
     if (f == nullptr)
         return true;
@@ -115,7 +118,7 @@
 std::variant<JobSpec, Invalid> read_spec(const Json& j) {
     FieldReader r{j, {}};
     JobSpec s;
-    s.needs_damaged = !read_needs(j, s.needs);
+    s.dependencies_damaged = !read_dependencies(j, s.dependencies);
     s.id = r.text("id", true);
     if (r.error.empty() && !valid_job_id(s.id))
         r.complain("id", "must have the form wk-000412");
@@ -125,8 +128,8 @@
         s.shape = *shape;
     else
         r.complain("shape", "must be array, gang or daemon");
-    if (const auto rank = rank_of(r.text("rank", true)); rank)
-        s.rank = *rank;
+    if (const auto priority = priority_of(r.text("rank", true)); priority)
+        s.priority = *priority;
     else
         r.complain("rank", "must be critical, high, normal or low");
     if (std::uint64_t n = 0; field(j, "shards") == nullptr)
@@ -188,7 +191,7 @@
     if (!j.is_object())
         return Invalid{"not an object"};
     auto r = read_spec(j);
-    if (const auto* s = std::get_if<JobSpec>(&r); s != nullptr && s->needs_damaged)
+    if (const auto* s = std::get_if<JobSpec>(&r); s != nullptr && s->dependencies_damaged)
         return Invalid{"waitsOn: must be a list of job ids"};
     return r;
 }
@@ -198,7 +201,7 @@
            {"jobclass", s.job_class},
            {"owner", s.team},
            {"shape", name_of(s.shape)},
-           {"rank", name_of(s.rank)},
+           {"rank", name_of(s.priority)},
            {"shards", s.tasks},
            {"cpus", s.each.cpus},
            {"memGb", s.each.memory_gb},
@@ -224,8 +227,8 @@
         j["snapshotS"] = s.save_s;
     if (s.deadline_s >= 0)
         j["dueS"] = s.deadline_s;
-    if (!s.needs.empty())
-        j["waitsOn"] = s.needs;
+    if (!s.dependencies.empty())
+        j["waitsOn"] = s.dependencies;
     return j;
 }
 
@@ -274,7 +277,7 @@
     r.job_class = r.image = "-";
     r.team = s.team;
     r.shape = s.shape;
-    r.rank = s.rank;
+    r.priority = s.priority;
     r.tasks = s.tasks;
     r.each = s.each;
     return r;
--- a/src/codec/workers.cpp
+++ b/src/codec/workers.cpp
@@ -89,7 +89,7 @@
             return {};
         ReportedTask t;
         const auto state = state_of(text(e, "status"));
-        if (!split_task(text(e, "shard"), t.job, t.index) || !count(e, "try", t.try_no) || !state)
+        if (!split_task(text(e, "shard"), t.job, t.index) || !count(e, "try", t.attempt) || !state)
             return {};
         t.state = *state;
         if (t.state == TaskState::ended)
@@ -109,7 +109,7 @@
             out += ',';
         first = false;
         const char* verb = o.verb == Verb::launch ? "launch" : o.verb == Verb::stop ? "stop" : "reap";
-        out += fmt::format(R"({{"verb":"{}","shard":"{}/{}","try":{})", verb, o.job, o.index, o.try_no);
+        out += fmt::format(R"({{"verb":"{}","shard":"{}/{}","try":{})", verb, o.job, o.index, o.attempt);
         if (o.verb == Verb::stop)
             out += fmt::format(R"(,"drainS":{})", o.drain_s);
         out += '}';
@@ -183,7 +183,7 @@
     if (r.notice_s >= 0)
         j["evictionInS"] = r.notice_s;
     for (const auto& t : r.tasks) {
-        Json e{{"shard", task_name(t.job, t.index)}, {"try", t.try_no}, {"status", name_of(t.state)}};
+        Json e{{"shard", task_name(t.job, t.index)}, {"try", t.attempt}, {"status", name_of(t.state)}};
         if (t.state == TaskState::ended)
             e["exitCause"] = name_of(t.cause);
         if (t.saved)
@@ -215,7 +215,7 @@
         if (verb != "launch" && verb != "stop" && verb != "reap")
             return {};
         x.verb = verb == "launch" ? Verb::launch : verb == "stop" ? Verb::stop : Verb::reap;
-        if (!split_task(text(e, "shard"), x.job, x.index) || !count(e, "try", x.try_no))
+        if (!split_task(text(e, "shard"), x.job, x.index) || !count(e, "try", x.attempt))
             return {};
         x.drain_s = number(e, "drainS");
         o.list.push_back(std::move(x));
--- a/src/config.cpp
+++ b/src/config.cpp
@@ -14,7 +14,7 @@
 namespace heronshift {
 namespace {
 
-constexpr double lease_drift = 0.002; // of steady clocks, four times what the protocol allows
+constexpr double lease_clock_drift = 0.002; // of steady clocks, four times what the protocol allows
 
 class Reader {
 public:
@@ -292,7 +292,7 @@
     if (s.lease_s < 2 * s.report_s)
         r.fail(at + "lease_s", "must be at least twice report_s");
     // A machine that no stop reaches keeps a cancelled task until its lease has run out, by its own clock.
-    if (s.cancel_s < s.lease_s * (1 + lease_drift))
+    if (s.cancel_s < s.lease_s * (1 + lease_clock_drift))
         r.fail(at + "cancel_s",
                "must be longer than lease_s, which is how long a machine that cannot be reached goes on");
     const auto& st = r.table(f, "facts.", "state");
--- a/src/core/core.cpp
+++ b/src/core/core.cpp
@@ -13,28 +13,28 @@
 } // namespace
 
 Core::Core(const Settings& settings, std::uint64_t term, const Snapshot& stored, double now, double wall)
-    : s_(settings), ledger_(settings, term, now, wall, effects_), records_(ledger_, settings, stored, wall, effects_),
-      placement_(ledger_.view(), ledger_), rounds_(ledger_.view(), ledger_), capacity_(ledger_.view(), ledger_),
+    : s_(settings), cluster_(settings, term, now, wall, effects_), records_(cluster_, settings, stored, wall, effects_),
+      placement_(cluster_.view(), cluster_), rounds_(cluster_.view(), cluster_), capacity_(cluster_.view(), cluster_),
       next_round_(now + settings.ops.round_s) {}
 
 void Core::take(Command& command) {
     std::visit(Each{
-                   [this](JobStored& c) { ledger_.add_job(c); },
-                   [this](JobFound& c) { ledger_.found(c); },
-                   [this](CancellationRequested& c) { ledger_.cancel(c); },
-                   [this](HeartbeatReceived& c) { ledger_.receive_heartbeat(c); },
-                   [this](OrdersAnswered& c) { ledger_.answered(c); },
+                   [this](JobStored& c) { cluster_.add_job(c); },
+                   [this](JobFound& c) { cluster_.found(c); },
+                   [this](CancellationRequested& c) { cluster_.cancel(c); },
+                   [this](HeartbeatReceived& c) { cluster_.receive_heartbeat(c); },
+                   [this](OrdersAnswered& c) { cluster_.answered(c); },
                    [this](Committed& c) { records_.committed(c); },
-                   [this](Rented& c) { ledger_.rented(c); },
-                   [this](Released& c) { ledger_.released(c); },
-                   [this](MachinesListed& c) { ledger_.listed(c); },
-                   [this](MachineTypesKnown& c) { ledger_.types_known(std::move(c.types)); },
+                   [this](Rented& c) { cluster_.rented(c); },
+                   [this](Released& c) { cluster_.released(c); },
+                   [this](MachinesListed& c) { cluster_.listed(c); },
+                   [this](MachineTypesKnown& c) { cluster_.types_known(std::move(c.types)); },
                },
                command);
 }
 
 std::vector<Effect> Core::step(std::vector<Command>& commands, double now, double wall, bool may_act) {
-    ledger_.set_time(now, wall);
+    cluster_.set_time(now, wall);
     effects_.clear();
     if (!may_act) {
         // From a day on which a cut-off holder took the machines outside its zone for lost and gave
@@ -53,16 +53,16 @@
     commands.clear();
     if (now >= next_tick_) {
         next_tick_ = now + s_.report_s / 20;
-        ledger_.lapse_machines();
+        cluster_.expire_leases();
         placement_.drain_noticed();
         placement_.find_slow();
         capacity_.watch_silent();
-        ledger_.touch();
+        cluster_.request_pass();
     }
     // A pass over what waits costs time: events gather for a moment first.
-    if (ledger_.dirty() && now >= next_schedule_) {
-        ledger_.settled();
-        ledger_.next_pass();
+    if (cluster_.needs_scheduling() && now >= next_schedule_) {
+        cluster_.settled();
+        cluster_.begin_pass();
         placement_.schedule();
         // A pass looks at all that waits. With a hundred thousand jobs, passes that followed each other at
         // once took the whole loop, and the office was lost for want of renewals.
@@ -77,53 +77,53 @@
     }
     if (now >= next_round_) {
         next_round_ = now + s_.ops.round_s;
-        if (!ledger_.view().types.empty())
-            capacity_.note_fleet();
+        if (!cluster_.view().types.empty())
+            capacity_.log_fleet();
         rounds_.plan_round();
     }
-    ledger_.find_needs();
+    cluster_.find_dependencies();
     records_.collect_commit();
     if (records_.late(s_.report_s / 3))
-        ledger_.store_is_late();
-    ledger_.send_due_orders();
+        cluster_.store_is_late();
+    cluster_.send_due_orders();
     wake_at_ = next_tick_;
     if (records_.waiting())
         wake_at_ = std::min(wake_at_, now + 1 / s_.state_write_rps); // as the budget allows
-    if (ledger_.dirty())
+    if (cluster_.needs_scheduling())
         wake_at_ = std::min(wake_at_, next_schedule_);
     return std::move(effects_);
 }
 
 std::optional<Shape> Core::shape_of(const std::string& id) const {
-    const auto* j = ledger_.view().find_job(id);
-    if (j == nullptr || ledger_.resigned())
+    const auto* j = cluster_.view().find_job(id);
+    if (j == nullptr || cluster_.resigned())
         return {};
     return j->spec.shape;
 }
 
 std::size_t Core::machines_up() const {
-    const auto& all = ledger_.view().machines;
+    const auto& all = cluster_.view().machines;
     return static_cast<std::size_t>(
-        std::count_if(all.begin(), all.end(), [](const auto& m) { return m.second->status == ledger::Status::up; }));
+        std::count_if(all.begin(), all.end(), [](const auto& m) { return m.second->status == cluster::Status::up; }));
 }
 
 std::size_t Core::live_tasks(const std::string& job) const {
-    const auto* j = ledger_.view().find_job(job);
+    const auto* j = cluster_.view().find_job(job);
     return j == nullptr ? 0 : j->live;
 }
 
 std::vector<metrics::Value> Core::metrics() const {
-    const auto& v = ledger_.view();
-    const auto& n = ledger_.counters();
+    const auto& v = cluster_.view();
+    const auto& n = cluster_.counters();
     std::size_t up = 0, live = 0, inbound_unreachable = 0;
     for (const auto& [id, m] : v.machines) {
-        up += m->status == ledger::Status::up;
+        up += m->status == cluster::Status::up;
         live += m->entries.size();
         inbound_unreachable += m->inbound_unreachable();
     }
     std::map<std::string, double> by_class, by_team; // the oldest that waits
     for (const auto& [id, j] : v.jobs) {
-        if (j->final != ledger::Final::none || j->waits || j->live > 0)
+        if (j->final != cluster::Final::none || j->waits || j->live > 0)
             continue;
         for (auto* wait : {&by_class[j->spec.job_class], &by_team[j->spec.team]})
             *wait = std::max(*wait, v.now - j->ready);
@@ -139,7 +139,7 @@
         {"heronshift_lost_total", "tasks lost with their machine in this term", of(n.lost)},
         {"heronshift_preempted_total", "tasks stopped for others in this term", of(n.preempted)},
         {"heronshift_moved_total", "tasks moved in this term", of(n.moved)},
-        {"heronshift_passes_total", "of placement over all that waits, in this term", of(ledger_.passes())},
+        {"heronshift_passes_total", "of placement over all that waits, in this term", of(cluster_.passes())},
         {"heronshift_commits_total", "transactions in this term", of(records_.committed_count())},
         {"heronshift_machines_deaf", "that report and do not hear", of(inbound_unreachable)},
         {"heronshift_reports_dropped_total", "copies, in this term", of(n.stale_heartbeats), {{"why", "old"}}},
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -281,10 +281,11 @@
         return "cpus: beyond the team's limit";
     if (team->gpus_max > 0 && s.each.gpus * n > team->gpus_max + 1e-6)
         return "accelerators: beyond the team's limit";
-    if (std::find(s.needs.begin(), s.needs.end(), s.id) != s.needs.end())
+    if (std::find(s.dependencies.begin(), s.dependencies.end(), s.id) != s.dependencies.end())
         return "waitsOn: names the job itself";
     // Its longest record, with the times written out.
-    const auto record = codec::to_record({s, 1e9 + 0.123456, 1e9 + 0.123456, !s.needs.empty(), {}}).dump().size() + 40;
+    const auto record =
+        codec::to_record({s, 1e9 + 0.123456, 1e9 + 0.123456, !s.dependencies.empty(), {}}).dump().size() + 40;
     if (record > static_cast<std::size_t>(s_.value_kb * 1024))
         return fmt::format("the job's record is longer than the {} KiB that the state service takes", s_.value_kb);
     for (const auto& t : host_.types()) {
@@ -334,7 +335,7 @@
     auto s = std::make_shared<Submission>(Submission{std::move(std::get<JobSpec>(parsed)),
                                                      std::make_shared<HttpRequest>(std::move(r)), std::move(res),
                                                      forwarded, later_.now(), 0, 0});
-    s->spec.needs.empty() ? accept(s) : check_needs(s);
+    s->spec.dependencies.empty() ? accept(s) : check_dependencies(s);
 }
 
 // A known id gets its state, whatever else is wrong.
@@ -363,12 +364,12 @@
 
 // That a job was accepted stays true, so it is remembered; that it never was is said only after a
 // fresh read. One need after the other, within the budget for reads.
-void Gateway::check_needs(const Open& s) {
+void Gateway::check_dependencies(const Open& s) {
     auto refuse = [this, s](const std::string& why) {
         refuse_unless_known(s->spec.id, 422, "waitsOn: " + why, s->res);
     };
-    for (; s->next_need < s->spec.needs.size(); ++s->next_need) {
-        const auto& id = s->spec.needs[s->next_need];
+    for (; s->next_dependency < s->spec.dependencies.size(); ++s->next_dependency) {
+        const auto& id = s->spec.dependencies[s->next_dependency];
         if (accepted_.contains(id))
             continue;
         const auto* core = host_.active_core();
@@ -382,7 +383,7 @@
                 ++took_.refused;
                 return s->res.send(503, not_now, retry_soon_s);
             }
-            return later_.after(s_.report_s / 60, [this, s] { check_needs(s); });
+            return later_.after(s_.report_s / 60, [this, s] { check_dependencies(s); });
         }
         return look_up(id, [this, s, id, refuse](const Found& f) {
             if (!f.known)
@@ -393,7 +394,7 @@
             if (f.service || (j && j->spec.shape == Shape::service))
                 return refuse(id + " is a service");
             accepted_.add(id, true);
-            check_needs(s);
+            check_dependencies(s);
         });
     }
     accept(s);
@@ -404,7 +405,7 @@
     const auto& id = s->spec.id;
     const std::vector<codec::Guard> guards{{"j/" + id, 0}, {"f/" + id, 0}};
     const std::vector<codec::Write> writes{
-        {"j/" + id, codec::to_record({s->spec, at, -1, !s->spec.needs.empty(), {}}), 0}};
+        {"j/" + id, codec::to_record({s->spec, at, -1, !s->spec.dependencies.empty(), {}}), 0}};
     // Where the store does not answer this node, another may still be served within the user's time.
     const double patience = s->forwarded ? s_.report_s / 2 : s_.report_s / 10;
     store_.transact(guards, writes, patience,
@@ -413,7 +414,7 @@
 
 void Gateway::stored(const Open& s, store::Answer&& r, double at, double began) {
     const auto id = s->spec.id;
-    const bool waits = !s->spec.needs.empty();
+    const bool waits = !s->spec.dependencies.empty();
     if (r.status == 200) {
         took_.submit.add(later_.now() - began);
         if (s->spec.shape != Shape::service)
--- a/src/leadership/leader_lease.cpp
+++ b/src/leadership/leader_lease.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 // Steady clocks drift apart by up to 0.05%; four times that, and some for timer steps.
-constexpr double drift = 0.002;
+constexpr double clock_drift = 0.002;
 constexpr double timer_s = 0.1;
 constexpr double store_leases_gone_ttls = 3; // lengths of a hold after which none is left
 constexpr double renewals_missed = 0.25;     // of the hold: later than this, promises are asked for
@@ -16,10 +16,10 @@
 LeaderLease::LeaderLease(double ttl_s, std::size_t peers, double now)
     : ttl_s_(ttl_s), peers_(peers),
       // The process before may have promised just before it ended.
-      not_before_(now + ttl_s / 2 * (1 + drift) + timer_s) {}
+      not_before_(now + ttl_s / 2 * (1 + clock_drift) + timer_s) {}
 
 void LeaderLease::store_lease_renewed(double sent) {
-    store_lease_until_ = std::max(store_lease_until_, sent + ttl_s_ * (1 - drift) - timer_s);
+    store_lease_until_ = std::max(store_lease_until_, sent + ttl_s_ * (1 - clock_drift) - timer_s);
     renewed_ = std::max(renewed_, sent);
 }
 
@@ -32,7 +32,7 @@
     if (!valid(now))
         return false;
     auto& until = extension_votes_[peer];
-    until = std::max(until, sent + extension_s() * (1 - drift) - timer_s);
+    until = std::max(until, sent + extension_s() * (1 - clock_drift) - timer_s);
     if (extension_votes_.size() < peers_)
         return false;
     double all = until;
@@ -55,9 +55,9 @@
 bool LeaderLease::grant_extension(double length_s, double now, bool follower, bool store_failed) {
     // An attempt of ours that is still on its way would break the promise without our doing. A longer one than
     // holders ask for would be forgotten by a process that is back within a moment.
-    if (!follower || !store_failed || acquisition_in_doubt_ || length_s > extension_s() * (1 + drift))
+    if (!follower || !store_failed || acquisition_in_doubt_ || length_s > extension_s() * (1 + clock_drift))
         return false;
-    not_before_ = std::max(not_before_, now + length_s * (1 + drift) + timer_s);
+    not_before_ = std::max(not_before_, now + length_s * (1 + clock_drift) + timer_s);
     return true;
 }
 
--- a/src/local/cloud.cpp
+++ b/src/local/cloud.cpp
@@ -75,7 +75,7 @@
         }
     const auto& specs = p_.jobs_;
     Run r;
-    r.t = {o.job, o.index, o.try_no, TaskState::fetching, ExitCause::none, false};
+    r.t = {o.job, o.index, o.attempt, TaskState::fetching, ExitCause::none, false};
     if (p_.on_launch)
         p_.on_launch(o, type_, zone_, spot_);
     const auto spec = specs.find(o.job);
@@ -83,7 +83,7 @@
     bool here = false;
     for (const auto& x : runs_) {
         if (x.t.job == o.job && x.t.index == o.index) {
-            if (x.t.try_no == o.try_no)
+            if (x.t.attempt == o.attempt)
                 return;
             here = here || x.t.state != TaskState::ended;
         }
@@ -109,7 +109,7 @@
             continue;
         }
         const auto it = std::find_if(runs_.begin(), runs_.end(), [&](const Run& r) {
-            return r.t.job == o.job && r.t.index == o.index && r.t.try_no == o.try_no;
+            return r.t.job == o.job && r.t.index == o.index && r.t.attempt == o.attempt;
         });
         if (it == runs_.end())
             continue;
@@ -275,7 +275,7 @@
             r.until = now + (r.t.state == TaskState::waiting ? w.gang_wait_s : run);
             changed_ = true;
         } else if (r.t.state == TaskState::waiting) {
-            const auto all = p_.mates(r.t.job, r.t.try_no);
+            const auto all = p_.mates(r.t.job, r.t.attempt);
             const bool ready = all.size() == s.tasks && std::all_of(all.begin(), all.end(), [](const auto& x) {
                                    return x.run->t.state == TaskState::waiting;
                                });
@@ -291,7 +291,7 @@
             if (!ready && now >= r.until)
                 end(r, ExitCause::alone);
         } else if (r.t.state == TaskState::running && s.shape == Shape::gang && s.tasks > 1) {
-            const auto all = p_.mates(r.t.job, r.t.try_no);
+            const auto all = p_.mates(r.t.job, r.t.attempt);
             if (all.size() < s.tasks) {
                 if (r.mate_lost < 0)
                     r.mate_lost = now;
@@ -388,18 +388,18 @@
     history_.check(t);
 }
 
-std::vector<Platform::Mate> Platform::mates(const std::string& job, std::uint64_t try_no) {
+std::vector<Platform::Mate> Platform::mates(const std::string& job, std::uint64_t attempt) {
     std::vector<Mate> out;
     for (auto& [id, m] : machines_)
         for (auto& r : m->runs_)
-            if (r.t.job == job && r.t.try_no == try_no &&
+            if (r.t.job == job && r.t.attempt == attempt &&
                 (r.t.state != TaskState::ended || r.t.cause == ExitCause::done))
                 out.push_back({m.get(), &r});
     return out;
 }
 
 double Platform::run_s(const JobSpec& s, const ReportedTask& t) const {
-    std::string name = fmt::format("{} {}/{} {}", plan_.seed, t.job, t.index, t.try_no);
+    std::string name = fmt::format("{} {}/{} {}", plan_.seed, t.job, t.index, t.attempt);
     std::seed_seq from(name.begin(), name.end());
     std::minstd_rand rng(from);
     return std::max(0.05, s.estimate_s * plan_.run_share * std::uniform_real_distribution<double>(0.67, 1.33)(rng));
--- a/src/local/history.cpp
+++ b/src/local/history.cpp
@@ -13,12 +13,12 @@
         broken_.push_back(std::move(text));
 }
 
-bool History::taken_along(const std::string& id) const {
+bool History::cancelled_with_dependency(const std::string& id) const {
     const auto it = jobs_.find(id);
     if (it == jobs_.end())
         return false;
-    return it->second.asked || std::any_of(it->second.spec.needs.begin(), it->second.spec.needs.end(),
-                                           [this](const auto& n) { return taken_along(n); });
+    return it->second.asked || std::any_of(it->second.spec.dependencies.begin(), it->second.spec.dependencies.end(),
+                                           [this](const auto& n) { return cancelled_with_dependency(n); });
 }
 
 void History::told(const std::string& id, int status, const std::string& state, double now) {
@@ -41,7 +41,7 @@
             breaks("not_done", fmt::format("{} with {} of {} tasks", id, j.done.size(), j.spec.tasks));
         j.final = state;
     } else if (state == codec::status_cancelled) {
-        if (!taken_along(id))
+        if (!cancelled_with_dependency(id))
             breaks("went_back", id + " was cancelled by nobody");
         if (j.cancelled_at < 0)
             j.cancelled_at = now;
@@ -72,7 +72,7 @@
         breaks("wrong_place", name + " with too many others in " + at.zone);
     if (j.cancelled_at >= 0 && now > j.cancelled_at + cancel_s_)
         breaks("ran_cancelled", name);
-    for (const auto& n : s.needs)
+    for (const auto& n : s.dependencies)
         if (!over(jobs_[n]))
             breaks("too_early", fmt::format("{} before {} is done", name, n));
     j.on.emplace(index, at);
--- a/src/local/local.cpp
+++ b/src/local/local.cpp
@@ -38,7 +38,9 @@
     s.job_class = shape == Shape::array ? "batch" : shape == Shape::gang ? "solve" : "serve";
     s.team = team;
     s.shape = shape;
-    s.rank = shape == Shape::service ? Rank::critical : shape == Shape::gang ? Rank::high : Rank::normal;
+    s.priority = shape == Shape::service ? Priority::critical
+                 : shape == Shape::gang  ? Priority::high
+                                         : Priority::normal;
     s.tasks = tasks;
     s.each = {cpus, 0, cpus * 2};
     s.image = "img-" + team;
@@ -272,7 +274,7 @@
         for (const auto* step : {"gather", "clean", "publish"}) {
             auto s = job(++n, Shape::array, 4, 1, "red", 1);
             s.job_class = step;
-            s.needs = before;
+            s.dependencies = before;
             before = {s.id};
             add(std::move(s), 3 + 0.3 * static_cast<double>(n % 3));
         }
@@ -289,11 +291,12 @@
         if (u.asking || u.state == S::over || t < u.next)
             return;
         if (u.state == S::waits) {
-            const bool ready = std::all_of(u.spec.needs.begin(), u.spec.needs.end(), [this](const auto& id) {
-                return std::any_of(users_wanted_.begin(), users_wanted_.end(), [&](const User& x) {
-                    return x.spec.id == id && x.state != S::waits && x.state != S::submits;
+            const bool ready =
+                std::all_of(u.spec.dependencies.begin(), u.spec.dependencies.end(), [this](const auto& id) {
+                    return std::any_of(users_wanted_.begin(), users_wanted_.end(), [&](const User& x) {
+                        return x.spec.id == id && x.state != S::waits && x.state != S::submits;
+                    });
                 });
-            });
             if (t < u.at || !ready)
                 return;
             u.state = S::submits;
@@ -457,7 +460,7 @@
             const auto* shape = u.spec.shape == Shape::array  ? "arrays"
                                 : u.spec.shape == Shape::gang ? "gangs"
                                                               : "services";
-            ++shapes[u.spec.needs.empty() && u.spec.job_class != "gather" ? shape : "pipeline"][u.last];
+            ++shapes[u.spec.dependencies.empty() && u.spec.job_class != "gather" ? shape : "pipeline"][u.last];
         }
         for (const auto& [shape, states] : shapes) {
             std::cout << fmt::format("{:9}", shape);
--- a/src/node/controller.cpp
+++ b/src/node/controller.cpp
@@ -158,7 +158,7 @@
                    [this](Rent& e) { cloud_.rent(e); },
                    [this](Release& e) { cloud_.release(e); },
                    [this](Resign& e) { election_.resign(e.why); },
-                   [](Note& e) {
+                   [](LogLine& e) {
                        spdlog::log(e.level == 0   ? spdlog::level::debug
                                    : e.level == 1 ? spdlog::level::info
                                                   : spdlog::level::warn,
@@ -221,7 +221,7 @@
     std::map<std::string, std::size_t> out;
     if (core_)
         for (const auto& [id, m] : core_->state().machines)
-            if (m->status == ledger::Status::up && !m->releasing)
+            if (m->status == cluster::Status::up && !m->releasing)
                 ++out[m->zone_name];
     return out;
 }
--- a/src/policies/capacity.cpp
+++ b/src/policies/capacity.cpp
@@ -320,10 +320,10 @@
             largest_gang = std::max(largest_gang, static_cast<double>(j->spec.tasks));
     }
     const auto due = array_need(), brought = offered();
-    out_.note(0,
-              fmt::format("capacity: {:.0f} CPUs ({:.0f} ordinary), {:.0f} for services and gangs, arrays need {:.0f} "
-                          "({:.0f}) and bring {:.0f} ({:.0f})",
-                          have, have_ordinary, need, due.all, due.ordinary, brought.all, brought.ordinary));
+    out_.log(0,
+             fmt::format("capacity: {:.0f} CPUs ({:.0f} ordinary), {:.0f} for services and gangs, arrays need {:.0f} "
+                         "({:.0f}) and bring {:.0f} ({:.0f})",
+                         have, have_ordinary, need, due.all, due.ordinary, brought.all, brought.ordinary));
     need += std::max(due.all, brought.all) * spare;
     need_ordinary += std::max(due.ordinary, brought.ordinary) * spare;
     std::sort(list.begin(), list.end(), [&](const Machine* a, const Machine* b) {
@@ -353,7 +353,7 @@
         }
         have -= m->whole.cpus;
         out_.retire(*m, true);
-        out_.note(0, fmt::format("machine {} is to become empty, {:.0f} of its CPUs in use", m->id, m->used.cpus));
+        out_.log(0, fmt::format("machine {} is to become empty, {:.0f} of its CPUs in use", m->id, m->used.cpus));
     }
 }
 
@@ -455,12 +455,12 @@
     }
     if (out.empty())
         return;
-    out_.note(1, fmt::format("returning {} machines, {} first", out.size(), out.front()));
+    out_.log(1, fmt::format("returning {} machines, {} first", out.size(), out.front()));
     out_.release(std::move(out));
 }
 
 // One line a kind of machine, for operators who watch the fleet.
-void Capacity::note_fleet() {
+void Capacity::log_fleet() {
     struct Sum {
         int up = 0, booting = 0, pool = 0, empty = 0;
         double room = 0, services = 0, gangs = 0, arrays = 0;
@@ -481,24 +481,24 @@
                                                   : s.arrays) += e->job->spec.each.cpus;
     }
     for (const auto& [kind, s] : kinds)
-        out_.note(0, fmt::format(
-                         "fleet: {}: {} up ({} pool, {} empty), {} booting, of {:.0f} CPUs {:.0f} in services, {:.0f} "
-                         "in gangs, {:.0f} in arrays",
-                         kind, s.up, s.pool, s.empty, s.booting, s.room, s.services, s.gangs, s.arrays));
+        out_.log(0, fmt::format(
+                        "fleet: {}: {} up ({} pool, {} empty), {} booting, of {:.0f} CPUs {:.0f} in services, {:.0f} "
+                        "in gangs, {:.0f} in arrays",
+                        kind, s.up, s.pool, s.empty, s.booting, s.room, s.services, s.gangs, s.arrays));
     std::map<Phase, std::size_t> phases;
     for (const auto& [id, m] : v_.machines)
         for (const auto& e : m->entries)
             ++phases[e->phase];
-    out_.note(
+    out_.log(
         0, fmt::format("tasks: {} placed, {} being stored, {} to be sent, {} sent, {} fetching, {} waiting, {} running",
                        phases[Phase::intent], phases[Phase::storing], phases[Phase::stored], phases[Phase::sent],
                        phases[Phase::fetching], phases[Phase::waiting], phases[Phase::running]));
-    std::map<Rank, std::size_t> waiting;
+    std::map<Priority, std::size_t> waiting;
     for (const auto& [id, j] : v_.jobs)
         if (j->final == Final::none)
-            waiting[j->rank] += j->pending.size();
-    for (const auto& [rank, n] : waiting)
-        out_.note(0, fmt::format("waiting: {} tasks of rank {}", n, static_cast<int>(rank)));
+            waiting[j->priority] += j->pending.size();
+    for (const auto& [priority, n] : waiting)
+        out_.log(0, fmt::format("waiting: {} tasks of rank {}", n, static_cast<int>(priority)));
 }
 
 } // namespace heronshift::policies
--- a/src/policies/common.cpp
+++ b/src/policies/common.cpp
@@ -14,7 +14,7 @@
 
 } // namespace
 
-bool usable(const State& v, const Machine& m, const Job& j, bool also_retiring) {
+bool usable(const ClusterData& v, const Machine& m, const Job& j, bool also_retiring) {
     const auto& s = v.settings;
     if (m.status != Status::up || m.draining || m.bad || m.releasing || (m.retiring && !also_retiring) || m.type < 0 ||
         m.zone < 0 || !m.proven || m.inbound_unreachable())
@@ -23,7 +23,8 @@
         return false;
     if (v.now < m.slow_until && j.spec.shape != Shape::service)
         return false; // replicas have no speed
-    if (m.reserved_for != nullptr && m.reserved_for != &j && v.now < m.reserved_until && j.rank >= m.reserved_rank)
+    if (m.reserved_for != nullptr && m.reserved_for != &j && v.now < m.reserved_until &&
+        j.priority >= m.reserved_priority)
         return false;
     const auto& spec = j.spec;
     // On the pool, room for the next replica stays free: making it would cost that replica's aim.
@@ -88,7 +89,7 @@
     return cost;
 }
 
-double patience_s(const State& v, const Job& j) {
+double patience_s(const ClusterData& v, const Job& j) {
     double s = 1e18;
     for (const auto& o : v.settings.objectives)
         if (o.kind == "wait" && o.job_class == j.spec.job_class)
@@ -99,7 +100,7 @@
     return s < 1e18 ? std::max(s, 0.0) : v.settings.report_s;
 }
 
-std::vector<const Job*> waiting_jobs(const State& v, Resources& shape) {
+std::vector<const Job*> waiting_jobs(const ClusterData& v, Resources& shape) {
     // Among equals the job with the least work left goes first, since that brings the most jobs home in time.
     // Large ones begin in time all the same (Placement::begin_waiting), and whoever has waited twice as long as
     // that goes first, the oldest before all.
@@ -124,8 +125,8 @@
     std::sort(list.begin(), list.end(), [](const Waiting& x, const Waiting& y) {
         const auto &a = *x.job, &b = *y.job;
         // What may take the place of others goes first, or it would stop them and lose the room.
-        if (a.rank != b.rank)
-            return a.rank < b.rank;
+        if (a.priority != b.priority)
+            return a.priority < b.priority;
         if (a.guaranteed != b.guaranteed)
             return a.guaranteed;
         if (x.key != y.key)
@@ -141,12 +142,12 @@
     return out;
 }
 
-bool serves(const State& v, const Machine& m) {
+bool serves(const ClusterData& v, const Machine& m) {
     return m.status == Status::up && !m.draining && !m.bad && !m.releasing && m.type >= 0 && !m.inbound_unreachable() &&
            v.now <= m.last_heartbeat_at + 2 * v.settings.report_s;
 }
 
-double spot_loss_rate(const State& v) {
+double spot_loss_rate(const ClusterData& v) {
     if (v.spot_machines == 0)
         return 0;
     const double over = v.average_s();
--- a/src/policies/making_room.cpp
+++ b/src/policies/making_room.cpp
@@ -52,7 +52,7 @@
             const auto& v = e->job->spec;
             if (e->stop)
                 free += v.each;
-            else if (e->job->rank > j.rank && v.shape == Shape::array)
+            else if (e->job->priority > j.priority && v.shape == Shape::array)
                 order.emplace_back(loss_of(*e), e.get());
         }
         std::sort(order.begin(), order.end(), [](const auto& a, const auto& b) { return a.first < b.first; });
@@ -79,9 +79,9 @@
     for (const auto* e : r.victims)
         out_.preempt(*e);
     if (!r.victims.empty())
-        out_.note(0,
-                  fmt::format("job {} takes the place of {} tasks on {}", j.spec.id, r.victims.size(), r.machine->id));
-    out_.reserve(*r.machine, j, r.tasks, v_.now + s_.report_s, j.rank);
+        out_.log(0,
+                 fmt::format("job {} takes the place of {} tasks on {}", j.spec.id, r.victims.size(), r.machine->id));
+    out_.reserve(*r.machine, j, r.tasks, v_.now + s_.report_s, j.priority);
     room_changed(*r.machine);
 }
 
@@ -126,7 +126,7 @@
 // Where tasks end all the time, room comes by itself: the machines where it comes first are kept for the job,
 // or smaller tasks would fill each hole before it is large enough. Stopping work costs what it has done: on
 // the ferries' days half of the largest arrays' tasks were begun twice, a fifth of all.
-void Placement::await_room(const Job& j, int most, double within_s, Rank against) {
+void Placement::await_room(const Job& j, int most, double within_s, Priority against) {
     const auto wanted = static_cast<std::size_t>(std::min({most, static_cast<int>(j.pending.size()), quota_left(j)}));
     if (wanted == 0)
         return;
@@ -165,7 +165,7 @@
 }
 
 // The same for one task: machines where nothing ends before the best so far are passed over at once.
-void Placement::await_first(const Job& j, double within_s, Rank against) {
+void Placement::await_first(const Job& j, double within_s, Priority against) {
     const Machine* best = nullptr;
     double best_at = std::numeric_limits<double>::infinity();
     const PlacementCost cost_of(v_, j);
@@ -235,7 +235,7 @@
     out_.room_asked(j, v_.now + s_.report_s / 10); // looking at all machines takes time
     std::vector<Room> best;
     double best_cost = 1e18;
-    const bool may_stop = j.rank <= Rank::high;
+    const bool may_stop = j.priority <= Priority::high;
     const int tries = j.spec.one_zone ? static_cast<int>(s_.zones.size()) : 1;
     for (int z = 0; z < tries; ++z) {
         std::vector<Room> rooms;
--- a/src/policies/placement.cpp
+++ b/src/policies/placement.cpp
@@ -111,7 +111,7 @@
         if (place_batch({j}, 1, 1e18) > 0 || v_.now < j->room_until)
             continue;
         out_.room_asked(*j, v_.now + s_.report_s / 2);
-        await_room(*j, 1, 1e18, Rank::critical);
+        await_room(*j, 1, 1e18, Priority::critical);
     }
 }
 
@@ -271,7 +271,7 @@
     int budget = 64; // placements a pass, so that beats and users are not kept waiting
     for (std::size_t k = 0; k < jobs.size() && budget > 0; ++k) {
         const auto& j = *jobs[k];
-        const bool hopeless = j.rank > Rank::high && // room may have been made for those
+        const bool hopeless = j.priority > Priority::high && // room may have been made for those
                               std::any_of(failed.begin(), failed.end(), [&](const NoRoom& f) { return covers(f, j); });
         if (!hopeless)
             budget -= place_waiting(jobs, k, budget);
@@ -283,7 +283,7 @@
         ask_for_room(j);
     }
     if (budget <= 0)
-        out_.touch();
+        out_.request_pass();
 }
 
 // If a smaller task found no place, a larger one won't.
@@ -319,7 +319,7 @@
     std::size_t total = j.pending.size();
     for (std::size_t i = at + 1; i < jobs.size() && total < static_cast<std::size_t>(s_.ops.batch); ++i) {
         const auto& o = jobs[i]->spec;
-        if (o.shape == Shape::gang || o.spread || o.one_zone || jobs[i]->rank != j.rank)
+        if (o.shape == Shape::gang || o.spread || o.one_zone || jobs[i]->priority != j.priority)
             break;
         batch.push_back(jobs[i]);
         total += jobs[i]->pending.size();
@@ -332,12 +332,12 @@
 
 // Urgent work keeps the machines where room comes first, or once it has waited for too long takes it.
 void Placement::ask_for_room(const Job& j) {
-    if (j.spec.shape == Shape::gang || j.rank > Rank::high || v_.now < j.room_until)
+    if (j.spec.shape == Shape::gang || j.priority > Priority::high || v_.now < j.room_until)
         return;
     out_.room_asked(j, v_.now + s_.report_s / 2);
     const double left = j.ready + patience_s(v_, j) - v_.now;
     if (left > 0)
-        await_room(j, static_cast<int>(j.spec.tasks), left, j.rank);
+        await_room(j, static_cast<int>(j.spec.tasks), left, j.priority);
     else
         make_room(j, 1e18);
 }
--- a/src/policies/room_index.cpp
+++ b/src/policies/room_index.cpp
@@ -99,7 +99,7 @@
 
 void RoomIndex::note_reservation(const Machine& m, std::uint32_t at) {
     if (is_reserved(m))
-        reserved_.push_back({at, m.reserved_for, m.reserved_rank});
+        reserved_.push_back({at, m.reserved_for, m.reserved_priority});
 }
 
 std::size_t RoomIndex::position(const Machine& m) const {
@@ -131,7 +131,7 @@
 
 void RoomIndex::find_reserved(const Job& j, PlainMachines which, std::vector<std::uint32_t>& found) const {
     for (const auto& r : reserved_) {
-        if (r.job != &j && j.rank >= r.rank)
+        if (r.job != &j && j.priority >= r.priority)
             continue;
         const auto& m = *machines_[r.machine];
         if (which == PlainMachines::left_out && plain(m))
--- a/src/policies/rounds.cpp
+++ b/src/policies/rounds.cpp
@@ -51,7 +51,7 @@
     for (const auto& [id, j] : v_.jobs) {
         if (j->final != Final::none)
             continue;
-        if (!j->pending.empty() && j->rank <= Rank::high)
+        if (!j->pending.empty() && j->priority <= Priority::high)
             return;
         if (j->spec.shape == Shape::service)
             replicas += j->live;
--- a/src/policies/slow_machines.cpp
+++ b/src/policies/slow_machines.cpp
@@ -77,7 +77,7 @@
     if (static_cast<double>(slow) > most_slow * static_cast<double>(v_.machines.size()))
         return; // it is not them
     out_.slow(m, v_.now + 2 * s_.lease_s * (1 << std::min(m.slow_seen, 4)));
-    out_.note(1, fmt::format("machine {} is slow", m.id));
+    out_.log(1, fmt::format("machine {} is slow", m.id));
     for (const auto& e : m.entries) {
         const auto& j = *e->job;
         if (e->stop || j.spec.shape != Shape::array || e->phase < Phase::sent)
--- a/src/records/intents.cpp
+++ b/src/records/intents.cpp
@@ -36,7 +36,7 @@
     std::uint32_t first = 0, last = 0;
     if (!codec::valid_job_id(i.job) || !parse_range(range, first, last) || !range.empty())
         return false;
-    if (!take_number(attempt, i.try_no) || !attempt.empty())
+    if (!take_number(attempt, i.attempt) || !attempt.empty())
         return false;
     for (i.index = first; i.index <= last; ++i.index)
         out.push_back(i);
@@ -49,14 +49,14 @@
     if (!open_)
         return;
     open_ = false;
-    text_ += first_ == last_ ? fmt::format(" {}/{}:{}", job_, first_, try_no_)
-                             : fmt::format(" {}/{}-{}:{}", job_, first_, last_, try_no_);
+    text_ += first_ == last_ ? fmt::format(" {}/{}:{}", job_, first_, attempt_)
+                             : fmt::format(" {}/{}-{}:{}", job_, first_, last_, attempt_);
 }
 
 void Writer::add(std::string_view machine, std::string_view zone, std::uint64_t agent_epoch, std::string_view job,
-                 std::uint32_t index, std::uint64_t try_no) {
+                 std::uint32_t index, std::uint64_t attempt) {
     const bool same_machine = machine == machine_ && zone == zone_ && agent_epoch == agent_epoch_;
-    if (open_ && same_machine && job == job_ && try_no == try_no_ && index == last_ + 1) {
+    if (open_ && same_machine && job == job_ && attempt == attempt_ && index == last_ + 1) {
         last_ = index;
         return;
     }
@@ -70,7 +70,7 @@
         agent_epoch_ = agent_epoch;
     }
     job_ = job;
-    try_no_ = try_no;
+    attempt_ = attempt;
     first_ = last_ = index;
     open_ = true;
 }
--- a/src/records/load.cpp
+++ b/src/records/load.cpp
@@ -10,10 +10,10 @@
 
 namespace heronshift {
 
-using ledger::Final;
-using ledger::Phase;
-using ledger::Status;
-using ledger::token_counter_bits;
+using cluster::Final;
+using cluster::Phase;
+using cluster::Status;
+using cluster::token_counter_bits;
 using records::first_slots;
 using records::progress_records;
 
@@ -101,7 +101,7 @@
         });
         if (j->spec.shape == Shape::gang && j->live > 0) {
             for (const auto& e : j->entries)
-                j->gang_try = std::max(j->gang_try, e->try_no);
+                j->gang_attempt = std::max(j->gang_attempt, e->attempt);
             if (j->live < j->spec.tasks - j->done)
                 l_.break_gang(*j);
         }
@@ -114,7 +114,7 @@
         if (j->live == 0)
             final_due(*j, Urgency::done);
     }
-    l_.dirty_ = true;
+    l_.needs_scheduling_ = true;
 }
 
 void Records::load_done(Job& j, std::string_view ranges) {
@@ -139,9 +139,9 @@
     m.lease_started_at = l_.st_.now;
     m.status = Status::up;
     for (const auto& e : m.entries)
-        if (e->job == j && e->index == i.index && e->try_no == i.try_no)
+        if (e->job == j && e->index == i.index && e->attempt == i.attempt)
             return;
-    auto& e = l_.add_entry(m, *j, i.index, i.try_no);
+    auto& e = l_.add_entry(m, *j, i.index, i.attempt);
     e.phase = Phase::sent;
     e.recorded = slot >= 0;
     // Only a report that has seen our own term proves anything: one from before the launch
@@ -155,8 +155,8 @@
 // A record that cannot be read may have named any task there was. The machine's own word under our
 // term, or its lapsed lease, ends the doubt; where not even its name is known, only time does.
 void Records::hold_unproven(const std::string& machine) {
-    note(2, fmt::format("a damaged record{}{}", machine.empty() ? "" : " of machine ", machine));
-    l_.st_.unproven_until = l_.st_.now + l_.lease_surely_s();
+    log(2, fmt::format("a damaged record{}{}", machine.empty() ? "" : " of machine ", machine));
+    l_.st_.unproven_until = l_.st_.now + l_.lease_expiry_s();
     l_.st_.unproven_machines.insert(machine);
     if (machine.empty())
         return;
--- a/src/records/records.cpp
+++ b/src/records/records.cpp
@@ -9,9 +9,9 @@
 
 namespace heronshift {
 
-using ledger::Final;
-using ledger::Phase;
-using ledger::token_counter_bits;
+using cluster::Final;
+using cluster::Phase;
+using cluster::token_counter_bits;
 using records::progress_records;
 
 namespace {
@@ -62,12 +62,12 @@
     }
 };
 
-Records::Records(ledger::Ledger& ledger, const Settings& settings, const Snapshot& stored, double wall,
+Records::Records(cluster::ClusterState& cluster, const Settings& settings, const Snapshot& stored, double wall,
                  std::vector<Effect>& out)
-    : l_(ledger), s_(settings), out_(out), write_tokens_(settings.txn_ops), tokens_at_(ledger.view().now),
+    : l_(cluster), s_(settings), out_(out), write_tokens_(settings.txn_ops), tokens_at_(cluster.view().now),
       most_value_(static_cast<std::size_t>(settings.value_kb * 1024 * record_share)),
       most_ops_(static_cast<std::size_t>(settings.txn_ops)) {
-    l_.keep(*this);
+    l_.set_persistence(*this);
     load(stored, wall);
 }
 
@@ -91,8 +91,8 @@
     if (j.final_queued)
         return;
     j.final_queued = true;
-    if (u == Urgency::taken_along)
-        taken_along_.push_back(&j);
+    if (u == Urgency::cancelled_with_dependency)
+        cancelled_with_dependency_.push_back(&j);
     else if (u == Urgency::cancelled)
         finals_.push_front(&j);
     else
@@ -134,11 +134,12 @@
 void Records::draft_finals(Draft& d) {
     auto& f = in_flight_;
     // Placements must not starve: where a transaction takes few changes, they get some of every other.
-    const std::size_t keep =
-        unrecorded_.empty() || (!finals_only_ && finals_.size() + taken_along_.size() > many_finals) ? 0 : 1;
-    finals_only_ = keep == 0;
-    while (!(finals_.empty() && taken_along_.empty()) && !d.full(2 + keep)) {
-        auto& from = finals_.empty() ? taken_along_ : finals_;
+    const std::size_t set_persistence =
+        unrecorded_.empty() || (!finals_only_ && finals_.size() + cancelled_with_dependency_.size() > many_finals) ? 0
+                                                                                                                   : 1;
+    finals_only_ = set_persistence == 0;
+    while (!(finals_.empty() && cancelled_with_dependency_.empty()) && !d.full(2 + set_persistence)) {
+        auto& from = finals_.empty() ? cancelled_with_dependency_ : finals_;
         auto* j = from.front();
         from.pop_front();
         j->final_queued = false;
@@ -168,12 +169,12 @@
         if (j->final != Final::none)
             continue;
         auto spec = j->spec;
-        spec.needs.clear();
+        spec.dependencies.clear();
         d.add("j/" + spec.id,
               codec::to_record(
                   {spec, l_.st_.wall - (l_.st_.now - j->submitted), l_.st_.wall - (l_.st_.now - j->ready), false, {}}),
               600);
-        j->dated = true;
+        j->ready_recorded = true;
         in_flight_.readies.push_back(j);
     }
 }
@@ -189,21 +190,21 @@
             return zone_matters(a);
         if (a->job != b->job)
             return a->job->spec.id < b->job->spec.id;
-        if (a->try_no != b->try_no)
-            return a->try_no < b->try_no;
+        if (a->attempt != b->attempt)
+            return a->attempt < b->attempt;
         return a->index < b->index;
     });
     intents::Writer w;
     // The zone is a third of a line, and what has no rules about zones may be in an unknown one.
     for (const auto* e : list)
         w.add(e->machine->id, zone_matters(e) ? e->machine->zone_name : "", e->agent_epoch, e->job->spec.id, e->index,
-              e->try_no);
+              e->attempt);
     return w.take();
 }
 
 // A placement is not stored before its job's record says that the job no longer waits.
 bool Records::may_record(const Entry& e) {
-    return e.job->dated || e.job->final != Final::none;
+    return e.job->ready_recorded || e.job->final != Final::none;
 }
 
 // Writes one record of the ring: what is still live of it and, room permitting, new placements and
@@ -268,8 +269,8 @@
     if (unrecorded_.size() > few_placements) {
         // Where the store takes fewer than are placed: the most urgent and the oldest first, from the end.
         std::stable_sort(unrecorded_.begin(), unrecorded_.end(), [](const Entry* a, const Entry* b) {
-            if (a->job->rank != b->job->rank)
-                return a->job->rank > b->job->rank;
+            if (a->job->priority != b->job->priority)
+                return a->job->priority > b->job->priority;
             return a->placed_at > b->placed_at;
         });
         for (std::size_t i = 0; i < unrecorded_.size(); ++i)
@@ -418,7 +419,7 @@
     if (txn_open_ || l_.resigned())
         return;
     // The holder's part of the write budget; the rest is left to submissions on all nodes.
-    const double rate = s_.state_write_rps * (taken_along_.empty() ? 0.7 : 0.85);
+    const double rate = s_.state_write_rps * (cancelled_with_dependency_.empty() ? 0.7 : 0.85);
     const double most_saved = std::max(s_.state_write_rps * 0.5, 4.0);
     write_tokens_ = std::min(write_tokens_ + (l_.st_.now - tokens_at_) * rate, most_saved);
     tokens_at_ = l_.st_.now;
@@ -463,15 +464,15 @@
         // The store takes less than the settings say: never the same again.
         most_value_ = std::max(most_value_ / 2, least_value);
         most_ops_ = std::max(most_ops_ / 2, least_ops);
-        note(2, fmt::format("the store takes no such transaction, from now on {} bytes a record and {} changes",
-                            most_value_, most_ops_));
+        log(2, fmt::format("the store takes no such transaction, from now on {} bytes a record and {} changes",
+                           most_value_, most_ops_));
     }
     auto stored = [&](Job& j) {
         j.final_stored = true;
         for (const auto h : j.cancels)
             out_.push_back(AnswerCancellation{h, word_of(j.final == Final::done)});
         j.cancels.clear();
-        l_.need_settled(j.spec.id, j.final);
+        l_.dependency_settled(j.spec.id, j.final);
     };
     auto again = [&](Job& j) { final_due(j, Urgency::done); };
     for (auto& [j, final] : f.finals) {
@@ -486,7 +487,7 @@
     }
     if (!ok)
         for (auto* j : f.readies) {
-            j->dated = false;
+            j->ready_recorded = false;
             readies_.push_back(j);
         }
     for (auto& [j, list] : f.progress) {
@@ -542,7 +543,7 @@
     if (j.live > 0)
         return; // something showed up meanwhile: it is stopped first
     std::erase(finals_, &j);
-    std::erase(taken_along_, &j);
+    std::erase(cancelled_with_dependency_, &j);
     std::erase(readies_, &j);
     l_.forget_job(j);
 }
--- a/src/replay/command_log.cpp
+++ b/src/replay/command_log.cpp
@@ -42,7 +42,7 @@
                                                        field("job_class", &JobSpec::job_class),
                                                        field("team", &JobSpec::team),
                                                        field("shape", &JobSpec::shape),
-                                                       field("rank", &JobSpec::rank),
+                                                       field("rank", &JobSpec::priority),
                                                        field("tasks", &JobSpec::tasks),
                                                        field("each", &JobSpec::each),
                                                        field("image", &JobSpec::image),
@@ -56,8 +56,8 @@
                                                        field("checkpoint_s", &JobSpec::checkpoint_s),
                                                        field("save_s", &JobSpec::save_s),
                                                        field("deadline_s", &JobSpec::deadline_s),
-                                                       field("needs", &JobSpec::needs),
-                                                       field("needs_damaged", &JobSpec::needs_damaged)};
+                                                       field("needs", &JobSpec::dependencies),
+                                                       field("needs_damaged", &JobSpec::dependencies_damaged)};
 template <>
 inline constexpr auto log_fields<MachineType> =
     std::tuple{field("name", &MachineType::name),         field("room", &MachineType::room),
@@ -66,9 +66,9 @@
                field("boot_s", &MachineType::boot_s),     field("zones", &MachineType::zones)};
 template <>
 inline constexpr auto log_fields<ReportedTask> =
-    std::tuple{field("job", &ReportedTask::job),       field("index", &ReportedTask::index),
-               field("try_no", &ReportedTask::try_no), field("state", &ReportedTask::state),
-               field("cause", &ReportedTask::cause),   field("saved", &ReportedTask::saved)};
+    std::tuple{field("job", &ReportedTask::job),        field("index", &ReportedTask::index),
+               field("try_no", &ReportedTask::attempt), field("state", &ReportedTask::state),
+               field("cause", &ReportedTask::cause),    field("saved", &ReportedTask::saved)};
 template <>
 inline constexpr auto log_fields<Heartbeat> =
     std::tuple{field("machine", &Heartbeat::machine),   field("addr", &Heartbeat::addr),
@@ -79,7 +79,7 @@
 template <>
 inline constexpr auto log_fields<Order> =
     std::tuple{field("verb", &Order::verb), field("job", &Order::job), field("index", &Order::index),
-               field("try_no", &Order::try_no), field("drain_s", &Order::drain_s)};
+               field("try_no", &Order::attempt), field("drain_s", &Order::drain_s)};
 template <>
 inline constexpr auto log_fields<ListedMachine> =
     std::tuple{field("id", &ListedMachine::id),         field("addr", &ListedMachine::addr),
@@ -196,7 +196,7 @@
 template <> inline constexpr auto log_fields<FindJob> = std::tuple{field("id", &FindJob::id)};
 template <> inline constexpr auto log_fields<Resign> = std::tuple{field("why", &Resign::why)};
 template <>
-inline constexpr auto log_fields<Note> = std::tuple{field("level", &Note::level), field("text", &Note::text)};
+inline constexpr auto log_fields<LogLine> = std::tuple{field("level", &LogLine::level), field("text", &LogLine::text)};
 
 template <class T>
 concept Logged = !std::is_same_v<std::remove_cv_t<decltype(log_fields<T>)>, std::nullptr_t>;
--- a/tests/direct_commands.hpp
+++ b/tests/direct_commands.hpp
@@ -2,7 +2,7 @@
 // network or a hanging machine holds them back, late and without an answer.
 #pragma once
 
-#include "heronshift/ledger/state.hpp"
+#include "heronshift/cluster/cluster_data.hpp"
 
 #include "network.hpp"
 
@@ -73,7 +73,7 @@
         }
         late_commands.refused_by_token += command.fencing_token < machine.fencing_token;
         late_commands.refused_by_session += command.agent_epoch != machine.agent_epoch;
-        const bool former = command.fencing_token >> ledger::token_counter_bits < newest_term();
+        const bool former = command.fencing_token >> cluster::token_counter_bits < newest_term();
         if (!obey(machine, command))
             return;
         ++late_commands.executed;
@@ -86,7 +86,7 @@
     std::uint64_t newest_term() const {
         std::uint64_t newest = 0;
         for (const auto& [id, machine] : workers)
-            newest = std::max(newest, machine.fencing_token >> ledger::token_counter_bits);
+            newest = std::max(newest, machine.fencing_token >> cluster::token_counter_bits);
         return newest;
     }
 
--- a/tests/fault_scenario.hpp
+++ b/tests/fault_scenario.hpp
@@ -64,7 +64,7 @@
 inline void some_cancel(FaultyFleet& f, double share) {
     for (auto& [id, u] : f.asks)
         if (u.accepted() && u.seen.done_at < 0 && f.jobs[id].shape != Shape::service && f.chance() < share)
-            f.withdraw(id);
+            f.request_cancellation(id);
 }
 
 // The share of machines that can't be asked for so long: cut, hanging, deaf or mute.
--- a/tests/fleet.hpp
+++ b/tests/fleet.hpp
@@ -43,7 +43,7 @@
     std::vector<MachineType> types = small_types();
     std::deque<Node> nodes;
     std::unique_ptr<store::Engine> engine;
-    int lapses = 0;
+    int expirations = 0;
     // What a controller sends, to which (or none): a path under /peer, or what it asks of the store.
     std::function<void(std::size_t from, std::size_t to, const std::string& what)> on_sent;
     std::vector<double> changes; // of the holder: when
@@ -510,8 +510,8 @@
                 http(from, to, {"POST", path, "", body}, relayed, 4, [](const std::optional<HttpReply>&, bool) {});
             });
     }
-    void lapsed(Worker& w) override {
-        ++lapses;
+    void expired(Worker& w) override {
+        ++expirations;
         // A machine needs 5 s to find out that a node does not answer: past two of them its lease is in danger
         // whatever the nodes do.
         const bool findable = now - hard_at > settings.lease_s;
--- a/tests/machines.hpp
+++ b/tests/machines.hpp
@@ -41,7 +41,7 @@
     s.job_class = "c";
     s.team = team;
     s.shape = shape;
-    s.rank = shape == Shape::service ? Rank::critical : Rank::normal;
+    s.priority = shape == Shape::service ? Priority::critical : Priority::normal;
     s.tasks = tasks;
     s.each = {cpus, 0, 1};
     s.image = "img";
@@ -63,7 +63,7 @@
         struct Run {
             std::string job;
             std::uint32_t index = 0;
-            std::uint64_t try_no = 0;
+            std::uint64_t attempt = 0;
             TaskState state = TaskState::fetching;
             ExitCause cause = ExitCause::none;
             double until = 0; // of the fetch, the wait for its gang, the run
@@ -97,13 +97,13 @@
     }
     virtual std::optional<codec::Json> stored(const std::string& key) = 0; // in the store, at this moment
     virtual void heartbeat_if_due(Worker& w) = 0;
-    virtual void lapsed(Worker& /*w*/) {}
+    virtual void expired(Worker& /*w*/) {}
     virtual void begun(const Worker::Run& /*t*/) {} // it makes progress
 
     Heartbeat heartbeat(Worker& w) {
         Heartbeat r{w.id, w.addr, "m8", w.zone, w.spot, w.agent_epoch, ++w.counter, w.fencing_token, -1, {}};
         for (const auto& t : w.tasks)
-            r.tasks.push_back({t.job, t.index, t.try_no, t.state, t.cause, false});
+            r.tasks.push_back({t.job, t.index, t.attempt, t.state, t.cause, false});
         return r;
     }
 
@@ -115,13 +115,13 @@
     void execute(Worker& w, const std::vector<Order>& orders) {
         for (const auto& o : orders) {
             auto it = std::find_if(w.tasks.begin(), w.tasks.end(), [&](const auto& t) {
-                return t.job == o.job && t.index == o.index && t.try_no == o.try_no;
+                return t.job == o.job && t.index == o.index && t.attempt == o.attempt;
             });
             if (o.verb == Verb::launch) {
                 started_cancelled += cancelled.contains(o.job);
                 if (it != w.tasks.end())
                     continue;
-                Worker::Run t{o.job, o.index, o.try_no, TaskState::fetching, ExitCause::none, now + between(0.1, 2)};
+                Worker::Run t{o.job, o.index, o.attempt, TaskState::fetching, ExitCause::none, now + between(0.1, 2)};
                 Resources used = jobs[o.job].each;
                 for (const auto& x : w.tasks)
                     if (x.state != TaskState::ended)
@@ -146,7 +146,7 @@
         const auto name = fmt::format("{}/{}", t.job, t.index);
         const auto& spec = jobs[t.job];
         ++started;
-        for (const auto& id : spec.needs)
+        for (const auto& id : spec.dependencies)
             if (const auto f = stored("f/" + id); !f || (*f)["s"] != codec::status_done)
                 broken.push_back("too_early " + name + " needs " + id);
         int here = 0, in_zone = 0;
@@ -188,7 +188,7 @@
         if (w.dead)
             return;
         if (now > w.lease_from + settings.lease_s) {
-            lapsed(w);
+            expired(w);
             w.tasks.clear();
             ++w.agent_epoch;
             w.lease_from = now;
@@ -233,7 +233,7 @@
             for (auto& t : w.tasks)
                 if (!w.dead && !w.hung && jobs[t.job].shape == Shape::gang &&
                     (t.state == TaskState::waiting || t.state == TaskState::running))
-                    gangs[{t.job, t.try_no}].push_back(&t);
+                    gangs[{t.job, t.attempt}].push_back(&t);
         for (auto& [name, list] : gangs) {
             const bool whole = list.size() == jobs[name.first].tasks;
             const double until = now + run_s(0);
--- a/tests/test_chains.cpp
+++ b/tests/test_chains.cpp
@@ -6,10 +6,10 @@
 namespace heronshift::testing {
 namespace {
 
-JobSpec after(int n, const std::vector<int>& needs, std::uint32_t tasks = 2) {
+JobSpec after(int n, const std::vector<int>& dependencies, std::uint32_t tasks = 2) {
     auto j = job(n, Shape::array, tasks, 1);
-    for (const int k : needs)
-        j.needs.push_back(fmt::format("wk-{:06}", k));
+    for (const int k : dependencies)
+        j.dependencies.push_back(fmt::format("wk-{:06}", k));
     return j;
 }
 std::string name(int n) {
@@ -26,14 +26,14 @@
 
 TEST(Chains, ASubmissionNamesJobsOrSaysWhichFieldIsWrong) {
     auto body = codec::to_json(after(5, {}));
-    auto read = [&](const codec::Json& needs) {
-        body["waitsOn"] = needs;
+    auto read = [&](const codec::Json& dependencies) {
+        body["waitsOn"] = dependencies;
         return codec::submission(body.dump());
     };
     for (const auto& none : {codec::Json(), codec::Json::array()})
-        EXPECT_TRUE(std::get<JobSpec>(read(none)).needs.empty());
+        EXPECT_TRUE(std::get<JobSpec>(read(none)).dependencies.empty());
     const auto twice = std::get<JobSpec>(read({"wk-1", "wk-2", "wk-1"}));
-    EXPECT_EQ(twice.needs, (std::vector<std::string>{"wk-1", "wk-2"}));
+    EXPECT_EQ(twice.dependencies, (std::vector<std::string>{"wk-1", "wk-2"}));
     for (const auto& bad : {codec::Json("wk-1"), codec::Json{7}, codec::Json{"job"}, codec::Json{{"wk-1", 1}},
                             codec::Json{"wk-1", nullptr}, codec::Json{"wk-"}, codec::Json(true)}) {
         const auto r = read(bad);
@@ -116,7 +116,7 @@
     w.submit(after(2, {1}));
     w.submit(after(3, {1}));
     auto gang = job(4, Shape::gang, 3, 2);
-    gang.needs = {name(2), name(3)};
+    gang.dependencies = {name(2), name(3)};
     w.submit(gang);
     w.submit(after(5, {4, 1}));
     w.run(15);
@@ -269,7 +269,7 @@
     w.acquire_leadership();
     w.submit(after(1, {}, 1));
     auto large = job(2, Shape::service, 9, 4); // the team's whole limit, nearly
-    large.needs = {name(1)};
+    large.dependencies = {name(1)};
     w.submit(large);
     w.submit(job(3, Shape::service, 4, 4));
     w.run(4);
@@ -285,17 +285,17 @@
     w.acquire_leadership();
     for (int i = 1; i <= 6; ++i) {
         auto j = job(i, Shape::array, 30, 2, "blue");
-        j.rank = Rank::normal;
+        j.priority = Priority::normal;
         w.submit(j);
     }
     w.run(25);
     auto low = after(10, {}, 2);
-    low.rank = Rank::low;
+    low.priority = Priority::low;
     auto last = after(12, {11}, 1);
-    last.rank = Rank::high;
+    last.priority = Priority::high;
     last.deadline_s = 80;
     auto middle = after(11, {10}, 1);
-    middle.rank = Rank::low;
+    middle.priority = Priority::low;
     w.submit(low);
     w.submit(middle);
     w.submit(last);
@@ -430,7 +430,7 @@
                         const auto at = arrays.size() - 1 -
                                         static_cast<std::size_t>(w.between(
                                             0, std::min<double>(8, static_cast<double>(arrays.size()) - 0.01)));
-                        j.needs.push_back(name(arrays[at]));
+                        j.dependencies.push_back(name(arrays[at]));
                     }
             if (shape != Shape::service)
                 arrays.push_back(n);
--- a/tests/test_cluster.cpp
+++ b/tests/test_cluster.cpp
@@ -152,9 +152,9 @@
             j.spread = shape == Shape::service && w.chance() < 0.5;
             j.one_zone = shape == Shape::gang && w.chance() < 0.5;
             if (shape == Shape::array)
-                j.rank = w.chance() < 0.5 ? Rank::normal : Rank::low;
+                j.priority = w.chance() < 0.5 ? Priority::normal : Priority::low;
             if (shape == Shape::gang)
-                j.rank = Rank::high;
+                j.priority = Priority::high;
             w.submit(j);
         }
         if (n > 0 && w.chance() < 0.005)
--- a/tests/test_ledger.cpp
+++ b/tests/test_cluster_state.cpp
@@ -1,5 +1,5 @@
 // The one function that every placement passes: whatever a policy proposes, no rule is broken.
-#include "heronshift/ledger/ledger.hpp"
+#include "heronshift/cluster/cluster_state.hpp"
 #include "world.hpp"
 
 #include <gtest/gtest.h>
@@ -7,52 +7,52 @@
 namespace heronshift::testing {
 namespace {
 
-using ledger::Ledger;
+using cluster::ClusterState;
 
-struct NoBooks final : ledger::Bookkeeping {
-    void added(ledger::Job& /*j*/) override {}
-    void added(ledger::Entry& /*e*/) override {}
-    void removed(ledger::Entry& /*e*/) override {}
-    void final_due(ledger::Job& /*j*/, Urgency /*u*/) override {}
-    void progressed(ledger::Job& /*j*/) override {}
-    void became_ready(ledger::Job& /*j*/) override {}
+struct NoPersistence final : cluster::PersistenceListener {
+    void added(cluster::Job& /*j*/) override {}
+    void added(cluster::Entry& /*e*/) override {}
+    void removed(cluster::Entry& /*e*/) override {}
+    void final_due(cluster::Job& /*j*/, Urgency /*u*/) override {}
+    void progressed(cluster::Job& /*j*/) override {}
+    void became_ready(cluster::Job& /*j*/) override {}
 };
 
 // Machines of both zones and kinds, and a policy that proposes whatever it is told to.
 struct HeartbeatHandler {
     Settings settings = small_settings();
     std::vector<Effect> out;
-    NoBooks books;
-    Ledger ledger{settings, 1, 0, 0, out};
+    NoPersistence books;
+    ClusterState cluster{settings, 1, 0, 0, out};
     std::uint64_t counter = 0;
 
     HeartbeatHandler() {
-        ledger.keep(books);
-        ledger.types_known(small_types());
+        cluster.set_persistence(books);
+        cluster.types_known(small_types());
         for (const auto* id : {"a1", "a2", "b1", "s1"})
             up(id);
     }
     void up(const std::string& id) {
         Heartbeat r{id, id, "m8", id[0] == 'b' ? "b" : "a", id[0] == 's', 1, ++counter, 0, -1, {}};
-        ledger.receive_heartbeat(HeartbeatReceived{r, counter});
+        cluster.receive_heartbeat(HeartbeatReceived{r, counter});
     }
-    const ledger::Job& add(const JobSpec& s, bool waits = false) {
+    const cluster::Job& add(const JobSpec& s, bool waits = false) {
         JobStored c{s, 0, -1, waits};
-        ledger.add_job(c);
-        return *ledger.view().find_job(s.id);
+        cluster.add_job(c);
+        return *cluster.view().find_job(s.id);
     }
-    const ledger::Machine& machine(const std::string& id) {
-        return *ledger.view().machines.at(id);
+    const cluster::Machine& machine(const std::string& id) {
+        return *cluster.view().machines.at(id);
     }
-    std::string refusal(const ledger::Job& j, const std::string& on) {
-        const auto* why = ledger.view().refusal(j, machine(on));
+    std::string refusal(const cluster::Job& j, const std::string& on) {
+        const auto* why = cluster.view().refusal(j, machine(on));
         // The answer and the deed must not differ.
-        EXPECT_EQ(ledger.place(j, machine(on)), why == nullptr);
+        EXPECT_EQ(cluster.place(j, machine(on)), why == nullptr);
         return why == nullptr ? "" : why;
     }
 };
 
-TEST(Ledger, RefusesAPlaceThatTheJobDoesNotAllow) {
+TEST(ClusterState, RefusesAPlaceThatTheJobDoesNotAllow) {
     HeartbeatHandler d;
     auto s = job(1, Shape::service, 4, 1);
     EXPECT_EQ(d.refusal(d.add(s), "s1"), "a type, zone or kind that the job does not allow"); // no spot
@@ -66,7 +66,7 @@
     EXPECT_NE(d.refusal(d.add(s), "a1"), "");
 }
 
-TEST(Ledger, RefusesToSplitOrCrowdAJob) {
+TEST(ClusterState, RefusesToSplitOrCrowdAJob) {
     HeartbeatHandler d;
     auto s = job(1, Shape::gang, 3, 1);
     s.one_zone = true;
@@ -83,7 +83,7 @@
     EXPECT_EQ(d.refusal(apart, "b1"), "");
 }
 
-TEST(Ledger, RefusesWhatExceedsRoomOrLimit) {
+TEST(ClusterState, RefusesWhatExceedsRoomOrLimit) {
     HeartbeatHandler d;
     const auto& big = d.add(job(1, Shape::array, 9, 5)); // machines of 8 CPUs
     EXPECT_EQ(d.refusal(big, "a1"), "");
@@ -95,34 +95,34 @@
     for (int i = 0; i < 7; ++i)
         EXPECT_EQ(d.refusal(big, fmt::format("a{}", 10 + i)), "") << i;
     EXPECT_EQ(d.refusal(big, "a17"), "the team's limit");
-    EXPECT_EQ(d.ledger.view().teams[0].used.cpus, 40);
+    EXPECT_EQ(d.cluster.view().teams[0].used.cpus, 40);
 }
 
-TEST(Ledger, RefusesWhatWaitsIsOverOrOnItsWayOut) {
+TEST(ClusterState, RefusesWhatWaitsIsOverOrOnItsWayOut) {
     HeartbeatHandler d;
     auto s = job(2, Shape::array, 2, 1);
-    s.needs = {"wk-000001"};
+    s.dependencies = {"wk-000001"};
     const auto& waits = d.add(s, true);
     EXPECT_EQ(d.refusal(waits, "a1"), "the jobs that it needs are not done");
     const auto& over = d.add(job(3, Shape::array, 2, 1));
     EXPECT_EQ(d.refusal(over, "a1"), "");
-    d.ledger.cancel({"wk-000003", 1});
+    d.cluster.cancel({"wk-000003", 1});
     EXPECT_EQ(d.refusal(over, "a1"), "the job is over");
     const auto& other = d.add(job(4, Shape::array, 2, 1));
-    d.ledger.give_back(d.machine("a1"));
+    d.cluster.give_back(d.machine("a1"));
     EXPECT_EQ(d.refusal(other, "a1"), "the machine takes no work");
 }
 
 // A refused proposal changes nothing and is said in the log.
-TEST(Ledger, ARefusedProposalLeavesTheStateAsItWas) {
+TEST(ClusterState, ARefusedProposalLeavesTheStateAsItWas) {
     HeartbeatHandler d;
     const auto& j = d.add(job(1, Shape::service, 2, 1));
     d.out.clear();
-    EXPECT_FALSE(d.ledger.place(j, d.machine("s1")));
+    EXPECT_FALSE(d.cluster.place(j, d.machine("s1")));
     EXPECT_EQ(j.pending.size(), 2U);
     EXPECT_EQ(j.live, 0U);
     ASSERT_EQ(d.out.size(), 1U);
-    EXPECT_EQ(std::get<Note>(d.out[0]).level, 2);
+    EXPECT_EQ(std::get<LogLine>(d.out[0]).level, 2);
 }
 
 } // namespace
--- a/tests/test_connections.cpp
+++ b/tests/test_connections.cpp
@@ -147,13 +147,13 @@
 TEST(Connections, WorkersAreServedInTurnsWithinTheirLease) {
     Crowd crowd;
     crowd.run(3 * Crowd::lease_s);
-    std::size_t lapsed = 0;
+    std::size_t expired = 0;
     double longest = 0;
     for (const auto& c : crowd.worker) {
-        lapsed += c.longest_gap > Crowd::lease_s;
+        expired += c.longest_gap > Crowd::lease_s;
         longest = std::max(longest, c.longest_gap);
     }
-    EXPECT_EQ(lapsed, 0U) << "of " << Crowd::workers << ", the longest wait " << longest;
+    EXPECT_EQ(expired, 0U) << "of " << Crowd::workers << ", the longest wait " << longest;
     EXPECT_LE(crowd.max_connections, Crowd::connections);
     EXPECT_GT(crowd.told_users[200], 0); // nor do workers have all of them
     EXPECT_GT(crowd.told_users[503], 0);
--- a/tests/test_core.cpp
+++ b/tests/test_core.cpp
@@ -68,10 +68,10 @@
 TEST(Core, LaunchesOnlyWhatTheStoreHolds) {
     OneTask s;
     ASSERT_EQ(s.launch.orders.size(), 1U);
-    s.give(OrdersAnswered{
-        "n-1", s.launch.batch, 200, true,
-        OneTask::heartbeat(2, s.fencing_token,
-                           {{"wk-000001", 0, s.launch.orders[0].try_no, TaskState::running, ExitCause::none, false}})});
+    s.give(OrdersAnswered{"n-1", s.launch.batch, 200, true,
+                          OneTask::heartbeat(2, s.fencing_token,
+                                             {{"wk-000001", 0, s.launch.orders[0].attempt, TaskState::running,
+                                               ExitCause::none, false}})});
     s.store_answers = false; // the answer of the store is still out
     auto effects = s.give(JobStored{job(2, Shape::service, 1, 1), 0});
     for (auto& e : s.idle(1))
@@ -117,21 +117,21 @@
     ASSERT_EQ(answers.size(), 1U);
     EXPECT_EQ(answers[0].fencing_token, s.fencing_token + 1);
     // Started again under a new attempt: a launch is never sent twice.
-    const auto first = s.launch.orders.at(0).try_no;
+    const auto first = s.launch.orders.at(0).attempt;
     s.launch = {};
     s.find_launch(s.give(HeartbeatReceived{OneTask::heartbeat(3, s.fencing_token + 1), 3}));
     s.find_launch(s.idle(1.5));
     s.find_launch(s.give(HeartbeatReceived{OneTask::heartbeat(4, s.fencing_token + 1), 4}));
     s.find_launch(s.idle(1));
     ASSERT_FALSE(s.launch.orders.empty());
-    EXPECT_NE(s.launch.orders[0].try_no, first);
+    EXPECT_NE(s.launch.orders[0].attempt, first);
 }
 
 TEST(Core, ANewTenureMeansThatAllTasksAreGone) {
     OneTask s;
     s.give(HeartbeatReceived{
         OneTask::heartbeat(2, s.fencing_token,
-                           {{"wk-000001", 0, s.launch.orders[0].try_no, TaskState::running, ExitCause::none, false}}),
+                           {{"wk-000001", 0, s.launch.orders[0].attempt, TaskState::running, ExitCause::none, false}}),
         2});
     EXPECT_EQ(s.core.view("wk-000001")->running, 1U);
     s.give(HeartbeatReceived{OneTask::heartbeat(1, s.fencing_token, {}, 2), 3});
@@ -142,7 +142,7 @@
     OneTask s;
     s.give(HeartbeatReceived{
         OneTask::heartbeat(2, s.fencing_token,
-                           {{"wk-000001", 0, s.launch.orders[0].try_no, TaskState::running, ExitCause::none, false}}),
+                           {{"wk-000001", 0, s.launch.orders[0].attempt, TaskState::running, ExitCause::none, false}}),
         2});
     s.idle(s.settings.lease_s - 0.5);
     EXPECT_EQ(s.core.live_tasks("wk-000001"), 1U);
@@ -262,7 +262,7 @@
 TEST(Core, ACopyOfAReportIsNoReport) {
     OneTask s;
     const auto live = OneTask::heartbeat(
-        8, s.fencing_token, {{"wk-000001", 0, s.launch.orders[0].try_no, TaskState::running, ExitCause::none, false}});
+        8, s.fencing_token, {{"wk-000001", 0, s.launch.orders[0].attempt, TaskState::running, ExitCause::none, false}});
     EXPECT_EQ(all<AnswerHeartbeat>(s.give(HeartbeatReceived{live, 2})).at(0).status, 200);
     s.give(OrdersAnswered{"n-1", s.launch.batch, 200, true, OneTask::heartbeat(10, s.fencing_token, live.tasks)});
     // Sent before the answer that has overtaken it, it is owed an answer; but it renews nothing beyond that.
--- a/tests/test_crowded.cpp
+++ b/tests/test_crowded.cpp
@@ -91,7 +91,7 @@
 TEST(Crowded, WorkThatMayNotUseSpotGetsTheOrdinaryMachines) {
     Crowd c(5, 10, 2);
     c.acquire_leadership();
-    const auto high = [](JobSpec& j) { j.rank = Rank::high; };
+    const auto high = [](JobSpec& j) { j.priority = Priority::high; };
     c.keep_busy(40, 0.25, 2, high);
     std::vector<std::string> list;
     for (int k = 0; k < 8; ++k) {
@@ -117,7 +117,7 @@
     std::vector<std::string> list;
     for (int k = 0; k < 10; ++k) {
         list.push_back(c.ask(Shape::array, 4, 4, [](JobSpec& j) {
-            j.rank = Rank::high;
+            j.priority = Priority::high;
             j.job_class = "urgent";
         }));
         small();
--- a/tests/test_cuts.cpp
+++ b/tests/test_cuts.cpp
@@ -51,13 +51,13 @@
     f.look_for_paths();
     const bool path = f.path_since >= 0;
     const bool in_time = m == Mode::refuse || tries_s(left, f.settings) < f.settings.lease_s;
-    const int lapses = f.lapses;
+    const int expirations = f.expirations;
     f.bound_s = 1e9; // said below
     f.work(f.leases(4));
     if (!f.broken.empty())
         return first(f);
-    if (path && in_time && f.lapses > lapses)
-        return fmt::format("{} leases ran out", f.lapses - lapses);
+    if (path && in_time && f.expirations > expirations)
+        return fmt::format("{} leases ran out", f.expirations - expirations);
     // The first that takes over may have had no time yet to see that it is cut off, too.
     if (path && !f.hasty().empty())
         return f.hasty();
@@ -118,7 +118,7 @@
     Working f(1, 5, 300);
     f.every_s = 0.2;
     ASSERT_TRUE(f.settle(90));
-    EXPECT_EQ(f.lapses, 0);
+    EXPECT_EQ(f.expirations, 0);
     EXPECT_EQ(f.unfinished(30), 0);
     EXPECT_GT(f.started, 1000);
 }
@@ -135,7 +135,7 @@
         f.work(f.leases(1));
         EXPECT_EQ(first(f), "") << seed;
         EXPECT_EQ(f.changes.size(), 1U) << seed;
-        EXPECT_EQ(f.lapses, 0) << seed;
+        EXPECT_EQ(f.expirations, 0) << seed;
     }
 }
 
@@ -184,7 +184,7 @@
     double next_trouble = 25;
     f.before_step = [&] {
         if (f.n > 0 && f.chance() < 0.01)
-            f.withdraw(fmt::format("wk-{:06}", 1 + f.pick(static_cast<std::size_t>(f.n))));
+            f.request_cancellation(fmt::format("wk-{:06}", 1 + f.pick(static_cast<std::size_t>(f.n))));
         // Troubles, then time in which those that last a while longer must have become harmless.
         const double in_round = std::fmod(f.now, 120);
         if (f.now < next_trouble || in_round < 25 || in_round > 65 || f.now > 240)
--- a/tests/test_day.cpp
+++ b/tests/test_day.cpp
@@ -122,7 +122,7 @@
         more = {};
         return day_end(std::max(leases(5), 90.0));
     }
-    const ledger::Machine* known(const std::string& id) {
+    const cluster::Machine* known(const std::string& id) {
         const auto& c = nodes[leader().value_or(0)].controller;
         const auto* term = c ? c->core() : nullptr;
         if (term == nullptr)
@@ -191,12 +191,12 @@
         ASSERT_TRUE(f.settle(60)) << seed;
         std::vector<std::string> some = f.busy();
         some.resize(5);
-        const int before = f.lapses;
+        const int before = f.expirations;
         for (const auto& id : some)
             f.make_inbound_unreachable(id, {f.nodes[*f.leader()].name});
         f.work(f.leases(4));
         EXPECT_EQ(first(f), "") << seed;
-        EXPECT_EQ(f.lapses, before) << seed;
+        EXPECT_EQ(f.expirations, before) << seed;
         EXPECT_LE(f.changes.size(), 2U) << seed; // to one that reaches them all
         EXPECT_EQ(f.end(), "") << seed;
     }
@@ -218,7 +218,7 @@
     f.make_some_inbound_unreachable(GetParam().share, GetParam().zone, f.all_nodes(), f.leases(3));
     for (const auto& [id, u] : f.asks)
         if (f.chance() < 0.1 && u.seen.done_at < 0)
-            f.withdraw(id);
+            f.request_cancellation(id);
     f.work(f.leases(4));
     EXPECT_EQ(first(f), "");
     f.work(f.leases(2)); // they hear again, and are used again
@@ -299,7 +299,7 @@
         cut.push_back((h + 2) % 5);
     for (const auto i : cut)
         f.isolate(i, p.mode, for_s);
-    const int lapses = f.lapses;
+    const int expirations = f.expirations;
     f.work(std::min(for_s - 1, 8.0)); // a hold, and what it takes to know
     if (for_s > 9)
         for (const auto i : cut) {
@@ -327,7 +327,7 @@
         }
     f.work(for_s);
     EXPECT_EQ(first(f), "");
-    EXPECT_EQ(f.lapses, lapses);
+    EXPECT_EQ(f.expirations, expirations);
     EXPECT_EQ(f.end(), "");
     EXPECT_EQ(f.unfinished(f.leases(3)), 0);
 }
@@ -422,7 +422,7 @@
     double next_trouble = 25;
     f.more = [&] {
         if (f.n > 0 && f.chance() < 0.01)
-            f.withdraw(fmt::format("wk-{:06}", 1 + f.pick(static_cast<std::size_t>(f.n))));
+            f.request_cancellation(fmt::format("wk-{:06}", 1 + f.pick(static_cast<std::size_t>(f.n))));
         if (f.now < next_trouble || f.now > 200)
             return;
         next_trouble = f.now + f.between(2, 10);
--- a/tests/test_gap.cpp
+++ b/tests/test_gap.cpp
@@ -15,7 +15,7 @@
     }
     double cancel_until = -1, next_cancel = 0;
     std::size_t cancels = 0;
-    int lapses_before = 0;
+    int expirations_before = 0;
     bool in_handover = false; // the outage began while the leadership passed from one to another
 
     // Users cancel what runs, ten a second.
@@ -30,7 +30,7 @@
                     running.push_back(t.job);
         if (running.empty())
             return;
-        withdraw(running[pick(running.size())]);
+        request_cancellation(running[pick(running.size())]);
         ++cancels;
     }
     std::string what_is_wrong() {
@@ -88,7 +88,7 @@
     f.work(s.after_s);
     f.store_down = true;
     f.lost_answers = 0;
-    f.lapses_before = f.lapses;
+    f.expirations_before = f.expirations;
     f.send(f.between(5, f.settings.lease_s * 0.8), [&f] {
         for (auto& [id, w] : f.workers)
             w.hung = w.cut = false;
@@ -118,7 +118,7 @@
             EXPECT_EQ(f.cancelled.empty(), s.after_s < 5);
         }
         EXPECT_FALSE(f.in_handover); // too early for it, or over
-        EXPECT_EQ(f.lapses, f.lapses_before);
+        EXPECT_EQ(f.expirations, f.expirations_before);
     }
     f.work(f.leases(2));
     ASSERT_TRUE(f.leader());
@@ -141,7 +141,7 @@
         pass(f, {5, 0.5 + 0.1 * (k % 12), Besides::nothing}, 99);
         EXPECT_EQ(f.what_is_wrong(), "") << k;
         EXPECT_EQ(f.leader(), leader) << k;
-        EXPECT_EQ(f.lapses, f.lapses_before) << k;
+        EXPECT_EQ(f.expirations, f.expirations_before) << k;
     }
 }
 
--- a/tests/test_golden.cpp
+++ b/tests/test_golden.cpp
@@ -16,7 +16,7 @@
     s.job_class = "train";
     s.team = "vision";
     s.shape = Shape::gang;
-    s.rank = Rank::high;
+    s.priority = Priority::high;
     s.tasks = 16;
     s.each = {8, 1, 64.5};
     s.image = "img-07";
@@ -28,17 +28,17 @@
     s.checkpoint_s = 30;
     s.save_s = 4;
     s.deadline_s = 900;
-    s.needs = {"wk-000398", "wk-000399"};
+    s.dependencies = {"wk-000398", "wk-000399"};
     return s;
 }
 
-JobSpec least_job(Shape shape, Rank rank) {
+JobSpec least_job(Shape shape, Priority priority) {
     JobSpec s;
     s.id = "wk-1";
     s.job_class = "c";
     s.team = "red";
     s.shape = shape;
-    s.rank = rank;
+    s.priority = priority;
     s.each = {0.5, 0, 1};
     s.image = "img";
     return s;
@@ -108,8 +108,8 @@
 TEST_F(Golden, SubmissionOfEachShapeAndRank) {
     std::string lines;
     for (const auto shape : {Shape::array, Shape::gang, Shape::service})
-        for (const auto rank : {Rank::critical, Rank::high, Rank::normal, Rank::low})
-            lines += codec::to_body(least_job(shape, rank)) + '\n';
+        for (const auto priority : {Priority::critical, Priority::high, Priority::normal, Priority::low})
+            lines += codec::to_body(least_job(shape, priority)) + '\n';
     lines.pop_back();
     expect_golden("users/submissions.jsonl", lines);
 
--- a/tests/test_golden_controller.cpp
+++ b/tests/test_golden_controller.cpp
@@ -178,9 +178,9 @@
     said += c.ask("POST", jobs, body(1));
     said += c.ask("POST", jobs, body(1));
     said += c.ask("GET", jobs + "/wk-000001");
-    said += c.ask("POST", jobs, body(2, [](JobSpec& s) { s.needs = {"wk-000001"}; }));
-    said += c.ask("POST", jobs, body(3, [](JobSpec& s) { s.needs = {"wk-000099"}; }));
-    said += c.ask("POST", jobs, body(4, [](JobSpec& s) { s.needs = {s.id}; }));
+    said += c.ask("POST", jobs, body(2, [](JobSpec& s) { s.dependencies = {"wk-000001"}; }));
+    said += c.ask("POST", jobs, body(3, [](JobSpec& s) { s.dependencies = {"wk-000099"}; }));
+    said += c.ask("POST", jobs, body(4, [](JobSpec& s) { s.dependencies = {s.id}; }));
     said += c.ask("POST", jobs, body(5, [](JobSpec& s) { s.team = "green"; }));
     said += c.ask("POST", jobs, body(6, [](JobSpec& s) { s.each.cpus = 9; }));
     said += c.ask("POST", jobs, body(7, [](JobSpec& s) { s.each.cpus = 41; }));
--- a/tests/test_golden_records.cpp
+++ b/tests/test_golden_records.cpp
@@ -22,7 +22,7 @@
 codec::StoredJob stored(Shape shape, double ready, bool waits) {
     auto spec = job(412, shape, 4, 1);
     if (waits)
-        spec.needs = {"wk-000398"};
+        spec.dependencies = {"wk-000398"};
     return {spec, started_wall, ready, waits, {}};
 }
 
@@ -68,7 +68,7 @@
     const auto text_of = [](const std::vector<intents::Intent>& all) {
         intents::Writer writer;
         for (const auto& i : all)
-            writer.add(i.machine, i.zone, i.agent_epoch, i.job, i.index, i.try_no);
+            writer.add(i.machine, i.zone, i.agent_epoch, i.job, i.index, i.attempt);
         return writer.take();
     };
     expect_golden("records/placements.txt", text_of(list));
@@ -116,7 +116,7 @@
         core = std::make_unique<Core>(settings, term, stored, now, started_wall);
     }
     void submit(const JobSpec& spec) {
-        const bool waits = !spec.needs.empty();
+        const bool waits = !spec.dependencies.empty();
         store["j/" + spec.id] = codec::to_record({spec, started_wall + now, -1, waits, {}});
         next.push_back(JobStored{spec, 0, -1, waits});
     }
@@ -134,7 +134,7 @@
     void obey(const std::vector<Order>& orders) {
         for (const auto& o : orders) {
             if (o.verb == Verb::launch)
-                tasks[{o.job, o.index}] = {o.job, o.index, o.try_no, TaskState::running, ExitCause::none, false};
+                tasks[{o.job, o.index}] = {o.job, o.index, o.attempt, TaskState::running, ExitCause::none, false};
             if (o.verb == Verb::reap)
                 tasks.erase({o.job, o.index});
         }
@@ -172,7 +172,7 @@
             if (!key.starts_with("i/"))
                 continue;
             for (const auto& i : intents::read(value["t"].get_ref<const std::string&>()).intents)
-                tasks[{i.job, i.index}] = {i.job, i.index, i.try_no, TaskState::running, ExitCause::none, false};
+                tasks[{i.job, i.index}] = {i.job, i.index, i.attempt, TaskState::running, ExitCause::none, false};
         }
     }
 };
@@ -186,10 +186,10 @@
     w.submit(spread);
     w.submit(job(3, Shape::array, 1, 0.5));
     auto waits = job(4, Shape::array, 1, 1);
-    waits.needs = {"wk-000001"};
+    waits.dependencies = {"wk-000001"};
     w.submit(waits);
     auto ready = job(5, Shape::array, 1, 0.5);
-    ready.needs = {"wk-000003"};
+    ready.dependencies = {"wk-000003"};
     w.submit(ready);
     w.submit(job(6, Shape::service, 1, 0.5));
     w.run(4);
@@ -291,7 +291,7 @@
         EXPECT_TRUE(read.unproven.empty() && !read.damaged) << key;
         intents::Writer writer;
         for (const auto& i : read.intents)
-            writer.add(i.machine, i.zone, i.agent_epoch, i.job, i.index, i.try_no);
+            writer.add(i.machine, i.zone, i.agent_epoch, i.job, i.index, i.attempt);
         EXPECT_EQ(writer.take(), text) << key;
         ++records;
     }
--- a/tests/test_large_fleet.cpp
+++ b/tests/test_large_fleet.cpp
@@ -1,7 +1,7 @@
 // The rules at 6,000 machines: what a leader knows of machines that are gone must outlast every message
 // about them, however many go at once.
+#include "heronshift/cluster/cluster_state.hpp"
 #include "heronshift/core/core.hpp"
-#include "heronshift/ledger/ledger.hpp"
 #include "machines.hpp"
 
 #include <gtest/gtest.h>
@@ -9,19 +9,19 @@
 namespace heronshift::testing {
 namespace {
 
-using ledger::Ledger;
-using ledger::Status;
+using cluster::ClusterState;
+using cluster::Status;
 
 constexpr int fleet_size = 6300;          // 4,000 and half as many more, and some
 constexpr int lost_size = fleet_size / 3; // lost within a lease
 
-struct IgnoredRecords final : ledger::Bookkeeping {
-    void added(ledger::Job& /*j*/) override {}
-    void added(ledger::Entry& /*e*/) override {}
-    void removed(ledger::Entry& /*e*/) override {}
-    void final_due(ledger::Job& /*j*/, Urgency /*u*/) override {}
-    void progressed(ledger::Job& /*j*/) override {}
-    void became_ready(ledger::Job& /*j*/) override {}
+struct IgnoredRecords final : cluster::PersistenceListener {
+    void added(cluster::Job& /*j*/) override {}
+    void added(cluster::Entry& /*e*/) override {}
+    void removed(cluster::Entry& /*e*/) override {}
+    void final_due(cluster::Job& /*j*/, Urgency /*u*/) override {}
+    void progressed(cluster::Job& /*j*/) override {}
+    void became_ready(cluster::Job& /*j*/) override {}
 };
 
 // One leader of a fleet in which every machine runs one task of one job. Machines of the first third are to be lost.
@@ -29,15 +29,15 @@
     Settings settings = small_settings();
     std::vector<Effect> out;
     IgnoredRecords records;
-    Ledger ledger;
+    ClusterState cluster;
     double now = 0;
 
     explicit LargeFleet(std::uint64_t term = 1, const Settings& s = small_settings())
-        : settings(s), ledger(settings, term, 0, 0, out) {
-        ledger.keep(records);
-        ledger.types_known(small_types());
+        : settings(s), cluster(settings, term, 0, 0, out) {
+        cluster.set_persistence(records);
+        cluster.types_known(small_types());
         JobStored stored{job(1, Shape::array, fleet_size, 1), 0, -1, false};
-        ledger.add_job(stored);
+        cluster.add_job(stored);
     }
     static std::string name(int machine) {
         return fmt::format("n-{:06}", machine);
@@ -51,7 +51,7 @@
     // The status of the answer.
     int hear(int machine, std::uint64_t counter) {
         out.clear();
-        ledger.heard(HeartbeatReceived{report_of(machine, counter), counter});
+        cluster.receive_heartbeat(HeartbeatReceived{report_of(machine, counter), counter});
         for (const auto& effect : out)
             if (const auto* answer = std::get_if<AnswerHeartbeat>(&effect))
                 return answer->status;
@@ -63,27 +63,27 @@
     }
     void pass(double seconds) {
         now += seconds;
-        ledger.set_time(now, now);
-        ledger.lapse_machines();
+        cluster.set_time(now, now);
+        cluster.expire_leases();
     }
     void give_back(const std::string& id) {
-        ledger.give_back(*ledger.view().machines.at(id));
-        ledger.released(Released{{id}, true});
+        cluster.give_back(*cluster.view().machines.at(id));
+        cluster.released(Released{{id}, true});
     }
     void list(int from, int to) {
         MachinesListed all;
         for (int i = from; i < to; ++i)
             all.machines.push_back({name(i), name(i), "m8", "a", "running", false, 1});
-        ledger.listed(all);
+        cluster.listed(all);
     }
-    const ledger::Job& whole_job() {
-        return *ledger.view().find_job("wk-000001");
+    const cluster::Job& whole_job() {
+        return *cluster.view().find_job("wk-000001");
     }
     std::size_t known() {
-        return ledger.view().machines.size();
+        return cluster.view().machines.size();
     }
     std::size_t up() {
-        const auto& all = ledger.view().machines;
+        const auto& all = cluster.view().machines;
         return static_cast<std::size_t>(
             std::count_if(all.begin(), all.end(), [](const auto& m) { return m.second->status == Status::up; }));
     }
@@ -105,7 +105,7 @@
         refused += fleet.hear(i, 11) == 503; // newer than what was heard, sent before the machine went
     fleet.list(0, fleet_size);
     EXPECT_EQ(refused, lost_size);
-    EXPECT_EQ(fleet.ledger.counters().heartbeats_of_gone_machines, lost_size);
+    EXPECT_EQ(fleet.cluster.counters().heartbeats_of_gone_machines, lost_size);
     EXPECT_EQ(fleet.known(), fleet_size - lost_size);
     EXPECT_EQ(fleet.whole_job().live, fleet_size - lost_size);
 }
@@ -121,7 +121,7 @@
         fleet.hear_all(lost_size, 11 + static_cast<std::uint64_t>(silent));
     }
     ASSERT_EQ(fleet.known(), fleet_size - lost_size); // they lapsed and were forgotten
-    ASSERT_EQ(fleet.ledger.counters().lost, lost_size);
+    ASSERT_EQ(fleet.cluster.counters().lost, lost_size);
     ASSERT_EQ(fleet.whole_job().live, fleet_size - lost_size);
 
     int refused = 0;
@@ -129,7 +129,7 @@
         refused += fleet.hear(i, 10 - static_cast<std::uint64_t>(i % 3)) == 503;
     fleet.list(0, fleet_size);
     EXPECT_EQ(refused, lost_size);
-    EXPECT_EQ(fleet.ledger.counters().stale_heartbeats, lost_size);
+    EXPECT_EQ(fleet.cluster.counters().stale_heartbeats, lost_size);
     EXPECT_EQ(fleet.up(), fleet_size - lost_size);
     EXPECT_EQ(fleet.whole_job().live, fleet_size - lost_size);
     // One of them is back: its next heartbeat is news.
@@ -152,7 +152,7 @@
     for (int i = 0; i < lost_size; ++i)
         EXPECT_EQ(next.hear(i, 9 + static_cast<std::uint64_t>(i % 2)), 503);
     EXPECT_EQ(next.whole_job().live, fleet_size);
-    next.pass(next.ledger.lease_surely_s() - next.settings.lease_s * 0.9 + 0.01);
+    next.pass(next.cluster.lease_expiry_s() - next.settings.lease_s * 0.9 + 0.01);
     EXPECT_EQ(next.whole_job().live, fleet_size - lost_size);
     EXPECT_EQ(next.up(), fleet_size - lost_size);
 }
@@ -163,7 +163,7 @@
     auto small = small_settings();
     small.memory_mb = 16;
     LargeFleet fleet(1, small);
-    const auto room = static_cast<int>(ledger::DepartedMachines(small).capacity());
+    const auto room = static_cast<int>(cluster::DepartedMachines(small).capacity());
     ASSERT_GE(room, 6000);
     const auto lost = LargeFleet::name(room), last = LargeFleet::name(room + 1);
     for (int i = 0; i < room + 2; ++i)
@@ -171,8 +171,8 @@
     const auto release = [&](const std::vector<std::string>& machines) {
         fleet.out.clear();
         for (const auto& id : machines)
-            fleet.ledger.give_back(*fleet.ledger.view().machines.at(id));
-        fleet.ledger.release(machines);
+            fleet.cluster.give_back(*fleet.cluster.view().machines.at(id));
+        fleet.cluster.release(machines);
         std::vector<std::string> asked;
         for (const auto& effect : fleet.out)
             if (const auto* r = std::get_if<Release>(&effect))
@@ -184,22 +184,22 @@
         first.push_back(LargeFleet::name(i));
     ASSERT_EQ(release(first).size(), first.size());
     EXPECT_TRUE(release({last}).empty()); // the room is taken by those on their way
-    fleet.ledger.released(Released{first, true});
+    fleet.cluster.released(Released{first, true});
     ASSERT_EQ(fleet.known(), 2U);
 
     // The condition: full, and the oldest record is young.
     fleet.pass(5 * small.list_lag_s + 3 * small.lease_s);
-    ASSERT_EQ(fleet.ledger.view().machines.at(lost)->status, Status::lost);
+    ASSERT_EQ(fleet.cluster.view().machines.at(lost)->status, Status::lost);
     EXPECT_TRUE(release({last}).empty());
-    EXPECT_TRUE(fleet.ledger.view().machines.contains(last));
-    EXPECT_FALSE(fleet.ledger.view().machines.at(last)->release_asked); // so it is asked for again
-    EXPECT_TRUE(fleet.ledger.view().machines.at(last)->releasing);
+    EXPECT_TRUE(fleet.cluster.view().machines.contains(last));
+    EXPECT_FALSE(fleet.cluster.view().machines.at(last)->release_asked); // so it is asked for again
+    EXPECT_TRUE(fleet.cluster.view().machines.at(last)->releasing);
     EXPECT_EQ(fleet.hear(room, 10), 503); // a copy, still known as one
     EXPECT_EQ(fleet.hear(0, 11), 503);
     EXPECT_EQ(fleet.hear(room - 1, 11), 503);
     EXPECT_EQ(fleet.up(), 0U);
 
-    fleet.pass(ledger::max_message_age_s(small));
+    fleet.pass(cluster::max_message_age_s(small));
     EXPECT_EQ(fleet.known(), 0U); // both were lost by then
     EXPECT_EQ(fleet.hear(room, 10), 503);
     EXPECT_EQ(fleet.hear(room - 1, 11), 503);
@@ -245,10 +245,10 @@
     }
     std::map<std::string, codec::Json> records; // of placements, as stored
     std::size_t launched = 0, longest = 0;
-    double now = 0, next_report = 0;
+    double now = 0, next_heartbeat = 0;
     for (; now < 60 && launched < machines; now += 0.05) {
-        if (now >= next_report) {
-            next_report += s.report_s;
+        if (now >= next_heartbeat) {
+            next_heartbeat += s.report_s;
             for (auto& [id, heartbeat] : reports) {
                 ++heartbeat.counter;
                 commands.emplace_back(HeartbeatReceived{heartbeat, 1});
@@ -269,7 +269,7 @@
                     ASSERT_EQ(order.verb, Verb::launch);
                     ++launched;
                     reports[to->machine].tasks.push_back(
-                        {order.job, order.index, order.try_no, TaskState::running, ExitCause::none, false});
+                        {order.job, order.index, order.attempt, TaskState::running, ExitCause::none, false});
                 }
         }
         commands.clear();
--- a/tests/test_late_loop.cpp
+++ b/tests/test_late_loop.cpp
@@ -231,7 +231,7 @@
         LateFleet f(800 + k);
         ASSERT_TRUE(f.settle(45)) << k;
         const auto leader = *f.leader();
-        const int lapses = f.lapses;
+        const int expirations = f.expirations;
         auto& node = f.nodes[leader];
         node.late_s = f.hold_s() / 3;
         f.work(f.leases(3));
@@ -241,7 +241,7 @@
         EXPECT_EQ(first(f), "") << k;
         EXPECT_EQ(f.leader(), leader) << k;
         EXPECT_EQ(f.changes.size(), 1U) << k;
-        EXPECT_EQ(f.lapses, lapses) << k;
+        EXPECT_EQ(f.expirations, expirations) << k;
     }
 }
 
--- a/tests/test_local.cpp
+++ b/tests/test_local.cpp
@@ -67,13 +67,13 @@
 TEST_F(Told, TooEarly) {
     h.submitted(array("wk-1", 1));
     auto s = array("wk-2", 1);
-    s.needs = {"wk-1"};
+    s.dependencies = {"wk-1"};
     h.submitted(s);
     h.task_done("wk-1", 0);
     h.on_machine("wk-2", 0, here, 1);
     EXPECT_EQ(first(), "");
     auto t = array("wk-3", 1);
-    t.needs = {"wk-2"};
+    t.dependencies = {"wk-2"};
     h.submitted(t);
     h.on_machine("wk-3", 0, here, 2);
     EXPECT_EQ(first(), "too_early");
--- a/tests/test_meetings.cpp
+++ b/tests/test_meetings.cpp
@@ -125,7 +125,7 @@
         if (n % 4 == 0)
             f.send(f.between(0.5, 8), [&f, id] {
                 if (f.asks[id].accepted() && f.asks[id].seen.done_at < 0)
-                    f.withdraw(id);
+                    f.request_cancellation(id);
             });
     };
 }
@@ -202,10 +202,10 @@
              f.on_step = [&f, n = 0]() mutable {
                  if (f.every(1) && f.now < 100) {
                      auto urgent = job(0, Shape::array, 2, 4, "blue");
-                     urgent.rank = Rank::high;
+                     urgent.priority = Priority::high;
                      add(f, urgent, n);
                      auto other = job(0, Shape::array, 12, 2);
-                     other.rank = Rank::low;
+                     other.priority = Priority::low;
                      add(f, other, n);
                  }
                  if (f.every(10))
@@ -264,7 +264,7 @@
                          done += f.done_tasks.contains(fmt::format("{}/{}", id, i));
                      if (done + 1 < f.jobs[id].tasks || f.chance() < 0.7)
                          continue;
-                     f.chance() < 0.5 ? f.withdraw(id) : (void)(u.repeat_at = u.next_at = f.now);
+                     f.chance() < 0.5 ? f.request_cancellation(id) : (void)(u.repeat_at = u.next_at = f.now);
                      u.next_at = f.now;
                  }
              };
--- a/tests/test_records.cpp
+++ b/tests/test_records.cpp
@@ -12,7 +12,7 @@
                                           {"n-2", "", 1, "wk-000002", 1, 71},  {"n-2", "", 1, "wk-000002", 3, 71}};
     intents::Writer w;
     for (const auto& i : in)
-        w.add(i.machine, i.zone, i.agent_epoch, i.job, i.index, i.try_no);
+        w.add(i.machine, i.zone, i.agent_epoch, i.job, i.index, i.attempt);
     const auto text = w.take();
     EXPECT_EQ(text, "n-1 a 1 wk-000001/3-4:70 wk-000001/5:71\nn-1 a 2 wk-000002/0:71\n"
                     "n-2 - 1 wk-000002/1:71 wk-000002/3:71");
--- a/tests/test_replay.cpp
+++ b/tests/test_replay.cpp
@@ -49,7 +49,7 @@
     w.submit(job(2, Shape::gang, 3, 4));
     w.submit(job(3, Shape::service, 3, 1, "blue"));
     auto next = job(4, Shape::array, 4, 1, "blue");
-    next.needs = {"wk-000001"};
+    next.dependencies = {"wk-000001"};
     w.submit(next);
     w.run(15);
     w.cancel("wk-000003");
--- a/tests/test_room_index.cpp
+++ b/tests/test_room_index.cpp
@@ -34,7 +34,7 @@
         m->retiring = one_in(12);
         m->bad = one_in(12);
         m->releasing = one_in(12);
-        m->heard = one_in(12) ? view_.now - 5 : view_.now;
+        m->last_heartbeat_at = one_in(12) ? view_.now - 5 : view_.now;
         m->avoid_until = one_in(12) ? view_.now + 1 : 0;
         m->slow_until = one_in(8) ? view_.now + 1 : -1;
         m->pool = !m->spot && one_in(3);
@@ -46,7 +46,7 @@
         auto& j = *jobs_.emplace_back(std::make_unique<Job>());
         constexpr Shape shapes[] = {Shape::array, Shape::service, Shape::gang};
         j.spec.shape = shapes[pick(0, 2)];
-        j.rank = static_cast<Rank>(pick(0, 3));
+        j.priority = static_cast<Priority>(pick(0, 3));
         j.spec.each = {0.1 * pick(1, 100), one_in(6) ? 1.0 : 0.0, 0.1 * pick(1, 200)};
         j.spec.spot = one_in(2);
         j.spec.tasks = static_cast<std::uint32_t>(pick(1, 6));
@@ -67,7 +67,7 @@
         if (one_in(2)) {
             m.reserved_for = one_in(3) ? nullptr : jobs_[static_cast<std::size_t>(pick(0, job_count() - 1))].get();
             m.reserved_until = view_.now + pick(-1, 2);
-            m.reserved_rank = static_cast<Rank>(pick(0, 3));
+            m.reserved_priority = static_cast<Priority>(pick(0, 3));
         } else {
             m.used = m.whole * (0.1 * pick(0, 10));
         }
@@ -93,7 +93,7 @@
     [[nodiscard]] int job_count() const {
         return static_cast<int>(jobs_.size());
     }
-    [[nodiscard]] const State& view() const {
+    [[nodiscard]] const ClusterData& view() const {
         return view_;
     }
     std::vector<std::unique_ptr<Job>> jobs_;
@@ -101,7 +101,7 @@
 private:
     std::mt19937 rng_;
     Settings settings_;
-    State view_{settings_};
+    ClusterData view_{settings_};
 };
 
 void expect_same(const RandomFleet& fleet, const RoomIndex& index) {
--- a/tests/test_same.cpp
+++ b/tests/test_same.cpp
@@ -66,7 +66,7 @@
         const auto kind = roll(8);
         s.shape = kind < 4 ? Shape::array : kind < 6 ? Shape::gang : Shape::service;
         s.job_class = s.shape == Shape::array ? "batch" : s.shape == Shape::gang ? "solve" : "serve";
-        s.rank = static_cast<Rank>(roll(4));
+        s.priority = static_cast<Priority>(roll(4));
         s.tasks = 1 + roll(s.shape == Shape::array ? 12 : s.shape == Shape::gang ? 4 : 8);
         s.each = {static_cast<double>(1 + roll(4)), roll(12) == 0 ? 1.0 : 0.0, static_cast<double>(2 + roll(8))};
         s.image = fmt::format("img-{}", roll(6));
@@ -84,8 +84,8 @@
         if (finite.size() > 5 && roll(5) == 0) // a chain
             for (auto k = 1 + roll(2); k > 0; --k) {
                 const auto& need = finite[finite.size() - 1 - roll(5)];
-                if (std::find(s.needs.begin(), s.needs.end(), need) == s.needs.end())
-                    s.needs.push_back(need);
+                if (std::find(s.dependencies.begin(), s.dependencies.end(), need) == s.dependencies.end())
+                    s.dependencies.push_back(need);
             }
         if (s.shape == Shape::service)
             w.cancel_after = 60 + static_cast<int>(roll(200));
@@ -134,7 +134,7 @@
     void make_platform() {
         platform = std::make_unique<local::Platform>(&loop, plan, *history);
         platform->on_launch = [this](const Order& o, const MachineType& type, const std::string& zone, bool spot) {
-            now_launched.push_back(fmt::format("{}/{} attempt {} on a {}{} in {}", o.job, o.index, o.try_no, type.name,
+            now_launched.push_back(fmt::format("{}/{} attempt {} on a {}{} in {}", o.job, o.index, o.attempt, type.name,
                                                spot ? " (spot)" : "", zone));
         };
     }
--- a/tests/test_scheduler.cpp
+++ b/tests/test_scheduler.cpp
@@ -2,9 +2,9 @@
 // cloud and machines on loopback.
 #include "heronshift/embed/scheduler.hpp"
 
+#include "heronshift/cluster/cluster_data.hpp"
 #include "heronshift/codec.hpp"
 #include "heronshift/embed/heronshift.h"
-#include "heronshift/ledger/state.hpp"
 #include "heronshift/local/cloud.hpp"
 #include "heronshift/local/port.hpp"
 #include "heronshift/store/remote.hpp"
@@ -166,7 +166,7 @@
                 u.spec.tasks = 2;
             }
             if (n % 7 == 0)
-                u.spec.needs = {job(n - 1).id};
+                u.spec.dependencies = {job(n - 1).id};
             e_.want(u.spec);
             list_.push_back(std::move(u));
         }
@@ -219,7 +219,7 @@
     s->subscribe([&](const Change& c) { changes.push_back(c); });
     want(job(1));
     auto next = job(2);
-    next.needs = {"wk-000001"};
+    next.dependencies = {"wk-000001"};
     want(next);
     Reply a, b;
     submit(*s, job(1), &a);
@@ -542,7 +542,7 @@
     EXPECT_TRUE(until([&] { return users.serve(); }));
     for (const auto pid : copies)
         kill_program(pid);
-    EXPECT_GE(platform->sum().fencing_token >> ledger::token_counter_bits, 2U) << "nobody ever took over";
+    EXPECT_GE(platform->sum().fencing_token >> cluster::token_counter_bits, 2U) << "nobody ever took over";
     EXPECT_EQ(history.broken(), std::vector<std::string>{});
     EXPECT_TRUE(history.unfinished().empty());
 }
--- a/tests/users.hpp
+++ b/tests/users.hpp
@@ -40,7 +40,7 @@
         u.seen = {spec.id, spec.job_class, spec.team, spec.shape, spec.tasks * (spec.each.cpus + spec.each.gpus), now};
         u.next_at = now;
     }
-    void withdraw(const std::string& id) {
+    void request_cancellation(const std::string& id) {
         if (!asks.contains(id))
             return;
         asks[id].cancels = true;
@@ -51,7 +51,7 @@
         const std::string path(codec::path_jobs);
         const bool cancels = chance() < looks_cancel && !asks[id].cancels;
         if (cancels)
-            withdraw(id);
+            request_cancellation(id);
         for (std::size_t to = 0; to < nodes.size(); ++to) {
             const auto look = [this, id, to](HttpRequest r, bool cancel) {
                 send(between(0, 0.4), [this, id, to, r, cancel] {
--- a/tests/world.hpp
+++ b/tests/world.hpp
@@ -147,7 +147,7 @@
 
     void submit(JobSpec spec) {
         jobs[spec.id] = spec;
-        const bool waits = !spec.needs.empty();
+        const bool waits = !spec.dependencies.empty();
         store["j/" + spec.id] = codec::to_record({spec, now, -1, waits, {}});
         submitted[spec.id] = now;
         for (auto& c : controllers)
@@ -445,7 +445,7 @@
     // knows that, if that has been told.
     bool doomed(const std::string& id, double& since) {
         bool any = false;
-        std::vector<std::string> stack = jobs[id].needs;
+        std::vector<std::string> stack = jobs[id].dependencies;
         std::set<std::string> seen(stack.begin(), stack.end());
         while (!stack.empty()) {
             const auto n = stack.back();
@@ -454,7 +454,7 @@
             if (const auto t = cancelled.find(n); t != cancelled.end())
                 since = std::min(since, t->second);
             if (const auto j = jobs.find(n); j != jobs.end())
-                for (const auto& k : j->second.needs)
+                for (const auto& k : j->second.dependencies)
                     if (seen.insert(k).second)
                         stack.push_back(k);
         }
@@ -465,8 +465,8 @@
         if (told.contains(id) && told[id] == status)
             return;
         double since = 1e18;
-        const bool taken_along = !asked.empty() && !jobs[id].needs.empty() && doomed(id, since);
-        if (status == codec::status_cancelled && !asked.contains(id) && !taken_along)
+        const bool cancelled_with_dependency = !asked.empty() && !jobs[id].dependencies.empty() && doomed(id, since);
+        if (status == codec::status_cancelled && !asked.contains(id) && !cancelled_with_dependency)
             broken.push_back("went_back " + id + " was cancelled by nobody");
         if (check_orphaned && status != codec::status_cancelled && status != codec::status_done &&
             now > std::max(since, submitted[id]) + settings.cancel_s)
