--- a/include/heronshift/cluster/cluster_state.hpp
+++ b/include/heronshift/cluster/cluster_state.hpp
@@ -14,7 +14,7 @@
 #include <optional>
 
 namespace heronshift {
-class Records;
+class ClusterRecords;
 }
 
 namespace heronshift::cluster {
@@ -139,7 +139,7 @@
     }
 
 private:
-    friend class heronshift::Records; // what a takeover reads is entered as it stands
+    friend class heronshift::ClusterRecords; // what a takeover reads is entered as it stands
 
     // What a policy was given const is ours to write.
     static Job& own(const Job& j) {
--- a/include/heronshift/core/core.hpp
+++ b/include/heronshift/core/core.hpp
@@ -8,10 +8,10 @@
 #include "heronshift/cluster/cluster_state.hpp"
 #include "heronshift/messages.hpp"
 #include "heronshift/metrics/metrics.hpp"
+#include "heronshift/persistence/cluster_records.hpp"
 #include "heronshift/policies/capacity.hpp"
 #include "heronshift/policies/placement.hpp"
 #include "heronshift/policies/rounds.hpp"
-#include "heronshift/records/records.hpp"
 
 #include <optional>
 #include <string>
@@ -62,7 +62,7 @@
     const Settings& s_;
     std::vector<Effect> effects_;
     cluster::ClusterState cluster_;
-    Records records_;
+    ClusterRecords records_;
     policies::Placement placement_;
     policies::Rounds rounds_;
     policies::Capacity capacity_;
--- a/include/heronshift/leadership/state_loader.hpp
+++ b/include/heronshift/leadership/state_loader.hpp
@@ -6,7 +6,7 @@
 #pragma once
 
 #include "heronshift/later.hpp"
-#include "heronshift/records/records.hpp"
+#include "heronshift/persistence/cluster_records.hpp"
 #include "heronshift/store/store.hpp"
 
 #include <functional>
--- a/include/heronshift/records/records.hpp
+++ b/include/heronshift/persistence/cluster_records.hpp
@@ -8,7 +8,7 @@
 #pragma once
 
 #include "heronshift/cluster/cluster_state.hpp"
-#include "heronshift/records/intents.hpp"
+#include "heronshift/persistence/intents.hpp"
 
 namespace heronshift {
 
@@ -18,11 +18,11 @@
     std::vector<codec::Item> earlier; // of the layout before: a record a machine, one a job
 };
 
-class Records final : public cluster::PersistenceListener {
+class ClusterRecords final : public cluster::PersistenceListener {
 public:
     // Enters what the store holds into the ledger, as it stands.
-    Records(cluster::ClusterState& cluster, const Settings& settings, const Snapshot& stored, double wall,
-            std::vector<Effect>& out);
+    ClusterRecords(cluster::ClusterState& cluster, const Settings& settings, const Snapshot& stored, double wall,
+                   std::vector<Effect>& out);
 
     void added(cluster::Job& j) override;
     void added(cluster::Entry& e) override;
--- a/src/records/records.cpp
+++ b/src/persistence/cluster_records.cpp
@@ -1,5 +1,5 @@
 // Writing what the store holds of the core's state, a little each round; load.cpp reads it at a takeover.
-#include "heronshift/records/records.hpp"
+#include "heronshift/persistence/cluster_records.hpp"
 
 #include "layout.hpp"
 
@@ -12,7 +12,7 @@
 using cluster::Final;
 using cluster::Phase;
 using cluster::token_counter_bits;
-using records::progress_records;
+using persistence::progress_records;
 
 namespace {
 
@@ -42,7 +42,7 @@
 } // namespace
 
 // FNV-1a: every holder must find a job in the same record.
-std::size_t Records::bucket_of(const std::string& id) {
+std::size_t ClusterRecords::bucket_of(const std::string& id) {
     std::uint64_t h = 14695981039346656037U;
     for (const char c : id)
         h = (h ^ static_cast<unsigned char>(c)) * 1099511628211U;
@@ -50,7 +50,7 @@
 }
 
 // One transaction being put together, most urgent first.
-struct Records::Draft {
+struct ClusterRecords::Draft {
     Commit commit;
     std::size_t most = 0, bytes = 0;
     [[nodiscard]] bool full(std::size_t more) const {
@@ -62,8 +62,8 @@
     }
 };
 
-Records::Records(cluster::ClusterState& cluster, const Settings& settings, const Snapshot& stored, double wall,
-                 std::vector<Effect>& out)
+ClusterRecords::ClusterRecords(cluster::ClusterState& cluster, const Settings& settings, const Snapshot& stored,
+                               double wall, std::vector<Effect>& out)
     : l_(cluster), s_(settings), out_(out), write_tokens_(settings.txn_ops), tokens_at_(cluster.view().now),
       most_value_(static_cast<std::size_t>(settings.value_kb * 1024 * record_share)),
       most_ops_(static_cast<std::size_t>(settings.txn_ops)) {
@@ -71,15 +71,15 @@
     load(stored, wall);
 }
 
-void Records::added(Job& j) {
+void ClusterRecords::added(Job& j) {
     j.bucket = bucket_of(j.spec.id);
 }
 
-void Records::added(Entry& e) {
+void ClusterRecords::added(Entry& e) {
     put_in_slot(e, -1);
 }
 
-void Records::removed(Entry& e) {
+void ClusterRecords::removed(Entry& e) {
     leave_slot(e);
     if (e.slot >= 0)
         ++ring_[static_cast<std::size_t>(e.slot)].stale;
@@ -87,7 +87,7 @@
         ++ring_[static_cast<std::size_t>(e.carried_from)].stale;
 }
 
-void Records::final_due(Job& j, Urgency u) {
+void ClusterRecords::final_due(Job& j, Urgency u) {
     if (j.final_queued)
         return;
     j.final_queued = true;
@@ -99,7 +99,7 @@
         finals_.push_back(&j);
 }
 
-void Records::progressed(Job& j) {
+void ClusterRecords::progressed(Job& j) {
     auto& b = buckets_[j.bucket];
     if (b.dirty)
         return;
@@ -107,18 +107,18 @@
     b.since = l_.view().now;
 }
 
-void Records::became_ready(Job& j) {
+void ClusterRecords::became_ready(Job& j) {
     readies_.push_back(&j);
 }
 
-void Records::put_in_slot(Entry& e, int slot) {
+void ClusterRecords::put_in_slot(Entry& e, int slot) {
     auto& list = slot < 0 ? unrecorded_ : ring_[static_cast<std::size_t>(slot)].entries;
     e.slot = slot;
     e.at_slot = list.size();
     list.push_back(&e);
 }
 
-void Records::leave_slot(Entry& e) {
+void ClusterRecords::leave_slot(Entry& e) {
     auto& list = e.slot < 0 ? unrecorded_ : ring_[static_cast<std::size_t>(e.slot)].entries;
     list[e.at_slot] = list.back();
     list[e.at_slot]->at_slot = e.at_slot;
@@ -131,7 +131,7 @@
 
 // A final state is told only once it is stored. The job's record goes when none of its tasks is
 // left on any machine; until then it names the final state, so that no later holder starts any.
-void Records::draft_finals(Draft& d) {
+void ClusterRecords::draft_finals(Draft& d) {
     auto& f = in_flight_;
     // Placements must not starve: where a transaction takes few changes, they get some of every other.
     const std::size_t set_persistence =
@@ -162,7 +162,7 @@
 
 // The record of a job that has become ready loses its chain: from then on any holder, of whatever
 // version, may run it. It goes before the job's first placements, or with them.
-void Records::draft_ready(Draft& d) {
+void ClusterRecords::draft_ready(Draft& d) {
     while (!readies_.empty() && !d.full(1)) {
         auto* j = readies_.front();
         readies_.pop_front();
@@ -179,7 +179,7 @@
     }
 }
 
-std::string Records::slot_text(std::vector<Entry*> list) {
+std::string ClusterRecords::slot_text(std::vector<Entry*> list) {
     const auto zone_matters = [](const Entry* e) { return e->job->spec.spread || e->job->spec.one_zone; };
     std::sort(list.begin(), list.end(), [&](const Entry* a, const Entry* b) {
         if (a->machine != b->machine)
@@ -203,14 +203,14 @@
 }
 
 // A placement is not stored before its job's record says that the job no longer waits.
-bool Records::may_record(const Entry& e) {
+bool ClusterRecords::may_record(const Entry& e) {
     return e.job->ready_recorded || e.job->final != Final::none;
 }
 
 // Writes one record of the ring: what is still live of it and, room permitting, new placements and
 // what is carried on from a record that was written when the store took longer values. Until that
 // has succeeded the long record names it too, so that nothing live is ever missing from the store.
-bool Records::draft_slot(Draft& d, std::size_t slot) {
+bool ClusterRecords::draft_slot(Draft& d, std::size_t slot) {
     auto& list = ring_[slot].entries;
     auto text = slot_text(list);
     if (text.size() > most_value_) {
@@ -261,7 +261,7 @@
     return true;
 }
 
-void Records::draft_intents(Draft& d) {
+void ClusterRecords::draft_intents(Draft& d) {
     auto advance = [&] { next_slot_ = (next_slot_ + 1) % ring_.size(); };
     auto more = [&] {
         return std::any_of(unrecorded_.begin(), unrecorded_.end(), [](const Entry* e) { return may_record(*e); });
@@ -316,7 +316,7 @@
 
 // Progress gathers for a while: losing it costs only an image fetch, since a finished task that is
 // started again ends at once.
-void Records::draft_progress(Draft& d) {
+void ClusterRecords::draft_progress(Draft& d) {
     const double gather =
         std::max(s_.report_s, static_cast<double>(progress_records) / (progress_share * s_.state_write_rps));
     for (std::size_t b = 0; b < buckets_.size() && !d.full(1); ++b) {
@@ -349,7 +349,7 @@
 
 // Which machine has which image is a hint that spares the next holder fetches; it is written now and
 // then, a part of the machines at a time, each with the names it needs.
-void Records::draft_images(Draft& d) {
+void ClusterRecords::draft_images(Draft& d) {
     if (l_.st_.now < next_images_ || l_.st_.machines.empty() || d.full(most_ops_ / 2))
         return;
     next_images_ = l_.st_.now + 2 * s_.report_s;
@@ -397,7 +397,7 @@
 
 // What a holder has learned of this day: how much work comes, how far estimates are off, how many spot
 // machines are lost. Without it the next one gives back machines that it needs a moment later.
-void Records::draft_learned(Draft& d) {
+void ClusterRecords::draft_learned(Draft& d) {
     if (l_.st_.now < next_learned_ || d.full(most_ops_ / 2))
         return;
     next_learned_ = l_.st_.now + 2 * s_.report_s;
@@ -415,7 +415,7 @@
 }
 
 // One transaction is in flight at a time; this builds the next of what is due, most urgent first.
-void Records::collect_commit() {
+void ClusterRecords::collect_commit() {
     if (txn_open_ || l_.resigned())
         return;
     // The holder's part of the write budget; the rest is left to submissions on all nodes.
@@ -449,7 +449,7 @@
     out_.push_back(std::move(d.commit));
 }
 
-void Records::committed(const Committed& c) {
+void ClusterRecords::committed(const Committed& c) {
     txn_open_ = false;
     auto f = std::move(in_flight_);
     in_flight_ = {};
@@ -538,7 +538,7 @@
 }
 
 // The store keeps the final state; memory only holds what is alive.
-void Records::drop_job(Job& j) {
+void ClusterRecords::drop_job(Job& j) {
     l_.remember_final(j);
     if (j.live > 0)
         return; // something showed up meanwhile: it is stopped first
--- a/src/records/intents.cpp
+++ b/src/persistence/intents.cpp
@@ -1,4 +1,4 @@
-#include "heronshift/records/intents.hpp"
+#include "heronshift/persistence/intents.hpp"
 
 #include "heronshift/codec.hpp"
 
--- a/src/records/layout.hpp
+++ b/src/persistence/layout.hpp
@@ -3,9 +3,9 @@
 
 #include <cstddef>
 
-namespace heronshift::records {
+namespace heronshift::persistence {
 
 inline constexpr std::size_t first_slots = 32; // of intents; the ring grows when its records fill up
 inline constexpr std::size_t progress_records = 64;
 
-} // namespace heronshift::records
+} // namespace heronshift::persistence
--- a/src/records/load.cpp
+++ b/src/persistence/load.cpp
@@ -1,5 +1,5 @@
 // Reading what the store holds of the core's state, whole, at a takeover.
-#include "heronshift/records/records.hpp"
+#include "heronshift/persistence/cluster_records.hpp"
 
 #include "layout.hpp"
 
@@ -14,8 +14,8 @@
 using cluster::Phase;
 using cluster::Status;
 using cluster::token_counter_bits;
-using records::first_slots;
-using records::progress_records;
+using persistence::first_slots;
+using persistence::progress_records;
 
 namespace {
 
@@ -36,7 +36,7 @@
 
 } // namespace
 
-void Records::load(const Snapshot& stored, double wall) {
+void ClusterRecords::load(const Snapshot& stored, double wall) {
     ring_.resize(first_slots);
     buckets_.resize(progress_records);
     for (const auto& i : stored.jobs) {
@@ -117,7 +117,7 @@
     l_.needs_scheduling_ = true;
 }
 
-void Records::load_done(Job& j, std::string_view ranges) {
+void ClusterRecords::load_done(Job& j, std::string_view ranges) {
     intents::each_in_ranges(ranges, [&](std::uint32_t k) {
         if (k >= j.tasks.size() || j.tasks[k].done)
             return;
@@ -127,7 +127,7 @@
     });
 }
 
-void Records::load_intent(const intents::Intent& i, int slot) {
+void ClusterRecords::load_intent(const intents::Intent& i, int slot) {
     auto* j = l_.find_job(i.job);
     // The record of a job goes only when none of its tasks is left anywhere.
     if (j == nullptr || i.index >= j->tasks.size())
@@ -154,7 +154,7 @@
 
 // A record that cannot be read may have named any task there was. The machine's own word under our
 // term, or its lapsed lease, ends the doubt; where not even its name is known, only time does.
-void Records::hold_unproven(const std::string& machine) {
+void ClusterRecords::hold_unproven(const std::string& machine) {
     log(2, fmt::format("a damaged record{}{}", machine.empty() ? "" : " of machine ", machine));
     l_.st_.unproven_until = l_.st_.now + l_.lease_expiry_s();
     l_.st_.unproven_machines.insert(machine);
@@ -166,7 +166,7 @@
 }
 
 // The layout before this one: "m/ID" named what is on a machine, "d/ID" what is done of a job.
-void Records::load_earlier(const Snapshot& stored) {
+void ClusterRecords::load_earlier(const Snapshot& stored) {
     for (const auto& i : stored.earlier) {
         gone_records_.push_back(i.key);
         const auto id = i.key.substr(2);
@@ -205,7 +205,7 @@
     }
 }
 
-void Records::load_images(const codec::Item& i) {
+void ClusterRecords::load_images(const codec::Item& i) {
     if (const auto n = number_of(i.key); n)
         image_parts_ = std::max(image_parts_, *n + 1);
     if (!i.value.is_object() || !i.value.contains("names") || !i.value.contains("held"))
@@ -228,7 +228,7 @@
     }
 }
 
-void Records::load_learned(const codec::Item& i, double wall) {
+void ClusterRecords::load_learned(const codec::Item& i, double wall) {
     const auto number = [&](const char* name) {
         const auto it = i.value.is_object() ? i.value.find(name) : i.value.end();
         const double v = it != i.value.end() && it->is_number() ? it->get<double>() : -1;
--- a/tests/test_records.cpp
+++ b/tests/test_records.cpp
@@ -6,7 +6,7 @@
 namespace heronshift::testing {
 namespace {
 
-TEST(Records, PlacementsComeBackAsTheyWereWritten) {
+TEST(ClusterRecords, PlacementsComeBackAsTheyWereWritten) {
     const std::vector<intents::Intent> in{{"n-1", "a", 1, "wk-000001", 3, 70}, {"n-1", "a", 1, "wk-000001", 4, 70},
                                           {"n-1", "a", 1, "wk-000001", 5, 71}, {"n-1", "a", 2, "wk-000002", 0, 71},
                                           {"n-2", "", 1, "wk-000002", 1, 71},  {"n-2", "", 1, "wk-000002", 3, 71}};
@@ -23,7 +23,7 @@
 
 // Every prefix of a record, and every single wrong byte, is read without a crash; what is lost of
 // it leaves its machine in doubt.
-TEST(Records, DamagedTextIsReadAsFarAsItCanBeProven) {
+TEST(ClusterRecords, DamagedTextIsReadAsFarAsItCanBeProven) {
     const std::string text = "n-1 a 1 wk-000001/3-4:70\nn-2 b 1 wk-000002/0:71";
     for (std::size_t n = 0; n < text.size(); ++n) {
         (void)intents::read(text.substr(0, n));
@@ -87,7 +87,7 @@
 
 // What a damaged record named may run anywhere on its machine: until that machine has spoken to us
 // or its lease has surely lapsed, nothing is placed at all.
-TEST(Records, ADamagedRecordHoldsItsMachineUntilItIsProven) {
+TEST(ClusterRecords, ADamagedRecordHoldsItsMachineUntilItIsProven) {
     const auto settings = small_settings();
     auto stored = one_job(job(1, Shape::array, 2, 1));
     stored.intents.push_back({"i/0", {{"t", "n-9 a 1 wk-00"}}, 1, false});
@@ -104,7 +104,7 @@
 }
 
 // Else each new holder would have images of 15 GB fetched again that lie ready.
-TEST(Records, ANewHolderKnowsWhereImagesLie) {
+TEST(ClusterRecords, ANewHolderKnowsWhereImagesLie) {
     const auto settings = small_settings();
     auto stored = one_job(job(1, Shape::array, 1, 1));
     stored.images.push_back(
@@ -130,7 +130,7 @@
 }
 
 // From vagonplan-ops-grown troubles: after each takeover machines were rented for tasks that ran.
-TEST(Records, NothingIsRentedForWhatRunsAlready) {
+TEST(ClusterRecords, NothingIsRentedForWhatRunsAlready) {
     const auto settings = small_settings();
     auto stored = one_job(job(1, Shape::gang, 4, 8));
     stored.intents.push_back({"i/0",
@@ -144,7 +144,7 @@
             EXPECT_FALSE(std::holds_alternative<Rent>(e)) << "at " << t;
 }
 
-TEST(Records, TheEarlierLayoutIsReadAndRemoved) {
+TEST(ClusterRecords, TheEarlierLayoutIsReadAndRemoved) {
     const auto settings = small_settings();
     auto stored = one_job(job(1, Shape::array, 4, 1));
     stored.earlier.push_back({"m/n-1",
@@ -175,7 +175,7 @@
 
 // Two thousand launches: each record stays below the longest value, a transaction below its limits,
 // and what a later holder reads names all of them.
-TEST(Records, ABurstOfPlacementsCostsAFewWrites) {
+TEST(ClusterRecords, ABurstOfPlacementsCostsAFewWrites) {
     World w(11);
     w.settings.teams = {{"red", 1e5, 1e6, 0, 0}};
     w.settings.state_write_rps = 35;
@@ -213,7 +213,7 @@
 
 // After each change of office machines were given back that were needed a moment later, or none for a
 // minute: the new holder knew neither their age nor how much work the day brings.
-TEST(Records, WhatAHolderLearnedOfTheDayGoesToTheNext) {
+TEST(ClusterRecords, WhatAHolderLearnedOfTheDayGoesToTheNext) {
     const auto settings = small_settings();
     auto returned = [&](const codec::Json& learned) {
         Snapshot s;
