--- a/include/heronshift/cluster/departed_machines.hpp
+++ b/include/heronshift/cluster/departed_machines.hpp
@@ -41,7 +41,7 @@
         return records_.size();
     }
     [[nodiscard]] std::size_t capacity() const {
-        return capacity_;
+        return autoscaler_;
     }
 
 private:
@@ -50,7 +50,7 @@
         std::list<std::string>::iterator place;
     };
     double keep_s_;
-    std::size_t capacity_;
+    std::size_t autoscaler_;
     std::unordered_map<std::string, Record> records_;
     std::list<std::string> order_; // the first to depart first
 };
--- a/include/heronshift/core/core.hpp
+++ b/include/heronshift/core/core.hpp
@@ -9,9 +9,9 @@
 #include "heronshift/messages.hpp"
 #include "heronshift/metrics/metrics.hpp"
 #include "heronshift/persistence/cluster_records.hpp"
-#include "heronshift/policies/capacity.hpp"
-#include "heronshift/policies/placement.hpp"
-#include "heronshift/policies/rounds.hpp"
+#include "heronshift/scheduling/autoscaler.hpp"
+#include "heronshift/scheduling/placement.hpp"
+#include "heronshift/scheduling/rebalancer.hpp"
 
 #include <optional>
 #include <string>
@@ -63,9 +63,9 @@
     std::vector<Effect> effects_;
     cluster::ClusterState cluster_;
     ClusterRecords records_;
-    policies::Placement placement_;
-    policies::Rounds rounds_;
-    policies::Capacity capacity_;
+    scheduling::Placement placement_;
+    scheduling::Rebalancer rebalancer_;
+    scheduling::Autoscaler autoscaler_;
     double wake_at_ = 0, next_tick_ = 0, next_round_ = 0, next_rent_ = 0, next_schedule_ = 0;
 };
 
--- a/include/heronshift/policies/capacity.hpp
+++ b/include/heronshift/scheduling/autoscaler.hpp
@@ -2,13 +2,13 @@
 #pragma once
 
 #include "heronshift/cluster/proposals.hpp"
-#include "heronshift/policies/common.hpp"
+#include "heronshift/scheduling/placement_cost.hpp"
 
-namespace heronshift::policies {
+namespace heronshift::scheduling {
 
-class Capacity {
+class Autoscaler {
 public:
-    Capacity(const ClusterData& view, cluster::Proposals& out) : v_(view), s_(view.settings), out_(out) {}
+    Autoscaler(const ClusterData& view, cluster::Proposals& out) : v_(view), s_(view.settings), out_(out) {}
     void plan_capacity();
     void plan_shrink();
     void return_machines();
@@ -48,4 +48,4 @@
     std::vector<const Machine*> leaving_; // to become empty, and not given back yet
 };
 
-} // namespace heronshift::policies
+} // namespace heronshift::scheduling
--- a/include/heronshift/policies/placement.hpp
+++ b/include/heronshift/scheduling/placement.hpp
@@ -3,10 +3,10 @@
 #pragma once
 
 #include "heronshift/cluster/proposals.hpp"
-#include "heronshift/policies/common.hpp"
-#include "heronshift/policies/room_index.hpp"
+#include "heronshift/scheduling/placement_cost.hpp"
+#include "heronshift/scheduling/room_index.hpp"
 
-namespace heronshift::policies {
+namespace heronshift::scheduling {
 
 class Placement {
 public:
@@ -78,4 +78,4 @@
     std::vector<char> releases_known_;
 };
 
-} // namespace heronshift::policies
+} // namespace heronshift::scheduling
--- a/include/heronshift/policies/common.hpp
+++ b/include/heronshift/scheduling/placement_cost.hpp
@@ -4,7 +4,7 @@
 
 #include "heronshift/cluster/cluster_data.hpp"
 
-namespace heronshift::policies {
+namespace heronshift::scheduling {
 
 using cluster::ClusterData;
 using cluster::Entry;
@@ -56,4 +56,4 @@
     return list.empty() || std::find(list.begin(), list.end(), name) != list.end();
 }
 
-} // namespace heronshift::policies
+} // namespace heronshift::scheduling
--- a/include/heronshift/policies/rounds.hpp
+++ b/include/heronshift/scheduling/rebalancer.hpp
@@ -2,14 +2,14 @@
 #pragma once
 
 #include "heronshift/cluster/proposals.hpp"
-#include "heronshift/policies/common.hpp"
+#include "heronshift/scheduling/placement_cost.hpp"
 
-namespace heronshift::policies {
+namespace heronshift::scheduling {
 
-class Rounds {
+class Rebalancer {
 public:
-    Rounds(const ClusterData& view, cluster::Proposals& out) : v_(view), s_(view.settings), out_(out) {}
-    void plan_round();
+    Rebalancer(const ClusterData& view, cluster::Proposals& out) : v_(view), s_(view.settings), out_(out) {}
+    void rebalance();
 
 private:
     using Planned = std::unordered_map<const Machine*, Resources>; // room a round has given away
@@ -25,4 +25,4 @@
     cluster::Proposals& out_;
 };
 
-} // namespace heronshift::policies
+} // namespace heronshift::scheduling
--- a/include/heronshift/policies/room_index.hpp
+++ b/include/heronshift/scheduling/room_index.hpp
@@ -2,14 +2,14 @@
 // without a look at all the others. Owns nothing that outlives the pass.
 #pragma once
 
-#include "heronshift/policies/common.hpp"
+#include "heronshift/scheduling/placement_cost.hpp"
 
 #include <cstdint>
 #include <map>
 #include <tuple>
 #include <vector>
 
-namespace heronshift::policies {
+namespace heronshift::scheduling {
 
 // A segment tree over the free room of a sequence of machines. Each node holds the largest amount of
 // each resource below it, so that a search passes over what is full.
@@ -80,4 +80,4 @@
     std::vector<Reservation> reserved_; // these machines are in no tree
 };
 
-} // namespace heronshift::policies
+} // namespace heronshift::scheduling
--- a/src/core/core.cpp
+++ b/src/core/core.cpp
@@ -14,8 +14,8 @@
 
 Core::Core(const Settings& settings, std::uint64_t term, const Snapshot& stored, double now, double wall)
     : s_(settings), cluster_(settings, term, now, wall, effects_), records_(cluster_, settings, stored, wall, effects_),
-      placement_(cluster_.view(), cluster_), rounds_(cluster_.view(), cluster_), capacity_(cluster_.view(), cluster_),
-      next_round_(now + settings.ops.round_s) {}
+      placement_(cluster_.view(), cluster_), rebalancer_(cluster_.view(), cluster_),
+      autoscaler_(cluster_.view(), cluster_), next_round_(now + settings.ops.round_s) {}
 
 void Core::take(Command& command) {
     std::visit(Each{
@@ -56,7 +56,7 @@
         cluster_.expire_leases();
         placement_.drain_noticed();
         placement_.find_slow();
-        capacity_.watch_silent();
+        autoscaler_.watch_silent();
         cluster_.request_pass();
     }
     // A pass over what waits costs time: events gather for a moment first.
@@ -71,15 +71,15 @@
     }
     if (now >= next_rent_) {
         next_rent_ = now + s_.report_s / 3;
-        capacity_.plan_capacity();
-        capacity_.plan_shrink();
-        capacity_.return_machines();
+        autoscaler_.plan_capacity();
+        autoscaler_.plan_shrink();
+        autoscaler_.return_machines();
     }
     if (now >= next_round_) {
         next_round_ = now + s_.ops.round_s;
         if (!cluster_.view().types.empty())
-            capacity_.log_fleet();
-        rounds_.plan_round();
+            autoscaler_.log_fleet();
+        rebalancer_.rebalance();
     }
     cluster_.find_dependencies();
     records_.collect_commit();
--- a/src/policies/capacity.cpp
+++ b/src/scheduling/autoscaler.cpp
@@ -1,11 +1,11 @@
 // Capacity: what to rent, keep, empty and give back.
-#include "heronshift/policies/capacity.hpp"
+#include "heronshift/scheduling/autoscaler.hpp"
 
 #include <algorithm>
 #include <cmath>
 #include <fmt/format.h>
 
-namespace heronshift::policies {
+namespace heronshift::scheduling {
 namespace {
 
 constexpr double least_charged_s = 60; // a machine costs at least this, so it is not given back before
@@ -33,7 +33,7 @@
 // The CPUs that arrays need to be in time: of all jobs due before some moment, the work left over the
 // time left, though never more than all their tasks at once. For those that may not use spot machines it is
 // counted on its own: on a day with spot room to spare they waited 160 s for an ordinary machine.
-Capacity::Cpus Capacity::array_need() const {
+Autoscaler::Cpus Autoscaler::array_need() const {
     struct Due {
         double window, work, at_once;
         bool spot;
@@ -68,7 +68,7 @@
     return {need(false), need(true)};
 }
 
-Capacity::Cpus Capacity::offered() const {
+Autoscaler::Cpus Autoscaler::offered() const {
     const auto& l = v_.learned;
     // Where arrays came all the time and none has come for many times as long as between two, no more will for a
     // while: at the end of a day the fleet stood idle for minutes.
@@ -78,12 +78,12 @@
     return {l.offered * left, l.offered_ordinary * left};
 }
 
-double Capacity::price_per_cpu(const MachineType& t, bool spot) {
+double Autoscaler::price_per_cpu(const MachineType& t, bool spot) {
     return (spot ? t.spot_price : t.price) / t.room.cpus;
 }
 
 // All kinds of machines that may be had at all, in the order of types, zones and spot first.
-void Capacity::list_sources(std::map<std::string, int>& in_zone) {
+void Autoscaler::list_sources(std::map<std::string, int>& in_zone) {
     sources_.clear();
     for (const auto& t : v_.types)
         for (const auto& z : t.zones)
@@ -98,7 +98,7 @@
 }
 
 // The cheapest kind of machine that a job's task may use and that may be had.
-const Capacity::Source* Capacity::cheapest_source(const Job& j, bool dear) const {
+const Autoscaler::Source* Autoscaler::cheapest_source(const Job& j, bool dear) const {
     double best = 1e18, lowest = 1e18;
     const Source* cheapest = nullptr;
     const MachineType* type = nullptr;
@@ -130,7 +130,7 @@
 // What waits and finds no place on machines that are up, booting or asked for is rented for: one
 // request a round for each type, zone and kind. Dear machines are rented for arrays only as far as
 // these would be late otherwise.
-void Capacity::plan_capacity() {
+void Autoscaler::plan_capacity() {
     if (v_.types.empty())
         return;
     struct Coming {
@@ -243,12 +243,12 @@
 }
 
 // A machine that a gang may have: without a gang, whatever else runs there.
-bool Capacity::is_ready(const Machine& m) {
+bool Autoscaler::is_ready(const Machine& m) {
     return m.whole.gpus > 0 && !m.spot && m.firm.gpus <= 0;
 }
 
 // The fullest machine on its way out that can take a task of the job is kept after all.
-const Machine* Capacity::keep_again(const Job& j) {
+const Machine* Autoscaler::keep_again(const Job& j) {
     const Machine* best = nullptr;
     const bool gang = j.spec.shape == Shape::gang;
     for (const auto* m : leaving_) {
@@ -263,7 +263,7 @@
     return best;
 }
 
-void Capacity::queue_rentals(std::map<std::string, Pending>& wanted) {
+void Autoscaler::queue_rentals(std::map<std::string, Pending>& wanted) {
     for (auto& [key, pending] : wanted) {
         auto& w = pending;
         const bool busy = std::any_of(v_.rentals.begin(), v_.rentals.end(), [&](const auto& r) {
@@ -277,7 +277,7 @@
 
 // What the cluster has beyond its need is emptied, the dearest first: such a machine takes no new
 // work, its arrays end by themselves and its replicas move, a few a round.
-void Capacity::plan_shrink() {
+void Autoscaler::plan_shrink() {
     // A new holder first hears what runs where, and what comes.
     if (v_.term > 1 && v_.now - v_.started < s_.lease_s)
         return;
@@ -360,7 +360,7 @@
 // A spot machine that falls silent has mostly been taken without notice. Given back it is surely gone
 // and its tasks start elsewhere at once, long before its lease would have run out. Not so where
 // ordinary machines of the zone are silent too: that is a cut, and behind it work goes on.
-void Capacity::watch_silent() {
+void Autoscaler::watch_silent() {
     if (v_.now < next_silent_)
         return;
     next_silent_ = v_.now + s_.report_s / 6;
@@ -406,7 +406,7 @@
 
 // One that does not hear us keeps nothing for longer than a lease and can be given nothing. Alone it is given
 // back; with many others of its zone it is cut off, and worth waiting for a while.
-bool Capacity::inbound_unreachable_for_long(
+bool Autoscaler::inbound_unreachable_for_long(
     const Machine& m, const std::map<int, std::pair<int, int>>& inbound_unreachable_by_zone) const {
     if (!m.inbound_unreachable())
         return false;
@@ -415,7 +415,7 @@
     return v_.now - m.inbound_unreachable_since > (cut ? cut_leases : no_worker_leases) * s_.lease_s;
 }
 
-void Capacity::return_machines() {
+void Autoscaler::return_machines() {
     std::vector<std::string> out;
     std::map<int, std::pair<int, int>> inbound_unreachable_by_zone; // by zone, and those that are up
     for (const auto& [id, m] : v_.machines) {
@@ -460,7 +460,7 @@
 }
 
 // One line a kind of machine, for operators who watch the fleet.
-void Capacity::log_fleet() {
+void Autoscaler::log_fleet() {
     struct Sum {
         int up = 0, booting = 0, pool = 0, empty = 0;
         double room = 0, services = 0, gangs = 0, arrays = 0;
@@ -501,4 +501,4 @@
         out_.log(0, fmt::format("waiting: {} tasks of rank {}", n, static_cast<int>(priority)));
 }
 
-} // namespace heronshift::policies
+} // namespace heronshift::scheduling
--- a/src/policies/matching.cpp
+++ b/src/scheduling/batch_assignment.cpp
@@ -1,4 +1,4 @@
-#include "heronshift/policies/matching.hpp"
+#include "heronshift/scheduling/batch_assignment.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/policies/making_room.cpp
+++ b/src/scheduling/making_room.cpp
@@ -1,6 +1,6 @@
 // Placement's part that makes room: for gangs, for urgent work, and by keeping machines for work that waits.
-#include "heronshift/policies/matching.hpp"
-#include "heronshift/policies/placement.hpp"
+#include "heronshift/scheduling/batch_assignment.hpp"
+#include "heronshift/scheduling/placement.hpp"
 
 #include <algorithm>
 #include <fmt/format.h>
@@ -8,7 +8,7 @@
 #include <map>
 #include <tuple>
 
-namespace heronshift::policies {
+namespace heronshift::scheduling {
 namespace {
 
 // Seconds that a task may wait for each CPU second of other work not lost.
@@ -281,4 +281,4 @@
     return true;
 }
 
-} // namespace heronshift::policies
+} // namespace heronshift::scheduling
--- a/src/policies/placement.cpp
+++ b/src/scheduling/placement.cpp
@@ -1,13 +1,13 @@
 // Placement, see placement.hpp.
-#include "heronshift/policies/placement.hpp"
-#include "heronshift/policies/matching.hpp"
+#include "heronshift/scheduling/placement.hpp"
+#include "heronshift/scheduling/batch_assignment.hpp"
 
 #include <algorithm>
 #include <cmath>
 #include <fmt/format.h>
 #include <tuple>
 
-namespace heronshift::policies {
+namespace heronshift::scheduling {
 namespace {
 
 constexpr double begin_share = 0.5; // of the time in which each job should begin
@@ -342,4 +342,4 @@
         make_room(j, 1e18);
 }
 
-} // namespace heronshift::policies
+} // namespace heronshift::scheduling
--- a/src/policies/common.cpp
+++ b/src/scheduling/placement_cost.cpp
@@ -1,10 +1,10 @@
-#include "heronshift/policies/common.hpp"
+#include "heronshift/scheduling/placement_cost.hpp"
 
 #include <algorithm>
 #include <cmath>
 #include <fmt/format.h>
 
-namespace heronshift::policies {
+namespace heronshift::scheduling {
 namespace {
 
 constexpr double tight_loss_s = 100; // what the loss of a task weighs if its job would be late by it
@@ -155,4 +155,4 @@
            static_cast<double>(v.spot_machines);
 }
 
-} // namespace heronshift::policies
+} // namespace heronshift::scheduling
--- a/src/policies/rounds.cpp
+++ b/src/scheduling/rebalancer.cpp
@@ -1,12 +1,12 @@
 // Rounds, see rounds.hpp.
-#include "heronshift/policies/rounds.hpp"
-#include "heronshift/policies/matching.hpp"
+#include "heronshift/scheduling/rebalancer.hpp"
+#include "heronshift/scheduling/batch_assignment.hpp"
 
 #include <algorithm>
 #include <cmath>
 #include <fmt/format.h>
 
-namespace heronshift::policies {
+namespace heronshift::scheduling {
 namespace {
 
 // Beyond the paper's caps, which are for a cluster of a dozen machines: of all replicas, a round.
@@ -17,7 +17,8 @@
 
 // A place for one task that moves: room beyond what this round has planned there, and the image at
 // hand, so that the task is not away for long.
-const Machine* Rounds::place_to_move(const Entry& e, const std::vector<const Machine*>& to, Planned& planned) const {
+const Machine* Rebalancer::place_to_move(const Entry& e, const std::vector<const Machine*>& to,
+                                         Planned& planned) const {
     for (auto* m : to) {
         if (m == e.machine || !usable(v_, *m, *e.job) || !m->has_image(e.job->image))
             continue;
@@ -30,20 +31,20 @@
     return nullptr;
 }
 
-void Rounds::move_away(const Entry& e) {
+void Rebalancer::move_away(const Entry& e) {
     out_.move_away(e, e.job->spec.checkpoint_s > 0 ? e.job->spec.save_s + 1 : 0);
 }
 
 // Only service tasks, or tasks of no gang that are under a minute old, are moved; and none before
 // its start counts for its user.
-bool Rounds::movable(const Entry& e) const {
+bool Rebalancer::movable(const Entry& e) const {
     return !e.stop && e.phase == Phase::running && v_.now - e.running_at > start_counts_s &&
            e.job->final == Final::none &&
            (e.job->spec.shape == Shape::service || (e.job->spec.shape == Shape::array && v_.now - e.placed_at < 60));
 }
 
 // Pull-back from overflow to the pool, then reordering, both capped.
-void Rounds::plan_round() {
+void Rebalancer::rebalance() {
     if (v_.types.empty())
         return;
     // Room for urgent work that waits comes first.
@@ -84,8 +85,8 @@
     }
 }
 
-void Rounds::pull_back(const std::vector<const Machine*>& pool_machines, const Resources& pool, int cap,
-                       Planned& planned) {
+void Rebalancer::pull_back(const std::vector<const Machine*>& pool_machines, const Resources& pool, int cap,
+                           Planned& planned) {
     const placement::Payoff f{s_.ops.alpha, s_.ops.beta, s_.ops.gamma};
     std::vector<std::pair<double, const Entry*>> list;
     for (const auto& [id, m] : v_.machines) {
@@ -113,8 +114,8 @@
 // The machines that are to become empty are the most fragmented of all: what they cost is wasted
 // until their last replica is gone. Then the paper's: the three most fragmented machines of the
 // pool, at most 30 tasks looked at.
-void Rounds::reorder(std::vector<const Machine*>& pool_machines, std::vector<const Machine*>& leaving,
-                     const std::vector<const Machine*>& to, int cap, Planned& planned) {
+void Rebalancer::reorder(std::vector<const Machine*>& pool_machines, std::vector<const Machine*>& leaving,
+                         const std::vector<const Machine*>& to, int cap, Planned& planned) {
     std::stable_sort(leaving.begin(), leaving.end(),
                      [](const Machine* a, const Machine* b) { return a->used.cpus < b->used.cpus; });
     for (auto* m : leaving)
@@ -157,4 +158,4 @@
     }
 }
 
-} // namespace heronshift::policies
+} // namespace heronshift::scheduling
--- a/src/policies/room_index.cpp
+++ b/src/scheduling/room_index.cpp
@@ -1,10 +1,10 @@
 // The index of free room, see room_index.hpp.
-#include "heronshift/policies/room_index.hpp"
+#include "heronshift/scheduling/room_index.hpp"
 
 #include <algorithm>
 #include <bit>
 
-namespace heronshift::policies {
+namespace heronshift::scheduling {
 namespace {
 
 constexpr double rounding = 1e-9; // sums in another order than usable() has them; find() asks that again
@@ -157,4 +157,4 @@
     return positions;
 }
 
-} // namespace heronshift::policies
+} // namespace heronshift::scheduling
--- a/src/policies/slow_machines.cpp
+++ b/src/scheduling/slow_machines.cpp
@@ -1,10 +1,10 @@
 // Placement's part that takes work off machines: those that are taken back and those that are slow.
-#include "heronshift/policies/placement.hpp"
+#include "heronshift/scheduling/placement.hpp"
 
 #include <algorithm>
 #include <fmt/format.h>
 
-namespace heronshift::policies {
+namespace heronshift::scheduling {
 namespace {
 
 constexpr double too_long = 1.5;                               // of its longest run
@@ -90,4 +90,4 @@
     }
 }
 
-} // namespace heronshift::policies
+} // namespace heronshift::scheduling
--- a/tests/test_room_index.cpp
+++ b/tests/test_room_index.cpp
@@ -1,11 +1,11 @@
 // The index of free room against a look at every machine, on random fleets.
-#include "heronshift/policies/room_index.hpp"
+#include "heronshift/scheduling/room_index.hpp"
 
 #include <fmt/format.h>
 #include <gtest/gtest.h>
 #include <random>
 
-namespace heronshift::policies {
+namespace heronshift::scheduling {
 namespace {
 
 class RandomFleet {
@@ -154,4 +154,4 @@
 }
 
 } // namespace
-} // namespace heronshift::policies
+} // namespace heronshift::scheduling
