--- a/include/heronshift/remembered.hpp
+++ b/include/heronshift/bounded_cache.hpp
@@ -10,9 +10,9 @@
 
 namespace heronshift {
 
-template <class V> class Remembered {
+template <class V> class BoundedCache {
 public:
-    explicit Remembered(std::size_t max_size) : max_size_(max_size) {}
+    explicit BoundedCache(std::size_t max_size) : max_size_(max_size) {}
 
     [[nodiscard]] const V* find(const std::string& name) const {
         const auto it = known_.find(name);
--- a/include/heronshift/cloud/cloud_desk.hpp
+++ b/include/heronshift/cloud/cloud_client.hpp
@@ -5,11 +5,11 @@
 // executor and, for the copy of the types, the store.
 #pragma once
 
-#include "heronshift/budget.hpp"
 #include "heronshift/config.hpp"
 #include "heronshift/executor/executor.hpp"
-#include "heronshift/later.hpp"
 #include "heronshift/store/store.hpp"
+#include "heronshift/timer_queue.hpp"
+#include "heronshift/token_bucket.hpp"
 
 #include <deque>
 #include <functional>
@@ -29,8 +29,8 @@
         virtual void push(Command c) = 0;                        // to the core, if there is one
         virtual void cloud_answered(bool ok) = 0;
     };
-    CloudClient(const Settings& s, Later& later, store::StateStore& store, Executor& executor, Host& host)
-        : s_(s), later_(later), store_(store), executor_(executor), host_(host),
+    CloudClient(const Settings& s, TimerQueue& timers, store::StateStore& store, Executor& executor, Host& host)
+        : s_(s), timers_(timers), store_(store), executor_(executor), host_(host),
           budget_(s.cloud_rps * 0.8, std::max(1.0, s.cloud_rps)) {}
 
     void start() {
@@ -59,11 +59,11 @@
     void learned(std::vector<MachineType>&& types);
 
     const Settings& s_;
-    Later& later_;
+    TimerQueue& timers_;
     store::StateStore& store_;
     Executor& executor_;
     Host& host_;
-    RateBudget budget_;
+    TokenBucket budget_;
     std::uint64_t generation_ = 0; // of the time in office
     std::deque<std::function<void(bool)>> queue_;
     std::vector<ListedMachine> listing_;
--- a/include/heronshift/cluster/cluster_state.hpp
+++ b/include/heronshift/cluster/cluster_state.hpp
@@ -6,10 +6,10 @@
 // store holds: Bookkeeping (records/) is told of what has to go there.
 #pragma once
 
+#include "heronshift/bounded_cache.hpp"
 #include "heronshift/cluster/cluster_data.hpp"
 #include "heronshift/cluster/departed_machines.hpp"
 #include "heronshift/cluster/proposals.hpp"
-#include "heronshift/remembered.hpp"
 
 #include <optional>
 
@@ -215,7 +215,7 @@
     std::size_t finding_ = 0;
     // Final states are immutable, so old ones may be answered from here. It holds more jobs than
     // a watch can lag behind, so a late event never brings a finished job back.
-    Remembered<Final> recent_finals_;
+    BoundedCache<Final> recent_finals_;
     DepartedMachines departed_;
     std::size_t releases_under_way_ = 0; // machines
     double stale_heartbeats_logged_at_ = -1e18;
--- a/include/heronshift/gateway/turns.hpp
+++ b/include/heronshift/gateway/fair_token_bucket.hpp
@@ -3,19 +3,19 @@
 // who ask again and again each has its turn, and it is never the same one that is refused.
 #pragma once
 
-#include "heronshift/budget.hpp"
+#include "heronshift/bounded_cache.hpp"
 #include "heronshift/memory_share.hpp"
-#include "heronshift/remembered.hpp"
+#include "heronshift/token_bucket.hpp"
 
 #include <string>
 
 namespace heronshift::gateway {
 
-class Turns {
+class FairTokenBucket {
 public:
     // patience_s: who has been refused for so long may spend the last of it.
     // max_refused: of more that are refused, the oldest counts as new when it comes again.
-    Turns(double per_s, double burst, double patience_s, std::size_t max_refused = min_table_entries)
+    FairTokenBucket(double per_s, double burst, double patience_s, std::size_t max_refused = min_table_entries)
         : budget_(per_s, burst), burst_(burst), patience_s_(patience_s), refused_(max_refused) {}
 
     // n is what it will surely spend; more is taken by spend().
@@ -45,9 +45,9 @@
 private:
     static constexpr double kept = 0.5;    // of the burst, for those that were refused before
     static constexpr double forgotten = 4; // times the patience
-    RateBudget budget_;
+    TokenBucket budget_;
     double burst_, patience_s_;
-    Remembered<double> refused_; // since when
+    BoundedCache<double> refused_; // since when
 };
 
 } // namespace heronshift::gateway
--- a/include/heronshift/gateway/gateway.hpp
+++ b/include/heronshift/gateway/gateway.hpp
@@ -6,12 +6,12 @@
 #pragma once
 
 #include "heronshift/core/core.hpp"
-#include "heronshift/gateway/turns.hpp"
-#include "heronshift/later.hpp"
+#include "heronshift/gateway/fair_token_bucket.hpp"
 #include "heronshift/membership/membership.hpp"
 #include "heronshift/metrics/timings.hpp"
 #include "heronshift/peers/peers.hpp"
 #include "heronshift/store/store.hpp"
+#include "heronshift/timer_queue.hpp"
 
 #include <functional>
 #include <map>
@@ -35,7 +35,7 @@
         virtual void push(Command c) = 0;       // to the core
         virtual void stored(JobStored&& j) = 0; // a job was accepted here
     };
-    Gateway(const Settings& s, Later& later, store::StateStore& store, Peers& peers,
+    Gateway(const Settings& s, TimerQueue& timers, store::StateStore& store, Peers& peers,
             const membership::Membership& members, metrics::Timings& took, Host& host);
 
     // A path of /v2/runs. passed_on: by another controller, so it is not passed on again.
@@ -86,13 +86,13 @@
     [[nodiscard]] std::string impossible(const JobSpec& s) const;
 
     const Settings& s_;
-    Later& later_;
+    TimerQueue& timers_;
     store::StateStore& store_;
     Peers& peers_;
     const membership::Membership& members_;
     metrics::Timings& took_;
     Host& host_;
-    Turns reads_, submissions_;
+    FairTokenBucket reads_, submissions_;
     std::size_t max_lookups_, lookups_ = 0; // under way
     std::uint64_t handle_seq_ = 0, generation_ = 0;
     struct Cancel {
@@ -101,8 +101,8 @@
         double since = 0;
     };
     std::map<std::uint64_t, Cancel> cancels_;
-    Remembered<bool> accepted_;
-    Remembered<std::string> finals_; // never taken back, so whoever heard of one may tell it
+    BoundedCache<bool> accepted_;
+    BoundedCache<std::string> finals_; // never taken back, so whoever heard of one may tell it
 };
 
 } // namespace heronshift::gateway
--- a/include/heronshift/leadership/leader_election.hpp
+++ b/include/heronshift/leadership/leader_election.hpp
@@ -8,9 +8,7 @@
 // ask and nothing of what a transaction is about.
 #pragma once
 
-#include "heronshift/budget.hpp"
 #include "heronshift/config.hpp"
-#include "heronshift/later.hpp"
 #include "heronshift/leadership/leader_lease.hpp"
 #include "heronshift/leadership/state_loader.hpp"
 #include "heronshift/leadership/transaction_queue.hpp"
@@ -18,6 +16,8 @@
 #include "heronshift/messages.hpp"
 #include "heronshift/peers/peers.hpp"
 #include "heronshift/store/store.hpp"
+#include "heronshift/timer_queue.hpp"
+#include "heronshift/token_bucket.hpp"
 
 #include <functional>
 #include <map>
@@ -38,7 +38,7 @@
         virtual void committed(TxnOutcome outcome) = 0;
         virtual std::size_t machines_up() const = 0; // that should be heard from
     };
-    LeaderElection(const Settings& s, Later& later, store::StateStore& store, Peers& peers,
+    LeaderElection(const Settings& s, TimerQueue& timers, store::StateStore& store, Peers& peers,
                    const membership::Membership& members, metrics::Timings& became_leader, Host& host);
 
     void start();
@@ -53,7 +53,7 @@
 
     // This node may act as holder at this moment.
     [[nodiscard]] bool valid() const {
-        return role_ == Role::is_leader && leader_lease_.valid(later_.now());
+        return role_ == Role::is_leader && leader_lease_.valid(timers_.now());
     }
     [[nodiscard]] bool is_leader() const {
         return role_ == Role::is_leader;
@@ -72,8 +72,8 @@
         return leader_term_;
     }
     [[nodiscard]] bool sees_leader() const { // the store told it to this node, a short while ago
-        return valid() || (role_ == Role::follower && seen_at_ >= 0 && later_.now() - seen_at_ < 2 * s_.report_s &&
-                           members_.store() != membership::Reach::lost);
+        return valid() || (role_ == Role::follower && seen_at_ >= 0 && timers_.now() - seen_at_ < 2 * s_.report_s &&
+                           members_.store() != membership::Reachability::unreachable);
     }
     [[nodiscard]] double acquired_at() const {
         return acquired_at_;
@@ -104,7 +104,7 @@
     void offer_leadership(const std::string& body, std::vector<std::string> to);
 
     const Settings& s_;
-    Later& later_;
+    TimerQueue& timers_;
     store::StateStore& store_;
     Peers& peers_;
     const membership::Membership& members_;
@@ -117,7 +117,7 @@
     std::uint64_t leader_term_ = 0, store_lease_ = 0, term_ = 0;
     std::uint64_t generation_ = 0; // of what this node is to the office: late answers of an earlier one are dropped
     double store_lease_requested_at_ = 0, next_renew_ = 0, acquired_at_ = 0, next_look_ = 0;
-    double seen_at_ = -1, known_at_ = -1, free_since_ = -1, fitter_since_ = -1; // below zero: not so
+    double seen_at_ = -1, known_at_ = -1, free_since_ = -1, better_candidate_since_ = -1; // below zero: not so
     double failed_renewal_sent_ = -1;            // the newest renewal that was refused, or not answered in time
     std::map<std::string, double> served_peers_; // by the store, as they said themselves: when they were asked
     bool extended_by_votes_ = false;             // by promises, said once a term
--- a/include/heronshift/leadership/state_loader.hpp
+++ b/include/heronshift/leadership/state_loader.hpp
@@ -5,9 +5,9 @@
 // who may act: it reads on until it is stopped.
 #pragma once
 
-#include "heronshift/later.hpp"
 #include "heronshift/persistence/cluster_records.hpp"
 #include "heronshift/store/store.hpp"
+#include "heronshift/timer_queue.hpp"
 
 #include <functional>
 
@@ -15,7 +15,8 @@
 
 class StateLoader {
 public:
-    StateLoader(const Settings& s, Later& later, store::StateStore& store) : s_(s), later_(later), store_(store) {}
+    StateLoader(const Settings& s, TimerQueue& timers, store::StateStore& store)
+        : s_(s), timers_(timers), store_(store) {}
 
     void read_all(const std::function<void(Snapshot&&)>& done);
     void follow_jobs(std::function<void(std::vector<codec::StoredJob>&&)> handle_leader_read); // after read_all
@@ -31,7 +32,7 @@
     void tell(const std::vector<codec::Item>& items);
 
     const Settings& s_;
-    Later& later_;
+    TimerQueue& timers_;
     store::StateStore& store_;
     std::uint64_t generation_ = 0, revision_ = 0;
     Snapshot stored_;
--- a/include/heronshift/leadership/transaction_queue.hpp
+++ b/include/heronshift/leadership/transaction_queue.hpp
@@ -5,10 +5,10 @@
 #pragma once
 
 #include "heronshift/config.hpp"
-#include "heronshift/later.hpp"
 #include "heronshift/messages.hpp"
 #include "heronshift/metrics/timings.hpp"
 #include "heronshift/store/store.hpp"
+#include "heronshift/timer_queue.hpp"
 
 #include <functional>
 
@@ -24,9 +24,9 @@
         std::function<void(const std::string& why)> over;
         std::function<bool()> valid; // whether the node may act; not asked while it waits for answers
     };
-    TransactionQueue(const Settings& s, Later& later, store::StateStore& store, metrics::Timings& became_leader,
+    TransactionQueue(const Settings& s, TimerQueue& timers, store::StateStore& store, metrics::Timings& became_leader,
                      Ends ends)
-        : s_(s), later_(later), store_(store), took_(became_leader), ends_(std::move(ends)) {}
+        : s_(s), timers_(timers), store_(store), took_(became_leader), ends_(std::move(ends)) {}
 
     void begin(std::uint64_t term, std::uint64_t mod_revision) {
         ++generation_;
@@ -45,7 +45,7 @@
     void applied(std::uint64_t mod_revision);
 
     const Settings& s_;
-    Later& later_;
+    TimerQueue& timers_;
     store::StateStore& store_;
     metrics::Timings& took_;
     Ends ends_;
--- a/include/heronshift/membership/link.hpp
+++ b/include/heronshift/membership/link_health.hpp
@@ -5,28 +5,28 @@
 
 namespace heronshift::membership {
 
-enum class Reach : std::uint8_t { unknown, works, lost };
+enum class Reachability : std::uint8_t { unknown, reachable, unreachable };
 
 // How much it takes to think otherwise; times in seconds.
-struct Patience {
+struct FailureThresholds {
     double lost_s = 0; // since it last worked, before it is thought lost
     int failures = 1;  // in a row, besides
     double back_s = 0; // without a failure, before it is thought to work again
 };
 
-class Link {
+class LinkHealth {
 public:
-    explicit Link(Patience p) : p_(p) {}
+    explicit LinkHealth(FailureThresholds p) : p_(p) {}
 
     // Each returns true if that changed what is thought of it.
     bool worked(double now);
     bool failed(double now);
 
-    [[nodiscard]] Reach reach() const {
+    [[nodiscard]] Reachability reach() const {
         return reach_;
     }
     [[nodiscard]] bool lost() const {
-        return reach_ == Reach::lost;
+        return reach_ == Reachability::unreachable;
     }
     [[nodiscard]] double worked_at() const { // below zero: never
         return worked_at_;
@@ -40,8 +40,8 @@
     }
 
 private:
-    Patience p_;
-    Reach reach_ = Reach::unknown;
+    FailureThresholds p_;
+    Reachability reach_ = Reachability::unknown;
     double worked_at_ = -1, failed_at_ = -1, first_failed_ = -1, back_since_ = -1;
     int failures_ = 0;
 };
--- a/include/heronshift/membership/membership.hpp
+++ b/include/heronshift/membership/membership.hpp
@@ -8,11 +8,11 @@
 
 #include "heronshift/config.hpp"
 #include "heronshift/executor/executor.hpp"
-#include "heronshift/later.hpp"
-#include "heronshift/membership/view.hpp"
+#include "heronshift/membership/peer_view.hpp"
 #include "heronshift/metrics/metrics.hpp"
 #include "heronshift/peers/peers.hpp"
 #include "heronshift/store/store.hpp"
+#include "heronshift/timer_queue.hpp"
 
 #include <compare>
 #include <functional>
@@ -25,11 +25,11 @@
 
 // How well a controller could hold the office; greater is fitter. First the store, then workers that it
 // reaches itself, then those it reaches through another controller, then the cloud.
-struct Standing {
+struct Eligibility {
     int store = 0, zones = 0, zones_by_others = 0, cloud = 0;
-    auto operator<=>(const Standing&) const = default;
+    auto operator<=>(const Eligibility&) const = default;
 };
-std::string say(const Standing& s);
+std::string describe(const Eligibility& s);
 
 class Membership {
 public:
@@ -44,7 +44,8 @@
         // Machines by zone that should report to this node; while it acts.
         [[nodiscard]] virtual std::map<std::string, std::size_t> machines_by_zone() const = 0;
     };
-    Membership(const Settings& s, Later& later, store::StateStore& store, Executor& executor, Peers& peers, Host& host);
+    Membership(const Settings& s, TimerQueue& timers, store::StateStore& store, Executor& executor, Peers& peers,
+               Host& host);
 
     void tick();
     // Evidence from those who use the links.
@@ -54,18 +55,18 @@
     void heartbeat_received(const std::string& zone, const std::string& addr); // from the machine itself
     void heartbeat_relayed(const std::string& zone, const std::string& addr);  // through another controller
     void machine_answered() {
-        last_worker_heartbeat_at_ = later_.now();
+        last_worker_heartbeat_at_ = timers_.now();
     }
-    void exchanged(const HttpRequest& r, const Responder& res); // POST /peer/view
+    void handle_view(const HttpRequest& r, const Responder& res); // POST /peer/view
 
     // What is thought of this node's own links.
-    [[nodiscard]] Reach store() const {
+    [[nodiscard]] Reachability store() const {
         return store_.reach();
     }
-    [[nodiscard]] Reach zone(const std::string& name) const;
+    [[nodiscard]] Reachability zone(const std::string& name) const;
     [[nodiscard]] bool any_zone_lost() const;
     [[nodiscard]] bool all_zones_lost() const;
-    [[nodiscard]] Reach peer(const std::string& name) const;
+    [[nodiscard]] Reachability peer(const std::string& name) const;
     // The last sign of any worker, whichever way it came.
     [[nodiscard]] double last_worker_heartbeat_at() const {
         return last_worker_heartbeat_at_;
@@ -74,38 +75,38 @@
     // Of the others. Alive: its view came a short while ago.
     [[nodiscard]] bool alive(const std::string& name) const;
     // All others are alive, and none of them reaches workers and store.
-    [[nodiscard]] bool nobody_better() const;
-    [[nodiscard]] bool in_touch() const; // with the store or any other controller
+    [[nodiscard]] bool no_better_candidate() const;
+    [[nodiscard]] bool has_any_link() const; // with the store or any other controller
     // The fittest of those alive, if it is surely fitter than this node.
-    [[nodiscard]] std::optional<std::string> fitter() const;
-    [[nodiscard]] Standing own() const;
-    [[nodiscard]] Standing standing(const std::string& peer) const;
+    [[nodiscard]] std::optional<std::string> better_candidate() const;
+    [[nodiscard]] Eligibility own_eligibility() const;
+    [[nodiscard]] Eligibility eligibility(const std::string& peer) const;
     // A peer that reaches the store and is reached from here: the one named, if it is one of them.
     [[nodiscard]] std::optional<std::string> with_store(const std::string& rather) const;
     // While the store does not answer this node: a peer that it has answered since.
     [[nodiscard]] std::optional<std::string> served_instead() const;
     // A peer that reaches the workers of a zone and is reached from here.
-    [[nodiscard]] std::optional<std::string> way_to(const std::string& zone);
+    [[nodiscard]] std::optional<std::string> relay_to(const std::string& zone);
     // Whether a worker of this zone should report to the holder itself: so unless the holder says it
     // does not hear them.
     [[nodiscard]] bool leader_reaches(const std::string& leader, const std::string& zone) const;
     // For how long this node leaves an office that it sees free to others.
-    [[nodiscard]] double yields_s() const;
+    [[nodiscard]] double candidacy_delay_s() const;
     // Can do something for users: by itself or through another, or nobody can.
-    [[nodiscard]] bool of_use() const;
+    [[nodiscard]] bool can_serve() const;
     // Who holds the office by what a peer was told by the store; none: nobody says so.
-    struct Hearsay {
+    struct ReportedLeader {
         std::string leader;
         std::uint64_t term = 0;
     };
-    [[nodiscard]] std::optional<Hearsay> reported_leader() const;
+    [[nodiscard]] std::optional<ReportedLeader> reported_leader() const;
 
     [[nodiscard]] std::vector<metrics::Value> metrics() const;
 
 private:
     struct Zone {
         explicit Zone(const Settings& s);
-        Link in, out; // reports that should come; requests that should be answered
+        LinkHealth in, out; // reports that should come; requests that should be answered
         double last_heartbeat_at = -1, relayed_at = -1,
                trusted_at = -1; // a report of its own; another's; taken for well again
         struct Sample {
@@ -116,43 +117,43 @@
         std::size_t next_sample = 0;
         int probes = 0, answered = 0; // of the round under way
     };
-    struct Other {
-        explicit Other(const Settings& s);
-        Link link;
-        View view;
+    struct PeerState {
+        explicit PeerState(const Settings& s);
+        LinkHealth link;
+        PeerView view;
         double at = -1;                      // when the view came; below zero: never
         double store_at = -1, cloud_at = -1; // not before this those answered it last; below zero: nobody knows
         bool asking = false;
     };
-    [[nodiscard]] View own_view() const;
-    [[nodiscard]] Standing standing(const View& v, bool doubt) const;
-    [[nodiscard]] Standing standing(const Other& o) const;
-    [[nodiscard]] bool since_lost(double at, const Link& mine) const;
-    [[nodiscard]] Reach reach(const Zone& z) const;
-    void trust(Zone& z);
+    [[nodiscard]] PeerView own_view() const;
+    [[nodiscard]] Eligibility eligibility(const PeerView& v, bool doubt) const;
+    [[nodiscard]] Eligibility eligibility(const PeerState& o) const;
+    [[nodiscard]] bool since_lost(double at, const LinkHealth& mine) const;
+    [[nodiscard]] Reachability reach(const Zone& z) const;
+    void reset_inbound_health(Zone& z);
     void remember(Zone& z, const std::string& addr);
-    [[nodiscard]] bool fresh(const Other& o) const;
-    void took(View&& v);
+    [[nodiscard]] bool fresh(const PeerState& o) const;
+    void receive_view(PeerView&& v);
     void exchange();
     void probe();
     void probe_zone(const std::string& name, Zone& z);
     void probed(const std::string& zone, bool& any, std::optional<bool> ok);
     void watch_silence();
-    void changed(const std::string& what, Reach to);
+    void changed(const std::string& what, Reachability to);
     Zone* find_zone(const std::string& name);
 
     const Settings& s_;
-    Later& later_;
+    TimerQueue& timers_;
     store::StateStore& state_;
     Executor& executor_;
     Peers& peers_;
     Host& host_;
-    Link store_, cloud_;
+    LinkHealth store_, cloud_;
     double store_asked_at_ = -1, last_worker_heartbeat_at_ = -1;
     std::map<std::string, Zone> zones_;
-    std::map<std::string, Other> others_;
+    std::map<std::string, PeerState> peer_states_;
     double next_exchange_ = 0, next_probe_ = 0, next_silence_ = 0, next_cloud_ = 0;
-    bool asking_store_ = false, urgent_ = false;
+    bool asking_store_ = false, exchange_soon_ = false;
     bool was_active_leader_ = false; // when the others were last told
     std::size_t turn_ = 0;           // among those that could relay
     std::uint64_t exchanges_ = 0, probes_ = 0, changes_ = 0;
--- a/include/heronshift/membership/watched.hpp
+++ b/include/heronshift/membership/observed_clients.hpp
@@ -8,9 +8,9 @@
 
 namespace heronshift::membership {
 
-class WatchedStore final : public store::StateStore {
+class ObservedStore final : public store::StateStore {
 public:
-    explicit WatchedStore(std::unique_ptr<store::StateStore> inner) : inner_(std::move(inner)) {}
+    explicit ObservedStore(std::unique_ptr<store::StateStore> inner) : inner_(std::move(inner)) {}
     std::function<void(bool ok)> on_answer;
 
     void call(store::Call&& c, double timeout_s, store::Callback done) override {
@@ -32,9 +32,9 @@
     std::unique_ptr<store::StateStore> inner_;
 };
 
-class WatchedPeers final : public Peers {
+class ObservedPeers final : public Peers {
 public:
-    explicit WatchedPeers(std::unique_ptr<Peers> inner) : inner_(std::move(inner)) {}
+    explicit ObservedPeers(std::unique_ptr<Peers> inner) : inner_(std::move(inner)) {}
     std::function<void(const std::string& name, bool ok)> on_answer;
 
     void request(Lane lane, const std::string& name, const char* method, const std::string& path, std::string body,
--- a/include/heronshift/membership/view.hpp
+++ b/include/heronshift/membership/peer_view.hpp
@@ -2,7 +2,7 @@
 // a reader does not know it leaves out, and what it misses it takes for unknown.
 #pragma once
 
-#include "heronshift/membership/link.hpp"
+#include "heronshift/membership/link_health.hpp"
 
 #include <cstdint>
 #include <map>
@@ -18,13 +18,13 @@
 // the zone can be reached.
 inline constexpr std::size_t most_samples = 4;
 
-struct View {
+struct PeerView {
     std::string node;
     double sent = 0; // by the sender's wall clock, seconds since 1970
-    Reach store = Reach::unknown, cloud = Reach::unknown;
-    double store_s = -1, cloud_s = -1;  // since those last answered, when this was said; below zero: not said
-    std::map<std::string, Reach> zones; // their workers
-    std::map<std::string, Reach> peers; // who answers this node
+    Reachability store = Reachability::unknown, cloud = Reachability::unknown;
+    double store_s = -1, cloud_s = -1;         // since those last answered, when this was said; below zero: not said
+    std::map<std::string, Reachability> zones; // their workers
+    std::map<std::string, Reachability> peers; // who answers this node
     std::map<std::string, std::vector<std::string>> machines; // addresses of some that were heard of lately, by zone
     // The office: who holds it by what the store told this node itself (sees_office), or by hearsay.
     std::string leader;
@@ -32,7 +32,7 @@
     bool sees_leader = false, is_active_leader = false;
 };
 
-std::string to_body(const View& v);
-std::optional<View> view(std::string_view body); // none: not one
+std::string to_body(const PeerView& v);
+std::optional<PeerView> view(std::string_view body); // none: not one
 
 } // namespace heronshift::membership
--- a/include/heronshift/node/controller.hpp
+++ b/include/heronshift/node/controller.hpp
@@ -6,14 +6,14 @@
 // who may act is the office's, what may be done the ledger's.
 #pragma once
 
-#include "heronshift/agents/desk.hpp"
-#include "heronshift/cloud/cloud_desk.hpp"
+#include "heronshift/cloud/cloud_client.hpp"
 #include "heronshift/core/core.hpp"
 #include "heronshift/gateway/gateway.hpp"
 #include "heronshift/leadership/leader_election.hpp"
 #include "heronshift/membership/membership.hpp"
-#include "heronshift/membership/watched.hpp"
+#include "heronshift/membership/observed_clients.hpp"
 #include "heronshift/replay/command_log.hpp"
+#include "heronshift/workers/heartbeat_handler.hpp"
 
 #include <functional>
 #include <memory>
@@ -24,7 +24,7 @@
 
 class Controller final : leadership::LeaderElection::Host,
                          gateway::Gateway::Host,
-                         agents::HeartbeatHandler::Host,
+                         workers::HeartbeatHandler::Host,
                          cloud::CloudClient::Host,
                          membership::Membership::Host {
 public:
@@ -55,8 +55,8 @@
     [[nodiscard]] const Settings& settings() const {
         return s_;
     }
-    [[nodiscard]] Later& later() {
-        return later_;
+    [[nodiscard]] TimerQueue& timers() {
+        return timers_;
     }
     [[nodiscard]] store::StateStore& state() {
         return store_;
@@ -122,15 +122,15 @@
 
     const Settings s_;
     std::shared_ptr<const Clock> clock_;
-    Later later_;
+    TimerQueue timers_;
     metrics::Timings took_;
-    membership::WatchedStore store_;
+    membership::ObservedStore store_;
     std::unique_ptr<Executor> executor_;
-    membership::WatchedPeers peers_;
+    membership::ObservedPeers peers_;
     membership::Membership members_;
     leadership::LeaderElection election_;
     gateway::Gateway gateway_;
-    agents::HeartbeatHandler heartbeat_handler_;
+    workers::HeartbeatHandler heartbeat_handler_;
     cloud::CloudClient cloud_;
 
     std::unique_ptr<Core> core_;
--- a/include/heronshift/node/node.hpp
+++ b/include/heronshift/node/node.hpp
@@ -35,7 +35,7 @@
         controller_.serve(std::move(r), std::move(res));
     }
     void after(double delay_s, std::function<void()> f) { // on the loop, while the node lives
-        controller_.later().after(delay_s, std::move(f));
+        controller_.timers().after(delay_s, std::move(f));
     }
     void each_tick(std::function<void()> f) { // some thirty times in report_s
         on_tick_ = std::move(f);
--- /dev/null
+++ b/include/heronshift/overloaded.hpp
@@ -0,0 +1,9 @@
+// One lambda for each alternative of a variant: std::visit(Each{...}, v).
+#pragma once
+
+namespace heronshift {
+
+template <class... F> struct Overloaded : F... { using F::operator()...; };
+template <class... F> Overloaded(F...) -> Overloaded<F...>; // for compilers without aggregate deduction
+
+} // namespace heronshift
--- a/include/heronshift/later.hpp
+++ b/include/heronshift/timer_queue.hpp
@@ -13,9 +13,9 @@
 
 namespace heronshift {
 
-class Later {
+class TimerQueue {
 public:
-    explicit Later(std::shared_ptr<const Clock> clock) : clock_(std::move(clock)) {}
+    explicit TimerQueue(std::shared_ptr<const Clock> clock) : clock_(std::move(clock)) {}
 
     void after(double delay_s, std::function<void()> f) {
         list_.push_back({clock_->now() + delay_s, std::move(f)});
--- a/include/heronshift/budget.hpp
+++ b/include/heronshift/token_bucket.hpp
@@ -5,9 +5,9 @@
 
 namespace heronshift {
 
-class RateBudget {
+class TokenBucket {
 public:
-    RateBudget(double per_s, double burst) : rate_(per_s), burst_(burst), left_(burst) {}
+    TokenBucket(double per_s, double burst) : rate_(per_s), burst_(burst), left_(burst) {}
     bool take(double now, double n = 1) {
         if (!would_take(now, n))
             return false;
--- a/include/heronshift/agents/desk.hpp
+++ b/include/heronshift/workers/heartbeat_handler.hpp
@@ -9,17 +9,17 @@
 
 #include "heronshift/executor/executor.hpp"
 #include "heronshift/http.hpp"
-#include "heronshift/later.hpp"
 #include "heronshift/membership/membership.hpp"
 #include "heronshift/metrics/timings.hpp"
 #include "heronshift/peers/peers.hpp"
+#include "heronshift/timer_queue.hpp"
 
 #include <map>
 #include <optional>
 #include <string>
 #include <unordered_map>
 
-namespace heronshift::agents {
+namespace heronshift::workers {
 
 class HeartbeatHandler {
 public:
@@ -33,8 +33,8 @@
         [[nodiscard]] virtual std::string zone_of(const std::string& machine) const = 0; // empty: not known
         virtual void push(Command c) = 0;                                                // to the core
     };
-    HeartbeatHandler(const Settings& s, Later& later, Executor& executor, Peers& peers, membership::Membership& members,
-                     metrics::Timings& took, Host& host);
+    HeartbeatHandler(const Settings& s, TimerQueue& timers, Executor& executor, Peers& peers,
+                     membership::Membership& members, metrics::Timings& took, Host& host);
 
     void handle_heartbeat(HttpRequest&& r, const Responder& res, bool relayed); // POST /agent/beat
     void forward(HttpRequest&& r, const Responder& res); // POST /peer/relay: orders for a machine
@@ -70,7 +70,7 @@
     void record_launches(const std::vector<Order>& orders);
 
     const Settings& s_;
-    Later& later_;
+    TimerQueue& timers_;
     Executor& executor_;
     Peers& peers_;
     membership::Membership& members_;
@@ -97,4 +97,4 @@
     std::size_t max_relays_, relaying_ = 0; // reports and orders of others, under way
 };
 
-} // namespace heronshift::agents
+} // namespace heronshift::workers
--- a/src/cloud/cloud_desk.cpp
+++ b/src/cloud/cloud_client.cpp
@@ -1,4 +1,4 @@
-#include "heronshift/cloud/cloud_desk.hpp"
+#include "heronshift/cloud/cloud_client.hpp"
 
 #include <algorithm>
 #include <spdlog/spdlog.h>
@@ -12,7 +12,7 @@
 } // namespace
 
 void CloudClient::tick() {
-    const double t = later_.now();
+    const double t = timers_.now();
     if (t >= next_types_)
         learn_types();
     if (host_.is_leader() && t >= next_list_) {
@@ -38,7 +38,7 @@
     if (!host_.is_active_leader())
         for (auto gone = std::move(queue_); !gone.empty(); gone.pop_front())
             gone.front()(false);
-    while (!queue_.empty() && budget_.take(later_.now())) {
+    while (!queue_.empty() && budget_.take(timers_.now())) {
         const auto ask = std::move(queue_.front());
         queue_.pop_front();
         ask(true);
@@ -53,7 +53,7 @@
             if (gen != generation_)
                 return;
             const double delay = c.outcome == RentOutcome::rented ? 0 : s_.report_s / 6;
-            later_.after(delay, [this, gen, c = std::move(c)]() mutable {
+            timers_.after(delay, [this, gen, c = std::move(c)]() mutable {
                 if (gen == generation_)
                     host_.push(std::move(c));
             });
@@ -83,7 +83,7 @@
         return;
     if (since.empty()) {
         listing_.clear();
-        listing_at_ = later_.now();
+        listing_at_ = timers_.now();
     }
     request([this, gen = generation_, since](bool go) {
         if (!go)
@@ -108,10 +108,10 @@
 // The types come from the cloud; the holder keeps a copy in the store for nodes that start while
 // the cloud is in trouble.
 void CloudClient::learn_types() {
-    next_types_ = later_.now() + s_.report_s;
+    next_types_ = timers_.now() + s_.report_s;
     if (learning_types_)
         return;
-    if (!types_.empty() && (!host_.is_leader() || later_.now() - types_at_ < s_.lease_s))
+    if (!types_.empty() && (!host_.is_leader() || timers_.now() - types_at_ < s_.lease_s))
         return;
     learning_types_ = true;
     if (!types_.empty())
@@ -143,7 +143,7 @@
 void CloudClient::learned(std::vector<MachineType>&& types) {
     learning_types_ = false;
     types_ = std::move(types);
-    types_at_ = later_.now();
+    types_at_ = timers_.now();
     if (host_.is_leader())
         host_.push(MachineTypesKnown{types_});
 }
--- a/src/core/core.cpp
+++ b/src/core/core.cpp
@@ -1,6 +1,6 @@
 #include "heronshift/core/core.hpp"
 
-#include "heronshift/each.hpp"
+#include "heronshift/overloaded.hpp"
 
 #include <algorithm>
 #include <map>
@@ -18,7 +18,7 @@
       autoscaler_(cluster_.view(), cluster_), next_round_(now + settings.ops.round_s) {}
 
 void Core::take(Command& command) {
-    std::visit(Each{
+    std::visit(Overloaded{
                    [this](JobStored& c) { cluster_.add_job(c); },
                    [this](JobFound& c) { cluster_.found(c); },
                    [this](CancellationRequested& c) { cluster_.cancel(c); },
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -32,9 +32,9 @@
 
 } // namespace
 
-Gateway::Gateway(const Settings& s, Later& later, store::StateStore& store, Peers& peers,
+Gateway::Gateway(const Settings& s, TimerQueue& timers, store::StateStore& store, Peers& peers,
                  const membership::Membership& members, metrics::Timings& took, Host& host)
-    : s_(s), later_(later), store_(store), peers_(peers), members_(members), took_(took), host_(host),
+    : s_(s), timers_(timers), store_(store), peers_(peers), members_(members), took_(took), host_(host),
       // What a user's read may take when this node is alone with the store.
       reads_(s.state_rps / 4, s.state_rps / 6, patience_leases * s.lease_s, max_refused(s)),
       submissions_(s.state_write_rps / 5, s.state_write_rps / 3, s.lease_s, max_refused(s)),
@@ -78,7 +78,7 @@
 void Gateway::tick() {
     // A cancellation that the store does not take in time is refused, not held back.
     for (auto it = cancels_.begin(); it != cancels_.end();) {
-        if (later_.now() - it->second.since < s_.report_s / 2) {
+        if (timers_.now() - it->second.since < s_.report_s / 2) {
             ++it;
             continue;
         }
@@ -97,9 +97,10 @@
 std::vector<std::string> Gateway::ways(bool to_leader, bool to_store) const {
     std::vector<std::string> out;
     const auto& leader = host_.leader();
-    if (to_leader && !leader.empty() && leader != s_.name && members_.peer(leader) != membership::Reach::lost)
+    if (to_leader && !leader.empty() && leader != s_.name &&
+        members_.peer(leader) != membership::Reachability::unreachable)
         out.push_back(leader);
-    if (to_store && members_.store() == membership::Reach::lost)
+    if (to_store && members_.store() == membership::Reachability::unreachable)
         if (const auto by = members_.with_store(leader); by && (out.empty() || *by != out.front()))
             out.push_back(*by);
     return out;
@@ -141,8 +142,8 @@
 // The final state is read first, since most that the holder does not know are over, and last: it is never taken
 // back, and it is there before the job's record goes. What cannot be found out is said at once.
 void Gateway::look_up(const std::string& id, std::function<void(Found)> done) {
-    const double t = later_.now();
-    const bool lost = members_.store() == membership::Reach::lost;
+    const double t = timers_.now();
+    const bool lost = members_.store() == membership::Reachability::unreachable;
     if (lost || lookups_ > max_lookups_ || !reads_.take(id, t)) {
         if (!lost)
             reads_.refused(id, t);
@@ -171,7 +172,7 @@
         // A damaged one may be told by what is left of the job's record.
         if (!final_of(first, f) ? first.status != 200 : !f.status.empty())
             return end(std::move(f));
-        reads_.spend(later_.now(), 2);
+        reads_.spend(timers_.now(), 2);
         store_.get("j/" + id, s_.report_s / 3, [this, id, final_of, end](store::Answer&& r) {
             Found g;
             g.job = std::move(r.item);
@@ -226,7 +227,7 @@
 
 void Gateway::ask_core_to_cancel(const std::string& id, Responder res) {
     const auto h = ++handle_seq_;
-    cancels_[h] = {std::move(res), id, later_.now()};
+    cancels_[h] = {std::move(res), id, timers_.now()};
     host_.push(CancellationRequested{id, h});
 }
 
@@ -245,11 +246,11 @@
             return open.res.send(404, error_answer("no such job"));
         if (f.status != codec::status_pending)
             return open.res.send(200, codec::job_answer(open.id, f.status));
-        auto j = f.job ? codec::stored_job(f.job->value, later_.wall()) : std::nullopt;
+        auto j = f.job ? codec::stored_job(f.job->value, timers_.wall()) : std::nullopt;
         // A damaged record: nobody can do anything with such a job.
         if (!j)
             return open.res.send(503, not_now, retry_soon_s);
-        host_.push(job_stored(std::move(*j), later_.wall()));
+        host_.push(job_stored(std::move(*j), timers_.wall()));
         ask_core_to_cancel(open.id, open.res);
     });
 }
@@ -263,8 +264,8 @@
                       : f.status == codec::status_cancelled ? Known::cancelled
                                                             : Known::open;
         if (f.job)
-            if (auto j = codec::stored_job(f.job->value, later_.wall()); j)
-                c.job = job_stored(std::move(*j), later_.wall());
+            if (auto j = codec::stored_job(f.job->value, timers_.wall()); j)
+                c.job = job_stored(std::move(*j), timers_.wall());
         done(std::move(c));
     });
 }
@@ -334,7 +335,7 @@
         return refuse_unless_known(id, status, refusal, res);
     auto s = std::make_shared<Submission>(Submission{std::move(std::get<JobSpec>(parsed)),
                                                      std::make_shared<HttpRequest>(std::move(r)), std::move(res),
-                                                     forwarded, later_.now(), 0, 0});
+                                                     forwarded, timers_.now(), 0, 0});
     s->spec.dependencies.empty() ? accept(s) : check_dependencies(s);
 }
 
@@ -350,11 +351,11 @@
 }
 
 void Gateway::accept(const Open& s) {
-    if (members_.store() == membership::Reach::lost) {
+    if (members_.store() == membership::Reachability::unreachable) {
         ++took_.refused;
         return s->res.send(503, not_now, retry_soon_s);
     }
-    if (!submissions_.take(s->spec.id, later_.now())) {
+    if (!submissions_.take(s->spec.id, timers_.now())) {
         ++took_.refused;
         spdlog::debug("submission of {} refused, too many at once", s->spec.id);
         return s->res.send(429, not_now, retry_soon_s);
@@ -378,19 +379,19 @@
                 return refuse(id + " is a service");
             continue;
         }
-        if (!reads_.would_take(id, later_.now(), 1) || lookups_ > max_lookups_) {
-            if (later_.now() - s->since > s_.report_s / 2) {
+        if (!reads_.would_take(id, timers_.now(), 1) || lookups_ > max_lookups_) {
+            if (timers_.now() - s->since > s_.report_s / 2) {
                 ++took_.refused;
                 return s->res.send(503, not_now, retry_soon_s);
             }
-            return later_.after(s_.report_s / 60, [this, s] { check_dependencies(s); });
+            return timers_.after(s_.report_s / 60, [this, s] { check_dependencies(s); });
         }
         return look_up(id, [this, s, id, refuse](const Found& f) {
             if (!f.known)
                 return s->res.send(503, not_now, retry_soon_s);
             if (f.status.empty())
                 return refuse(id + " was never accepted");
-            const auto j = f.job ? codec::stored_job(f.job->value, later_.wall()) : std::nullopt;
+            const auto j = f.job ? codec::stored_job(f.job->value, timers_.wall()) : std::nullopt;
             if (f.service || (j && j->spec.shape == Shape::service))
                 return refuse(id + " is a service");
             accepted_.add(id, true);
@@ -401,7 +402,7 @@
 }
 
 void Gateway::store_job(const Open& s) {
-    const double at = later_.wall(), began = later_.now();
+    const double at = timers_.wall(), began = timers_.now();
     const auto& id = s->spec.id;
     const std::vector<codec::Guard> guards{{"j/" + id, 0}, {"f/" + id, 0}};
     const std::vector<codec::Write> writes{
@@ -416,10 +417,10 @@
     const auto id = s->spec.id;
     const bool waits = !s->spec.dependencies.empty();
     if (r.status == 200) {
-        took_.submit.add(later_.now() - began);
+        took_.submit.add(timers_.now() - began);
         if (s->spec.shape != Shape::service)
             accepted_.add(id, true);
-        host_.stored(JobStored{std::move(s->spec), std::max(0.0, later_.wall() - at), -1, waits});
+        host_.stored(JobStored{std::move(s->spec), std::max(0.0, timers_.wall() - at), -1, waits});
         return s->res.send(201, codec::job_answer(id, codec::status_pending));
     }
     if (r.status == 409)
@@ -430,7 +431,7 @@
         });
     // The budget is shared: a moment later there may be room.
     if (r.status == 429 && s->tries < most_store_tries)
-        return later_.after(0.05 * (1 + s->tries++), [this, s] { store_job(s); });
+        return timers_.after(0.05 * (1 + s->tries++), [this, s] { store_job(s); });
     const auto refuse = [this, id, status = r.status](const Responder& x) {
         ++took_.refused;
         spdlog::debug("submission of {} refused, the store said {}", id, status);
--- a/src/leadership/leader_election.cpp
+++ b/src/leadership/leader_election.cpp
@@ -25,12 +25,12 @@
 
 } // namespace
 
-LeaderElection::LeaderElection(const Settings& s, Later& later, store::StateStore& store, Peers& peers,
+LeaderElection::LeaderElection(const Settings& s, TimerQueue& timers, store::StateStore& store, Peers& peers,
                                const membership::Membership& members, metrics::Timings& became_leader, Host& host)
-    : s_(s), later_(later), store_(store), peers_(peers), members_(members), host_(host),
+    : s_(s), timers_(timers), store_(store), peers_(peers), members_(members), host_(host),
       // Short, so that others take over soon: outages of the store are bridged by promises.
-      leader_lease_(std::min(s.report_s, s.lease_s / 5), s.peers.size(), later.now()), state_loader_(s, later, store),
-      transactions_(s, later, store, became_leader,
+      leader_lease_(std::min(s.report_s, s.lease_s / 5), s.peers.size(), timers.now()), state_loader_(s, timers, store),
+      transactions_(s, timers, store, became_leader,
                     {[this](TxnOutcome o) { host_.committed(o); }, [this](const std::string& why) { resign(why); },
                      [this] { return valid(); }}) {}
 
@@ -44,7 +44,7 @@
 }
 
 void LeaderElection::tick() {
-    const double t = later_.now();
+    const double t = timers_.now();
     if ((role_ == Role::is_leader || role_ == Role::loading) && t >= next_renew_)
         renew();
     if (t < next_look_)
@@ -61,22 +61,24 @@
 // before those reached through others. At most one change a lease for the sake of more; a holder that the
 // store does not serve, or that hears from no worker at all, is as good as dead.
 void LeaderElection::consider_better_candidates() {
-    const double t = later_.now();
+    const double t = timers_.now();
     // Nobody else can take the office without the store. (In outages the holder gave it up to one that reached
     // one zone more; it stood empty until the store was back, and all leases ran out.)
-    const bool served = members_.store() != membership::Reach::lost;
-    const auto fitter = served ? members_.fitter() : std::nullopt;
-    if (!fitter)
-        fitter_since_ = -1;
-    else if (fitter_since_ < 0)
-        fitter_since_ = t;
+    const bool served = members_.store() != membership::Reachability::unreachable;
+    const auto better_candidate = served ? members_.better_candidate() : std::nullopt;
+    if (!better_candidate)
+        better_candidate_since_ = -1;
+    else if (better_candidate_since_ < 0)
+        better_candidate_since_ = t;
     const bool no_worker = hears_no_worker(t);
-    if (fitter && t - fitter_since_ > steady_heartbeats * s_.report_s && (no_worker || t - acquired_at_ > s_.lease_s))
-        return resign(
-            fmt::format("{} is fitter ({}; here {})", *fitter, say(members_.standing(*fitter)), say(members_.own())),
-            {*fitter});
+    if (better_candidate && t - better_candidate_since_ > steady_heartbeats * s_.report_s &&
+        (no_worker || t - acquired_at_ > s_.lease_s))
+        return resign(fmt::format("{} is fitter ({}; here {})", *better_candidate,
+                                  describe(members_.eligibility(*better_candidate)),
+                                  describe(members_.own_eligibility())),
+                      {*better_candidate});
     // The leases of all machines would run out. Where all others are known to be no better, this node stays.
-    if (no_worker && served && !fitter && !members_.nobody_better()) {
+    if (no_worker && served && !better_candidate && !members_.no_better_candidate()) {
         ++resignations_without_workers_;
         resign("no worker has been heard of for a while", {});
     }
@@ -85,7 +87,7 @@
 // A store so slow that answers come too late goes on extending the hold, while nobody may act.
 void LeaderElection::resign_if_store_unavailable() {
     const double since = is_leader() ? std::max(leader_lease_.until(), acquired_at_) : acquired_at_;
-    if (later_.now() - since > unserved_leases * s_.lease_s)
+    if (timers_.now() - since > unserved_leases * s_.lease_s)
         return resign("the store has not answered for long", {});
     if (!is_leader())
         return;
@@ -117,14 +119,14 @@
 
 void LeaderElection::watch_leader_key_after(double delay_s) {
     const auto gen = generation_;
-    later_.after(delay_s, [this, gen] {
+    timers_.after(delay_s, [this, gen] {
         if (gen == generation_)
             watch_leader_key();
     });
 }
 
 void LeaderElection::handle_leader_read(const store::Answer& r) {
-    const double t = later_.now();
+    const double t = timers_.now();
     leader_lease_.record_store_answer(r.status == 200 || r.status == 404, t);
     if (r.status == 404) {
         leader_.clear();
@@ -135,7 +137,7 @@
         if (!leader_lease_.may_acquire(t))
             return watch_leader_key_after(std::max(0.01, leader_lease_.not_before() - t));
         // A fitter one goes first; but views may be wrong, so nobody waits for ever.
-        const double wait = free_since_ + members_.yields_s() - t;
+        const double wait = free_since_ + members_.candidacy_delay_s() - t;
         if (wait > 0)
             return watch_leader_key_after(std::min(wait, s_.report_s / 8));
         return acquire();
@@ -172,7 +174,7 @@
 // While the store does not answer this node, the others may know who holds the office. It is only a
 // hint, for passing on requests and sending workers to the right place.
 void LeaderElection::learn_leader_from_peers() {
-    const double t = later_.now();
+    const double t = timers_.now();
     const auto said = members_.reported_leader();
     if (sees_leader() || (said && said->leader == leader_ && said->term == leader_term_))
         known_at_ = t;
@@ -211,7 +213,7 @@
     role_ = Role::acquiring;
     const auto gen = ++generation_;
     store_lease_ = 0;
-    store_lease_requested_at_ = later_.now();
+    store_lease_requested_at_ = timers_.now();
     store_.create_lease(leader_lease_.ttl_s(), attempt_s, [this, gen](store::Answer&& r) {
         if (gen != generation_)
             return;
@@ -253,17 +255,17 @@
     role_ = Role::loading;
     leader_ = s_.name;
     leader_term_ = term_;
-    acquired_at_ = later_.now();
+    acquired_at_ = timers_.now();
     leader_lease_.begin();
     served_peers_.clear();
     failed_renewal_sent_ = -1;
     leader_lease_.store_lease_renewed(store_lease_requested_at_); // counted from when it was asked for
     extended_by_votes_ = false;
     next_renew_ = 0;
-    free_since_ = fitter_since_ = -1;
+    free_since_ = better_candidate_since_ = -1;
     ++acquisitions_;
     spdlog::info("took office, term {}", term_);
-    spdlog::info("reached from here: {}", say(members_.own()));
+    spdlog::info("reached from here: {}", describe(members_.own_eligibility()));
     state_loader_.read_all([this](Snapshot&& stored) {
         role_ = Role::is_leader;
         host_.leadership_acquired(term_, std::move(stored));
@@ -274,13 +276,13 @@
 
 void LeaderElection::renew() {
     const auto gen = generation_;
-    const double sent = later_.now(), ttl = leader_lease_.ttl_s();
+    const double sent = timers_.now(), ttl = leader_lease_.ttl_s();
     next_renew_ = sent + ttl / 6;
     store_.renew_lease(store_lease_, ttl / 5, [this, gen, sent](store::Answer&& r) {
         if (gen != generation_)
             return;
         if (r.status == 200 || r.status == 503 || r.status == 0)
-            leader_lease_.record_store_answer(r.status == 200, later_.now());
+            leader_lease_.record_store_answer(r.status == 200, timers_.now());
         if (r.status == 200)
             return leader_lease_.store_lease_renewed(sent);
         failed_renewal_sent_ = std::max(failed_renewal_sent_, sent);
@@ -299,7 +301,7 @@
                                return extension_vote_refused(name, sent, r.body);
                            if (r.status != 200)
                                return;
-                           if (!leader_lease_.extension_granted(name, sent, later_.now()) || extended_by_votes_)
+                           if (!leader_lease_.extension_granted(name, sent, timers_.now()) || extended_by_votes_)
                                return;
                            extended_by_votes_ = true;
                            spdlog::info("the store does not answer; all others promise to wait");
@@ -312,7 +314,7 @@
     if (!j.is_object() || !j.contains(served_field) || j[served_field] != true)
         return;
     served_peers_[peer] = sent;
-    later_.after(leader_lease_.ttl_s() / 40, [this, gen = generation_] {
+    timers_.after(leader_lease_.ttl_s() / 40, [this, gen = generation_] {
         if (gen == generation_ && valid())
             resign_to_served_peer();
     });
@@ -329,7 +331,7 @@
 // failed. That is known long before the hold is old enough: renewals go out six times a hold and end within a fifth of
 // it. Staying on is no risk: whether this node acts is decided by the hold's end alone (Tenancy::valid).
 void LeaderElection::resign_to_served_peer() {
-    const double t = later_.now();
+    const double t = timers_.now();
     const double renewed_at = leader_lease_.renewed_at();
     if (t - renewed_at <= unserved_lease_share * leader_lease_.ttl_s() || failed_renewal_sent_ <= renewed_at)
         return;
@@ -340,7 +342,7 @@
     if (to.empty())
         return;
     std::stable_sort(to.begin(), to.end(), [this](const std::string& a, const std::string& b) {
-        return members_.standing(a) > members_.standing(b);
+        return members_.eligibility(a) > members_.eligibility(b);
     });
     resign(fmt::format("the store serves {}, not this node", to.front()), to);
 }
@@ -354,8 +356,8 @@
         return res.send(400, R"({"error":"forS is needed"})");
     store_.get(leader_key, leader_lease_.ttl_s() / 10, [this, res, length](store::Answer&& a) {
         const bool failed = a.status == 503 || a.status == 0;
-        leader_lease_.record_store_answer(!failed, later_.now());
-        if (leader_lease_.grant_extension(length, later_.now(), role_ == Role::follower, failed))
+        leader_lease_.record_store_answer(!failed, timers_.now());
+        if (leader_lease_.grant_extension(length, timers_.now(), role_ == Role::follower, failed))
             return res.send(200, "{}");
         res.send(409,
                  Json{{"error", "the store answers here, or an attempt is under way"}, {served_field, !failed}}.dump());
--- a/src/leadership/state_loader.cpp
+++ b/src/leadership/state_loader.cpp
@@ -35,7 +35,7 @@
         if (gen != generation_)
             return;
         if (page.status != 200)
-            return later_.after(s_.report_s / 10, [=, this] {
+            return timers_.after(s_.report_s / 10, [=, this] {
                 if (gen == generation_)
                     load(prefix, since, into, next);
             });
@@ -57,7 +57,7 @@
     for (const auto& i : items) {
         if (i.deleted)
             continue;
-        if (auto j = codec::stored_job(i.value, later_.wall()); j)
+        if (auto j = codec::stored_job(i.value, timers_.wall()); j)
             jobs.push_back(std::move(*j));
     }
     seen_(std::move(jobs));
@@ -75,7 +75,7 @@
         if (gen != generation_)
             return;
         auto again = [this, gen](double delay_s) {
-            later_.after(delay_s, [this, gen] {
+            timers_.after(delay_s, [this, gen] {
                 if (gen == generation_)
                     follow();
             });
--- a/src/leadership/transaction_queue.cpp
+++ b/src/leadership/transaction_queue.cpp
@@ -21,11 +21,11 @@
     writes.push_back({term_counter_key, codec::Json{{"term", term_}, {"n", count_ + 1}}, 0});
     store_.transact({{leader_key, leader_key_revision_}, {term_counter_key, term_counter_revision_}}, writes,
                     s_.report_s / 3,
-                    [this, gen, c = std::move(c), tries, began = later_.now()](store::Answer&& r) mutable {
+                    [this, gen, c = std::move(c), tries, began = timers_.now()](store::Answer&& r) mutable {
                         if (gen != generation_)
                             return;
                         if (r.status == 200) {
-                            took_.commit.add(later_.now() - began);
+                            took_.commit.add(timers_.now() - began);
                             return applied(r.revision);
                         }
                         if ((r.status == 429 || r.status == 503 || r.status == 400) && tries == 0) {
@@ -33,7 +33,7 @@
                             if (r.status == 400)
                                 spdlog::error("the state service calls a transaction malformed: {}", r.error);
                             const auto outcome = r.status == 400 ? TxnOutcome::too_large : TxnOutcome::refused;
-                            return later_.after(s_.report_s / 20, [this, gen, outcome] {
+                            return timers_.after(s_.report_s / 20, [this, gen, outcome] {
                                 if (gen == generation_)
                                     ends_.done(outcome);
                             });
@@ -50,7 +50,7 @@
             return;
         const auto& item = r.item;
         if (!item || !item->value.is_object())
-            return later_.after(s_.report_s / 10, [this, gen, c = std::move(c), tries]() mutable {
+            return timers_.after(s_.report_s / 10, [this, gen, c = std::move(c), tries]() mutable {
                 if (gen == generation_)
                     resolve(std::move(c), tries);
             });
--- a/src/local/cloud.cpp
+++ b/src/local/cloud.cpp
@@ -341,26 +341,26 @@
         OrdersAnswered a{o.machine, o.batch, 0, it != p_.machines_.end(), std::nullopt};
         if (it != p_.machines_.end())
             std::tie(a.status, a.heartbeat) = it->second->obey(o.fencing_token, o.agent_epoch, o.orders);
-        later(std::move(done), std::move(a));
+        timers(std::move(done), std::move(a));
     }
     void rent(const Rent& ask, double, std::function<void(Rented&&)> done) override {
-        later(std::move(done), p_.out ? Rented{ask.claim, RentOutcome::failed, {}} : p_.rent(ask));
+        timers(std::move(done), p_.out ? Rented{ask.claim, RentOutcome::failed, {}} : p_.rent(ask));
     }
     void release(const Release& ask, double, std::function<void(Released&&)> done) override {
         if (!p_.out)
             p_.release(ask.machines);
-        later(std::move(done), Released{ask.machines, !p_.out});
+        timers(std::move(done), Released{ask.machines, !p_.out});
     }
     void list(const std::string& since, double,
               std::function<void(std::optional<codec::MachinePage>&&)> done) override {
-        later(std::move(done), p_.out ? std::nullopt : std::optional(p_.page(since)));
+        timers(std::move(done), p_.out ? std::nullopt : std::optional(p_.page(since)));
     }
     void types(double, std::function<void(std::optional<std::vector<MachineType>>&&)> done) override {
-        later(std::move(done), p_.out ? std::nullopt : std::optional(p_.plan_.types));
+        timers(std::move(done), p_.out ? std::nullopt : std::optional(p_.plan_.types));
     }
 
 private:
-    template <class F, class A> void later(F done, A answer) {
+    template <class F, class A> void timers(F done, A answer) {
         answers_.post([done = std::move(done), answer = std::move(answer)]() mutable { done(std::move(answer)); });
     }
     Platform& p_;
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -14,48 +14,48 @@
 constexpr double store_heartbeats = 1.0 / 3; // without an answer: it is asked
 constexpr double silence_heartbeats = 1.5;   // without a report of a zone's machines: it is cut off
 constexpr double silence_small_fleet_heartbeats = 2.5;
-constexpr double samples_leases = 2;     // how long an address is worth asking
-constexpr double yield_leases = 1.0 / 4; // an office that a fitter one should take is left to it for so long
+constexpr double samples_leases = 2;               // how long an address is worth asking
+constexpr double candidacy_delay_leases = 1.0 / 4; // an office that a fitter one should take is left to it for so long
 constexpr double stagger_heartbeats = 1.0 / 40;
 constexpr double answer_heartbeats = 1.0 / 10; // an answer that was under way when an outage began may take so long
 constexpr std::size_t few_machines = 4;
 constexpr int probes_a_round = 2;
 
-Patience store_patience(const Settings& s) {
+FailureThresholds store_patience(const Settings& s) {
     return {s.report_s / 4, 2, s.report_s / 4};
 }
-Patience peer_patience(const Settings& s) {
+FailureThresholds peer_patience(const Settings& s) {
     return {s.report_s / 2, 2, s.report_s / 4};
 }
-Patience zone_patience(const Settings& s) {
+FailureThresholds zone_patience(const Settings& s) {
     return {s.report_s, 2, s.report_s};
 }
 
-Patience silence_patience(const Settings& s) {
+FailureThresholds silence_patience(const Settings& s) {
     return {0, 1, s.report_s / 2}; // the silence itself is what lasted
 }
 
-const char* word(Reach r) {
-    return r == Reach::works ? "works" : r == Reach::lost ? "lost" : "not known";
+const char* to_text(Reachability r) {
+    return r == Reachability::reachable ? "works" : r == Reachability::unreachable ? "lost" : "not known";
 }
 
 } // namespace
 
-std::string say(const Standing& s) {
+std::string describe(const Eligibility& s) {
     return fmt::format("store {}, zones {}, through others {}", s.store, s.zones, s.zones_by_others);
 }
 
 Membership::Zone::Zone(const Settings& s) : in(silence_patience(s)), out(zone_patience(s)) {}
-Membership::Other::Other(const Settings& s) : link(peer_patience(s)) {}
+Membership::PeerState::PeerState(const Settings& s) : link(peer_patience(s)) {}
 
-Membership::Membership(const Settings& s, Later& later, store::StateStore& store, Executor& executor, Peers& peers,
-                       Host& host)
-    : s_(s), later_(later), state_(store), executor_(executor), peers_(peers), host_(host), store_(store_patience(s)),
+Membership::Membership(const Settings& s, TimerQueue& timers, store::StateStore& store, Executor& executor,
+                       Peers& peers, Host& host)
+    : s_(s), timers_(timers), state_(store), executor_(executor), peers_(peers), host_(host), store_(store_patience(s)),
       cloud_(store_patience(s)) {
     for (const auto& z : s.zones)
         zones_.emplace(z, s);
     for (const auto& p : s.peers)
-        others_.emplace(p.name, s);
+        peer_states_.emplace(p.name, s);
 }
 
 Membership::Zone* Membership::find_zone(const std::string& name) {
@@ -65,36 +65,36 @@
 
 // --- evidence ---
 
-void Membership::changed(const std::string& what, Reach to) {
+void Membership::changed(const std::string& what, Reachability to) {
     ++changes_;
-    urgent_ = true; // the others should know
-    spdlog::info("link to {}: {}", what, word(to));
+    exchange_soon_ = true; // the others should know
+    spdlog::info("link to {}: {}", what, to_text(to));
 }
 
 void Membership::store_answered(bool ok) {
-    const double t = later_.now();
+    const double t = timers_.now();
     store_asked_at_ = t;
     if (ok ? store_.worked(t) : store_.failed(t))
         changed("the state service", store_.reach());
 }
 
 void Membership::cloud_answered(bool ok) {
-    const double t = later_.now();
+    const double t = timers_.now();
     if (ok ? cloud_.worked(t) : cloud_.failed(t))
         changed("the cloud", cloud_.reach());
 }
 
 void Membership::peer_answered(const std::string& name, bool ok) {
-    const auto it = others_.find(name);
-    if (it == others_.end())
+    const auto it = peer_states_.find(name);
+    if (it == peer_states_.end())
         return;
     auto& l = it->second.link;
-    if (ok ? l.worked(later_.now()) : l.failed(later_.now()))
+    if (ok ? l.worked(timers_.now()) : l.failed(timers_.now()))
         changed("controller " + name, l.reach());
 }
 
 void Membership::heartbeat_received(const std::string& zone, const std::string& addr) {
-    const double t = later_.now();
+    const double t = timers_.now();
     last_worker_heartbeat_at_ = t;
     auto* z = find_zone(zone);
     if (z == nullptr)
@@ -106,7 +106,7 @@
 }
 
 void Membership::heartbeat_relayed(const std::string& zone, const std::string& addr) {
-    last_worker_heartbeat_at_ = later_.now();
+    last_worker_heartbeat_at_ = timers_.now();
     auto* z = find_zone(zone);
     if (z == nullptr)
         return;
@@ -117,7 +117,7 @@
 // The same few for as long as they report: connections to them are kept. (Where relayed reports did not
 // count, the machines that were asked had long been given back, and their zone was taken for lost.)
 void Membership::remember(Zone& z, const std::string& addr) {
-    const double t = later_.now();
+    const double t = timers_.now();
     for (auto& x : z.samples)
         if (x.addr == addr) {
             x.at = t;
@@ -135,7 +135,7 @@
 // --- what goes out ---
 
 void Membership::tick() {
-    const double t = later_.now();
+    const double t = timers_.now();
     if (t >= next_silence_) {
         next_silence_ = t + s_.report_s / 10;
         watch_silence();
@@ -147,11 +147,11 @@
     // Those that the store does not serve learn only from this who holds the office now.
     if (const bool is_active_leader = host_.is_active_leader(); is_active_leader != was_active_leader_) {
         was_active_leader_ = is_active_leader;
-        urgent_ = true;
+        exchange_soon_ = true;
     }
-    if (t >= next_exchange_ || (urgent_ && t >= next_exchange_ - (exchange_heartbeats - soon) * s_.report_s)) {
+    if (t >= next_exchange_ || (exchange_soon_ && t >= next_exchange_ - (exchange_heartbeats - soon) * s_.report_s)) {
         next_exchange_ = t + exchange_heartbeats * s_.report_s;
-        urgent_ = false;
+        exchange_soon_ = false;
         exchange();
     }
 }
@@ -162,7 +162,7 @@
 void Membership::watch_silence() {
     if (!host_.is_active_leader())
         return;
-    const double t = later_.now();
+    const double t = timers_.now();
     const auto by_zone = host_.machines_by_zone();
     for (auto& [name, z] : zones_) {
         const auto there = by_zone.find(name);
@@ -172,24 +172,24 @@
             continue;
         }
         if (z.in.lost() && t - z.in.failed_at() > s_.lease_s)
-            trust(z);
+            reset_inbound_health(z);
         const double patience = machines < few_machines ? silence_small_fleet_heartbeats : silence_heartbeats;
         const double since = std::max({z.last_heartbeat_at, z.relayed_at, z.trusted_at, host_.active_since()});
         if (t - since < patience * s_.report_s)
             continue;
         if (z.in.failed(t))
-            changed(fmt::format("workers in {}", name), Reach::lost);
+            changed(fmt::format("workers in {}", name), Reachability::unreachable);
     }
 }
 
-void Membership::trust(Zone& z) {
-    z.in = Link(silence_patience(s_));
-    z.trusted_at = later_.now();
-    urgent_ = true;
+void Membership::reset_inbound_health(Zone& z) {
+    z.in = LinkHealth(silence_patience(s_));
+    z.trusted_at = timers_.now();
+    exchange_soon_ = true;
 }
 
 void Membership::probe() {
-    const double t = later_.now();
+    const double t = timers_.now();
     if (!asking_store_ && t - store_asked_at_ >= store_heartbeats * s_.report_s) {
         asking_store_ = true;
         state_.get("office", s_.report_s / 4, [this](store::Answer&&) { asking_store_ = false; });
@@ -197,8 +197,9 @@
     for (auto& [name, z] : zones_)
         probe_zone(name, z);
     // The cloud's calls are few: the others look only when it is the holder that cannot.
-    const auto h = others_.find(host_.leader());
-    if (h == others_.end() || !fresh(h->second) || h->second.view.cloud != Reach::lost || t < next_cloud_)
+    const auto h = peer_states_.find(host_.leader());
+    if (h == peer_states_.end() || !fresh(h->second) || h->second.view.cloud != Reachability::unreachable ||
+        t < next_cloud_)
         return;
     next_cloud_ = t + s_.lease_s / 2;
     executor_.types(s_.report_s,
@@ -206,7 +207,7 @@
 }
 
 void Membership::probe_zone(const std::string& name, Zone& z) {
-    const double t = later_.now();
+    const double t = timers_.now();
     std::erase_if(z.samples, [&](const auto& x) { return t - x.at > samples_leases * s_.lease_s; });
     // Machines that were given back answer nobody: where others report, those that do not are not asked. (The
     // office was handed on, its zone of two machines taken for lost.)
@@ -229,13 +230,13 @@
 // A round in which nobody answers has failed.
 void Membership::probed(const std::string& zone, bool& any, std::optional<bool> ok) {
     auto* z = find_zone(zone);
-    const double t = later_.now();
+    const double t = timers_.now();
     any = any || ok.value_or(false);
     bool turned = false;
     if (ok.value_or(false)) {
         turned = z->out.worked(t);
         if (turned)
-            trust(*z);
+            reset_inbound_health(*z);
     }
     if (++z->answered == z->probes && !any && ok.has_value())
         turned = z->out.failed(t);
@@ -243,18 +244,18 @@
         changed(fmt::format("workers in {}", zone), reach(*z));
 }
 
-View Membership::own_view() const {
-    View v;
+PeerView Membership::own_view() const {
+    PeerView v;
     v.node = s_.name;
-    v.sent = later_.wall();
+    v.sent = timers_.wall();
     v.store = store_.reach();
     v.cloud = cloud_.reach();
-    const auto since = [t = later_.now()](const Link& l) { return l.worked_at() < 0 ? -1 : t - l.worked_at(); };
+    const auto since = [t = timers_.now()](const LinkHealth& l) { return l.worked_at() < 0 ? -1 : t - l.worked_at(); };
     v.store_s = since(store_);
     v.cloud_s = since(cloud_);
     for (const auto& [name, z] : zones_)
         v.zones[name] = reach(z);
-    for (const auto& [name, o] : others_)
+    for (const auto& [name, o] : peer_states_)
         v.peers[name] = o.link.reach();
     v.leader = host_.leader();
     v.term = host_.leader_term();
@@ -262,21 +263,21 @@
     v.is_active_leader = host_.is_active_leader();
     for (const auto& [name, z] : zones_)
         for (const auto& x : z.samples)
-            if (later_.now() - x.at < s_.lease_s)
+            if (timers_.now() - x.at < s_.lease_s)
                 v.machines[name].push_back(x.addr);
     return v;
 }
 
 void Membership::exchange() {
     const auto body = to_body(own_view());
-    for (auto& [name, o] : others_) {
+    for (auto& [name, o] : peer_states_) {
         if (o.asking)
             continue;
         o.asking = true;
         ++exchanges_;
         peers_.request(Lane::control, name, "POST", peer_view, body, exchange_wait * s_.report_s,
-                       [this, name = name, sent = later_.now()](HttpReply&& r) {
-                           auto& to = others_.at(name);
+                       [this, name = name, sent = timers_.now()](HttpReply&& r) {
+                           auto& to = peer_states_.at(name);
                            to.asking = false;
                            if (r.status != 200)
                                return;
@@ -288,26 +289,26 @@
                                to.store_at = std::max(to.store_at, sent - v->store_s);
                            if (v->cloud_s >= 0)
                                to.cloud_at = std::max(to.cloud_at, sent - v->cloud_s);
-                           took(std::move(*v));
+                           receive_view(std::move(*v));
                        });
     }
 }
 
-void Membership::exchanged(const HttpRequest& r, const Responder& res) {
+void Membership::handle_view(const HttpRequest& r, const Responder& res) {
     auto v = view(r.body);
     if (!v)
         return res.send(400, codec::error_answer("not a view"));
-    took(std::move(*v));
+    receive_view(std::move(*v));
     res.send(200, to_body(own_view()));
 }
 
-void Membership::took(View&& v) {
-    const auto it = others_.find(v.node);
-    if (it == others_.end())
+void Membership::receive_view(PeerView&& v) {
+    const auto it = peer_states_.find(v.node);
+    if (it == peer_states_.end())
         return;
     // One that was held up on the way is as old as it is; clocks differ by the bound of the settings.
-    const double late = std::max(0.0, later_.wall() - v.sent - 2 * s_.time_bound_s);
-    const double t = later_.now();
+    const double late = std::max(0.0, timers_.wall() - v.sent - 2 * s_.time_bound_s);
+    const double t = timers_.now();
     if (t - late < it->second.at)
         return;
     for (const auto& [name, list] : v.machines) {
@@ -326,75 +327,81 @@
 
 // --- what is thought ---
 
-Reach Membership::reach(const Zone& z) const {
+Reachability Membership::reach(const Zone& z) const {
     if (z.out.lost() || (host_.is_active_leader() && z.in.lost()))
-        return Reach::lost;
-    const bool any = z.out.reach() == Reach::works || (host_.is_active_leader() && z.in.reach() == Reach::works);
-    return any ? Reach::works : Reach::unknown;
+        return Reachability::unreachable;
+    const bool any = z.out.reach() == Reachability::reachable ||
+                     (host_.is_active_leader() && z.in.reach() == Reachability::reachable);
+    return any ? Reachability::reachable : Reachability::unknown;
 }
 
-Reach Membership::zone(const std::string& name) const {
+Reachability Membership::zone(const std::string& name) const {
     const auto it = zones_.find(name);
-    return it == zones_.end() ? Reach::unknown : reach(it->second);
+    return it == zones_.end() ? Reachability::unknown : reach(it->second);
 }
 
 bool Membership::any_zone_lost() const {
-    return std::any_of(zones_.begin(), zones_.end(), [this](const auto& z) { return reach(z.second) == Reach::lost; });
+    return std::any_of(zones_.begin(), zones_.end(),
+                       [this](const auto& z) { return reach(z.second) == Reachability::unreachable; });
 }
 
 bool Membership::all_zones_lost() const {
-    return std::all_of(zones_.begin(), zones_.end(), [this](const auto& z) { return reach(z.second) == Reach::lost; });
+    return std::all_of(zones_.begin(), zones_.end(),
+                       [this](const auto& z) { return reach(z.second) == Reachability::unreachable; });
 }
 
-Reach Membership::peer(const std::string& name) const {
-    const auto it = others_.find(name);
-    return it == others_.end() ? Reach::unknown : it->second.link.reach();
+Reachability Membership::peer(const std::string& name) const {
+    const auto it = peer_states_.find(name);
+    return it == peer_states_.end() ? Reachability::unknown : it->second.link.reach();
 }
 
-bool Membership::fresh(const Other& o) const {
-    return o.at >= 0 && later_.now() - o.at < fresh_heartbeats * s_.report_s;
+bool Membership::fresh(const PeerState& o) const {
+    return o.at >= 0 && timers_.now() - o.at < fresh_heartbeats * s_.report_s;
 }
 
 bool Membership::alive(const std::string& name) const {
-    const auto it = others_.find(name);
-    return it != others_.end() && fresh(it->second);
+    const auto it = peer_states_.find(name);
+    return it != peer_states_.end() && fresh(it->second);
 }
 
-bool Membership::nobody_better() const {
-    return std::all_of(others_.begin(), others_.end(), [this](const auto& o) {
+bool Membership::no_better_candidate() const {
+    return std::all_of(peer_states_.begin(), peer_states_.end(), [this](const auto& o) {
         if (!fresh(o.second))
             return false;
-        const auto x = standing(o.second.view, true);
+        const auto x = eligibility(o.second.view, true);
         return x.store == 0 || x.zones + x.zones_by_others == 0;
     });
 }
 
-bool Membership::in_touch() const {
+bool Membership::has_any_link() const {
     return !store_.lost() ||
-           std::any_of(others_.begin(), others_.end(), [this](const auto& o) { return fresh(o.second); });
+           std::any_of(peer_states_.begin(), peer_states_.end(), [this](const auto& o) { return fresh(o.second); });
 }
 
 // With doubt, what is not known counts as reached.
-Standing Membership::standing(const View& v, bool doubt) const {
-    const auto counts = [doubt](Reach r) { return r == Reach::works || (doubt && r == Reach::unknown); };
-    Standing out;
+Eligibility Membership::eligibility(const PeerView& v, bool doubt) const {
+    const auto counts = [doubt](Reachability r) {
+        return r == Reachability::reachable || (doubt && r == Reachability::unknown);
+    };
+    Eligibility out;
     out.store = counts(v.store);
-    out.cloud = v.cloud != Reach::lost; // asked for only when the holder cannot reach it
+    out.cloud = v.cloud != Reachability::unreachable; // asked for only when the holder cannot reach it
     for (const auto& z : s_.zones) {
-        const auto of = [&z](const View& x) {
+        const auto of = [&z](const PeerView& x) {
             const auto r = x.zones.find(z);
-            return r == x.zones.end() ? Reach::unknown : r->second;
+            return r == x.zones.end() ? Reachability::unknown : r->second;
         };
         if (counts(of(v))) {
             ++out.zones;
             continue;
         }
-        const auto by = [&](const std::string& name, const View& x) {
+        const auto by = [&](const std::string& name, const PeerView& x) {
             const auto link = v.peers.find(name);
-            return name != v.node && of(x) == Reach::works && link != v.peers.end() && link->second == Reach::works;
+            return name != v.node && of(x) == Reachability::reachable && link != v.peers.end() &&
+                   link->second == Reachability::reachable;
         };
         bool any = v.node != s_.name && by(s_.name, own_view());
-        for (const auto& [name, o] : others_)
+        for (const auto& [name, o] : peer_states_)
             any = any || (fresh(o) && by(name, o.view));
         out.zones_by_others += any;
     }
@@ -403,13 +410,13 @@
 
 // Whether somebody else got an answer after this node's own link had begun to fail. From a day on which the
 // holder gave the office up in an outage of the store: the last view of a peer, 0.6 s old, said it was there.
-bool Membership::since_lost(double at, const Link& mine) const {
+bool Membership::since_lost(double at, const LinkHealth& mine) const {
     return !mine.lost() || at > mine.failing_since() + answer_heartbeats * s_.report_s;
 }
 
 // Surely so: what others reach counts only if that is newer than the failure here.
-Standing Membership::standing(const Other& o) const {
-    auto out = standing(o.view, false);
+Eligibility Membership::eligibility(const PeerState& o) const {
+    auto out = eligibility(o.view, false);
     if (!since_lost(o.store_at, store_))
         out.store = 0;
     if (!since_lost(o.cloud_at, cloud_))
@@ -417,22 +424,22 @@
     return out;
 }
 
-Standing Membership::own() const {
-    return standing(own_view(), true);
+Eligibility Membership::own_eligibility() const {
+    return eligibility(own_view(), true);
 }
 
-Standing Membership::standing(const std::string& peer) const {
-    const auto it = others_.find(peer);
-    return it == others_.end() || !fresh(it->second) ? Standing{} : standing(it->second);
+Eligibility Membership::eligibility(const std::string& peer) const {
+    const auto it = peer_states_.find(peer);
+    return it == peer_states_.end() || !fresh(it->second) ? Eligibility{} : eligibility(it->second);
 }
 
-std::optional<std::string> Membership::fitter() const {
+std::optional<std::string> Membership::better_candidate() const {
     std::optional<std::string> best;
-    auto most = own();
-    for (const auto& [name, o] : others_) {
+    auto most = own_eligibility();
+    for (const auto& [name, o] : peer_states_) {
         if (!fresh(o))
             continue;
-        if (const auto x = standing(o); x > most) {
+        if (const auto x = eligibility(o); x > most) {
             most = x;
             best = name;
         }
@@ -440,28 +447,28 @@
     return best;
 }
 
-double Membership::yields_s() const {
-    const auto mine = own();
-    const double yield = yield_leases * s_.lease_s;
+double Membership::candidacy_delay_s() const {
+    const auto mine = own_eligibility();
+    const double yield = candidacy_delay_leases * s_.lease_s;
     int before = 0; // as fit as this node, and earlier by name
-    for (const auto& [name, o] : others_) {
+    for (const auto& [name, o] : peer_states_) {
         if (!fresh(o))
             continue;
-        const auto x = standing(o.view, true);
+        const auto x = eligibility(o.view, true);
         if (x > mine)
             return yield;
         before += x == mine && name < s_.name;
     }
     // Deaf, and not all the others are known to be no better.
-    if (mine.zones + mine.zones_by_others == 0 && !s_.zones.empty() && !nobody_better())
+    if (mine.zones + mine.zones_by_others == 0 && !s_.zones.empty() && !no_better_candidate())
         return yield;
     return before * stagger_heartbeats * s_.report_s;
 }
 
 std::optional<std::string> Membership::with_store(const std::string& rather) const {
     std::optional<std::string> out;
-    for (const auto& [name, o] : others_) {
-        if (!fresh(o) || o.link.lost() || o.view.store != Reach::works)
+    for (const auto& [name, o] : peer_states_) {
+        if (!fresh(o) || o.link.lost() || o.view.store != Reachability::reachable)
             continue;
         if (!out || name == rather)
             out = name;
@@ -470,18 +477,18 @@
 }
 
 std::optional<std::string> Membership::served_instead() const {
-    for (const auto& [name, o] : others_)
-        if (fresh(o) && o.view.store == Reach::works && store_.lost() && since_lost(o.store_at, store_))
+    for (const auto& [name, o] : peer_states_)
+        if (fresh(o) && o.view.store == Reachability::reachable && store_.lost() && since_lost(o.store_at, store_))
             return name;
     return {};
 }
 
-std::optional<std::string> Membership::way_to(const std::string& zone) {
+std::optional<std::string> Membership::relay_to(const std::string& zone) {
     std::vector<const std::string*> ways;
-    for (const auto& [name, o] : others_) {
+    for (const auto& [name, o] : peer_states_) {
         if (!fresh(o) || o.link.lost())
             continue;
-        if (const auto r = o.view.zones.find(zone); r != o.view.zones.end() && r->second == Reach::works)
+        if (const auto r = o.view.zones.find(zone); r != o.view.zones.end() && r->second == Reachability::reachable)
             ways.push_back(&name);
     }
     if (ways.empty())
@@ -490,33 +497,35 @@
 }
 
 bool Membership::leader_reaches(const std::string& leader, const std::string& zone) const {
-    const auto it = others_.find(leader);
-    if (it == others_.end() || !fresh(it->second))
+    const auto it = peer_states_.find(leader);
+    if (it == peer_states_.end() || !fresh(it->second))
         return true; // nothing is known to be better
     const auto r = it->second.view.zones.find(zone);
-    return r == it->second.view.zones.end() || r->second != Reach::lost;
+    return r == it->second.view.zones.end() || r->second != Reachability::unreachable;
 }
 
-bool Membership::of_use() const {
+bool Membership::can_serve() const {
     // The others are there and have no store either: an outage, in which everybody waits. Where nobody
     // can be asked, this node may be the only one that is cut off.
-    return host_.is_active_leader() || in_touch();
+    return host_.is_active_leader() || has_any_link();
 }
 
-std::optional<Membership::Hearsay> Membership::reported_leader() const {
-    std::optional<Hearsay> out;
-    for (const auto& [name, o] : others_)
+std::optional<Membership::ReportedLeader> Membership::reported_leader() const {
+    std::optional<ReportedLeader> out;
+    for (const auto& [name, o] : peer_states_)
         if (fresh(o) && (o.view.sees_leader || o.view.is_active_leader) && (!out || o.view.term > out->term))
-            out = Hearsay{o.view.leader, o.view.term};
+            out = ReportedLeader{o.view.leader, o.view.term};
     return out;
 }
 
 std::vector<metrics::Value> Membership::metrics() const {
-    const auto of = [](Reach r) { return r == Reach::works ? 1.0 : r == Reach::lost ? 0.0 : 0.5; };
+    const auto of = [](Reachability r) {
+        return r == Reachability::reachable ? 1.0 : r == Reachability::unreachable ? 0.0 : 0.5;
+    };
     constexpr const char* help = "whether this controller reaches it: 1 yes, 0 no, 0.5 not known";
     std::vector<metrics::Value> out{{"heronshift_link", help, of(store_.reach()), {{"to", "state"}}},
                                     {"heronshift_link", help, of(cloud_.reach()), {{"to", "cloud"}}}};
-    for (const auto& [name, o] : others_)
+    for (const auto& [name, o] : peer_states_)
         out.push_back({"heronshift_link", help, of(o.link.reach()), {{"to", "controller " + name}}});
     for (const auto& [name, z] : zones_)
         out.push_back({"heronshift_link", help, of(reach(z)), {{"to", "workers " + name}}});
--- a/src/membership/view.cpp
+++ b/src/membership/peer_view.cpp
@@ -1,4 +1,4 @@
-#include "heronshift/membership/view.hpp"
+#include "heronshift/membership/peer_view.hpp"
 
 #include "heronshift/codec.hpp"
 
@@ -14,21 +14,21 @@
 // Bounds on what comes from outside: names are short.
 constexpr std::size_t longest_name = 128;
 
-const char* word(Reach r) {
-    return r == Reach::works ? "works" : r == Reach::lost ? "lost" : "unknown";
+const char* to_text(Reachability r) {
+    return r == Reachability::reachable ? "works" : r == Reachability::unreachable ? "lost" : "unknown";
 }
 
-Reach reach(const Json& j) {
+Reachability reach(const Json& j) {
     if (!j.is_string())
-        return Reach::unknown;
+        return Reachability::unknown;
     const auto& s = j.get_ref<const std::string&>();
-    return s == "works" ? Reach::works : s == "lost" ? Reach::lost : Reach::unknown;
+    return s == "works" ? Reachability::reachable : s == "lost" ? Reachability::unreachable : Reachability::unknown;
 }
 
-Json to_json(const std::map<std::string, Reach>& all) {
+Json to_json(const std::map<std::string, Reachability>& all) {
     auto out = Json::object();
     for (const auto& [name, r] : all)
-        out[name] = word(r);
+        out[name] = to_text(r);
     return out;
 }
 
@@ -59,12 +59,12 @@
 
 } // namespace
 
-std::string to_body(const View& v) {
+std::string to_body(const PeerView& v) {
     return Json{{"node", v.node},
                 {"sent", v.sent},
-                {"store", word(v.store)},
+                {"store", to_text(v.store)},
                 {"storeS", v.store_s},
-                {"cloud", word(v.cloud)},
+                {"cloud", to_text(v.cloud)},
                 {"cloudS", v.cloud_s},
                 {"zones", to_json(v.zones)},
                 {"peers", to_json(v.peers)},
@@ -76,11 +76,11 @@
         .dump();
 }
 
-std::optional<View> view(std::string_view body) {
+std::optional<PeerView> view(std::string_view body) {
     const auto j = codec::parse(body);
     if (!j.is_object())
         return {};
-    View v;
+    PeerView v;
     v.node = text(j, "node");
     if (v.node.empty())
         return {};
@@ -91,7 +91,7 @@
     number("sent", v.sent);
     number("storeS", v.store_s);
     number("cloudS", v.cloud_s);
-    const auto field = [&](const char* name) { return j.contains(name) ? reach(j[name]) : Reach::unknown; };
+    const auto field = [&](const char* name) { return j.contains(name) ? reach(j[name]) : Reachability::unknown; };
     v.store = field("store");
     v.cloud = field("cloud");
     each(j, "zones", [&](const std::string& name, const Json& r) { v.zones[name] = reach(r); });
--- a/src/node/controller.cpp
+++ b/src/node/controller.cpp
@@ -1,6 +1,6 @@
 #include "heronshift/node/controller.hpp"
 
-#include "heronshift/each.hpp"
+#include "heronshift/overloaded.hpp"
 
 #include <algorithm>
 #include <iterator>
@@ -11,16 +11,16 @@
 using gateway::retry_soon_s;
 
 Controller::Controller(Settings settings, Parts parts)
-    : s_(std::move(settings)), clock_(std::move(parts.clock)), later_(clock_), store_(std::move(parts.state)),
+    : s_(std::move(settings)), clock_(std::move(parts.clock)), timers_(clock_), store_(std::move(parts.state)),
       executor_(std::move(parts.executor)), peers_(std::move(parts.peers)),
-      members_(s_, later_, store_, *executor_, peers_, *this),
-      election_(s_, later_, store_, peers_, members_, took_, *this),
-      gateway_(s_, later_, store_, peers_, members_, took_, *this),
-      heartbeat_handler_(s_, later_, *executor_, peers_, members_, took_, *this),
-      cloud_(s_, later_, store_, *executor_, *this) {
+      members_(s_, timers_, store_, *executor_, peers_, *this),
+      election_(s_, timers_, store_, peers_, members_, took_, *this),
+      gateway_(s_, timers_, store_, peers_, members_, took_, *this),
+      heartbeat_handler_(s_, timers_, *executor_, peers_, members_, took_, *this),
+      cloud_(s_, timers_, store_, *executor_, *this) {
     store_.on_answer = [this](bool ok) { members_.store_answered(ok); };
     peers_.on_answer = [this](const std::string& name, bool ok) { members_.peer_answered(name, ok); };
-    later_.on_change = [this] {
+    timers_.on_change = [this] {
         if (on_wake_at)
             on_wake_at();
     };
@@ -47,12 +47,12 @@
 }
 
 void Controller::wake() {
-    later_.run();
+    timers_.run();
     run_core();
 }
 
 double Controller::wake_at() const {
-    const double at = later_.next_at();
+    const double at = timers_.next_at();
     if (!core_)
         return at;
     return queue_.empty() || !election_.valid() ? std::min(at, core_->wake_at()) : 0;
@@ -67,7 +67,7 @@
 }
 
 void Controller::leadership_acquired(std::uint64_t term, Snapshot&& stored) {
-    const double at = later_.now(), wall_at = later_.wall();
+    const double at = timers_.now(), wall_at = timers_.wall();
     ++life_;
     queue_.clear();
     if (log_)
@@ -92,7 +92,7 @@
 
 void Controller::jobs_stored_by_others(std::vector<codec::StoredJob>&& jobs) {
     for (auto& j : jobs)
-        push(job_stored(std::move(j), later_.wall()));
+        push(job_stored(std::move(j), timers_.wall()));
 }
 
 void Controller::committed(TxnOutcome outcome) {
@@ -102,21 +102,21 @@
 void Controller::stored(JobStored&& j) {
     if (!core_)
         return;
-    took_.first_launches.known(j.spec.id, later_.now());
+    took_.first_launches.known(j.spec.id, timers_.now());
     push(std::move(j));
 }
 
 void Controller::run_core() {
     if (!core_ || running_core_)
         return;
-    const double t = later_.now();
+    const double t = timers_.now();
     if ((queue_.empty() || !election_.valid()) && t < core_->wake_at())
         return;
     running_core_ = true;
     std::vector<Command> batch;
     batch.swap(queue_);
     const auto commands = batch.size();
-    const double wall_now = later_.wall();
+    const double wall_now = timers_.wall();
     const bool may_act = election_.valid();
     if (log_)
         log_->commands(batch, t, wall_now, may_act);
@@ -128,7 +128,7 @@
             log_.reset();
         }
     }
-    const double took = later_.now() - t;
+    const double took = timers_.now() - t;
     took_.step.add(took);
     if (took > s_.report_s / 100)
         spdlog::debug("a step took {:.0f} ms for {} commands and {} effects", took * 1000, commands, effects.size());
@@ -149,7 +149,7 @@
         if (life == life_)
             push(std::forward<decltype(c)>(c));
     };
-    std::visit(Each{
+    std::visit(Overloaded{
                    [this](Commit& e) { election_.commit(std::move(e)); },
                    [&](SendOrders& e) { heartbeat_handler_.send(e, to_core); },
                    [this](AnswerHeartbeat& e) { heartbeat_handler_.answer(std::move(e)); },
@@ -173,7 +173,7 @@
         return res.send(404, codec::error_answer("no such path"));
     r.path.erase(0, std::string_view(peer_prefix).size());
     if (r.path == "/view")
-        return members_.exchanged(r, res);
+        return members_.handle_view(r, res);
     if (r.path == "/promise")
         return election_.handle_extension_vote_request(r, res);
     if (r.path == "/take")
@@ -199,8 +199,8 @@
     if (path == codec::path_health) {
         if (!get)
             return wrong_method();
-        const bool of_use = !types().empty() && members_.of_use();
-        return of_use ? res.send(200, "{}") : res.send(503, codec::not_now, retry_soon_s);
+        const bool can_serve = !types().empty() && members_.can_serve();
+        return can_serve ? res.send(200, "{}") : res.send(503, codec::not_now, retry_soon_s);
     }
     if (path == "/metrics")
         return get ? res.send(200, metrics()) : wrong_method();
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -139,7 +139,7 @@
 void Node::arm() {
     if (handles_ == nullptr)
         return;
-    const double now = controller_.later().now();
+    const double now = controller_.timers().now();
     const double in = std::clamp(controller_.wake_at() - now, 0.0, longest_sleep_s);
     const auto on_wake = [](uv_timer_t* t) {
         auto* node = static_cast<Node*>(t->data);
@@ -161,7 +161,7 @@
 void Node::tick() {
     if (on_tick_)
         on_tick_();
-    const double t = controller_.later().now();
+    const double t = controller_.timers().now();
     if (t >= next_sweep_) {
         next_sweep_ = t + 1;
         users_->sweep();
--- a/src/store/engine.cpp
+++ b/src/store/engine.cpp
@@ -1,6 +1,6 @@
 #include "heronshift/store/engine.hpp"
 
-#include "heronshift/each.hpp"
+#include "heronshift/overloaded.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -209,7 +209,7 @@
 }
 
 Answer Engine::run(const Call& c, std::int64_t now_ms) {
-    return std::visit(Each{
+    return std::visit(Overloaded{
                           [&](const Get& x) { return get(x.key, now_ms); },
                           [&](const List& x) { return list(x.under, x.since, x.most, now_ms); },
                           [&](const Transact& x) { return transact(x.guards, x.writes, now_ms); },
--- a/src/store/remote.cpp
+++ b/src/store/remote.cpp
@@ -1,6 +1,6 @@
 #include "heronshift/store/remote.hpp"
 
-#include "heronshift/each.hpp"
+#include "heronshift/overloaded.hpp"
 
 #include <algorithm>
 #include <fmt/format.h>
@@ -84,7 +84,7 @@
     };
     const auto lease_path = [](std::uint64_t lease) { return fmt::format("{}/{}", codec::path_leases, lease); };
     std::visit(
-        Each{
+        Overloaded{
             [&](const Get& c) { ask(calls_, "GET", fmt::format("{}/{}", codec::path_store, c.key), "", read_item); },
             [&](const List& c) {
                 auto path = fmt::format("{}?under={}&most={}", codec::path_store, c.under, c.most);
--- a/src/agents/desk.cpp
+++ b/src/workers/heartbeat_handler.cpp
@@ -1,4 +1,4 @@
-#include "heronshift/agents/desk.hpp"
+#include "heronshift/workers/heartbeat_handler.hpp"
 
 #include "heronshift/codec.hpp"
 #include "heronshift/memory_share.hpp"
@@ -6,7 +6,7 @@
 #include <algorithm>
 #include <spdlog/spdlog.h>
 
-namespace heronshift::agents {
+namespace heronshift::workers {
 namespace {
 
 constexpr double worker_waits_s = 4;                     // for the answer to a report, says the protocol
@@ -31,9 +31,9 @@
 
 } // namespace
 
-HeartbeatHandler::HeartbeatHandler(const Settings& s, Later& later, Executor& executor, Peers& peers,
+HeartbeatHandler::HeartbeatHandler(const Settings& s, TimerQueue& timers, Executor& executor, Peers& peers,
                                    membership::Membership& members, metrics::Timings& took, Host& host)
-    : s_(s), later_(later), executor_(executor), peers_(peers), members_(members), took_(took), host_(host),
+    : s_(s), timers_(timers), executor_(executor), peers_(peers), members_(members), took_(took), host_(host),
       max_sent_away_(entries_in_share(s.memory_mb, sent_away_memory_share, sent_away_bytes)),
       max_early_bytes_(bytes_in_share(s.memory_mb, early_memory_share)),
       max_relays_(static_cast<std::size_t>(s.fd_limit / sockets_per_relay)) {
@@ -41,7 +41,7 @@
     executor_.set_heartbeat_handler([this](Heartbeat&& r, Executor::HeartbeatDone done) {
         if (!host_.is_active_leader())
             return done(not_leader_response());
-        take({std::move(r), false, std::move(done), later_.now(), std::nullopt, ""});
+        take({std::move(r), false, std::move(done), timers_.now(), std::nullopt, ""});
     });
 }
 
@@ -77,13 +77,13 @@
     if (!relayed && !host_.is_active_leader() && other.status == 421) {
         const auto way = route_of(*read);
         if (way == Route::relay)
-            return relay(std::move(*read), {std::move(r.body), res}, later_.now());
+            return relay(std::move(*read), {std::move(r.body), res}, timers_.now());
         return answer_to(res)(way == Route::leader ? other : HeartbeatResponse{});
     }
     std::optional<RawRequest> whole;
     if (!relayed)
         whole = RawRequest{std::move(r.body), res};
-    take({std::move(*read), relayed, answer_to(res), later_.now(), std::move(whole), ""});
+    take({std::move(*read), relayed, answer_to(res), timers_.now(), std::move(whole), ""});
 }
 
 std::size_t HeartbeatHandler::PendingHeartbeat::bytes() const {
@@ -98,13 +98,13 @@
 void HeartbeatHandler::take(PendingHeartbeat&& e) {
     if (!host_.is_active_leader()) {
         // Cut off from the store and from all others, this node would not hear who has it.
-        if (early_bytes_ + e.bytes() > max_early_bytes_ || !members_.in_touch())
+        if (early_bytes_ + e.bytes() > max_early_bytes_ || !members_.has_any_link())
             return e.done({});
         keep_waiting(std::move(e));
         return;
     }
     const auto h = ++handle_seq_;
-    open_[h] = {std::move(e.done), later_.now(), e.heartbeat.zone, e.heartbeat.addr, e.relayed};
+    open_[h] = {std::move(e.done), timers_.now(), e.heartbeat.zone, e.heartbeat.addr, e.relayed};
     host_.push(HeartbeatReceived{std::move(e.heartbeat), h});
 }
 
@@ -120,10 +120,10 @@
         const bool elsewhere_now = late_too && other.status == 421 && other.leader != e.refused_by;
         if (host_.is_active_leader())
             take(std::move(e));
-        else if (elsewhere_now && e.whole && later_.now() - e.since < relayed_until_s &&
+        else if (elsewhere_now && e.whole && timers_.now() - e.since < relayed_until_s &&
                  route_of(e.heartbeat) == Route::relay)
             relay(std::move(e.heartbeat), std::move(*e.whole), e.since);
-        else if (elsewhere_now || later_.now() - e.since > max_pending_s)
+        else if (elsewhere_now || timers_.now() - e.since > max_pending_s)
             e.done(other);
         else
             keep_waiting(std::move(e));
@@ -139,7 +139,7 @@
 bool HeartbeatHandler::make_room_for_sent_away() {
     if (redirected_.size() < max_sent_away_)
         return true;
-    const double t = later_.now();
+    const double t = timers_.now();
     if (t < next_sent_away_sweep_)
         return false;
     next_sent_away_sweep_ = t + s_.report_s;
@@ -157,10 +157,10 @@
 // ran out.)
 HeartbeatHandler::Route HeartbeatHandler::route_of(const Heartbeat& r) {
     const auto& leader = host_.leader();
-    const bool reached = members_.peer(leader) != membership::Reach::lost;
+    const bool reached = members_.peer(leader) != membership::Reachability::unreachable;
     if (reached && !members_.leader_reaches(leader, r.zone))
         return Route::relay;
-    const double t = later_.now();
+    const double t = timers_.now();
     if (!redirected_.contains(r.machine) && !make_room_for_sent_away())
         return Route::leader;
     auto& last = redirected_[r.machine];
@@ -194,7 +194,7 @@
     ++relaying_;
     ++took_.relayed;
     auto kept = std::make_shared<Heartbeat>(std::move(r));
-    const double wait_s = std::min(relay_s, answered_by_s - (later_.now() - since));
+    const double wait_s = std::min(relay_s, answered_by_s - (timers_.now() - since));
     peers_.request(Lane::relays, host_.leader(), "POST", peer_prefix + std::string(codec::path_heartbeat),
                    std::move(whole.body), wait_s, [this, kept, res, since, leader = host_.leader()](HttpReply&& a) {
                        --relaying_;
@@ -214,7 +214,7 @@
 void HeartbeatHandler::record_launches(const std::vector<Order>& orders) {
     for (const auto& o : orders)
         if (o.verb == Verb::launch)
-            took_.first_launches.launched(o.job, later_.now(), took_.launch);
+            took_.first_launches.launched(o.job, timers_.now(), took_.launch);
 }
 
 void HeartbeatHandler::answer(AnswerHeartbeat&& a) {
@@ -223,7 +223,7 @@
         return;
     const auto open = std::move(it->second);
     open_.erase(it);
-    took_.heartbeat.add(later_.now() - open.since);
+    took_.heartbeat.add(timers_.now() - open.since);
     record_launches(a.orders);
     // A late copy, which the core refuses, says nothing of the way that it came.
     if (a.status == 200)
@@ -240,8 +240,8 @@
     record_launches(o.orders);
     if (o.prefer_relay || members_.any_zone_lost())
         if (const auto zone = host_.zone_of(o.machine);
-            o.prefer_relay || members_.zone(zone) == membership::Reach::lost)
-            if (const auto by = members_.way_to(zone); by)
+            o.prefer_relay || members_.zone(zone) == membership::Reachability::unreachable)
+            if (const auto by = members_.relay_to(zone); by)
                 return send_by(*by, o, std::move(done));
     executor_.command(o, s_.report_s / 2, [this, done = std::move(done)](OrdersAnswered&& a) {
         if (a.status != 0)
@@ -291,4 +291,4 @@
     });
 }
 
-} // namespace heronshift::agents
+} // namespace heronshift::workers
--- a/tests/test_cluster.cpp
+++ b/tests/test_cluster.cpp
@@ -141,7 +141,7 @@
     int n = 0;
     double next_job = 2, next_trouble = 25;
     auto some = [&](double most) { return 1 + static_cast<int>(w.between(0, most)); };
-    auto later = [&](double most, std::function<void()> f) { w.send(w.between(1, most), std::move(f)); };
+    auto timers = [&](double most, std::function<void()> f) { w.send(w.between(1, most), std::move(f)); };
     while (w.now < 150 && w.broken.empty()) {
         if (w.now >= next_job && !w.store_down) {
             next_job = w.now + w.between(0.2, 2);
@@ -173,26 +173,26 @@
                     w.crash(w.controllers[w.leader_record->node], 3);
             } else if (c < 0.35) {
                 w.store_down = true;
-                later(20, [&w] { w.end_store_outage(); });
+                timers(20, [&w] { w.end_store_outage(); });
             } else if (c < 0.55) {
                 bool World::Controller::*side = c < 0.42   ? &World::Controller::no_store
                                                 : c < 0.49 ? &World::Controller::no_workers
                                                            : &World::Controller::no_peers;
                 node.*side = true;
-                later(25, [&node, side] { node.*side = false; });
+                timers(25, [&node, side] { node.*side = false; });
             } else {
                 for (auto& [id, x] : w.workers) {
                     if (w.chance() > 0.05)
                         continue;
                     if (c < 0.7) {
                         x.cut = true;
-                        later(25, [&w, k = id] {
+                        timers(25, [&w, k = id] {
                             if (w.workers.contains(k))
                                 w.workers[k].cut = false;
                         });
                     } else if (c < 0.85) {
                         x.hung = true;
-                        later(25, [&w, k = id] {
+                        timers(25, [&w, k = id] {
                             if (w.workers.contains(k))
                                 w.workers[k].hung = false;
                         });
--- a/tests/test_day.cpp
+++ b/tests/test_day.cpp
@@ -3,7 +3,7 @@
 // back within a moment have done to it.
 #include "troubles.hpp"
 
-#include "heronshift/gateway/turns.hpp"
+#include "heronshift/gateway/fair_token_bucket.hpp"
 
 #include <gtest/gtest.h>
 
@@ -70,9 +70,9 @@
 
 // Of six times as many as the budget allows, all have their turn; one after the other as they come, those that
 // are unlucky are refused for minutes.
-TEST(Turns, NobodyWhoAsksAgainAndAgainIsRefusedForLong) {
+TEST(FairTokenBucket, NobodyWhoAsksAgainAndAgainIsRefusedForLong) {
     std::mt19937 rng(5);
-    gateway::Turns turns(10, 16, 40);
+    gateway::FairTokenBucket turns(10, 16, 40);
     std::vector<double> next(300), served(300);
     for (auto& t : next)
         t = std::uniform_real_distribution<double>(0, 5)(rng);
--- a/tests/test_golden.cpp
+++ b/tests/test_golden.cpp
@@ -1,12 +1,12 @@
 // Every message that the codecs write, held against its golden file, and read from it.
 #include "golden.hpp"
 
-#include "heronshift/membership/view.hpp"
+#include "heronshift/membership/peer_view.hpp"
 
 namespace heronshift::testing {
 namespace {
 
-using membership::Reach;
+using membership::Reachability;
 
 // --- one of each, with every field set ---
 
@@ -79,16 +79,16 @@
     return {"office", {{"node", "berth-1"}}, 434, false, 7};
 }
 
-membership::View full_view() {
-    membership::View v;
+membership::PeerView full_view() {
+    membership::PeerView v;
     v.node = "berth-1";
     v.sent = 1'700'000'000.25;
-    v.store = Reach::works;
-    v.cloud = Reach::lost;
+    v.store = Reachability::reachable;
+    v.cloud = Reachability::unreachable;
     v.store_s = 0.5;
     v.cloud_s = 3;
-    v.zones = {{"a", Reach::works}, {"b", Reach::lost}, {"c", Reach::unknown}};
-    v.peers = {{"berth-0", Reach::works}};
+    v.zones = {{"a", Reachability::reachable}, {"b", Reachability::unreachable}, {"c", Reachability::unknown}};
+    v.peers = {{"berth-0", Reachability::reachable}};
     v.machines = {{"a", {"10.0.0.9:9000", "10.0.0.10:9000"}}};
     v.leader = "berth-0";
     v.term = 7;
@@ -274,7 +274,7 @@
 }
 
 TEST_F(Golden, PeerViewOfANewProcess) {
-    membership::View v;
+    membership::PeerView v;
     v.node = "berth-2";
     expect_golden("peers/view_new.json", membership::to_body(v));
     const auto read = membership::view(golden("peers/view_new.json"));
--- a/tests/test_large_fleet.cpp
+++ b/tests/test_large_fleet.cpp
@@ -211,7 +211,7 @@
 
 // What is learned and erased all the time must not push out what is neither old nor too much.
 TEST(LargeFleet, WhatIsRememberedOutlastsOthersThatComeAndGo) {
-    Remembered<int> names(4);
+    BoundedCache<int> names(4);
     names.add("stays", 1);
     for (int i = 0; i < 100; ++i) {
         names.add("goes", i);
