--- a/apps/heronshift/main.cpp
+++ b/apps/heronshift/main.cpp
@@ -2,8 +2,8 @@
 #include "heronshift/cli/client.hpp"
 #include "heronshift/cli/schema.hpp"
 #include "heronshift/config.hpp"
+#include "heronshift/local/emulator.hpp"
 #include "heronshift/local/local.hpp"
-#include "heronshift/local/stand_in.hpp"
 #include "heronshift/node/node.hpp"
 #include "heronshift/replay/command_log.hpp"
 #include "heronshift/store/file_data.hpp"
@@ -167,16 +167,16 @@
                      "stand-ins only: machines report to the scheduler of another program at this port")
         ->check(CLI::Range(1, 65535));
     local_verb->add_flag("--stay", local.stay, "go on serving after the load, until interrupted");
-    auto* stand_in = app.add_subcommand("stand-in", "one part of that platform, until interrupted");
-    stand_in->require_subcommand(1);
-    std::string stand_in_at;
+    auto* emulator = app.add_subcommand("stand-in", "one part of that platform, until interrupted");
+    emulator->require_subcommand(1);
+    std::string emulator_at;
     store::Limits limits{200, 100, 24, 16};
     heronshift::local::PlatformPlan cloud;
     std::vector<std::string> workers_to;
-    auto* state_service = stand_in->add_subcommand("state", "the state service, in memory");
-    auto* cloud_service = stand_in->add_subcommand("cloud", "the cloud, with machines that pretend to run tasks");
+    auto* state_service = emulator->add_subcommand("state", "the state service, in memory");
+    auto* cloud_service = emulator->add_subcommand("cloud", "the cloud, with machines that pretend to run tasks");
     for (auto* v : {state_service, cloud_service})
-        v->add_option("--listen", stand_in_at, "ADDRESS:PORT; port 0: one that is free")->required();
+        v->add_option("--listen", emulator_at, "ADDRESS:PORT; port 0: one that is free")->required();
     state_service->add_option("--rps", limits.rps, "requests a second; 0: no limit")
         ->check(CLI::NonNegativeNumber)
         ->capture_default_str();
@@ -269,10 +269,10 @@
         }
         return run_verb(nodes, job_id);
     }
-    if (stand_in->parsed()) {
+    if (emulator->parsed()) {
         namespace local_ns = heronshift::local;
         try {
-            const auto at = local_ns::address(stand_in_at);
+            const auto at = local_ns::address(emulator_at);
             if (state_service->parsed())
                 return local_ns::run_state(at, limits);
             for (const auto& n : workers_to) {
--- a/include/heronshift/codec.hpp
+++ b/include/heronshift/codec.hpp
@@ -16,7 +16,7 @@
 
 using Json = nlohmann::json;
 
-inline constexpr std::uint32_t most_tasks = 100'000; // of one job
+inline constexpr std::uint32_t max_tasks = 100'000; // of one job
 
 inline constexpr std::string_view path_jobs = "/v2/runs", path_health = "/up", path_heartbeat = "/agent/beat",
                                   path_commands = "/commands", path_status = "/status", path_types = "/machine_types",
--- a/include/heronshift/connection_shares.hpp
+++ b/include/heronshift/connection_shares.hpp
@@ -80,12 +80,12 @@
         return counts_[index(kind)];
     }
     // The one of this kind that has been idle for longest; null: none is.
-    [[nodiscard]] Connection* longest_idle(ClientKind kind) const {
+    [[nodiscard]] Connection* max_idle(ClientKind kind) const {
         const auto& list = idle_[index(kind)];
         return list.empty() ? nullptr : list.front().first;
     }
     // The same of all kinds.
-    [[nodiscard]] Connection* longest_idle() const {
+    [[nodiscard]] Connection* max_idle() const {
         const typename Idle::value_type* out = nullptr;
         for (const auto& list : idle_)
             if (!list.empty() && (out == nullptr || list.front().second < out->second))
--- a/include/heronshift/http.hpp
+++ b/include/heronshift/http.hpp
@@ -100,7 +100,7 @@
 public:
     using Callback = std::function<void(HttpReply&&)>;
     static constexpr std::size_t unlimited = SIZE_MAX;
-    HttpClient(uv_loop_t* loop, std::size_t most_per_address, std::size_t most_waiting,
+    HttpClient(uv_loop_t* loop, std::size_t max_per_address, std::size_t max_waiting,
                std::size_t max_connections = unlimited);
     ~HttpClient();
     HttpClient(const HttpClient&) = delete;
--- a/include/heronshift/local/cloud.hpp
+++ b/include/heronshift/local/cloud.hpp
@@ -38,9 +38,9 @@
 class Platform;
 
 // A machine and its worker.
-class StandInWorker {
+class EmulatedWorker {
 public:
-    StandInWorker(Platform& p, std::string id, const MachineType& type, std::string zone, bool spot, double up_at);
+    EmulatedWorker(Platform& p, std::string id, const MachineType& type, std::string zone, bool spot, double up_at);
     int start();
     void tick(double now);
     void lose_all(); // the machine is gone
@@ -111,8 +111,8 @@
     std::function<std::optional<JobSpec>(const std::string& id)> ask;
     bool out = false; // an outage of the cloud
     // A random machine that is up, or none.
-    StandInWorker* any();
-    void kill(StandInWorker& w); // stops with all that is on it
+    EmulatedWorker* any();
+    void kill(EmulatedWorker& w); // stops with all that is on it
 
     struct Sum {
         std::size_t machines = 0, up = 0, running = 0;
@@ -130,13 +130,13 @@
     std::function<void(const Order&, const MachineType&, const std::string& zone, bool spot)> on_launch;
 
 private:
-    friend class StandInWorker;
+    friend class EmulatedWorker;
     class Direct;
     void handle(HttpRequest&& r, const Responder& res);
     Rented rent(const Rent& ask);
     void release(const std::vector<std::string>& machines);
     codec::MachinePage page(const std::string& since);
-    void send(StandInWorker& w, Heartbeat r, std::function<void(const HeartbeatResponse&)> done);
+    void send(EmulatedWorker& w, Heartbeat r, std::function<void(const HeartbeatResponse&)> done);
     double between(double a, double b) {
         return std::uniform_real_distribution<double>(a, b)(rng_);
     }
@@ -144,8 +144,8 @@
     [[nodiscard]] double run_s(const JobSpec& s, const ReportedTask& t) const;
     // The tasks of one attempt of a gang that are on machines.
     struct Mate {
-        StandInWorker* on;
-        StandInWorker::Run* run;
+        EmulatedWorker* on;
+        EmulatedWorker::Run* run;
     };
     std::vector<Mate> mates(const std::string& job, std::uint64_t attempt);
 
@@ -155,8 +155,8 @@
     std::mt19937 rng_;
     HttpServer server_;
     HttpClient client_;
-    std::map<std::string, std::unique_ptr<StandInWorker>> machines_;
-    std::vector<std::unique_ptr<StandInWorker>> gone_; // their servers close after the callbacks at hand
+    std::map<std::string, std::unique_ptr<EmulatedWorker>> machines_;
+    std::vector<std::unique_ptr<EmulatedWorker>> gone_; // their servers close after the callbacks at hand
     std::map<std::string, std::vector<std::string>> claims_;
     std::map<std::string, JobSpec> jobs_;
     std::uint64_t ticks_ = 0, named_ = 0, returned_ = 0, messages_ = 0;
--- a/include/heronshift/membership/peer_view.hpp
+++ b/include/heronshift/membership/peer_view.hpp
@@ -16,7 +16,7 @@
 inline constexpr const char* peer_view = "/peer/view";
 // Machines of a zone that are asked whether they answer: a sample, no larger for a larger fleet. One answer shows that
 // the zone can be reached.
-inline constexpr std::size_t most_samples = 4;
+inline constexpr std::size_t max_samples = 4;
 
 struct PeerView {
     std::string node;
--- a/include/heronshift/messages.hpp
+++ b/include/heronshift/messages.hpp
@@ -109,7 +109,7 @@
 // The age of a stored job by the wall clock (seconds since 1970).
 JobStored job_stored(codec::StoredJob&& r, double wall);
 
-inline constexpr int most_rented = 50; // by one request
-inline constexpr std::size_t most_returned = 100;
+inline constexpr int max_rented = 50; // by one request
+inline constexpr std::size_t max_returned = 100;
 
 } // namespace heronshift
--- a/include/heronshift/persistence/cluster_records.hpp
+++ b/include/heronshift/persistence/cluster_records.hpp
@@ -82,7 +82,7 @@
     std::deque<Job*> finals_, readies_;
     std::deque<Job*> cancelled_with_dependency_; // by a cancellation, maybe hundreds: after all other final states
     bool finals_only_ = false;                   // the last transaction held no placement
-    std::size_t most_value_, most_ops_;          // of one record and one transaction: what the store takes
+    std::size_t max_value_, max_ops_;            // of one record and one transaction: what the store takes
     std::deque<std::string> gone_records_;       // keys that mean nothing any more
     // Placements are stored in a ring of records: new ones go, with what is still live of it, into
     // the record that was written longest ago. So a launch costs its share of one write.
--- a/include/heronshift/persistence/intents.hpp
+++ b/include/heronshift/persistence/intents.hpp
@@ -47,7 +47,7 @@
 Read read(std::string_view text);
 
 // Done tasks as ranges, "0-3,7"; what does not fit into the given length is left out.
-std::string ranges_of(const std::vector<bool>& bits, std::size_t most_bytes);
+std::string ranges_of(const std::vector<bool>& bits, std::size_t max_bytes);
 template <class F> void each_in_ranges(std::string_view text, F f);
 bool parse_range(std::string_view& text, std::uint32_t& first, std::uint32_t& last);
 
--- a/include/heronshift/replay/command_log.hpp
+++ b/include/heronshift/replay/command_log.hpp
@@ -30,7 +30,7 @@
 public:
     // Throws LogError if the file cannot be created. "-" is standard error, in parts (see
     // part_bytes) and without a bound.
-    CommandLog(const std::string& path, std::uint64_t most_bytes);
+    CommandLog(const std::string& path, std::uint64_t max_bytes);
     ~CommandLog();
     CommandLog(const CommandLog&) = delete;
     CommandLog& operator=(const CommandLog&) = delete;
--- a/include/heronshift/store/engine.hpp
+++ b/include/heronshift/store/engine.hpp
@@ -25,7 +25,7 @@
 // One that lags further is answered 410 and reads all keys again.
 inline constexpr std::size_t kept_changes = 10'000;
 // most_items and most_page bound a page; who lists goes on with the next until there is no more.
-inline constexpr std::size_t most_key = 200, most_txn = 64 * 1024, most_page = 512 * 1024, most_items = 1000;
+inline constexpr std::size_t max_key = 200, max_txn = 64 * 1024, max_page = 512 * 1024, max_items = 1000;
 inline constexpr std::int64_t min_lease_ms = 100, max_lease_ms = 600'000;
 
 // The data cannot be used, or not now: which file, and why.
--- a/include/heronshift/store/server.hpp
+++ b/include/heronshift/store/server.hpp
@@ -10,7 +10,7 @@
 
 class StoreServer {
 public:
-    enum class Mood : std::uint8_t { well, out, busy, silent }; // 503, 429, no answer
+    enum class FaultMode : std::uint8_t { well, out, busy, silent }; // 503, 429, no answer
     StoreServer(uv_loop_t* loop, std::unique_ptr<Engine> engine);
     StoreServer(const StoreServer&) = delete;
     StoreServer& operator=(const StoreServer&) = delete;
@@ -23,7 +23,7 @@
         return store_.engine();
     }
     // When an outage ends, all holds have their full time again.
-    void set_mood(Mood m);
+    void set_fault_mode(FaultMode m);
     void poll(); // answers who waits for a change; start() sees to it
     [[nodiscard]] std::uint64_t requests() const {
         return requests_;
@@ -35,7 +35,7 @@
     DirectStore store_;
     HttpServer server_;
     std::vector<Responder> unanswered_;
-    Mood mood_ = Mood::well;
+    FaultMode fault_mode_ = FaultMode::well;
     std::uint64_t requests_ = 0, polls_ = 0;
     LoopTimer timer_;
 };
--- a/src/cloud/cloud_client.cpp
+++ b/src/cloud/cloud_client.cpp
@@ -6,7 +6,7 @@
 namespace heronshift::cloud {
 namespace {
 
-constexpr std::size_t most_queued_lists = 4; // requests that wait: a list comes later then
+constexpr std::size_t max_queued_lists = 4; // requests that wait: a list comes later then
 constexpr const char* types_key = "types";
 
 } // namespace
@@ -79,7 +79,7 @@
 }
 
 void CloudClient::list_machines(const std::string& since) {
-    if (queue_.size() > most_queued_lists)
+    if (queue_.size() > max_queued_lists)
         return;
     if (since.empty()) {
         listing_.clear();
--- a/src/cluster/jobs.cpp
+++ b/src/cluster/jobs.cpp
@@ -10,7 +10,7 @@
 namespace heronshift::cluster {
 namespace {
 
-constexpr double most_gaps = 50; // between arrays that come, averaged
+constexpr double max_gaps = 50; // between arrays that come, averaged
 
 // A job takes three changes of the store (its record, its final state, the end of its record), so no more than
 // a third of write_rps finish in a second. What a watch tells is no older than any other message; besides, a store
@@ -396,7 +396,7 @@
     const double left = std::exp(-(st_.now - l.offered_at) / over);
     const double more = st_.work_left(j) / over * std::exp(-std::max(0.0, st_.now - j.ready) / over);
     if (st_.now - j.ready < st_.settings.report_s) { // not one read at a takeover
-        l.gaps = std::min(l.gaps + 1, most_gaps);
+        l.gaps = std::min(l.gaps + 1, max_gaps);
         l.gap_s += (st_.now - l.offered_at - l.gap_s) / l.gaps;
     }
     l.offered = l.offered * left + more;
--- a/src/codec/jobs.cpp
+++ b/src/codec/jobs.cpp
@@ -134,7 +134,7 @@
         r.complain("rank", "must be critical, high, normal or low");
     if (std::uint64_t n = 0; field(j, "shards") == nullptr)
         r.complain("shards", "is missing");
-    else if (!count(j, "shards", n) || n < 1 || n > most_tasks)
+    else if (!count(j, "shards", n) || n < 1 || n > max_tasks)
         r.complain("shards", "must be a whole number from 1 to 100000");
     else
         s.tasks = static_cast<std::uint32_t>(n);
--- a/src/codec/workers.cpp
+++ b/src/codec/workers.cpp
@@ -54,7 +54,7 @@
         return false;
     const auto* end = text.data() + text.size();
     const auto [p, ec] = std::from_chars(text.data() + slash + 1, end, index);
-    if (ec != std::errc() || p != end || index >= most_tasks)
+    if (ec != std::errc() || p != end || index >= max_tasks)
         return false;
     job = text.substr(0, slash);
     return valid_job_id(job);
--- a/src/executor/http.cpp
+++ b/src/executor/http.cpp
@@ -4,7 +4,7 @@
 namespace {
 
 constexpr std::string_view no_capacity = "no capacity"; // in the cloud's answer: not an outage
-constexpr int most_listed = 500;
+constexpr int max_listed = 500;
 
 } // namespace
 
@@ -57,7 +57,7 @@
 
 void HttpExecutor::list(const std::string& since, double timeout_s,
                         std::function<void(std::optional<codec::MachinePage>&&)> done) {
-    auto path = std::string(codec::path_rentals) + "?most=" + std::to_string(most_listed);
+    auto path = std::string(codec::path_rentals) + "?most=" + std::to_string(max_listed);
     if (!since.empty())
         path += "&since=" + since;
     cloud_.request(cloud_at_, "GET", path, "", timeout_s, [done = std::move(done)](HttpReply&& r) {
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -22,7 +22,7 @@
 constexpr double accepted_memory_share = 1.0 / 64, finals_memory_share = 1.0 / 32, refused_memory_share = 1.0 / 64;
 constexpr std::size_t job_bytes = 160, final_bytes = 160; // 144 and 160 were measured
 constexpr double patience_leases = 2;                     // then who asks in vain has its turn
-constexpr int most_store_tries = 3;                       // while the store's budget is spent
+constexpr int max_store_tries = 3;                        // while the store's budget is spent
 constexpr double look_up_s = 2, submit_s = 5;             // that a user waits, says the protocol
 constexpr double share_of_wait = 0.8;                     // for the others that are asked
 
@@ -430,7 +430,7 @@
             res.send(200, codec::job_answer(id, f.status));
         });
     // The budget is shared: a moment later there may be room.
-    if (r.status == 429 && s->tries < most_store_tries)
+    if (r.status == 429 && s->tries < max_store_tries)
         return timers_.after(0.05 * (1 + s->tries++), [this, s] { store_job(s); });
     const auto refuse = [this, id, status = r.status](const Responder& x) {
         ++took_.refused;
--- a/src/http.cpp
+++ b/src/http.cpp
@@ -6,9 +6,9 @@
 namespace heronshift {
 namespace {
 
-constexpr std::size_t most_body = 64UL * 1024;
-constexpr std::size_t most_head = 16UL * 1024;
-constexpr std::size_t most_reply = 8UL * 1024 * 1024;
+constexpr std::size_t max_body = 64UL * 1024;
+constexpr std::size_t max_head = 16UL * 1024;
+constexpr std::size_t max_reply = 8UL * 1024 * 1024;
 // After which a client that was refused for want of connections may ask again.
 constexpr int refused_retry_s = 2;
 // Of a time-out: what is found overdue later than that was kept waiting by our own loop.
@@ -222,12 +222,12 @@
         s.on_url = [](http_parser* p, const char* at, std::size_t n) {
             auto* c = static_cast<ServerConnection*>(p->data);
             c->url_.append(at, n);
-            return c->url_.size() > most_head ? 1 : 0;
+            return c->url_.size() > max_head ? 1 : 0;
         };
         s.on_body = [](http_parser* p, const char* at, std::size_t n) {
             auto* c = static_cast<ServerConnection*>(p->data);
             c->request_.body.append(at, n);
-            return c->request_.body.size() > most_body ? 1 : 0;
+            return c->request_.body.size() > max_body ? 1 : 0;
         };
         s.on_message_complete = [](http_parser* p) {
             http_parser_pause(p, 1);
@@ -301,7 +301,7 @@
     if (uv_accept(reinterpret_cast<uv_stream_t*>(tcp_), reinterpret_cast<uv_stream_t*>(c->tcp())) != 0)
         return c->close();
     if (shares_.over_total()) {
-        auto* longest = shares_.longest_idle();
+        auto* longest = shares_.max_idle();
         (longest != nullptr ? longest : c.get())->close();
         if (longest == nullptr)
             return;
@@ -319,7 +319,7 @@
         shares_.classify(c.share_, kind);
     if (!shares_.over_share(kind))
         return true;
-    auto* longest = shares_.longest_idle(kind);
+    auto* longest = shares_.max_idle(kind);
     if (longest == nullptr)
         return false;
     longest->close();
@@ -395,7 +395,7 @@
         s.on_body = [](http_parser* p, const char* at, std::size_t n) {
             auto* c = static_cast<Connection*>(p->data);
             c->body.append(at, n);
-            return c->body.size() > most_reply ? 1 : 0;
+            return c->body.size() > max_reply ? 1 : 0;
         };
         s.on_message_complete = [](http_parser* p) {
             static_cast<Connection*>(p->data)->complete = true;
@@ -405,9 +405,9 @@
     }
 };
 
-HttpClient::HttpClient(uv_loop_t* loop, std::size_t most_per_address, std::size_t most_waiting,
+HttpClient::HttpClient(uv_loop_t* loop, std::size_t max_per_address, std::size_t max_waiting,
                        std::size_t max_connections)
-    : loop_(loop), most_(most_per_address), most_waiting_(most_waiting), max_connections_(max_connections) {}
+    : loop_(loop), most_(max_per_address), most_waiting_(max_waiting), max_connections_(max_connections) {}
 
 HttpClient::~HttpClient() {
     for (auto& [addr, pool] : pools_)
--- a/src/leadership/leader_election.cpp
+++ b/src/leadership/leader_election.cpp
@@ -21,7 +21,7 @@
 constexpr double unserved_leases = 0.5;      // for so long the office may stand without anybody who may act
 constexpr double look_heartbeats = 1.0 / 10;
 constexpr double forget_heartbeats = 2; // without the store's or a peer's word
-constexpr std::size_t few_machines = 4;
+constexpr std::size_t min_machines_to_judge = 4;
 
 } // namespace
 
@@ -103,7 +103,7 @@
     const double patience = last_heartbeat_at <= acquired_at_ ? no_worker_leases * s_.lease_s
                             : members_.all_zones_lost()       ? no_zone_heartbeats * s_.report_s
                                                               : no_worker_heartbeats * s_.report_s;
-    return silent > patience && host_.machines_up() >= few_machines;
+    return silent > patience && host_.machines_up() >= min_machines_to_judge;
 }
 
 // Waits for a change of the office, then looks at it afresh.
--- a/src/leadership/transaction_queue.cpp
+++ b/src/leadership/transaction_queue.cpp
@@ -5,7 +5,7 @@
 namespace heronshift::leadership {
 namespace {
 
-constexpr int most_tries = 3; // to settle an outcome while this node may not act
+constexpr int max_tries = 3; // to settle an outcome while this node may not act
 
 } // namespace
 
@@ -58,7 +58,7 @@
             return ends_.over("another term has begun");
         if (item->value.value("n", std::uint64_t{0}) == count_ + 1)
             return applied(item->mod_revision);
-        if (tries > most_tries && !ends_.valid())
+        if (tries > max_tries && !ends_.valid())
             return ends_.over("no office and no answer");
         send(std::move(c), tries);
     });
--- a/src/local/cloud.cpp
+++ b/src/local/cloud.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr std::uint64_t tick_ms = 20, ticks_a_sweep = 5, ticks_a_second = 50;
-constexpr double answer_s = 4, next_node_s = 1, least_pause_s = 0.5;
+constexpr double answer_s = 4, next_node_s = 1, min_pause_s = 0.5;
 
 std::string error_body(const std::string& what) {
     return codec::Json{{"error", what}}.dump();
@@ -18,13 +18,13 @@
 
 } // namespace
 
-StandInWorker::StandInWorker(Platform& p, std::string id, const MachineType& type, std::string zone, bool spot,
-                             double up_at)
+EmulatedWorker::EmulatedWorker(Platform& p, std::string id, const MachineType& type, std::string zone, bool spot,
+                               double up_at)
     : p_(p), id_(std::move(id)), zone_(std::move(zone)), type_(type), spot_(spot), rented_at_(p.now()), up_at_(up_at),
       lease_from_(up_at), next_heartbeat_(up_at), speed_(p.between(0.95, 1.05)),
       server_(p.loop_, 64, 600, [this](HttpRequest&& r, const Responder& res) { handle(std::move(r), res); }) {}
 
-int StandInWorker::start() {
+int EmulatedWorker::start() {
     if (p_.direct_) {
         addr_ = id_;
         return 0;
@@ -37,18 +37,18 @@
     return 0;
 }
 
-ListedMachine StandInWorker::listed(double now) const {
+ListedMachine EmulatedWorker::listed(double now) const {
     return {id_, addr_, type_.name, zone_, up(now) ? "running" : "booting", spot_, now - rented_at_};
 }
 
-Heartbeat StandInWorker::heartbeat() {
+Heartbeat EmulatedWorker::heartbeat() {
     Heartbeat r{id_, addr_, type_.name, zone_, spot_, agent_epoch_, ++counter_, fencing_token_, -1, {}};
     for (const auto& x : runs_)
         r.tasks.push_back(x.t);
     return r;
 }
 
-void StandInWorker::end(Run& r, ExitCause cause, bool saved) {
+void EmulatedWorker::end(Run& r, ExitCause cause, bool saved) {
     if (r.counted)
         p_.history_.off_machine(r.t.job, r.t.index, id_);
     if (cause == ExitCause::done)
@@ -60,14 +60,14 @@
     changed_ = true;
 }
 
-void StandInWorker::lose_all() {
+void EmulatedWorker::lose_all() {
     for (auto& r : runs_)
         if (r.counted)
             p_.history_.off_machine(r.t.job, r.t.index, id_);
     runs_.clear();
 }
 
-void StandInWorker::launch(const Order& o, double now) {
+void EmulatedWorker::launch(const Order& o, double now) {
     if (!p_.jobs_.contains(o.job) && p_.ask)
         if (const auto s = p_.ask(o.job); s) {
             p_.know(*s);
@@ -102,7 +102,7 @@
     changed_ = true;
 }
 
-void StandInWorker::execute(const std::vector<Order>& list, double now) {
+void EmulatedWorker::execute(const std::vector<Order>& list, double now) {
     for (const auto& o : list) {
         if (o.verb == Verb::launch) {
             launch(o, now);
@@ -131,8 +131,8 @@
     }
 }
 
-std::pair<int, std::optional<Heartbeat>> StandInWorker::obey(std::uint64_t fencing_token, std::uint64_t agent_epoch,
-                                                             const std::vector<Order>& list) {
+std::pair<int, std::optional<Heartbeat>> EmulatedWorker::obey(std::uint64_t fencing_token, std::uint64_t agent_epoch,
+                                                              const std::vector<Order>& list) {
     const double now = p_.now();
     ++p_.messages_;
     if (now < hung_until || now < cut_until || !up(now))
@@ -145,7 +145,7 @@
     return {200, heartbeat()};
 }
 
-void StandInWorker::handle(HttpRequest&& r, const Responder& res) {
+void EmulatedWorker::handle(HttpRequest&& r, const Responder& res) {
     const double now = p_.now();
     if (now < hung_until || now < cut_until || !up(now))
         return; // silence: the caller gives up
@@ -166,14 +166,14 @@
     take();
 }
 
-void StandInWorker::next_node(double now) {
+void EmulatedWorker::next_node(double now) {
     const auto n = p_.plan_.workers.nodes.size();
     if (n > 0)
         node_ = (node_ + 1) % n;
     next_heartbeat_ = now + next_node_s;
 }
 
-void StandInWorker::answered(const HeartbeatResponse& a, double sent, std::uint64_t agent_epoch) {
+void EmulatedWorker::answered(const HeartbeatResponse& a, double sent, std::uint64_t agent_epoch) {
     in_flight_ = false;
     const double now = p_.now();
     if (now < cut_until || now < hung_until)
@@ -198,12 +198,12 @@
     execute(a.orders, now);
 }
 
-void StandInWorker::heartbeat(double now) {
+void EmulatedWorker::heartbeat(double now) {
     const auto& w = p_.plan_.workers;
     if (in_flight_ || w.nodes.empty())
         return;
     const bool due = now >= next_heartbeat_ ||
-                     (changed_ && now >= last_heartbeat_at_ + least_pause_s && next_heartbeat_ - now < w.report_s);
+                     (changed_ && now >= last_heartbeat_at_ + min_pause_s && next_heartbeat_ - now < w.report_s);
     if (!due)
         return;
     next_heartbeat_ = now + w.report_s * (p_.plan_.lockstep ? 1 : p_.between(0.75, 1.25));
@@ -224,7 +224,7 @@
     });
 }
 
-void Platform::send(StandInWorker& w, Heartbeat r, std::function<void(const HeartbeatResponse&)> done) {
+void Platform::send(EmulatedWorker& w, Heartbeat r, std::function<void(const HeartbeatResponse&)> done) {
     ++messages_;
     if (direct_)
         return reports_ ? reports_(std::move(r), std::move(done)) : done({});
@@ -244,7 +244,7 @@
                     });
 }
 
-void StandInWorker::tick(double now) {
+void EmulatedWorker::tick(double now) {
     if (!up(now))
         return;
     const auto& w = p_.plan_.workers;
@@ -405,15 +405,15 @@
     return std::max(0.05, s.estimate_s * plan_.run_share * std::uniform_real_distribution<double>(0.67, 1.33)(rng));
 }
 
-StandInWorker* Platform::any() {
-    std::vector<StandInWorker*> list;
+EmulatedWorker* Platform::any() {
+    std::vector<EmulatedWorker*> list;
     for (auto& [id, m] : machines_)
         if (m->up(now()))
             list.push_back(m.get());
     return list.empty() ? nullptr : list[rng_() % list.size()];
 }
 
-void Platform::kill(StandInWorker& w) {
+void Platform::kill(EmulatedWorker& w) {
     w.lose_all();
     const auto it = machines_.find(w.id_);
     gone_.push_back(std::move(it->second));
@@ -508,8 +508,8 @@
     auto& names = claims_[ask.claim];
     for (int i = 0; i < n; ++i) {
         auto id = fmt::format("n-{:06}", ++named_);
-        auto w = std::make_unique<StandInWorker>(*this, id, *type, ask.zone, ask.spot,
-                                                 now() + type->boot_s * between(0.6, 1.5));
+        auto w = std::make_unique<EmulatedWorker>(*this, id, *type, ask.zone, ask.spot,
+                                                  now() + type->boot_s * between(0.6, 1.5));
         if (w->start() != 0)
             break;
         machines_[id] = std::move(w);
--- a/src/local/stand_in.cpp
+++ b/src/local/emulator.cpp
@@ -1,4 +1,4 @@
-#include "heronshift/local/stand_in.hpp"
+#include "heronshift/local/emulator.hpp"
 
 #include "heronshift/codec.hpp"
 #include "heronshift/store/server.hpp"
@@ -55,7 +55,7 @@
 JobSpec any_job(const std::string& id) {
     JobSpec any;
     any.id = id;
-    any.tasks = codec::most_tasks;
+    any.tasks = codec::max_tasks;
     any.spot = true;
     any.estimate_s = 1;
     return any;
--- a/src/local/local.cpp
+++ b/src/local/local.cpp
@@ -2,8 +2,8 @@
 
 #include "heronshift/codec.hpp"
 #include "heronshift/local/cloud.hpp"
+#include "heronshift/local/emulator.hpp"
 #include "heronshift/local/port.hpp"
-#include "heronshift/local/stand_in.hpp"
 #include "heronshift/store/server.hpp"
 
 #include <algorithm>
@@ -350,13 +350,13 @@
             return;
         next_fault_ = t + fault_every_s * between(0.6, 1.4);
         auto* w = platform_->any();
-        using Mood = store::StoreServer::Mood;
-        const auto store = [&](const char* what, Mood mood) {
+        using FaultMode = store::StoreServer::FaultMode;
+        const auto store = [&](const char* what, FaultMode fault_mode) {
             say(fmt::format("trouble: the state service {}", what));
-            store_->set_mood(mood);
+            store_->set_fault_mode(fault_mode);
             store_well_at_ = t + between(1, 5);
         };
-        const auto worker = [&](const char* what, double StandInWorker::*until) {
+        const auto worker = [&](const char* what, double EmulatedWorker::*until) {
             if (w == nullptr)
                 return;
             say(fmt::format("trouble: {} {}", w->listed(0).id, what));
@@ -367,17 +367,17 @@
         };
         switch (std::uniform_int_distribution<int>(0, 9)(rng_)) {
         case 0:
-            return store("is out (503)", Mood::out);
+            return store("is out (503)", FaultMode::out);
         case 1:
-            return store("has too much to do (429)", Mood::busy);
+            return store("has too much to do (429)", FaultMode::busy);
         case 2:
-            return store("is silent", Mood::silent);
+            return store("is silent", FaultMode::silent);
         case 3:
-            return worker("hangs", &StandInWorker::hung_until);
+            return worker("hangs", &EmulatedWorker::hung_until);
         case 4:
-            return worker("is cut off", &StandInWorker::cut_until);
+            return worker("is cut off", &EmulatedWorker::cut_until);
         case 5:
-            return worker("and its controller hear each other late", &StandInWorker::late_until);
+            return worker("and its controller hear each other late", &EmulatedWorker::late_until);
         case 6:
             return worker("stops with all that is on it", nullptr);
         case 7:
@@ -401,7 +401,7 @@
         users_->sweep();
         if (store_well_at_ >= 0 && t >= store_well_at_) {
             store_well_at_ = -1;
-            store_->set_mood(store::StoreServer::Mood::well);
+            store_->set_fault_mode(store::StoreServer::FaultMode::well);
         }
         if (cloud_well_at_ >= 0 && t >= cloud_well_at_) {
             cloud_well_at_ = -1;
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -18,7 +18,7 @@
 constexpr double candidacy_delay_leases = 1.0 / 4; // an office that a fitter one should take is left to it for so long
 constexpr double stagger_heartbeats = 1.0 / 40;
 constexpr double answer_heartbeats = 1.0 / 10; // an answer that was under way when an outage began may take so long
-constexpr std::size_t few_machines = 4;
+constexpr std::size_t min_machines_to_judge = 4;
 constexpr int probes_a_round = 2;
 
 FailureThresholds store_patience(const Settings& s) {
@@ -123,7 +123,7 @@
             x.at = t;
             return;
         }
-    if (z.samples.size() < most_samples)
+    if (z.samples.size() < max_samples)
         return z.samples.push_back({addr, t});
     for (auto& x : z.samples)
         if (t - x.at > silence_heartbeats * s_.report_s) {
@@ -173,7 +173,7 @@
         }
         if (z.in.lost() && t - z.in.failed_at() > s_.lease_s)
             reset_inbound_health(z);
-        const double patience = machines < few_machines ? silence_small_fleet_heartbeats : silence_heartbeats;
+        const double patience = machines < min_machines_to_judge ? silence_small_fleet_heartbeats : silence_heartbeats;
         const double since = std::max({z.last_heartbeat_at, z.relayed_at, z.trusted_at, host_.active_since()});
         if (t - since < patience * s_.report_s)
             continue;
--- a/src/membership/peer_view.cpp
+++ b/src/membership/peer_view.cpp
@@ -9,7 +9,7 @@
 
 // Of each list, whatever a peer says: zones and controllers, of which there are a handful for any number of machines.
 // What is beyond counts as not said.
-constexpr std::size_t most_entries = 64;
+constexpr std::size_t max_entries = 64;
 
 // Bounds on what comes from outside: names are short.
 constexpr std::size_t longest_name = 128;
@@ -38,7 +38,7 @@
         return;
     std::size_t n = 0;
     for (const auto& [name, value] : it->items()) {
-        if (++n > most_entries)
+        if (++n > max_entries)
             return;
         if (name.size() <= longest_name)
             f(name, value);
@@ -101,7 +101,7 @@
             return;
         for (const auto& a : list)
             if (a.is_string() && a.get_ref<const std::string&>().size() <= longest_name &&
-                v.machines[zone].size() < most_samples)
+                v.machines[zone].size() < max_samples)
                 v.machines[zone].push_back(a.get<std::string>());
     });
     v.leader = text(j, "holder");
--- a/src/metrics/metrics.cpp
+++ b/src/metrics/metrics.cpp
@@ -8,18 +8,18 @@
 namespace heronshift::metrics {
 namespace {
 
-constexpr double least_s = 0.001, most_s = 65.536;
+constexpr double min_s = 0.001, max_s = 65.536;
 constexpr unsigned bins = 16; // each twice the one before
 
 } // namespace
 
-Latency::Latency() : bins_(boost::histogram::make_histogram(Axis(bins, least_s, most_s))) {}
+Latency::Latency() : bins_(boost::histogram::make_histogram(Axis(bins, min_s, max_s))) {}
 
 void Latency::add(double seconds) {
     if (!std::isfinite(seconds))
         return;
     seconds = std::max(0.0, seconds);
-    bins_(std::max(seconds, least_s / 2)); // a logarithm of nothing is none: below the first bin
+    bins_(std::max(seconds, min_s / 2)); // a logarithm of nothing is none: below the first bin
     ++count_;
     sum_ += seconds;
 }
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr double ticks_per_heartbeat = 30;
-constexpr double longest_sleep_s = 1;
+constexpr double max_sleep_s = 1;
 
 // Shares of the sockets that this process may have. What they leave is for connections to peers, the store and the
 // cloud.
@@ -140,7 +140,7 @@
     if (handles_ == nullptr)
         return;
     const double now = controller_.timers().now();
-    const double in = std::clamp(controller_.wake_at() - now, 0.0, longest_sleep_s);
+    const double in = std::clamp(controller_.wake_at() - now, 0.0, max_sleep_s);
     const auto on_wake = [](uv_timer_t* t) {
         auto* node = static_cast<Node*>(t->data);
         if (uv_is_active(reinterpret_cast<uv_handle_t*>(&node->handles_->check)) == 0)
--- a/src/persistence/cluster_records.cpp
+++ b/src/persistence/cluster_records.cpp
@@ -18,13 +18,13 @@
 
 constexpr double record_share = 0.92; // of the longest value, the rest is for names and quoting
 
-constexpr double progress_share = 0.15;                 // of the store's changes, at the most
-constexpr std::size_t most_txn_bytes = 48UL * 1024;     // of 64 KiB
-constexpr double fewest_writes = 5;                     // saved up before a transaction, its own count included
-constexpr double carried_share = 0.25;                  // of a record, written again with what is new
-constexpr std::size_t few_placements = 16;              // not stored yet
-constexpr std::size_t many_finals = 8;                  // that wait to be stored
-constexpr std::size_t least_value = 512, least_ops = 4; // however often the store calls them too large
+constexpr double progress_share = 0.15;             // of the store's changes, at the most
+constexpr std::size_t max_txn_bytes = 48UL * 1024;  // of 64 KiB
+constexpr double fewest_writes = 5;                 // saved up before a transaction, its own count included
+constexpr double carried_share = 0.25;              // of a record, written again with what is new
+constexpr std::size_t few_placements = 16;          // not stored yet
+constexpr std::size_t many_finals = 8;              // that wait to be stored
+constexpr std::size_t min_value = 512, min_ops = 4; // however often the store calls them too large
 
 const char* word_of(bool done) {
     return done ? codec::status_done.data() : codec::status_cancelled.data();
@@ -54,7 +54,7 @@
     Commit commit;
     std::size_t most = 0, bytes = 0;
     [[nodiscard]] bool full(std::size_t more) const {
-        return commit.writes.size() + more > most || bytes > most_txn_bytes;
+        return commit.writes.size() + more > most || bytes > max_txn_bytes;
     }
     void add(std::string key, std::optional<codec::Json> value, std::size_t size) {
         bytes += size + 100;
@@ -65,8 +65,8 @@
 ClusterRecords::ClusterRecords(cluster::ClusterState& cluster, const Settings& settings, const Snapshot& stored,
                                double wall, std::vector<Effect>& out)
     : l_(cluster), s_(settings), out_(out), write_tokens_(settings.txn_ops), tokens_at_(cluster.view().now),
-      most_value_(static_cast<std::size_t>(settings.value_kb * 1024 * record_share)),
-      most_ops_(static_cast<std::size_t>(settings.txn_ops)) {
+      max_value_(static_cast<std::size_t>(settings.value_kb * 1024 * record_share)),
+      max_ops_(static_cast<std::size_t>(settings.txn_ops)) {
     l_.set_persistence(*this);
     load(stored, wall);
 }
@@ -213,7 +213,7 @@
 bool ClusterRecords::draft_slot(Draft& d, std::size_t slot) {
     auto& list = ring_[slot].entries;
     auto text = slot_text(list);
-    if (text.size() > most_value_) {
+    if (text.size() > max_value_) {
         too_long_ = static_cast<int>(slot);
         return false;
     }
@@ -223,7 +223,7 @@
     // At most a line of its own.
     auto take = [&](Entry& e) {
         size += slot_text({&e}).size() + 2;
-        if (size > most_value_)
+        if (size > max_value_)
             return false;
         leave_slot(e);
         put_in_slot(e, static_cast<int>(slot));
@@ -280,7 +280,7 @@
         // The emptiest record takes the most. In turn, each would carry the replicas on, which stay for
         // good, and half of every write would be what the store holds already.
         std::size_t best = ring_.size();
-        double least = static_cast<double>(most_value_) * carried_share;
+        double least = static_cast<double>(max_value_) * carried_share;
         for (std::size_t k = 0; k < ring_.size(); ++k) {
             const auto& slot = ring_[k];
             const double live = static_cast<double>(slot.size * slot.entries.size()) /
@@ -299,7 +299,7 @@
             break;
     }
     // Records that name what is long gone would keep its place after a takeover.
-    if (l_.st_.now < next_idle_write_ || d.full(most_ops_ / 2) || more())
+    if (l_.st_.now < next_idle_write_ || d.full(max_ops_ / 2) || more())
         return;
     for (std::size_t n = 0; n < ring_.size(); ++n, advance()) {
         if (ring_[next_slot_].stale == 0 && too_long_ < 0)
@@ -326,7 +326,7 @@
         for (auto& [id, j] : l_.st_.jobs)
             if (j->bucket == b && j->final == Final::none && j->done > 0)
                 jobs.push_back(j.get());
-        const auto most = most_value_ / std::max<std::size_t>(1, jobs.size());
+        const auto most = max_value_ / std::max<std::size_t>(1, jobs.size());
         auto value = codec::Json::object();
         std::size_t size = 0;
         for (auto* j : jobs) {
@@ -350,7 +350,7 @@
 // Which machine has which image is a hint that spares the next holder fetches; it is written now and
 // then, a part of the machines at a time, each with the names it needs.
 void ClusterRecords::draft_images(Draft& d) {
-    if (l_.st_.now < next_images_ || l_.st_.machines.empty() || d.full(most_ops_ / 2))
+    if (l_.st_.now < next_images_ || l_.st_.machines.empty() || d.full(max_ops_ / 2))
         return;
     next_images_ = l_.st_.now + 2 * s_.report_s;
     std::vector<const std::string*> by_id(l_.st_.image_gb.size());
@@ -367,7 +367,7 @@
         for (const auto& c : m.images)
             if (c.ready)
                 more += 4 + (place.contains(c.image) ? 0 : by_id[static_cast<std::size_t>(c.image)]->size() + 28);
-        if (size + more > most_value_)
+        if (size + more > max_value_)
             break;
         size += more;
         auto list = codec::Json::array();
@@ -398,7 +398,7 @@
 // What a holder has learned of this day: how much work comes, how far estimates are off, how many spot
 // machines are lost. Without it the next one gives back machines that it needs a moment later.
 void ClusterRecords::draft_learned(Draft& d) {
-    if (l_.st_.now < next_learned_ || d.full(most_ops_ / 2))
+    if (l_.st_.now < next_learned_ || d.full(max_ops_ / 2))
         return;
     next_learned_ = l_.st_.now + 2 * s_.report_s;
     const double over = l_.st_.average_s();
@@ -420,15 +420,15 @@
         return;
     // The holder's part of the write budget; the rest is left to submissions on all nodes.
     const double rate = s_.state_write_rps * (cancelled_with_dependency_.empty() ? 0.7 : 0.85);
-    const double most_saved = std::max(s_.state_write_rps * 0.5, 4.0);
-    write_tokens_ = std::min(write_tokens_ + (l_.st_.now - tokens_at_) * rate, most_saved);
+    const double max_saved = std::max(s_.state_write_rps * 0.5, 4.0);
+    write_tokens_ = std::min(write_tokens_ + (l_.st_.now - tokens_at_) * rate, max_saved);
     tokens_at_ = l_.st_.now;
     // A few writes are saved up first: placements alone would spend each as it comes, and final
     // states would never find the two or three they need together.
-    if (write_tokens_ < std::min(fewest_writes, most_saved))
+    if (write_tokens_ < std::min(fewest_writes, max_saved))
         return;
     Draft d;
-    d.most = std::min(most_ops_, static_cast<std::size_t>(write_tokens_)) - 1;
+    d.most = std::min(max_ops_, static_cast<std::size_t>(write_tokens_)) - 1;
     in_flight_ = {};
     draft_finals(d);
     draft_ready(d);
@@ -462,10 +462,10 @@
         ++committed_;
     if (c.outcome == TxnOutcome::too_large) {
         // The store takes less than the settings say: never the same again.
-        most_value_ = std::max(most_value_ / 2, least_value);
-        most_ops_ = std::max(most_ops_ / 2, least_ops);
+        max_value_ = std::max(max_value_ / 2, min_value);
+        max_ops_ = std::max(max_ops_ / 2, min_ops);
         log(2, fmt::format("the store takes no such transaction, from now on {} bytes a record and {} changes",
-                           most_value_, most_ops_));
+                           max_value_, max_ops_));
     }
     auto stored = [&](Job& j) {
         j.final_stored = true;
--- a/src/persistence/intents.cpp
+++ b/src/persistence/intents.cpp
@@ -115,10 +115,10 @@
         if (!take_number(text, last))
             return false;
     }
-    return first <= last && last < codec::most_tasks;
+    return first <= last && last < codec::max_tasks;
 }
 
-std::string ranges_of(const std::vector<bool>& bits, std::size_t most_bytes) {
+std::string ranges_of(const std::vector<bool>& bits, std::size_t max_bytes) {
     std::string out;
     for (std::size_t i = 0; i < bits.size();) {
         if (!bits[i]) {
@@ -128,7 +128,7 @@
         std::size_t j = i;
         while (j + 1 < bits.size() && bits[j + 1])
             ++j;
-        if (out.size() + 14 > most_bytes)
+        if (out.size() + 14 > max_bytes)
             break; // what is left out is only run again
         if (!out.empty())
             out += ',';
--- a/src/replay/command_log.cpp
+++ b/src/replay/command_log.cpp
@@ -312,8 +312,8 @@
     }
 };
 
-CommandLog::CommandLog(const std::string& path, std::uint64_t most_bytes)
-    : out_(std::make_unique<Out>()), left_(most_bytes) {
+CommandLog::CommandLog(const std::string& path, std::uint64_t max_bytes)
+    : out_(std::make_unique<Out>()), left_(max_bytes) {
     if (path == "-") {
         out_->file = stderr;
         out_->owned = false;
--- a/src/scheduling/autoscaler.cpp
+++ b/src/scheduling/autoscaler.cpp
@@ -8,13 +8,13 @@
 namespace heronshift::scheduling {
 namespace {
 
-constexpr double least_charged_s = 60; // a machine costs at least this, so it is not given back before
-constexpr double cheap_ratio = 1.5;    // of the lowest price a CPU second: such machines are always worth renting
-constexpr double window_used = 0.4;    // of the time an array has left, since estimates are often wrong by half
+constexpr double min_charged_s = 60; // a machine costs at least this, so it is not given back before
+constexpr double cheap_ratio = 1.5;  // of the lowest price a CPU second: such machines are always worth renting
+constexpr double window_used = 0.4;  // of the time an array has left, since estimates are often wrong by half
 constexpr double quiet_gaps = 8, sure_gaps = 20; // times the usual time between two arrays, known from so many
 constexpr double spare = 1.15;                   // of what arrays need, kept
 constexpr double silent_heartbeats = 1.5, dead_heartbeats = 2.5; // intervals without a word
-constexpr double most_silent = 0.05;                             // of a zone's ordinary machines; beyond, it is a cut
+constexpr double max_silent = 0.05;                              // of a zone's ordinary machines; beyond, it is a cut
 constexpr double no_worker_leases = 1.5, cut_leases = 4;         // without hearing us, alone or with many of its zone
 constexpr double spare_gangs = 0.25;                             // of the machines in use by gangs, kept free of gangs
 
@@ -209,7 +209,7 @@
             auto& w = wanted[source->key];
             if (w.type.empty())
                 w = {source->type->name, *source->zone, source->spot, 0, v_.now, true};
-            if (w.count >= most_rented)
+            if (w.count >= max_rented)
                 break;
             ++w.count;
             ++*source->in_zone;
@@ -307,7 +307,7 @@
         gang_machines += gangs > 0;
         ready += is_ready(*m);
         lasting[m.get()] = services;
-        const bool paid = v_.now - m->known_since < least_charged_s;
+        const bool paid = v_.now - m->known_since < min_charged_s;
         if (!m->pool && gangs <= 0 && !paid && (m->reserved_for == nullptr || v_.now >= m->reserved_until))
             list.push_back(m.get());
     }
@@ -398,7 +398,7 @@
         const auto& ordinary = zones[{m->zone, false}];
         const auto& spot = zones[{m->zone, true}];
         const bool taken = m->draining && v_.now > m->notice_until;
-        if (!taken && (ordinary.silent > 1 + most_silent * ordinary.up || spot.silent > 1 + spot.up / 2))
+        if (!taken && (ordinary.silent > 1 + max_silent * ordinary.up || spot.silent > 1 + spot.up / 2))
             continue;
         out_.presume_dead(*m);
     }
@@ -411,7 +411,7 @@
     if (!m.inbound_unreachable())
         return false;
     const auto& [inbound_unreachable, up] = inbound_unreachable_by_zone.at(m.zone);
-    const bool cut = inbound_unreachable > 1 + most_silent * up;
+    const bool cut = inbound_unreachable > 1 + max_silent * up;
     return v_.now - m.inbound_unreachable_since > (cut ? cut_leases : no_worker_leases) * s_.lease_s;
 }
 
@@ -425,7 +425,7 @@
     }
     for (const auto& [id, mp] : v_.machines) {
         const auto& m = *mp;
-        if (out.size() >= most_returned)
+        if (out.size() >= max_returned)
             break;
         if (m.release_asked || v_.now < m.release_retry)
             continue;
--- a/src/scheduling/making_room.cpp
+++ b/src/scheduling/making_room.cpp
@@ -14,7 +14,7 @@
 // Seconds that a task may wait for each CPU second of other work not lost.
 constexpr double chosen_already = 1000;
 constexpr double replica_loss_weight = 0.05, gang_loss_weight = 0.01;
-constexpr double least_rest = 0.1; // of a task's time: it may be longer than others
+constexpr double min_rest = 0.1; // of a task's time: it may be longer than others
 
 } // namespace
 
@@ -94,7 +94,7 @@
         return 1e18;
     const double whole = j.runs >= few_runs ? j.run_sum / j.runs : std::max(1.0, j.spec.estimate_s) * v_.learned.bias();
     const double ran = e.running_at >= 0 ? v_.now - e.running_at : 0;
-    return std::max(whole - ran, whole * least_rest);
+    return std::max(whole - ran, whole * min_rest);
 }
 
 // When the tasks of a machine end, the soonest first.
--- a/src/scheduling/slow_machines.cpp
+++ b/src/scheduling/slow_machines.cpp
@@ -10,7 +10,7 @@
 constexpr double too_long = 1.5;                               // of its longest run
 constexpr double long_if_most_through = 1.2, most_through = 4; // times as many as still run
 constexpr double sure_of_one = 1.3;
-constexpr double most_slow = 0.15; // of all machines: beyond, it is something else
+constexpr double max_slow = 0.15; // of all machines: beyond, it is something else
 
 } // namespace
 
@@ -74,7 +74,7 @@
         return;
     const auto slow = std::count_if(v_.machines.begin(), v_.machines.end(),
                                     [this](const auto& x) { return v_.now < x.second->slow_until; });
-    if (static_cast<double>(slow) > most_slow * static_cast<double>(v_.machines.size()))
+    if (static_cast<double>(slow) > max_slow * static_cast<double>(v_.machines.size()))
         return; // it is not them
     out_.slow(m, v_.now + 2 * s_.lease_s * (1 << std::min(m.slow_seen, 4)));
     out_.log(1, fmt::format("machine {} is slow", m.id));
--- a/src/store/engine.cpp
+++ b/src/store/engine.cpp
@@ -28,7 +28,7 @@
 }
 
 bool valid_key(const std::string& key) {
-    return !key.empty() && key.size() <= most_key &&
+    return !key.empty() && key.size() <= max_key &&
            std::none_of(key.begin(), key.end(), [](unsigned char c) { return c <= ' ' || c == 0x7f; });
 }
 
@@ -72,11 +72,11 @@
     if (!take(1, 0, now_ms))
         return refused(429, "too many requests");
     auto a = good(data_->revision());
-    const auto limit = std::min(static_cast<std::size_t>(most), most_items);
+    const auto limit = std::min(static_cast<std::size_t>(most), max_items);
     std::size_t size = 0;
     data_->each(under, since, [&](const std::string& key, const Data::Row& row) {
         size += key.size() + row.data.size() + 60;
-        if (a.items.size() >= limit || (size > most_page && !a.items.empty())) {
+        if (a.items.size() >= limit || (size > max_page && !a.items.empty())) {
             a.more = true;
             return false;
         }
@@ -108,7 +108,7 @@
             return refused(400, fmt::format("{}: a value longer than {} KiB", w.key, limits_.value_kb));
         total += w.key.size() + texts.back().size() + 30;
     }
-    if (total > most_txn)
+    if (total > max_txn)
         return refused(400, "longer than 64 KiB");
     if (!take(1, static_cast<double>(writes.size()), now_ms))
         return refused(429, "too many requests or changes");
--- a/src/store/local.cpp
+++ b/src/store/local.cpp
@@ -37,8 +37,8 @@
 
 // Calls of one controller, beyond which the next is answered 503 at once. Machines do not call the store: the leader
 // has one transaction under way, and look-ups and submissions of users have their own bounds (gateway/gateway.cpp).
-constexpr std::size_t most_waiting = 1000;
-constexpr std::size_t most_batch = 200; // for one commit of the file; the rest goes into the next
+constexpr std::size_t max_waiting = 1000;
+constexpr std::size_t max_batch = 200; // for one commit of the file; the rest goes into the next
 
 } // namespace
 
@@ -71,7 +71,7 @@
             if (queue.empty())
                 wake.wait_for(l, std::chrono::duration<double>(poll_s));
             std::vector<Asked> batch;
-            while (!queue.empty() && batch.size() < most_batch) {
+            while (!queue.empty() && batch.size() < max_batch) {
                 batch.push_back(std::move(queue.front()));
                 queue.pop_front();
             }
@@ -166,7 +166,7 @@
     const auto* f = std::get_if<Follow>(&c);
     const auto until = f != nullptr ? steady_ms() + static_cast<std::int64_t>(f->block_s * 1000) : 0;
     const std::lock_guard l(shared_->lock);
-    if (shared_->queue.size() >= most_waiting) {
+    if (shared_->queue.size() >= max_waiting) {
         shared_->answers.emplace_back(id, failed(503, "too many calls wait"));
         uv_async_send(shared_->async);
         return;
--- a/src/store/remote.cpp
+++ b/src/store/remote.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr std::size_t connections = 8, waiting = 200, follow_connections = 2, follow_waiting = 4;
-constexpr double longest_block_s = 60; // the state service refuses a longer one
+constexpr double max_block_s = 60; // the state service refuses a longer one
 
 // An answer that cannot be read is none: what was asked for may have been done.
 void unreadable(Answer& a) {
@@ -105,7 +105,7 @@
             [&](const Follow& c) {
                 // With leases of three minutes every follow was refused, and the holder never heard of the jobs
                 // that other nodes had stored.
-                const double block_s = std::min(c.block_s, longest_block_s);
+                const double block_s = std::min(c.block_s, max_block_s);
                 timeout_s -= c.block_s - block_s;
                 ask(follows_, "GET",
                     fmt::format("{}?under={}&since={}&blockMs={}", codec::path_follow, c.under, c.since,
--- a/src/store/server.cpp
+++ b/src/store/server.cpp
@@ -10,7 +10,7 @@
 constexpr std::uint64_t poll_ms = 20;
 constexpr std::uint64_t polls_a_sweep = 50;
 constexpr const char* no_such_path = R"({"error":"no such path"})";
-constexpr std::int64_t longest_block_ms = 60'000;
+constexpr std::int64_t max_block_ms = 60'000;
 
 std::string field_of(const std::string& query, std::string_view name) {
     std::size_t at = 0;
@@ -41,30 +41,30 @@
     return timer_.start(loop_, poll_ms, [this] { poll(); });
 }
 
-void StoreServer::set_mood(Mood m) {
-    if (mood_ != Mood::well && m == Mood::well)
+void StoreServer::set_fault_mode(FaultMode m) {
+    if (fault_mode_ != FaultMode::well && m == FaultMode::well)
         engine().renew_all(store_.now_ms());
-    mood_ = m;
-    if (m != Mood::silent)
+    fault_mode_ = m;
+    if (m != FaultMode::silent)
         unanswered_.clear(); // their callers have given up
 }
 
 void StoreServer::poll() {
     if (++polls_ % polls_a_sweep == 0)
         server_.sweep();
-    if (mood_ == Mood::well)
+    if (fault_mode_ == FaultMode::well)
         store_.sweep(); // else open watches stay open
 }
 
 void StoreServer::handle(HttpRequest&& r, const Responder& res) {
     ++requests_;
-    if (mood_ == Mood::silent) {
+    if (fault_mode_ == FaultMode::silent) {
         unanswered_.push_back(res);
         return;
     }
-    if (mood_ == Mood::out)
+    if (fault_mode_ == FaultMode::out)
         return res.send(503, R"({"error":"trouble"})");
-    if (mood_ == Mood::busy)
+    if (fault_mode_ == FaultMode::busy)
         return res.send(429, R"({"error":"too many requests"})", 1);
     const auto bad = [&](const char* what) { res.send(400, codec::Json{{"error", what}}.dump()); };
     // The text of a good answer; others say what is wrong.
@@ -85,7 +85,7 @@
     if (get && r.path.starts_with(store + "/"))
         return ask(Get{r.path.substr(store.size() + 1)}, [](Answer&& a) { return codec::item_answer(*a.item); });
     if (get && r.path == store) {
-        int most = static_cast<int>(most_items);
+        int most = static_cast<int>(max_items);
         if (const auto text = field_of(r.query, "most"); !text.empty() && !number(text, most))
             return bad("most");
         return ask(List{field_of(r.query, "under"), field_of(r.query, "since"), most}, [](Answer&& a) {
@@ -126,7 +126,7 @@
             return bad("since");
         if (const auto text = field_of(r.query, "blockMs"); !text.empty() && !number(text, block))
             return bad("blockMs");
-        if (block < 0 || block > longest_block_ms)
+        if (block < 0 || block > max_block_ms)
             return bad("blockMs");
         return ask(Follow{field_of(r.query, "under"), since, static_cast<double>(block) / 1000}, [](Answer&& a) {
             return codec::events_answer({std::move(a.items), a.more, a.revision});
--- a/tests/test_connections.cpp
+++ b/tests/test_connections.cpp
@@ -41,7 +41,7 @@
     for (std::size_t k = 0; k < std::size(c); ++k)
         shares.opened();
     EXPECT_TRUE(shares.over_total());
-    EXPECT_EQ(shares.longest_idle(), nullptr);
+    EXPECT_EQ(shares.max_idle(), nullptr);
     for (int k = 0; k < 3; ++k)
         shares.classify(c[k].share, ClientKind::worker);
     EXPECT_FALSE(shares.over_share(ClientKind::worker));
@@ -52,12 +52,12 @@
     shares.idle(c[3].share, &c[3]);
     shares.idle(c[1].share, &c[1]);
     shares.idle(c[0].share, &c[0]);
-    EXPECT_EQ(shares.longest_idle(), &c[3]);
-    EXPECT_EQ(shares.longest_idle(ClientKind::worker), &c[1]);
+    EXPECT_EQ(shares.max_idle(), &c[3]);
+    EXPECT_EQ(shares.max_idle(ClientKind::worker), &c[1]);
     shares.busy(c[1].share);
-    EXPECT_EQ(shares.longest_idle(ClientKind::worker), &c[0]);
+    EXPECT_EQ(shares.max_idle(ClientKind::worker), &c[0]);
     shares.closed(c[0].share);
-    EXPECT_EQ(shares.longest_idle(ClientKind::worker), nullptr);
+    EXPECT_EQ(shares.max_idle(ClientKind::worker), nullptr);
     EXPECT_FALSE(shares.over_total());
     EXPECT_EQ(shares.count(ClientKind::worker), 3U);
 }
@@ -73,7 +73,7 @@
         explicit Client(uv_loop_t* l) : http(l, 1, 1) {}
         HttpClient http;
         bool asking = false;
-        double next = 0, served = 0, longest_gap = 0;
+        double next = 0, served = 0, max_gap = 0;
     };
     Loop l;
     HttpServer server{
@@ -112,7 +112,7 @@
             c.next = t + (status == 200 ? report_s : report_s / 10);
             if (status != 200)
                 return;
-            c.longest_gap = std::max(c.longest_gap, t - c.served);
+            c.max_gap = std::max(c.max_gap, t - c.served);
             c.served = t;
         });
     }
@@ -140,7 +140,7 @@
             usleep(500);
         }
         for (auto& c : worker)
-            c.longest_gap = std::max(c.longest_gap, seconds() - c.served);
+            c.max_gap = std::max(c.max_gap, seconds() - c.served);
     }
 };
 
@@ -150,8 +150,8 @@
     std::size_t expired = 0;
     double longest = 0;
     for (const auto& c : crowd.worker) {
-        expired += c.longest_gap > Crowd::lease_s;
-        longest = std::max(longest, c.longest_gap);
+        expired += c.max_gap > Crowd::lease_s;
+        longest = std::max(longest, c.max_gap);
     }
     EXPECT_EQ(expired, 0U) << "of " << Crowd::workers << ", the longest wait " << longest;
     EXPECT_LE(crowd.max_connections, Crowd::connections);
--- a/tests/test_golden.cpp
+++ b/tests/test_golden.cpp
@@ -32,7 +32,7 @@
     return s;
 }
 
-JobSpec least_job(Shape shape, Priority priority) {
+JobSpec min_job(Shape shape, Priority priority) {
     JobSpec s;
     s.id = "wk-1";
     s.job_class = "c";
@@ -109,7 +109,7 @@
     std::string lines;
     for (const auto shape : {Shape::array, Shape::gang, Shape::service})
         for (const auto priority : {Priority::critical, Priority::high, Priority::normal, Priority::low})
-            lines += codec::to_body(least_job(shape, priority)) + '\n';
+            lines += codec::to_body(min_job(shape, priority)) + '\n';
     lines.pop_back();
     expect_golden("users/submissions.jsonl", lines);
 
--- a/tests/test_local.cpp
+++ b/tests/test_local.cpp
@@ -1,8 +1,8 @@
 // The stand-in platform: its checks can fail, and its worker keeps the protocol's side of the bargain.
 #include "heronshift/codec.hpp"
 #include "heronshift/local/cloud.hpp"
+#include "heronshift/local/emulator.hpp"
 #include "heronshift/local/history.hpp"
-#include "heronshift/local/stand_in.hpp"
 
 #include <gtest/gtest.h>
 #include <unistd.h>
@@ -241,7 +241,7 @@
     EXPECT_EQ(r.tasks[0].index, 0U);
 }
 
-TEST(StandIn, AddressesAreReadOrRefused) {
+TEST(Emulator, AddressesAreReadOrRefused) {
     EXPECT_EQ(address("127.0.0.1:0").port, 0);
     EXPECT_EQ(address("10.0.0.1:65535").host, "10.0.0.1");
     for (const auto* bad : {"", "x", ":7", "a:", "a:b", "a:65536", "a:-1", "a:7x"})
--- a/tests/test_placement.cpp
+++ b/tests/test_placement.cpp
@@ -43,18 +43,18 @@
 }
 
 // All ways to place few tasks, counted by hand, against the dynamic program.
-int most_by_trying(const std::vector<Group>& g, std::vector<Bin> bins, std::size_t group, int left) {
+int max_by_trying(const std::vector<Group>& g, std::vector<Bin> bins, std::size_t group, int left) {
     if (group == g.size())
         return 0;
     if (left == 0)
-        return most_by_trying(g, bins, group + 1, group + 1 < g.size() ? g[group + 1].count : 0);
-    int best = most_by_trying(g, bins, group, left - 1);
+        return max_by_trying(g, bins, group + 1, group + 1 < g.size() ? g[group + 1].count : 0);
+    int best = max_by_trying(g, bins, group, left - 1);
     for (std::size_t b = 0; b < bins.size(); ++b) {
         if (g[group].cost[b] < 0 || !g[group].each.fits(bins[b].free))
             continue;
         auto next = bins;
         next[b].free -= g[group].each;
-        best = std::max(best, 1 + most_by_trying(g, next, group, left - 1));
+        best = std::max(best, 1 + max_by_trying(g, next, group, left - 1));
     }
     return best;
 }
@@ -86,7 +86,7 @@
             }
             EXPECT_TRUE(used.fits(bins[b].free));
         }
-        EXPECT_EQ(placed, most_by_trying(groups, bins, 0, groups[0].count));
+        EXPECT_EQ(placed, max_by_trying(groups, bins, 0, groups[0].count));
     }
 }
 
--- a/tests/test_replay.cpp
+++ b/tests/test_replay.cpp
@@ -40,8 +40,8 @@
 };
 
 // All shapes, a chain, a cancellation, lost messages, a new holder in the middle.
-void play(World& w, const std::string& path, std::uint64_t most_bytes = 1 << 30) {
-    CommandLog log(path, most_bytes);
+void play(World& w, const std::string& path, std::uint64_t max_bytes = 1 << 30) {
+    CommandLog log(path, max_bytes);
     w.log = &log;
     w.heartbeat_loss = w.order_loss = 0.1;
     w.acquire_leadership();
--- a/tests/test_same.cpp
+++ b/tests/test_same.cpp
@@ -29,7 +29,7 @@
 constexpr double step_s = report_s / 20 * 1.001; // the core's own tick is due in each
 constexpr double heartbeats_after = 0.2;         // of a step: sooner than the pass after the one at its beginning
 constexpr int quiet_turns = 8;                   // of the loop: more than any message takes on loopback
-constexpr int most_steps = 6000;
+constexpr int max_steps = 6000;
 #ifdef __SANITIZE_ADDRESS__
 constexpr bool sanitized = true; // twenty times slower
 #else
@@ -191,7 +191,7 @@
         for (int i = 0; i < 20; ++i)
             step(); // the office is taken, types are learned
         std::multimap<int, std::string> cancels;
-        for (std::size_t i = 0; i < jobs.size() || (over.size() < jobs.size() && out.steps < most_steps); ++i) {
+        for (std::size_t i = 0; i < jobs.size() || (over.size() < jobs.size() && out.steps < max_steps); ++i) {
             step([&] {
                 if (i < jobs.size()) {
                     const auto& w = jobs[i];
--- a/tests/test_scheduler.cpp
+++ b/tests/test_scheduler.cpp
@@ -449,15 +449,15 @@
     set_heartbeat_handler(s);
     Users users(*this, {fmt::format("127.0.0.1:{}", s.port())}, 12);
     int n = 100;
-    for (const auto mood : {store::StoreServer::Mood::out, store::StoreServer::Mood::silent}) {
+    for (const auto fault_mode : {store::StoreServer::FaultMode::out, store::StoreServer::FaultMode::silent}) {
         const int starts = history.starts();
         ASSERT_TRUE(until([&] { return users.serve(), s.is_active_leader() && history.starts() > starts; }));
-        service->set_mood(mood);
+        service->set_fault_mode(fault_mode);
         ASSERT_TRUE(until([&] { return users.serve(), !s.is_active_leader(); }));
         const auto r = ask([&](auto d) { s.submit(job(++n), d); });
         EXPECT_EQ(r.status, 503);
         EXPECT_GT(r.retry_after_s, 0);
-        service->set_mood(store::StoreServer::Mood::well);
+        service->set_fault_mode(store::StoreServer::FaultMode::well);
     }
     EXPECT_TRUE(until([&] { return users.serve(); }));
     EXPECT_EQ(ask([&](auto d) { s.get(job(101).id, d); }).status, 404); // what was refused is not there
--- a/tests/test_store.cpp
+++ b/tests/test_store.cpp
@@ -279,19 +279,19 @@
     auto s = r.easy();
     const auto h = s.create_lease(0.2);
     s.txn({}, {{"a", Json(1), h.lease}});
-    r.server->set_mood(StoreServer::Mood::out);
+    r.server->set_fault_mode(StoreServer::FaultMode::out);
     EXPECT_EQ(s.get("a").status, 503);
     usleep(400'000); // longer than the hold
-    r.server->set_mood(StoreServer::Mood::well);
+    r.server->set_fault_mode(StoreServer::FaultMode::well);
     EXPECT_EQ(s.get("a").status, 200); // it has its full time again
-    r.server->set_mood(StoreServer::Mood::busy);
+    r.server->set_fault_mode(StoreServer::FaultMode::busy);
     EXPECT_EQ(s.get("a").status, 429);
     EXPECT_EQ(s.renew_lease(h.lease).status, 429);
-    r.server->set_mood(StoreServer::Mood::silent);
+    r.server->set_fault_mode(StoreServer::FaultMode::silent);
     const auto silent = r.loop.ask(*r.store, [](auto& x, auto d) { x.get("a", 0.1, d); });
     EXPECT_EQ(silent.status, 0);
     EXPECT_TRUE(silent.sent); // it may have been executed
-    r.server->set_mood(StoreServer::Mood::well);
+    r.server->set_fault_mode(StoreServer::FaultMode::well);
     EXPECT_NE(s.get("a").status, 0);
 }
 
--- a/tests/working.hpp
+++ b/tests/working.hpp
@@ -26,14 +26,14 @@
 
 // A fleet at work, with the times of a large one: services that must stay up, and short jobs all the time.
 struct Working : Populated {
-    Working(unsigned seed, std::size_t count, int most_machines) : Populated(seed, count) {
+    Working(unsigned seed, std::size_t count, int max_machines) : Populated(seed, count) {
         spdlog::set_level(spdlog::level::from_str(level == nullptr ? "off" : level));
         settings.report_s = 4;
         settings.lease_s = 22;
         settings.cancel_s = 47;
         bound_s = 2 * settings.lease_s;
-        capacity = most_machines;
-        for (int k = 0; k < most_machines / 8; ++k) {
+        capacity = max_machines;
+        for (int k = 0; k < max_machines / 8; ++k) {
             ++n;
             auto j = job(n, Shape::service, 4, 4, "blue");
             j.spread = true;
