--- a/include/heronshift/bounded_cache.hpp
+++ b/include/heronshift/bounded_cache.hpp
@@ -1,5 +1,5 @@
 // What was learned lately, by name. Bounded: of too many, the oldest is forgotten. Only for what may be
-// forgotten; see ledger/departed.hpp for what may not.
+// forgotten; see cluster/departed.hpp for what may not.
 #pragma once
 
 #include <cstddef>
--- a/include/heronshift/cloud/cloud_client.hpp
+++ b/include/heronshift/cloud/cloud_client.hpp
@@ -25,7 +25,7 @@
     public:
         virtual ~Host() = default;
         [[nodiscard]] virtual bool is_active_leader() const = 0; // at this moment
-        [[nodiscard]] virtual bool is_leader() const = 0;        // the office is ours
+        [[nodiscard]] virtual bool is_leader() const = 0;        // this node is the leader
         virtual void push(Command c) = 0;                        // to the core, if there is one
         virtual void cloud_answered(bool ok) = 0;
     };
@@ -64,7 +64,7 @@
     Executor& executor_;
     Host& host_;
     TokenBucket budget_;
-    std::uint64_t generation_ = 0; // of the time in office
+    std::uint64_t generation_ = 0; // of the time as leader
     std::deque<std::function<void(bool)>> queue_;
     std::vector<ListedMachine> listing_;
     double listing_at_ = 0, next_list_ = 0, next_types_ = 0, types_at_ = -1e9;
--- a/include/heronshift/cluster/cluster_data.hpp
+++ b/include/heronshift/cluster/cluster_data.hpp
@@ -1,4 +1,4 @@
-// The state of the cluster as the holder of the office sees it: jobs, tasks, machines, teams. Plain
+// The state of the cluster as the leader sees it: jobs, tasks, machines, teams. Plain
 // data. Policies get it const, and const reaches through every pointer in it; only the Ledger
 // changes it. Times are seconds of the steady clock unless they are called wall.
 #pragma once
@@ -22,9 +22,9 @@
 // A pointer that is as const as what holds it, so that a const view cannot be written through.
 template <class T> using PropagateConst = std::experimental::propagate_const<T>;
 
-// fence = term << fence_bits | raises within the term. Each machine's are its own, whatever their number: one for each
-// launch whose outcome is open or lease that ran out, so one in report_s / 2 at most. 2^24 of them take nine months of
-// one term with report_s 3; terms have 40 bits.
+// fencing token = term << fence_bits | raises within the term. Each machine's are its own, whatever their number: one
+// for each launch whose outcome is open or lease that ran out, so one in report_s / 2 at most. 2^24 of them take nine
+// months of one term with report_s 3; terms have 40 bits.
 inline constexpr int token_counter_bits = 24;
 // attempt = term << try_bits | passes within the term, one in report_s / 60 at most: seven years of a term.
 inline constexpr int attempt_counter_bits = 32;
@@ -50,11 +50,11 @@
     std::uint64_t attempt = 0, agent_epoch = 0, fencing_token = 0;
     Phase phase = Phase::intent;
     bool recorded = false; // its record is in the store
-    bool seen = false;     // in a report of this machine
+    bool seen = false;     // in a heartbeat of this machine
     bool stop = false;     // must end
     bool moving = false;   // stopped to be started elsewhere
     double drain_s = 0, stop_at = -1, placed_at = 0, running_at = -1;
-    std::uint64_t listed = 0;                            // the last report that listed it
+    std::uint64_t listed = 0;                            // the last heartbeat that listed it
     int slot = -1;                                       // of the ring; -1: not in a record yet
     int carried_from = -1;                               // the record that still names it while it moves to another
     std::size_t at_machine = 0, at_job = 0, at_slot = 0; // its places in those lists
@@ -108,15 +108,15 @@
     bool spot = false;
     Status status = Status::booting;
     std::uint64_t agent_epoch = 0, counter = 0, fencing_token = 0;
-    std::uint64_t heartbeat_counter = 0; // of its newest report that was no answer to orders
-    double lease_started_at = -1;        // the last report answered: its lease counts from there
+    std::uint64_t heartbeat_counter = 0; // of its newest heartbeat that was no answer to orders
+    double lease_started_at = -1;        // the last heartbeat answered: its lease counts from there
     double last_heartbeat_at = -1;       // the last sign of life
-    // Whether it hears us. That its reports come proves nothing: what they show does.
-    bool proven = false;                   // has shown this term's fence
-    std::uint64_t acknowledged_token = 0;  // the highest fence that one of its reports was answered with
+    // Whether it hears us. That its heartbeats come proves nothing: what they show does.
+    bool proven = false;                   // has shown this term's fencing token
+    std::uint64_t acknowledged_token = 0;  // the highest fencing token that one of its heartbeats was answered with
     double token_acknowledged_at = -1;     // and when first
     int heartbeats_without_token = 0;      // reports in a row that still show a lower one
-    double last_answered_at = -1;          // its last report by us
+    double last_answered_at = -1;          // its last heartbeat by us
     double lease_expired_at = -1;          // its lease had run out
     double inbound_unreachable_since = -1; // below zero: it hears
     double inbound_unreachable_until = -1; // its lease ran out again though we answered: trusted only after that
@@ -137,7 +137,7 @@
     std::uint64_t batch = 0; // in flight, 0: none
     bool asked = false;      // it is a question, without orders
     bool wants_orders = false;
-    bool to_be_asked = false;           // waits to be asked for a report
+    bool to_be_asked = false;           // waits to be asked for a heartbeat
     const void* reserved_for = nullptr; // room is being made for this job; only compared
     Priority reserved_priority = Priority::low;
     double reserved_until = -1;
@@ -168,11 +168,11 @@
     bool in_flight = true;
 };
 
-// What the day has taught; goes from holder to holder through the store.
+// What the day has taught; goes from leader to leader through the store.
 struct Learned {
     double offered = 0, offered_at = 0;         // work that arrays bring, in CPUs, averaged
     double offered_ordinary = 0;                // of that: may not use spot machines
-    double gap_s = 0, gaps = 0;                 // between arrays, averaged over so many; this holder's own
+    double gap_s = 0, gaps = 0;                 // between arrays, averaged over so many; this leader's own
     double spot_losses = 0, spot_losses_at = 0; // of machines, averaged
     double ran_s = 1, estimated_s = 1;          // of tasks done lately
     [[nodiscard]] double bias() const {
@@ -198,7 +198,7 @@
     std::size_t spot_machines = 0; // up, when last counted
     bool asked_all = false;        // the list has told once which machines there are
     // Machines whose records were damaged: until they have reported to us or their leases have
-    // surely lapsed, any task read at the takeover may be on them.
+    // surely expired, any task read at the failover may be on them.
     std::set<std::string> unproven_machines;
     double unproven_until = 0;
 
--- a/include/heronshift/cluster/cluster_state.hpp
+++ b/include/heronshift/cluster/cluster_state.hpp
@@ -3,7 +3,7 @@
 // could break, and says what follows. No I/O, clock or randomness.
 //
 // Owns: State; which machines want orders; what was released; who needs whom. Does not know what the
-// store holds: Bookkeeping (records/) is told of what has to go there.
+// store holds: the PersistenceListener (persistence/) is told of what has to go there.
 #pragma once
 
 #include "heronshift/bounded_cache.hpp"
@@ -25,7 +25,7 @@
     bool settling = false; // it may be over in the store already: a fresh read must say so, or that it is not
 };
 
-// Told by the ledger of what has to be stored.
+// Told by the cluster state of what has to be stored.
 class PersistenceListener {
 public:
     virtual ~PersistenceListener() = default;
@@ -105,7 +105,7 @@
     void send_due_orders();
     void find_dependencies();
 
-    // From the bookkeeping: the store holds it.
+    // From the persistence: the store holds it.
     void dependency_settled(const std::string& id, Final f);
     void finalize(Job& j, Final f, bool cancelled_with_dependency = false);
     void remember_final(const Job& j);
@@ -139,7 +139,7 @@
     }
 
 private:
-    friend class heronshift::ClusterRecords; // what a takeover reads is entered as it stands
+    friend class heronshift::ClusterRecords; // what a failover reads is entered as it stands
 
     // What a policy was given const is ours to write.
     static Job& own(const Job& j) {
@@ -220,7 +220,7 @@
     std::size_t releases_under_way_ = 0; // machines
     double stale_heartbeats_logged_at_ = -1e18;
     std::vector<Machine*> to_dispatch_;
-    std::deque<std::string> to_ask_; // machines asked for a report
+    std::deque<std::string> to_ask_; // machines asked for a heartbeat
     std::size_t asking_ = 0;
     std::unordered_map<std::string, int> image_ids_;
     std::unordered_map<std::string, std::vector<int>> image_hints_; // of machines not known yet
--- a/include/heronshift/cluster/proposals.hpp
+++ b/include/heronshift/cluster/proposals.hpp
@@ -1,4 +1,4 @@
-// What policies may propose. Whoever takes a proposal checks it: the ledger on the one state that
+// What policies may propose. Whoever takes a proposal checks it: the cluster state on the one state that
 // counts, and nothing depends on a policy being right.
 #pragma once
 
--- a/include/heronshift/codec.hpp
+++ b/include/heronshift/codec.hpp
@@ -38,7 +38,7 @@
 std::optional<JobSpec> spec_from_store(const Json& j);
 
 // The record of a job. One that waits for others has its spec under another name than the rest: the
-// versions before chains take a record without "spec" for no job of theirs, so that such a holder
+// versions before chains take a record without "spec" for no job of theirs, so that such a leader
 // answers for it and starts nothing of it.
 struct StoredJob {
     JobSpec spec;
@@ -69,7 +69,7 @@
 std::string redirect(const std::string& node);
 std::string error_answer(const std::string& what);
 inline constexpr const char* not_now = R"({"error":"not now, try again"})";
-// The worker's side, for stand-ins.
+// The worker's side, for emulators.
 std::string to_body(const Heartbeat& r);
 struct Orders {
     std::optional<std::uint64_t> fencing_token, agent_epoch; // none: the field is missing
@@ -88,7 +88,7 @@
     bool more = false;
 };
 std::optional<MachinePage> machine_page(std::string_view body);
-// The cloud's side, for stand-ins.
+// The cloud's side, for emulators.
 struct RentalRequest {
     std::string claim, type, zone;
     bool spot = false;
@@ -126,7 +126,7 @@
     bool more = false;
     std::uint64_t revision = 0;
 };
-// The store's side, for stand-ins.
+// The store's side, for emulators.
 std::string item_answer(const Item& i);
 std::string page_answer(const Page& p);
 std::string events_answer(const Page& p);
--- a/include/heronshift/core/core.hpp
+++ b/include/heronshift/core/core.hpp
@@ -1,7 +1,7 @@
-// One holder's term: commands in, effects out. step(commands, now) -> effects is the only way in; no
+// One leader's term: commands in, effects out. step(commands, now) -> effects is the only way in; no
 // I/O, clock or randomness of its own, so that whatever happened can be run again (replay/).
 //
-// Owns the ledger (state and rules), the policies (which read a const view and propose) and the
+// Owns the cluster state (state and rules), the policies (which read a const view and propose) and the
 // records (what the store holds); decides only in which order they have their turn.
 #pragma once
 
@@ -29,7 +29,7 @@
     Core(const Core&) = delete;
     Core& operator=(const Core&) = delete;
 
-    // entitled: this node may act as holder at this moment. While it may not, it refuses its workers
+    // entitled: this node may act as leader at this moment. While it may not, it refuses its workers
     // and leaves all else among the commands until it may again.
     std::vector<Effect> step(std::vector<Command>& commands, double now, double wall, bool may_act = true);
     // When step() wants to be called even if no command comes.
--- a/include/heronshift/executor/executor.hpp
+++ b/include/heronshift/executor/executor.hpp
@@ -3,7 +3,7 @@
 /// and takes them back. The daemon's speaks the platform's protocol (executor/http.hpp); a program that
 /// embeds the scheduler may bring its own.
 ///
-/// It only carries: whether an order may be given, and what silence means, is the ledger's to judge. So
+/// It only carries: whether an order may be given, and what silence means, is the cluster state's to judge. So
 /// an executor must say what it knows and no more: an answer that was lost is "no answer", not "no".
 /// All calls and callbacks on the loop's thread. A callback may come before the call returns; each
 /// comes once, at the latest when the executor is destroyed or the time given is over. Nothing throws.
@@ -19,10 +19,10 @@
 
 namespace heronshift {
 
-/// What a controller says to a report.
+/// What a controller says to a heartbeat.
 struct HeartbeatResponse {
-    /// 200: fence and orders are valid and the machine's lease runs anew from when the report was sent; 421: not here,
-    /// the controller named leads; 503: nobody known does.
+    /// 200: fencing token and orders are valid and the machine's lease runs anew from when the heartbeat was sent; 421:
+    /// not here, the controller named leads; 503: nobody known does.
     int status = 503;
     /// The leader's fencing token.
     std::uint64_t fencing_token = 0;
@@ -35,9 +35,9 @@
 /// The seam between a controller and what runs tasks. Times given are in seconds.
 class Executor {
 public:
-    /// Takes the answer to a report.
+    /// Takes the answer to a heartbeat.
     using HeartbeatDone = std::function<void(const HeartbeatResponse&)>;
-    /// Takes a report, on the loop's thread.
+    /// Takes a heartbeat, on the loop's thread.
     using Reports = std::function<void(Heartbeat&&, HeartbeatDone)>;
 
     Executor() = default;
@@ -48,8 +48,8 @@
     /// Says where reports that reach the executor itself are to go; called before any other function.
     virtual void set_heartbeat_handler(Reports) {}
 
-    /// Sends orders to one machine: status 200 or 409 with its report (409: refused, our fencing token or its epoch is
-    /// old), 0 or another: no answer.
+    /// Sends orders to one machine: status 200 or 409 with its heartbeat (409: refused, our fencing token or its epoch
+    /// is old), 0 or another: no answer.
     virtual void command(const SendOrders& orders, double timeout_s, std::function<void(OrdersAnswered&&)> done) = 0;
     /// Rents machines. A claim that was made before gets the same machines once more.
     virtual void rent(const Rent& ask, double timeout_s, std::function<void(Rented&&)> done) = 0;
--- a/include/heronshift/gateway/gateway.hpp
+++ b/include/heronshift/gateway/gateway.hpp
@@ -1,8 +1,8 @@
-// What users ask: accept, look up, cancel, and pass on what only the holder can answer.
+// What users ask: accept, look up, cancel, and pass on what only the leader can answer.
 //
 // Owns: the answers still owed to users, what it remembers of accepted jobs, the budgets of reads and
 // submissions. May call the store, the peers, membership and, where this node acts, the core's view through
-// its Host; never the office or a machine. Knows nothing of holds: its Host says whether this node acts.
+// its Host; never the leadership or a machine. Knows nothing of leases: its Host says whether this node acts.
 #pragma once
 
 #include "heronshift/core/core.hpp"
--- a/include/heronshift/leadership/leader_election.hpp
+++ b/include/heronshift/leadership/leader_election.hpp
@@ -1,8 +1,8 @@
-// Leadership: one key of the store, held under a hold, names the holder; a second key, the round,
-// counts terms and transactions and outlives the hold. See docs/safety.md.
+// Leadership: one key of the store, held under a store lease, names the leader; a second key, the round,
+// counts terms and transactions and outlives the store lease. See docs/safety.md.
 //
-// Owns: who is thought to hold the office, this controller's hold and tenancy, the term, the round's
-// count and the transactions on the way. May call the store, the peers, membership (for who is fitter: a
+// Owns: who is thought to be the leader, this controller's hold and leader lease, the term, the round's
+// count and the transactions on the way. May call the store, the peers, membership (for who is a better candidate: a
 // hint) and what follows the records; never a user, a machine or the core: what it has to say goes to its
 // Host. Knows nothing of what users
 // ask and nothing of what a transaction is about.
@@ -31,7 +31,7 @@
     class Host {
     public:
         virtual ~Host() = default;
-        // The office is ours and all that the store holds has been read.
+        // This node is the leader and all that the store holds has been read.
         virtual void leadership_acquired(std::uint64_t term, Snapshot&& stored) = 0;
         virtual void leadership_lost() = 0; // it is not ours any more: all that was under way is void
         virtual void jobs_stored_by_others(std::vector<codec::StoredJob>&& jobs) = 0; // stored by others, meanwhile
@@ -51,7 +51,7 @@
         resign(why, {});
     }
 
-    // This node may act as holder at this moment.
+    // This node may act as leader at this moment.
     [[nodiscard]] bool valid() const {
         return role_ == Role::is_leader && leader_lease_.valid(timers_.now());
     }
@@ -115,12 +115,12 @@
     Role role_ = Role::follower;
     std::string leader_;
     std::uint64_t leader_term_ = 0, store_lease_ = 0, term_ = 0;
-    std::uint64_t generation_ = 0; // of what this node is to the office: late answers of an earlier one are dropped
+    std::uint64_t generation_ = 0; // of what this node is to the leadership: late answers of an earlier one are dropped
     double store_lease_requested_at_ = 0, next_renew_ = 0, acquired_at_ = 0, next_look_ = 0;
     double seen_at_ = -1, known_at_ = -1, free_since_ = -1, better_candidate_since_ = -1; // below zero: not so
     double failed_renewal_sent_ = -1;            // the newest renewal that was refused, or not answered in time
     std::map<std::string, double> served_peers_; // by the store, as they said themselves: when they were asked
-    bool extended_by_votes_ = false;             // by promises, said once a term
+    bool extended_by_votes_ = false;             // by extension votes, said once a term
     std::uint64_t acquisitions_ = 0, handovers_ = 0, resignations_without_workers_ = 0;
 };
 
--- a/include/heronshift/leadership/leader_lease.hpp
+++ b/include/heronshift/leadership/leader_lease.hpp
@@ -1,9 +1,9 @@
-// How long a node may act as holder of the office, and when it may take it. No I/O and no clock.
+// How long a node may act as leader, and when it may take it. No I/O and no clock.
 //
-// The store's hold gives validity that counts from when its renewal was sent. While the store
-// answers nobody, the promises of all other controllers carry the holder on: each promises not to
-// take the office for a while, and only when a read of its own has just failed, since a peer that
-// the store serves shows that it is the holder that is cut off. See docs/safety.md, "Outages".
+// The store lease gives validity that counts from when its renewal was sent. While the store
+// answers nobody, the extension votes of all other controllers carry the leader on: each promises not to
+// become leader for a while, and only when a read of its own has just failed, since a peer that
+// the store serves shows that it is the leader that is cut off. See docs/safety.md, "Outages".
 #pragma once
 
 #include <map>
@@ -13,7 +13,7 @@
 
 class LeaderLease {
 public:
-    // The hold's length, how many other controllers there are, and when this process started.
+    // The store lease's length, how many other controllers there are, and when this process started.
     LeaderLease(double ttl_s, std::size_t peers, double now);
 
     [[nodiscard]] double ttl_s() const {
@@ -23,7 +23,7 @@
         return ttl_s_ / 2;
     }
 
-    // As holder.
+    // As leader.
     void begin() {
         store_lease_until_ = extended_until_ = 0, renewed_ = 0, extension_votes_.clear();
     }
@@ -38,7 +38,7 @@
     [[nodiscard]] double renewed_at() const { // when the last renewal that succeeded was sent
         return renewed_;
     }
-    // Promises are asked for while the hold is not being renewed.
+    // Extension votes are asked for while the store lease is not being renewed.
     [[nodiscard]] bool wants_extension_votes(double now) const;
 
     // As one of the others.
@@ -48,19 +48,19 @@
     [[nodiscard]] double not_before() const {
         return not_before_;
     }
-    // The office stood under our own name: its process, which this node was, has ended.
+    // The leadership stood under our own name: its process, which this node was, has ended.
     void previous_process_was_leader() {
         not_before_ = 0;
     }
-    // The outcome of an attempt to take it is open: it may still be applied while its hold lives.
+    // The outcome of an attempt to take it is open: it may still be applied while its store lease lives.
     void acquisition_in_doubt() {
         acquisition_in_doubt_ = true, served_since_ = -1;
     }
-    // A read by this node, or a renewal; after some time without a failure, no hold of an attempt can be left.
-    // (Where renewals did not count, a leader that had just given way refused its successor the promise, and in an
-    // outage that began then all leases ran out.)
+    // A read by this node, or a renewal; after some time without a failure, no store lease of an attempt can be left.
+    // (Where renewals did not count, a leader that had just given way refused its successor the extension vote, and in
+    // an outage that began then all leases ran out.)
     void record_store_answer(bool ok, double now);
-    // Gives the promise if it may be given; store_failed: a read made for it has just failed.
+    // Gives the extension vote if it may be given; store_failed: a read made for it has just failed.
     bool grant_extension(double length_s, double now, bool follower, bool store_failed);
 
 private:
--- a/include/heronshift/leadership/state_loader.hpp
+++ b/include/heronshift/leadership/state_loader.hpp
@@ -1,4 +1,4 @@
-// Reads what the store holds of the cluster, whole at a takeover, and from then on the jobs that other
+// Reads what the store holds of the cluster, whole at a failover, and from then on the jobs that other
 // nodes store.
 //
 // Owns: the pages read so far and the revision followed to. May call the store only. Says nothing of
--- a/include/heronshift/leadership/transaction_queue.hpp
+++ b/include/heronshift/leadership/transaction_queue.hpp
@@ -1,7 +1,7 @@
-// The transactions of one term. Each guards the office and continues the round's count, so that each
+// The transactions of one term. Each guards the leadership and continues the round's count, so that each
 // makes all earlier ones that are still under way fail.
 //
-// Owns: the stamps of office and round, the round's count. May call the store only.
+// Owns: the stamps of leadership and round, the round's count. May call the store only.
 #pragma once
 
 #include "heronshift/config.hpp"
--- a/include/heronshift/local/cloud.hpp
+++ b/include/heronshift/local/cloud.hpp
@@ -44,7 +44,7 @@
     int start();
     void tick(double now);
     void lose_all(); // the machine is gone
-    // Status 200 or 409 with a report; 0: silence, the caller gives up.
+    // Status 200 or 409 with a heartbeat; 0: silence, the caller gives up.
     std::pair<int, std::optional<Heartbeat>> obey(std::uint64_t fencing_token, std::uint64_t agent_epoch,
                                                   const std::vector<Order>& list);
 
--- a/include/heronshift/local/emulator.hpp
+++ b/include/heronshift/local/emulator.hpp
@@ -1,4 +1,4 @@
-// The stand-ins as programs of their own, for a daemon, a script or curl: the state service, and the
+// The emulators as programs of their own, for a daemon, a script or curl: the state service, and the
 // cloud with its machines. They serve until interrupted.
 #pragma once
 
@@ -9,7 +9,7 @@
 
 namespace heronshift::local {
 
-// What the stand-ins rent out, if nothing else is said.
+// What the emulators rent out, if nothing else is said.
 std::vector<MachineType> usual_types();
 // Of a job whose description cannot be read here: some task of no size that runs a second.
 JobSpec any_job(const std::string& id);
--- a/include/heronshift/local/history.hpp
+++ b/include/heronshift/local/history.hpp
@@ -1,4 +1,4 @@
-// What happened on a stand-in platform, held against the rules of the protocol as it happens. Knows
+// What happened on an emulator platform, held against the rules of the protocol as it happens. Knows
 // the users' side (what was told) and the machines' side (what ran where); times in seconds of one clock.
 #pragma once
 
--- a/include/heronshift/local/local.hpp
+++ b/include/heronshift/local/local.hpp
@@ -1,6 +1,6 @@
-// A platform to try heronshift on, in one command: stand-ins of state service, cloud and machines on
+// A platform to try heronshift on, in one command: emulators of state service, cloud and machines on
 // loopback, three controllers as processes of their own, users with a small load of all shapes and a
-// pipeline, and if asked for troubles from a seed. Every rule is checked as things happen.
+// pipeline, and if asked for faults from a seed. Every rule is checked as things happen.
 #pragma once
 
 #include <string>
@@ -15,7 +15,7 @@
     std::string folder;  // of settings and logs; empty: one under the system's temporary folder
     std::string program; // the controllers'; empty: this one
     bool stay = false;   // go on serving after the load, until interrupted
-    // Only the stand-ins, for a program that embeds the scheduler or a daemon of your own, whose port for
+    // Only the emulators, for a program that embeds the scheduler or a daemon of your own, whose port for
     // workers this is: no controllers, no load, until interrupted.
     int serve_port = 0;
 };
--- a/include/heronshift/membership/membership.hpp
+++ b/include/heronshift/membership/membership.hpp
@@ -2,7 +2,7 @@
 //
 // Owns: a Link for the state service, the cloud, every peer and the workers of every zone; the newest view
 // of each peer with its age; a few addresses of machines to ask. May call the peers, the store and the
-// executor, for exchanges and probes only; what the office and the core know it asks its Host. Everything
+// executor, for exchanges and probes only; what the leadership and the core know it asks its Host. Everything
 // here is a hint: nothing that a rule hangs on is decided by it, a wrong or stale view costs time.
 #pragma once
 
@@ -23,7 +23,7 @@
 
 namespace heronshift::membership {
 
-// How well a controller could hold the office; greater is fitter. First the store, then workers that it
+// How well a controller could be the leader; greater is a better candidate. First the store, then workers that it
 // reaches itself, then those it reaches through another controller, then the cloud.
 struct Eligibility {
     int store = 0, zones = 0, zones_by_others = 0, cloud = 0;
@@ -77,7 +77,7 @@
     // All others are alive, and none of them reaches workers and store.
     [[nodiscard]] bool no_better_candidate() const;
     [[nodiscard]] bool has_any_link() const; // with the store or any other controller
-    // The fittest of those alive, if it is surely fitter than this node.
+    // The fittest of those alive, if it is surely a better candidate than this node.
     [[nodiscard]] std::optional<std::string> better_candidate() const;
     [[nodiscard]] Eligibility own_eligibility() const;
     [[nodiscard]] Eligibility eligibility(const std::string& peer) const;
@@ -87,14 +87,14 @@
     [[nodiscard]] std::optional<std::string> served_instead() const;
     // A peer that reaches the workers of a zone and is reached from here.
     [[nodiscard]] std::optional<std::string> relay_to(const std::string& zone);
-    // Whether a worker of this zone should report to the holder itself: so unless the holder says it
+    // Whether a worker of this zone should report to the leader itself: so unless the leader says it
     // does not hear them.
     [[nodiscard]] bool leader_reaches(const std::string& leader, const std::string& zone) const;
-    // For how long this node leaves an office that it sees free to others.
+    // For how long this node leaves an leadership that it sees free to others.
     [[nodiscard]] double candidacy_delay_s() const;
     // Can do something for users: by itself or through another, or nobody can.
     [[nodiscard]] bool can_serve() const;
-    // Who holds the office by what a peer was told by the store; none: nobody says so.
+    // Who is the leader by what a peer was told by the store; none: nobody says so.
     struct ReportedLeader {
         std::string leader;
         std::uint64_t term = 0;
@@ -108,7 +108,7 @@
         explicit Zone(const Settings& s);
         LinkHealth in, out; // reports that should come; requests that should be answered
         double last_heartbeat_at = -1, relayed_at = -1,
-               trusted_at = -1; // a report of its own; another's; taken for well again
+               trusted_at = -1; // a heartbeat of its own; another's; taken for well again
         struct Sample {
             std::string addr;
             double at = 0;
--- a/include/heronshift/metrics/metrics.hpp
+++ b/include/heronshift/metrics/metrics.hpp
@@ -38,7 +38,7 @@
     double sum_ = 0;
 };
 
-// From the moment the holder knows a job to its first launch. Bounded: of too many, the oldest is forgotten.
+// From the moment the leader knows a job to its first launch. Bounded: of too many, the oldest is forgotten.
 class FirstLaunches {
 public:
     void known(const std::string& job, double now);
--- a/include/heronshift/node/controller.hpp
+++ b/include/heronshift/node/controller.hpp
@@ -2,8 +2,8 @@
 // commands come from and effects go to. Whoever drives it (Node on libuv; the tests' world) calls tick()
 // some thirty times in report_s, and wake() when wake_at() has come and after anything was handed in.
 //
-// Owns: the queue, the core while this node holds the office, the parts and their wiring. Decides nothing:
-// who may act is the office's, what may be done the ledger's.
+// Owns: the queue, the core while this node is the leader, the parts and their wiring. Decides nothing:
+// who may act is the leadership's, what may be done the cluster state's.
 #pragma once
 
 #include "heronshift/cloud/cloud_client.hpp"
@@ -41,7 +41,7 @@
         log_ = std::move(log);
     }
     void start();
-    void stop(); // gives the office up
+    void stop(); // resigns
     void tick();
     void wake(); // what has become due; then the core takes what has gathered
     [[nodiscard]] double wake_at() const;
@@ -65,7 +65,7 @@
     [[nodiscard]] double active_until() const {
         return election_.active_until();
     }
-    [[nodiscard]] const Core* core() const { // while it holds the office
+    [[nodiscard]] const Core* core() const { // while it is the leader
         return core_.get();
     }
 
--- a/include/heronshift/persistence/cluster_records.hpp
+++ b/include/heronshift/persistence/cluster_records.hpp
@@ -1,4 +1,4 @@
-// What the store holds of the cluster: read whole at a takeover, written a little each round, one
+// What the store holds of the cluster: read whole at a failover, written a little each round, one
 // transaction at a time, most urgent first. Nothing is told that is not stored, and a placement is
 // not launched before its record is.
 //
@@ -12,7 +12,7 @@
 
 namespace heronshift {
 
-// What the store holds at a takeover.
+// What the store holds at a failover.
 struct Snapshot {
     std::vector<codec::Item> jobs, intents, progress, images, learned;
     std::vector<codec::Item> earlier; // of the layout before: a record a machine, one a job
@@ -20,7 +20,7 @@
 
 class ClusterRecords final : public cluster::PersistenceListener {
 public:
-    // Enters what the store holds into the ledger, as it stands.
+    // Enters what the store holds into the cluster state, as it stands.
     ClusterRecords(cluster::ClusterState& cluster, const Settings& settings, const Snapshot& stored, double wall,
                    std::vector<Effect>& out);
 
--- a/include/heronshift/persistence/intents.hpp
+++ b/include/heronshift/persistence/intents.hpp
@@ -20,7 +20,7 @@
     friend bool operator==(const Intent&, const Intent&) = default;
 };
 
-// Writes one record line by line: a machine, its zone and tenure, then its tasks, neighbours of one
+// Writes one record line by line: a machine, its zone and agent epoch, then its tasks, neighbours of one
 // attempt as a range. Give the tasks of a machine one after the other.
 class Writer {
 public:
--- a/include/heronshift/store/engine.hpp
+++ b/include/heronshift/store/engine.hpp
@@ -1,7 +1,7 @@
 // What a state store does, without a thread, a network or a clock: times are milliseconds of one
 // steady clock that all users of the same data share.
 //
-// Two of them: MemoryEngine (tests, stand-ins) and FileEngine (one machine, SQLite). The limits and
+// Two of them: MemoryEngine (tests, emulators) and FileEngine (one machine, SQLite). The limits and
 // the form of requests are checked here for both.
 #pragma once
 
@@ -102,9 +102,9 @@
         bool opened = false;
     };
     std::optional<Answer> look(Waiting& w, bool changed, std::int64_t now_ms);
-    // Ends the holds whose time is over. True: some did.
+    // Ends the leases whose time is over. True: some did.
     bool expire(std::int64_t now_ms);
-    // All holds have their full time again, as after an outage.
+    // All leases have their full time again, as after an outage.
     void renew_all(std::int64_t now_ms);
 
 private:
--- a/include/heronshift/store/file_data.hpp
+++ b/include/heronshift/store/file_data.hpp
@@ -2,9 +2,9 @@
 // the end of the process and a loss of power (WAL, synchronous=FULL). Several processes may use the
 // same file at once.
 //
-// Holds end by the machine's steady clock (CLOCK_MONOTONIC), which all its processes share, which no
-// one sets and which stands still while the machine sleeps, as the holder's own does. After a new
-// boot all holds have their full time again.
+// Leases end by the machine's steady clock (CLOCK_MONOTONIC), which all its processes share, which no
+// one sets and which stands still while the machine sleeps, as the leader's own does. After a new
+// boot all leases have their full time again.
 #pragma once
 
 #include "heronshift/store/engine.hpp"
--- a/include/heronshift/store/server.hpp
+++ b/include/heronshift/store/server.hpp
@@ -1,5 +1,5 @@
-// A stand-in of the state service: an engine behind HTTP on loopback, for tests, tries and scripts.
-// Troubles can be played: an outage (503) or silence, for everybody.
+// an emulator of the state service: an engine behind HTTP on loopback, for tests, tries and scripts.
+// Faults can be played: an outage (503) or silence, for everybody.
 #pragma once
 
 #include "heronshift/http.hpp"
@@ -22,7 +22,7 @@
     [[nodiscard]] Engine& engine() {
         return store_.engine();
     }
-    // When an outage ends, all holds have their full time again.
+    // When an outage ends, all leases have their full time again.
     void set_fault_mode(FaultMode m);
     void poll(); // answers who waits for a change; start() sees to it
     [[nodiscard]] std::uint64_t requests() const {
--- a/include/heronshift/types.hpp
+++ b/include/heronshift/types.hpp
@@ -123,7 +123,7 @@
 /// full; `busy`: what it needs was in use there.
 enum class ExitCause : std::uint8_t { none, done, stopped, peers, alone, error, no_room, busy, unknown };
 
-/// One task in a report.
+/// One task in a heartbeat.
 struct ReportedTask {
     /// The id of its job.
     std::string job;
@@ -153,7 +153,7 @@
     bool spot = false;
     /// The epoch of the agent on it: a restarted agent has a greater one and no tasks.
     std::uint64_t agent_epoch = 0;
-    /// The number of the report within the epoch.
+    /// The number of the heartbeat within the epoch.
     std::uint64_t counter = 0;
     /// The highest fencing token that the agent has seen.
     std::uint64_t fencing_token = 0;
--- a/include/heronshift/workers/heartbeat_handler.hpp
+++ b/include/heronshift/workers/heartbeat_handler.hpp
@@ -1,9 +1,9 @@
 // What machines say and are told: reports and their answers, orders sent to them; both also by way of
 // another controller, where the direct way is cut.
 //
-// Owns: the answers still owed to machines, who was sent to the holder lately, the budget of relays. May
-// call the executor, the peers and membership; the office and the core only through its Host. It carries:
-// what a report means and which orders there are, the core decides. A relay is only a longer way: it never
+// Owns: the answers still owed to machines, who was sent to the leader lately, the budget of relays. May
+// call the executor, the peers and membership; the leadership and the core only through its Host. It carries:
+// what a heartbeat means and which orders there are, the core decides. A relay is only a longer way: it never
 // answers by itself, keeps, repeats or merges, and is never relayed once more. See docs/safety.md.
 #pragma once
 
@@ -27,7 +27,7 @@
     public:
         virtual ~Host() = default;
         [[nodiscard]] virtual bool is_active_leader() const = 0;     // at this moment
-        [[nodiscard]] virtual bool is_acquiring() const = 0;         // the office, which takes a moment
+        [[nodiscard]] virtual bool is_acquiring() const = 0;         // the leadership, which takes a moment
         [[nodiscard]] virtual const std::string& leader() const = 0; // a hint, may be empty
         [[nodiscard]] virtual bool is_of_leader_term(std::uint64_t fencing_token) const = 0;
         [[nodiscard]] virtual std::string zone_of(const std::string& machine) const = 0; // empty: not known
@@ -38,7 +38,7 @@
 
     void handle_heartbeat(HttpRequest&& r, const Responder& res, bool relayed); // POST /agent/beat
     void forward(HttpRequest&& r, const Responder& res); // POST /peer/relay: orders for a machine
-    void retry_pending_heartbeats(); // reports that came while the office changed hands; often, and once it is ours
+    void retry_pending_heartbeats(); // reports that came while the leadership changed hands; often, and once it is ours
     void on_leadership_lost();       // who waits for an answer is sent away
 
     // From the core.
@@ -46,23 +46,24 @@
     void send(const SendOrders& o, std::function<void(OrdersAnswered&&)> done);
 
 private:
-    struct RawRequest { // a report as it came, so that it can be passed on
+    struct RawRequest { // a heartbeat as it came, so that it can be passed on
         std::string body;
         Responder res;
     };
-    struct PendingHeartbeat { // a report that came while the office changed hands
+    struct PendingHeartbeat { // a heartbeat that came while the leadership changed hands
         Heartbeat heartbeat;
         bool relayed = false;
         Executor::HeartbeatDone done;
         double since = 0;
         std::optional<RawRequest> whole; // none: it may not be passed on, or was already
-        std::string refused_by;          // a holder that did not take it
+        std::string refused_by;          // a leader that did not take it
         [[nodiscard]] std::size_t bytes() const;
     };
     void take(PendingHeartbeat&& e);
     void keep_waiting(PendingHeartbeat&& e);
     bool make_room_for_sent_away();
-    [[nodiscard]] HeartbeatResponse not_leader_response() const; // what a report is told that this node must not take
+    [[nodiscard]] HeartbeatResponse
+    not_leader_response() const; // what a heartbeat is told that this node must not take
     enum class Route : std::uint8_t { leader, relay, next };
     [[nodiscard]] Route route_of(const Heartbeat& r);
     void relay(Heartbeat&& r, RawRequest&& whole, double since);
@@ -86,7 +87,7 @@
     std::map<std::uint64_t, Open> open_;
     std::vector<PendingHeartbeat> pending_heartbeats_;
     std::size_t early_bytes_ = 0;
-    // To whom, when (below zero: it came back since), until when it is relayed, and its last report.
+    // To whom, when (below zero: it came back since), until when it is relayed, and its last heartbeat.
     struct Redirected {
         std::string leader;
         double at = -1, relay_until = -1, came_at = -1;
--- a/src/cloud/cloud_client.cpp
+++ b/src/cloud/cloud_client.cpp
@@ -34,7 +34,7 @@
 }
 
 void CloudClient::pump() {
-    // What a holder asked for that may no longer act must not reach the cloud later.
+    // What a leader asked for that may no longer act must not reach the cloud later.
     if (!host_.is_active_leader())
         for (auto gone = std::move(queue_); !gone.empty(); gone.pop_front())
             gone.front()(false);
@@ -105,8 +105,8 @@
     });
 }
 
-// The types come from the cloud; the holder keeps a copy in the store for nodes that start while
-// the cloud is in trouble.
+// The types come from the cloud; the leader keeps a copy in the store for nodes that start while
+// the cloud is in fault.
 void CloudClient::learn_types() {
     next_types_ = timers_.now() + s_.report_s;
     if (learning_types_)
--- a/src/cluster/dependencies.cpp
+++ b/src/cluster/dependencies.cpp
@@ -33,7 +33,7 @@
 }
 
 // A need counts as met only once the store holds that it is done: what only this memory knows might
-// be run again by the next holder, and then a start would have been too early.
+// be run again by the next leader, and then a start would have been too early.
 void ClusterState::wait_for_dependencies(Job& j) {
     j.waits = true;
     j.ready_recorded = false;
@@ -74,7 +74,7 @@
 }
 
 // Called once the final state of a job is in the store. A cancellation takes along all that need it,
-// directly or not: as the first one is stored, every later holder finds the same.
+// directly or not: as the first one is stored, every later leader finds the same.
 void ClusterState::dependency_settled(const std::string& id, Final f) {
     std::vector<std::string> settled{id};
     while (!settled.empty()) {
--- a/src/cluster/heartbeat_requests.cpp
+++ b/src/cluster/heartbeat_requests.cpp
@@ -1,4 +1,4 @@
-// Machines that are asked for a report: after a takeover, and those that have not shown the leader's term yet.
+// Machines that are asked for a heartbeat: after a failover, and those that have not shown the leader's term yet.
 #include "heronshift/cluster/cluster_state.hpp"
 
 #include <algorithm>
@@ -6,7 +6,7 @@
 namespace heronshift::cluster {
 namespace {
 
-constexpr std::size_t min_asked_at_once = 40; // machines asked for a report
+constexpr std::size_t min_asked_at_once = 40; // machines asked for a heartbeat
 constexpr int sockets_per_asked = 16;         // of fd_limit; a fifth of it is free for outgoing requests
 
 } // namespace
@@ -31,7 +31,7 @@
     return std::max(min_asked_at_once, std::min(within_lease, sockets));
 }
 
-// After a takeover workers find us one by one as their reports to others fail. Asked directly they
+// After a failover workers find us one by one as their reports to others fail. Asked directly they
 // tell at once what they run, and having seen our term they prove what they do not run.
 void ClusterState::ask_machines() {
     const auto max_asked = max_asked_at_once();
--- a/src/cluster/jobs.cpp
+++ b/src/cluster/jobs.cpp
@@ -126,7 +126,7 @@
 }
 
 // Whoever reads the final state may tell the user that the job is cancelled, and from then on none of its tasks may
-// start. So it is stored only once no launch is open, of this leader or an earlier one: seen in a report, refused,
+// start. So it is stored only once no launch is open, of this leader or an earlier one: seen in a heartbeat, refused,
 // ruled out by a raised fencing token, or its machine's lease has run out.
 // (LateCommands: launches that came seconds late were carried out after the confirmation.)
 void ClusterState::store_cancellation(Job& j) {
@@ -267,7 +267,7 @@
     switch (t.cause) {
     case ExitCause::done:
         m.failed_jobs.clear();
-        // Of what an earlier holder started nobody knows how long it ran.
+        // Of what an earlier leader started nobody knows how long it ran.
         if (e.running_at >= 0 && task.saved_s <= 0 && e.attempt >> attempt_counter_bits == st_.term)
             record_run_time(j, m, st_.now - e.running_at);
         mark_done(j, e.index);
@@ -395,7 +395,7 @@
     const double over = st_.average_s();
     const double left = std::exp(-(st_.now - l.offered_at) / over);
     const double more = st_.work_left(j) / over * std::exp(-std::max(0.0, st_.now - j.ready) / over);
-    if (st_.now - j.ready < st_.settings.report_s) { // not one read at a takeover
+    if (st_.now - j.ready < st_.settings.report_s) { // not one read at a failover
         l.gaps = std::min(l.gaps + 1, max_gaps);
         l.gap_s += (st_.now - l.offered_at - l.gap_s) / l.gaps;
     }
--- a/src/cluster/machines.cpp
+++ b/src/cluster/machines.cpp
@@ -158,7 +158,7 @@
     return nullptr;
 }
 
-// Another holder has come: however old the report is.
+// Another leader has come: however old the heartbeat is.
 bool ClusterState::outdated(const Heartbeat& r) {
     if (r.fencing_token >> token_counter_bits <= st_.term)
         return false;
@@ -173,14 +173,14 @@
         m.fencing_token = r.fencing_token;
     const bool newer = r.agent_epoch > m.agent_epoch || (r.agent_epoch == m.agent_epoch && r.counter > m.counter);
     if (!newer)
-        return; // late: its task list is as old as the report
+        return; // late: its task list is as old as the heartbeat
     if (ours) {
         st_.unproven_machines.erase(m.id);
         needs_scheduling_ = needs_scheduling_ || !m.proven;
         m.proven = true;
     }
     if (r.agent_epoch > m.agent_epoch) {
-        // A new tenure: all tasks of the earlier ones are gone, and commands for those are void.
+        // A new agent epoch: all tasks of the earlier ones are gone, and commands for those are void.
         for (std::size_t i = m.entries.size(); i-- > 0;)
             if (m.entries[i]->agent_epoch < r.agent_epoch) {
                 ++counters_.lost;
@@ -190,8 +190,8 @@
             lease_restarted(m);
         m.agent_epoch = r.agent_epoch;
         m.failed_jobs.clear();
-        // The lease of a new tenure counts from its beginning, which was at the latest now: it holds
-        // without any report that we answered. (Found by the world with several controllers.)
+        // The lease of a new agent epoch counts from its beginning, which was at the latest now: it holds
+        // without any heartbeat that we answered. (Found by the world with several controllers.)
         m.lease_started_at = std::max(m.lease_started_at, st_.now);
     }
     m.counter = r.counter;
@@ -245,7 +245,7 @@
             stop_entry(fresh, 0);
     }
     // What is not listed is gone if it had been seen here before, or if the machine had by then
-    // seen a fence above that of its launch, which can therefore no longer be executed.
+    // seen a fencing token above that of its launch, which can therefore no longer be executed.
     std::vector<Entry*> gone;
     for (auto& e : m.entries)
         if (e->listed != mark && e->phase >= Phase::sent && (e->seen || r.fencing_token > e->fencing_token))
@@ -268,13 +268,13 @@
     }
 }
 
-// Its lease ran out, as a report says or an answer to orders.
+// Its lease ran out, as a heartbeat says or an answer to orders.
 void ClusterState::lease_restarted(Machine& m) {
     const double now = st_.now;
     ++m.fencing_token; // that it shows this one, told from now on, will prove that it hears
-    // Orders may reach it, and the fence with them, while answers do not: then its lease runs out again and again.
-    // It is seen a report late now and then, so what lies between may look shorter than a lease; but reports that
-    // were held and come all at once are no sign of that.
+    // Orders may reach it, and the fencing token with them, while answers do not: then its lease runs out again and
+    // again. It is seen a heartbeat late now and then, so what lies between may look shorter than a lease; but reports
+    // that were held and come all at once are no sign of that.
     const double lease = st_.settings.lease_s, since = now - m.lease_expired_at;
     if (m.lease_expired_at >= 0 && m.last_answered_at > m.lease_expired_at && since > lease / 2 &&
         since < trusted_leases * lease)
@@ -282,9 +282,9 @@
     m.lease_expired_at = now;
 }
 
-// Reports may come while neither answers nor orders reach their machine: its lease ends, it begins anew, and
-// all that is placed there is lost again. What it has heard shows in its fence, and in a lease that runs out
-// though its reports were answered.
+// Heartbeats may come while neither answers nor orders reach their machine: its lease ends, it begins anew, and
+// all that is placed there is lost again. What it has heard shows in its fencing token, and in a lease that runs out
+// though its heartbeats were answered.
 void ClusterState::update_inbound_reachability(Machine& m, const Heartbeat& r) {
     const double now = st_.now;
     if (r.fencing_token >= m.acknowledged_token)
@@ -333,7 +333,7 @@
     return true;
 }
 
-// Copies of reports may come late, from seconds to well over a lease, and in any order: they count for nothing,
+// Copies of heartbeats may come late, from seconds to well over a lease, and in any order: they count for nothing,
 // not even as a sign of life. Else a machine that is long gone would keep its tasks for as long as they come.
 void ClusterState::receive_heartbeat(const HeartbeatReceived& c) {
     const auto& r = c.heartbeat;
@@ -438,12 +438,12 @@
         return e->phase == Phase::sent && !e->seen && e->fencing_token == fencing_token;
     };
     if (c.status == 200 && c.heartbeat && c.heartbeat->agent_epoch == m->agent_epoch) {
-        // The body is the report after the commands: what it does not list did not start.
+        // The body is the heartbeat after the commands: what it does not list did not start.
         for (auto& e : m->entries)
             if (outstanding(e) && c.heartbeat->counter > m->counter)
                 mark_seen(*e);
         apply_heartbeat(*m, *c.heartbeat, reaps);
-        // A newer report overtook this answer without settling a launch: raise the fence.
+        // A newer heartbeat overtook this answer without settling a launch: raise the fencing token.
         if (std::any_of(m->entries.begin(), m->entries.end(), outstanding))
             ++m->fencing_token;
         return;
@@ -460,8 +460,8 @@
             apply_heartbeat(*m, *c.heartbeat, reaps);
         return;
     }
-    // The outcome is open: the commands may still be executed, minutes later. Raising the fence
-    // and seeing the raised value in a report proves that they no longer can be.
+    // The outcome is open: the commands may still be executed, minutes later. Raising the fencing token
+    // and seeing the raised value in a heartbeat proves that they no longer can be.
     ++m->fencing_token;
     m->avoid_until = std::max(m->avoid_until, st_.now + st_.settings.report_s / 2);
     log(0, fmt::format("no answer of {} to commands, fence raised to {}", m->id, m->fencing_token));
@@ -551,8 +551,8 @@
             continue;
         auto& m = learn_machine(l.id, l.addr, l.type, l.zone, l.spot);
         m.listed_at = st_.now;
-        // Known from records or a report first, as after a takeover, it is older than that: from a day on
-        // which no machine was emptied for a minute after each change of office, 300 too many kept.
+        // Known from records or a heartbeat first, as after a failover, it is older than that: from a day on
+        // which no machine was emptied for a minute after each change of leadership, 300 too many kept.
         m.known_since = std::min(m.known_since, st_.now - l.age_s);
         if (l.status == "failed" && !m.releasing) {
             log(1, fmt::format("machine {} has failed", m.id));
--- a/src/cluster/proposals.cpp
+++ b/src/cluster/proposals.cpp
@@ -131,7 +131,7 @@
 }
 
 void ClusterState::rent(const Pending& p) {
-    // The term makes the name unique among all holders there ever were.
+    // The term makes the name unique among all leaders there ever were.
     const auto claim = fmt::format("r-{}-{}", st_.term, ++claim_seq_);
     st_.rentals[claim] = p;
     out_.emplace_back(Rent{claim, p.type, p.zone, p.spot, p.count});
--- a/src/codec/store.cpp
+++ b/src/codec/store.cpp
@@ -1,4 +1,4 @@
-// The state service: items, transactions, leases and watches, both as client and as stand-in.
+// The state service: items, transactions, leases and watches, both as client and as emulator.
 #include "fields.hpp"
 
 #include <fmt/format.h>
--- a/src/core/core.cpp
+++ b/src/core/core.cpp
@@ -37,7 +37,7 @@
     cluster_.set_time(now, wall);
     effects_.clear();
     if (!may_act) {
-        // From a day on which a cut-off holder took the machines outside its zone for lost and gave
+        // From a day on which a cut-off leader took the machines outside its zone for lost and gave
         // them back the moment the cut ended, with all that ran there under its successor.
         std::erase_if(commands, [this](const Command& c) {
             const auto* b = std::get_if<HeartbeatReceived>(&c);
@@ -65,7 +65,7 @@
         cluster_.begin_pass();
         placement_.schedule();
         // A pass looks at all that waits. With a hundred thousand jobs, passes that followed each other at
-        // once took the whole loop, and the office was lost for want of renewals.
+        // once took the whole loop, and the leadership was lost for want of renewals.
         const double load = static_cast<double>(placement_.waiting()) / jobs_a_pass;
         next_schedule_ = now + s_.report_s / 60 * std::max(1.0, load);
     }
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -93,7 +93,7 @@
         c.res.send(503, not_now, retry_soon_s);
 }
 
-// Who else could answer: the holder; where the store does not serve this node, one that it serves.
+// Who else could answer: the leader; where the store does not serve this node, one that it serves.
 std::vector<std::string> Gateway::ways(bool to_leader, bool to_store) const {
     std::vector<std::string> out;
     const auto& leader = host_.leader();
@@ -139,7 +139,7 @@
     return status != nullptr;
 }
 
-// The final state is read first, since most that the holder does not know are over, and last: it is never taken
+// The final state is read first, since most that the leader does not know are over, and last: it is never taken
 // back, and it is there before the job's record goes. What cannot be found out is said at once.
 void Gateway::look_up(const std::string& id, std::function<void(Found)> done) {
     const double t = timers_.now();
@@ -218,7 +218,7 @@
     if (host_.active_core() == nullptr) {
         if (forwarded)
             return res.send(503, not_now, retry_soon_s);
-        // Only the holder decides, so that its answers from memory are never old.
+        // Only the leader decides, so that its answers from memory are never old.
         return forward(std::make_shared<HttpRequest>(std::move(r)), std::move(res), ways(true, false), look_up_s,
                        [](const Responder& x) { x.send(503, not_now, retry_soon_s); });
     }
--- a/src/leadership/leader_election.cpp
+++ b/src/leadership/leader_election.cpp
@@ -11,14 +11,14 @@
 
 constexpr const char* peer_extension_vote = "/peer/promise";
 constexpr const char* peer_takeover = "/peer/take";
-constexpr const char* served_field = "served"; // of a refused promise: the store has just answered there
-constexpr double attempt_s = 1;                // for each step of taking the office
+constexpr const char* served_field = "served"; // of a refused extension vote: the store has just answered there
+constexpr double attempt_s = 1;                // for each step of becoming leader
 constexpr double no_worker_heartbeats = 2,
                  no_zone_heartbeats = 1.5;   // without a word from any worker: this node is cut off
 constexpr double no_worker_leases = 0.5;     // the same for one that never heard any in this term
-constexpr double steady_heartbeats = 0.5;    // for so long another must be fitter
+constexpr double steady_heartbeats = 0.5;    // for so long another must be a better candidate
 constexpr double unserved_lease_share = 0.7; // of its length, not renewed while the store serves others
-constexpr double unserved_leases = 0.5;      // for so long the office may stand without anybody who may act
+constexpr double unserved_leases = 0.5;      // for so long the leadership may stand without anybody who may act
 constexpr double look_heartbeats = 1.0 / 10;
 constexpr double forget_heartbeats = 2; // without the store's or a peer's word
 constexpr std::size_t min_machines_to_judge = 4;
@@ -28,7 +28,7 @@
 LeaderElection::LeaderElection(const Settings& s, TimerQueue& timers, store::StateStore& store, Peers& peers,
                                const membership::Membership& members, metrics::Timings& became_leader, Host& host)
     : s_(s), timers_(timers), store_(store), peers_(peers), members_(members), host_(host),
-      // Short, so that others take over soon: outages of the store are bridged by promises.
+      // Short, so that others take over soon: outages of the store are bridged by extension votes.
       leader_lease_(std::min(s.report_s, s.lease_s / 5), s.peers.size(), timers.now()), state_loader_(s, timers, store),
       transactions_(s, timers, store, became_leader,
                     {[this](TxnOutcome o) { host_.committed(o); }, [this](const std::string& why) { resign(why); },
@@ -57,12 +57,12 @@
         resign_if_store_unavailable();
 }
 
-// Whether another should hold the office, by one order: the store before workers, workers reached directly
-// before those reached through others. At most one change a lease for the sake of more; a holder that the
+// Whether another should be the leader, by one order: the store before workers, workers reached directly
+// before those reached through others. At most one change a lease for the sake of more; a leader that the
 // store does not serve, or that hears from no worker at all, is as good as dead.
 void LeaderElection::consider_better_candidates() {
     const double t = timers_.now();
-    // Nobody else can take the office without the store. (In outages the holder gave it up to one that reached
+    // Nobody else can become leader without the store. (In outages the leader gave it up to one that reached
     // one zone more; it stood empty until the store was back, and all leases ran out.)
     const bool served = members_.store() != membership::Reachability::unreachable;
     const auto better_candidate = served ? members_.better_candidate() : std::nullopt;
@@ -84,7 +84,7 @@
     }
 }
 
-// A store so slow that answers come too late goes on extending the hold, while nobody may act.
+// A store so slow that answers come too late goes on extending the store lease, while nobody may act.
 void LeaderElection::resign_if_store_unavailable() {
     const double since = is_leader() ? std::max(leader_lease_.until(), acquired_at_) : acquired_at_;
     if (timers_.now() - since > unserved_leases * s_.lease_s)
@@ -106,7 +106,7 @@
     return silent > patience && host_.machines_up() >= min_machines_to_judge;
 }
 
-// Waits for a change of the office, then looks at it afresh.
+// Waits for a change of the leadership, then looks at it afresh.
 void LeaderElection::watch_leader_key() {
     if (role_ != Role::follower)
         return;
@@ -136,7 +136,7 @@
         spdlog::debug("the office is free{}", leader_lease_.may_acquire(t) ? "" : ", but we promised to wait");
         if (!leader_lease_.may_acquire(t))
             return watch_leader_key_after(std::max(0.01, leader_lease_.not_before() - t));
-        // A fitter one goes first; but views may be wrong, so nobody waits for ever.
+        // A a better candidate one goes first; but views may be wrong, so nobody waits for ever.
         const double wait = free_since_ + members_.candidacy_delay_s() - t;
         if (wait > 0)
             return watch_leader_key_after(std::min(wait, s_.report_s / 8));
@@ -149,7 +149,7 @@
     free_since_ = -1;
     const auto name = item->value.value("node", std::string());
     if (name == s_.name) {
-        // We have just started: the process that held the office under our name is dead.
+        // We have just started: the process that was the leader under our name is dead.
         const auto hold = item->value.value("hold", std::uint64_t{0});
         leader_lease_.previous_process_was_leader();
         spdlog::info("the office is held by an earlier process of this node, ending its hold {}", hold);
@@ -171,21 +171,21 @@
     });
 }
 
-// While the store does not answer this node, the others may know who holds the office. It is only a
+// While the store does not answer this node, the others may know who is the leader. It is only a
 // hint, for passing on requests and sending workers to the right place.
 void LeaderElection::learn_leader_from_peers() {
     const double t = timers_.now();
     const auto said = members_.reported_leader();
     if (sees_leader() || (said && said->leader == leader_ && said->term == leader_term_))
         known_at_ = t;
-    // What was known long ago is worse than nothing: others would be sent to a holder that is none.
+    // What was known long ago is worse than nothing: others would be sent to a leader that is none.
     if (role_ == Role::follower && !leader_.empty() && t - known_at_ > forget_heartbeats * s_.report_s) {
         spdlog::info("who holds the office is not known here any more");
         leader_.clear();
     }
     if (!said || said->leader == s_.name || said->leader == leader_)
         return;
-    // Cut off from the store, a holder whose time is over would never learn that another has taken its
+    // Cut off from the store, a leader whose time is over would never learn that another has taken its
     // place, and would keep its machines waiting.
     if (is_leader() && said->term > term_)
         return resign(said->leader + " has begun another term", {});
@@ -320,16 +320,16 @@
     });
 }
 
-// Cut off from the store while it serves others: the hold runs out, and waiting for that gains nothing. But a refusal
-// of one is often the beginning of an outage for all, and an outage that begins in the middle of a change finds nobody
-// who may act: so it waits for a good part of the hold, and others are fit to follow within the rest. That others are
-// served must be news of this moment. (A view of 0.3 s ago said so when an outage had just begun: the leader that all
-// others had promised to wait for gave its office up, nobody could take it for a minute, and 13,000 tasks were killed
-// by their leases.)
-// Nor does an old renewal alone say that the store refuses this node: its own loop may have been late, and no renewal
-// was sent in that time or its answer lies unread. So a renewal that was sent after the last successful one must have
-// failed. That is known long before the hold is old enough: renewals go out six times a hold and end within a fifth of
-// it. Staying on is no risk: whether this node acts is decided by the hold's end alone (Tenancy::valid).
+// Cut off from the store while it serves others: the store lease runs out, and waiting for that gains nothing. But a
+// refusal of one is often the beginning of an outage for all, and an outage that begins in the middle of a change finds
+// nobody who may act: so it waits for a good part of the store lease, and others are fit to follow within the rest.
+// That others are served must be news of this moment. (A view of 0.3 s ago said so when an outage had just begun: the
+// leader that all others had promised to wait for resigned, nobody could take it for a minute, and 13,000 tasks were
+// killed by their leases.) Nor does an old renewal alone say that the store refuses this node: its own loop may have
+// been late, and no renewal was sent in that time or its answer lies unread. So a renewal that was sent after the last
+// successful one must have failed. That is known long before the store lease is old enough: renewals go out six times a
+// store lease and end within a fifth of it. Staying on is no risk: whether this node acts is decided by the store
+// lease's end alone (Tenancy::valid).
 void LeaderElection::resign_to_served_peer() {
     const double t = timers_.now();
     const double renewed_at = leader_lease_.renewed_at();
@@ -347,7 +347,7 @@
     resign(fmt::format("the store serves {}, not this node", to.front()), to);
 }
 
-// A peer that holds the office cannot renew its hold and asks us to leave it alone for a while. A
+// A peer that is the leader cannot renew its store lease and asks us to leave it alone for a while. A
 // read of our own tells whether it is the store or only that peer.
 void LeaderElection::handle_extension_vote_request(const HttpRequest& r, const Responder& res) {
     const auto j = codec::parse(r.body);
@@ -387,7 +387,7 @@
     watch_leader_key_after(s_.report_s / 10);
 }
 
-// To the first that can be reached. It ends the hold if this node could not.
+// To the first that can be reached. It ends the store lease if this node could not.
 void LeaderElection::offer_leadership(const std::string& body, std::vector<std::string> to) {
     if (to.empty())
         return;
@@ -400,9 +400,9 @@
                    });
 }
 
-// A holder that has stopped acting asks us to take its place, and to end its hold if it still stands. Such
-// a request may come minutes late or twice: what it names is ended only if the office still names all of
-// it, and a hold that is ended once never comes back.
+// A leader that has stopped acting asks us to take its place, and to end its store lease if it still stands. Such
+// a request may come minutes late or twice: what it names is ended only if the leadership still names all of
+// it, and a store lease that is ended once never comes back.
 void LeaderElection::handle_takeover_request(const HttpRequest& r, const Responder& res) {
     const auto j = codec::parse(r.body);
     const auto number = [&](const char* field) {
--- a/src/leadership/leader_lease.cpp
+++ b/src/leadership/leader_lease.cpp
@@ -8,8 +8,8 @@
 // Steady clocks drift apart by up to 0.05%; four times that, and some for timer steps.
 constexpr double clock_drift = 0.002;
 constexpr double timer_s = 0.1;
-constexpr double store_leases_gone_ttls = 3; // lengths of a hold after which none is left
-constexpr double renewals_missed = 0.25;     // of the hold: later than this, promises are asked for
+constexpr double store_leases_gone_ttls = 3; // lengths of a store lease after which none is left
+constexpr double renewals_missed = 0.25;     // of the store lease: later than this, extension votes are asked for
 
 } // namespace
 
@@ -28,7 +28,7 @@
 }
 
 bool LeaderLease::extension_granted(const std::string& peer, double sent, double now) {
-    // A lapse cannot be mended: whoever took the office meanwhile may have lost it again.
+    // A expiry cannot be mended: whoever became leader meanwhile may have lost it again.
     if (!valid(now))
         return false;
     auto& until = extension_votes_[peer];
@@ -47,14 +47,14 @@
         served_since_ = -1;
     else if (served_since_ < 0)
         served_since_ = now;
-    // Holds live longer through an outage, so only time in which the store answered counts.
+    // Leases live longer through an outage, so only time in which the store answered counts.
     if (served_since_ >= 0 && now - served_since_ > store_leases_gone_ttls * ttl_s_)
         acquisition_in_doubt_ = false;
 }
 
 bool LeaderLease::grant_extension(double length_s, double now, bool follower, bool store_failed) {
-    // An attempt of ours that is still on its way would break the promise without our doing. A longer one than
-    // holders ask for would be forgotten by a process that is back within a moment.
+    // An attempt of ours that is still on its way would break the extension vote without our doing. A longer one than
+    // leaders ask for would be forgotten by a process that is back within a moment.
     if (!follower || !store_failed || acquisition_in_doubt_ || length_s > extension_s() * (1 + clock_drift))
         return false;
     not_before_ = std::max(not_before_, now + length_s * (1 + clock_drift) + timer_s);
--- a/src/leadership/state_loader.cpp
+++ b/src/leadership/state_loader.cpp
@@ -68,7 +68,7 @@
     follow();
 }
 
-// Other nodes accept jobs too; the holder learns of them here.
+// Other nodes accept jobs too; the leader learns of them here.
 void StateLoader::follow() {
     const auto gen = generation_;
     store_.follow("j/", revision_, s_.lease_s / 2, [this, gen](store::Answer&& r) {
--- a/src/membership/link_health.cpp
+++ b/src/membership/link_health.cpp
@@ -9,7 +9,7 @@
     failures_ = 0;
     if (back_since_ < 0)
         back_since_ = now;
-    // What was lost has to work for a while: else every flap would move the office or the workers.
+    // What was lost has to work for a while: else every flap would move the leadership or the workers.
     if (reach_ == Reachability::unreachable && now - back_since_ < p_.back_s)
         return false;
     return std::exchange(reach_, Reachability::reachable) == Reachability::unreachable;
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -12,10 +12,11 @@
 constexpr double fresh_heartbeats = 1; // a view older than three exchanges says nothing
 constexpr double probe_heartbeats = 1.0 / 2, probe_wait = 1.0 / 4;
 constexpr double store_heartbeats = 1.0 / 3; // without an answer: it is asked
-constexpr double silence_heartbeats = 1.5;   // without a report of a zone's machines: it is cut off
+constexpr double silence_heartbeats = 1.5;   // without a heartbeat of a zone's machines: it is cut off
 constexpr double silence_small_fleet_heartbeats = 2.5;
-constexpr double samples_leases = 2;               // how long an address is worth asking
-constexpr double candidacy_delay_leases = 1.0 / 4; // an office that a fitter one should take is left to it for so long
+constexpr double samples_leases = 2; // how long an address is worth asking
+constexpr double candidacy_delay_leases =
+    1.0 / 4; // an leadership that a a better candidate one should take is left to it for so long
 constexpr double stagger_heartbeats = 1.0 / 40;
 constexpr double answer_heartbeats = 1.0 / 10; // an answer that was under way when an outage began may take so long
 constexpr std::size_t min_machines_to_judge = 4;
@@ -114,7 +115,7 @@
     remember(*z, addr);
 }
 
-// The same few for as long as they report: connections to them are kept. (Where relayed reports did not
+// The same few for as long as they report: connections to them are kept. (Where relayed heartbeats did not
 // count, the machines that were asked had long been given back, and their zone was taken for lost.)
 void Membership::remember(Zone& z, const std::string& addr) {
     const double t = timers_.now();
@@ -144,7 +145,7 @@
         next_probe_ = t + probe_heartbeats * s_.report_s;
         probe();
     }
-    // Those that the store does not serve learn only from this who holds the office now.
+    // Those that the store does not serve learn only from this who is the leader now.
     if (const bool is_active_leader = host_.is_active_leader(); is_active_leader != was_active_leader_) {
         was_active_leader_ = is_active_leader;
         exchange_soon_ = true;
@@ -196,7 +197,7 @@
     }
     for (auto& [name, z] : zones_)
         probe_zone(name, z);
-    // The cloud's calls are few: the others look only when it is the holder that cannot.
+    // The cloud's calls are few: the others look only when it is the leader that cannot.
     const auto h = peer_states_.find(host_.leader());
     if (h == peer_states_.end() || !fresh(h->second) || h->second.view.cloud != Reachability::unreachable ||
         t < next_cloud_)
@@ -210,7 +211,7 @@
     const double t = timers_.now();
     std::erase_if(z.samples, [&](const auto& x) { return t - x.at > samples_leases * s_.lease_s; });
     // Machines that were given back answer nobody: where others report, those that do not are not asked. (The
-    // office was handed on, its zone of two machines taken for lost.)
+    // leadership was handed on, its zone of two machines taken for lost.)
     const auto silent = [&](const auto& x) { return t - x.at > silence_heartbeats * s_.report_s; };
     if (!std::all_of(z.samples.begin(), z.samples.end(), silent))
         std::erase_if(z.samples, silent);
@@ -385,7 +386,7 @@
     };
     Eligibility out;
     out.store = counts(v.store);
-    out.cloud = v.cloud != Reachability::unreachable; // asked for only when the holder cannot reach it
+    out.cloud = v.cloud != Reachability::unreachable; // asked for only when the leader cannot reach it
     for (const auto& z : s_.zones) {
         const auto of = [&z](const PeerView& x) {
             const auto r = x.zones.find(z);
@@ -409,7 +410,7 @@
 }
 
 // Whether somebody else got an answer after this node's own link had begun to fail. From a day on which the
-// holder gave the office up in an outage of the store: the last view of a peer, 0.6 s old, said it was there.
+// leader resigned in an outage of the store: the last view of a peer, 0.6 s old, said it was there.
 bool Membership::since_lost(double at, const LinkHealth& mine) const {
     return !mine.lost() || at > mine.failing_since() + answer_heartbeats * s_.report_s;
 }
@@ -459,7 +460,7 @@
             return yield;
         before += x == mine && name < s_.name;
     }
-    // Deaf, and not all the others are known to be no better.
+    // Unreachable inbound, and not all the others are known to be no better.
     if (mine.zones + mine.zones_by_others == 0 && !s_.zones.empty() && !no_better_candidate())
         return yield;
     return before * stagger_heartbeats * s_.report_s;
--- a/src/persistence/cluster_records.cpp
+++ b/src/persistence/cluster_records.cpp
@@ -1,4 +1,4 @@
-// Writing what the store holds of the core's state, a little each round; load.cpp reads it at a takeover.
+// Writing what the store holds of the core's state, a little each round; load.cpp reads it at a failover.
 #include "heronshift/persistence/cluster_records.hpp"
 
 #include "layout.hpp"
@@ -41,7 +41,7 @@
 
 } // namespace
 
-// FNV-1a: every holder must find a job in the same record.
+// FNV-1a: every leader must find a job in the same record.
 std::size_t ClusterRecords::bucket_of(const std::string& id) {
     std::uint64_t h = 14695981039346656037U;
     for (const char c : id)
@@ -130,7 +130,7 @@
 }
 
 // A final state is told only once it is stored. The job's record goes when none of its tasks is
-// left on any machine; until then it names the final state, so that no later holder starts any.
+// left on any machine; until then it names the final state, so that no later leader starts any.
 void ClusterRecords::draft_finals(Draft& d) {
     auto& f = in_flight_;
     // Placements must not starve: where a transaction takes few changes, they get some of every other.
@@ -160,7 +160,7 @@
     }
 }
 
-// The record of a job that has become ready loses its chain: from then on any holder, of whatever
+// The record of a job that has become ready loses its chain: from then on any leader, of whatever
 // version, may run it. It goes before the job's first placements, or with them.
 void ClusterRecords::draft_ready(Draft& d) {
     while (!readies_.empty() && !d.full(1)) {
@@ -298,7 +298,7 @@
         if (!draft_slot(d, best))
             break;
     }
-    // Records that name what is long gone would keep its place after a takeover.
+    // Records that name what is long gone would keep its place after a failover.
     if (l_.st_.now < next_idle_write_ || d.full(max_ops_ / 2) || more())
         return;
     for (std::size_t n = 0; n < ring_.size(); ++n, advance()) {
@@ -347,7 +347,7 @@
     }
 }
 
-// Which machine has which image is a hint that spares the next holder fetches; it is written now and
+// Which machine has which image is a hint that spares the next leader fetches; it is written now and
 // then, a part of the machines at a time, each with the names it needs.
 void ClusterRecords::draft_images(Draft& d) {
     if (l_.st_.now < next_images_ || l_.st_.machines.empty() || d.full(max_ops_ / 2))
@@ -395,7 +395,7 @@
     d.add(fmt::format("c/{}", part), codec::Json{{"names", std::move(names)}, {"held", std::move(held)}}, size);
 }
 
-// What a holder has learned of this day: how much work comes, how far estimates are off, how many spot
+// What a leader has learned of this day: how much work comes, how far estimates are off, how many spot
 // machines are lost. Without it the next one gives back machines that it needs a moment later.
 void ClusterRecords::draft_learned(Draft& d) {
     if (l_.st_.now < next_learned_ || d.full(max_ops_ / 2))
@@ -418,7 +418,7 @@
 void ClusterRecords::collect_commit() {
     if (txn_open_ || l_.resigned())
         return;
-    // The holder's part of the write budget; the rest is left to submissions on all nodes.
+    // The leader's part of the write budget; the rest is left to submissions on all nodes.
     const double rate = s_.state_write_rps * (cancelled_with_dependency_.empty() ? 0.7 : 0.85);
     const double max_saved = std::max(s_.state_write_rps * 0.5, 4.0);
     write_tokens_ = std::min(write_tokens_ + (l_.st_.now - tokens_at_) * rate, max_saved);
--- a/src/persistence/load.cpp
+++ b/src/persistence/load.cpp
@@ -1,4 +1,4 @@
-// Reading what the store holds of the core's state, whole, at a takeover.
+// Reading what the store holds of the core's state, whole, at a failover.
 #include "heronshift/persistence/cluster_records.hpp"
 
 #include "layout.hpp"
@@ -54,7 +54,7 @@
     for (const auto& i : stored.images)
         load_images(i);
     for (const auto& i : stored.progress) {
-        // Those of the version before are left as they are: its processes may take office again, and
+        // Those of the version before are left as they are: its processes may become leader again, and
         // what was done stays done.
         if (!i.value.is_object())
             continue;
@@ -91,7 +91,7 @@
         load_learned(i, wall);
     for (auto& [id, job] : l_.st_.jobs) {
         auto& j = job;
-        // What runs or is done does not wait: on a day with many takeovers machines were rented for it.
+        // What runs or is done does not wait: on a day with many failovers machines were rented for it.
         std::erase_if(j->pending, [&](std::uint32_t i) {
             auto& t = j->tasks[i];
             if (!t.done && t.live == 0)
@@ -135,7 +135,7 @@
     auto& m = l_.learn_machine(i.machine, "", "", i.zone, false);
     m.agent_epoch = std::max(m.agent_epoch, i.agent_epoch);
     // Whoever was entitled before us may have answered this machine until the moment we took
-    // office, so its lease counts from there.
+    // leadership, so its lease counts from there.
     m.lease_started_at = l_.st_.now;
     m.status = Status::up;
     for (const auto& e : m.entries)
@@ -144,7 +144,7 @@
     auto& e = l_.add_entry(m, *j, i.index, i.attempt);
     e.phase = Phase::sent;
     e.recorded = slot >= 0;
-    // Only a report that has seen our own term proves anything: one from before the launch
+    // Only a heartbeat that has seen our own term proves anything: one from before the launch
     // may arrive late, and we have no count of this machine's to tell.
     e.fencing_token = (l_.st_.term << token_counter_bits) - 1;
     e.agent_epoch = i.agent_epoch;
@@ -153,7 +153,7 @@
 }
 
 // A record that cannot be read may have named any task there was. The machine's own word under our
-// term, or its lapsed lease, ends the doubt; where not even its name is known, only time does.
+// term, or its expired lease, ends the doubt; where not even its name is known, only time does.
 void ClusterRecords::hold_unproven(const std::string& machine) {
     log(2, fmt::format("a damaged record{}{}", machine.empty() ? "" : " of machine ", machine));
     l_.st_.unproven_until = l_.st_.now + l_.lease_expiry_s();
--- a/src/scheduling/autoscaler.cpp
+++ b/src/scheduling/autoscaler.cpp
@@ -278,7 +278,7 @@
 // What the cluster has beyond its need is emptied, the dearest first: such a machine takes no new
 // work, its arrays end by themselves and its replicas move, a few a round.
 void Autoscaler::plan_shrink() {
-    // A new holder first hears what runs where, and what comes.
+    // A new leader first hears what runs where, and what comes.
     if (v_.term > 1 && v_.now - v_.started < s_.lease_s)
         return;
     double have = 0, need = 0, largest_gang = 0, gang_machines = 0, ready = 0;
@@ -375,7 +375,7 @@
             continue;
         spot_up += m->spot;
         const double since = v_.now - std::max({m->last_heartbeat_at, v_.started, m->known_since});
-        const bool unlisted = m->type < 0; // known from records only: mostly gone before we took office
+        const bool unlisted = m->type < 0; // known from records only: mostly gone before we became leader
         auto& z = zones[{m->zone, m->spot}];
         if (!unlisted)
             ++z.up;
--- a/src/store/engine.cpp
+++ b/src/store/engine.cpp
@@ -232,7 +232,7 @@
     }
     data_->abandon();
     w.opened = true;
-    // During trouble open watches stay open, as with the state service.
+    // During fault open watches stay open, as with the state service.
     if ((a.status == 503 || (a.status == 200 && a.items.empty())) && now_ms < w.until_ms)
         return {};
     return a;
--- a/src/store/file_data.cpp
+++ b/src/store/file_data.cpp
@@ -23,7 +23,7 @@
     " WITHOUT ROWID;"
     "CREATE TABLE holds(id INTEGER PRIMARY KEY AUTOINCREMENT, ttl INTEGER NOT NULL, ends INTEGER NOT NULL);"
     "CREATE TABLE changes(n INTEGER PRIMARY KEY AUTOINCREMENT, stamp INTEGER NOT NULL, k TEXT NOT NULL, data TEXT);",
-    // What hangs on a hold was found by reading every key.
+    // What hangs on a store lease was found by reading every key.
     "CREATE INDEX kv_lease ON kv(lease) WHERE lease <> 0;"
     "CREATE INDEX changes_stamp ON changes(stamp);"
     "INSERT INTO meta VALUES('forgotten', 0);",
@@ -346,7 +346,7 @@
         }
     }
 
-    // The clock that holds end by began anew.
+    // The clock that leases end by began anew.
     void renew_after_boot() {
         const auto boot = boot_id();
         Statement q(db_, path_, "SELECT v FROM meta WHERE k='boot'");
--- a/src/store/local.cpp
+++ b/src/store/local.cpp
@@ -67,7 +67,7 @@
 
     void run() {
         std::unique_lock l(lock);
-        while (!stop || !queue.empty()) { // what was asked for before the end is done, such as giving a hold up
+        while (!stop || !queue.empty()) { // what was asked for before the end is done, such as giving a store lease up
             if (queue.empty())
                 wake.wait_for(l, std::chrono::duration<double>(poll_s));
             std::vector<Asked> batch;
--- a/src/store/remote.cpp
+++ b/src/store/remote.cpp
@@ -103,7 +103,7 @@
             },
             [&](const RevokeLease& c) { ask(calls_, "DELETE", lease_path(c.lease), "", nullptr); },
             [&](const Follow& c) {
-                // With leases of three minutes every follow was refused, and the holder never heard of the jobs
+                // With leases of three minutes every follow was refused, and the leader never heard of the jobs
                 // that other nodes had stored.
                 const double block_s = std::min(c.block_s, max_block_s);
                 timeout_s -= c.block_s - block_s;
--- a/src/workers/heartbeat_handler.cpp
+++ b/src/workers/heartbeat_handler.cpp
@@ -9,7 +9,7 @@
 namespace heronshift::workers {
 namespace {
 
-constexpr double worker_waits_s = 4;                     // for the answer to a report, says the protocol
+constexpr double worker_waits_s = 4;                     // for the answer to a heartbeat, says the protocol
 constexpr double relay_s = worker_waits_s / 2;           // so that there is time for both ways
 constexpr double max_pending_s = worker_waits_s * 3 / 4; // how long reports wait while the leader changes
 // Reports that wait through a failover, by the memory they hold: 9 MB of 72, some 10,000 with five tasks each. A
@@ -23,8 +23,8 @@
 constexpr double timed_jobs_memory_share = 1.0 / 64;
 constexpr std::size_t timed_job_bytes = 128;
 // Relays under way, of fd_limit: 51 at 1024. A third of 6,000 machines, relayed by four controllers with report_s 3,
-// are 167 reports a second each, so the bound holds if the leader answers within 0.3 s on average. Beyond, a report is
-// answered 503 and its machine tries the next controller.
+// are 167 reports a second each, so the bound holds if the leader answers within 0.3 s on average. Beyond, a heartbeat
+// is answered 503 and its machine tries the next controller.
 constexpr int sockets_per_relay = 20;
 constexpr double relayed_until_s = worker_waits_s * 3 / 4, answered_by_s = worker_waits_s * 7 / 8; // since they came
 constexpr std::string_view peer_relay = "/peer/relay?to=";
@@ -93,7 +93,7 @@
     return n;
 }
 
-// While the office passes from one to another, a report waits for a moment: sent away, its machine might
+// While the leadership passes from one to another, a heartbeat waits for a moment: sent away, its machine might
 // find no other node that it reaches before its lease has run out.
 void HeartbeatHandler::take(PendingHeartbeat&& e) {
     if (!host_.is_active_leader()) {
@@ -108,7 +108,7 @@
     host_.push(HeartbeatReceived{std::move(e.heartbeat), h});
 }
 
-// (Sent to a new holder that their zone does not reach, machines came back past all others that do not reach it
+// (Sent to a new leader that their zone does not reach, machines came back past all others that do not reach it
 // either, when their lease had run out.)
 void HeartbeatHandler::retry_pending_heartbeats() {
     if (pending_heartbeats_.empty())
@@ -150,10 +150,10 @@
     return redirected_.size() < max_sent_away_;
 }
 
-// A report goes through this node if the holder says that it does not hear from there, or if its machine
-// was sent to the holder and is back: once if that went fast (refused, or not ready), for a lease if it
-// waited there in vain. Where the holder cannot be reached from here either, the machine tries the next
-// node. (Two nodes that knew of an old holder only had sent machines round between them until their leases
+// A heartbeat goes through this node if the leader says that it does not hear from there, or if its machine
+// was sent to the leader and is back: once if that went fast (refused, or not ready), for a lease if it
+// waited there in vain. Where the leader cannot be reached from here either, the machine tries the next
+// node. (Two nodes that knew of an old leader only had sent machines round between them until their leases
 // ran out.)
 HeartbeatHandler::Route HeartbeatHandler::route_of(const Heartbeat& r) {
     const auto& leader = host_.leader();
@@ -177,7 +177,7 @@
         }
     }
     last = {leader, t, -1, t};
-    // It has heard this holder and left it all the same: answers from there do not reach it any more.
+    // It has heard this leader and left it all the same: answers from there do not reach it any more.
     if (known || !host_.is_of_leader_term(r.fencing_token))
         return Route::leader;
     last.relay_until = t + s_.lease_s;
@@ -198,8 +198,8 @@
     peers_.request(Lane::relays, host_.leader(), "POST", peer_prefix + std::string(codec::path_heartbeat),
                    std::move(whole.body), wait_s, [this, kept, res, since, leader = host_.leader()](HttpReply&& a) {
                        --relaying_;
-                       // Whatever the holder said, and nothing that it did not say. Where it has just given
-                       // the office up, the machine is told who has it next.
+                       // Whatever the leader said, and nothing that it did not say. Where it has just given
+                       // the leadership up, the machine is told who has it next.
                        if (a.status == 200 || a.status == 421)
                            return res.send(a.status, a.body);
                        take({std::move(*kept), false, answer_to(res), since, std::nullopt, leader});
@@ -229,7 +229,7 @@
     if (a.status == 200)
         open.relayed ? members_.heartbeat_relayed(open.zone, open.addr)
                      : members_.heartbeat_received(open.zone, open.addr);
-    // A 200 renews a lease, so it is sent only while nobody else can hold the office.
+    // A 200 renews a lease, so it is sent only while nobody else can be the leader.
     if (a.status == 200 && host_.is_active_leader())
         open.done({200, a.fencing_token, std::move(a.orders), {}});
     else
--- a/tests/day_end.hpp
+++ b/tests/day_end.hpp
@@ -23,11 +23,11 @@
     double asked_at = 0, accepted_at = -1;
     double begun_at = -1; // array: a task runs, gang: all tasks, service: a replica
     double done_at = -1;
-    double silent_s = 0; // the longest time without an answer of 200, once all troubles were over
+    double silent_s = 0; // the longest time without an answer of 200, once all faults were over
     bool cancelled = false;
     bool running = false;    // at the end
     bool may_begin = true;   // its team's limit and the machines allow it
-    double excused_s = 0;    // in which a trouble made any start impossible: the story says so
+    double excused_s = 0;    // in which a fault made any start impossible: the scenario says so
     bool repeated_ok = true; // submitted again it was answered 200
 };
 
--- a/tests/fault_scenario.hpp
+++ b/tests/fault_scenario.hpp
@@ -1,5 +1,5 @@
 // Scenarios of concurrent faults: a fleet at work, what happens to it from then on, and the checks that all of them
-// share (docs/meetings.md says which combination of faults each stands for).
+// share (docs/combined-faults.md says which combination of faults each stands for).
 #pragma once
 
 #include "troubles.hpp"
@@ -53,7 +53,7 @@
     std::function<void(FaultyFleet&)> begin;
     double for_s = 90;
     double changes_per_s = 0; // that the store takes; 0: as the world has it
-    // Whether the faults that the name promises came about; empty: it is not counted.
+    // Whether the faults that the name extension votes came about; empty: it is not counted.
     std::function<bool(const FaultyFleet&)> took_place = nullptr;
     double team_cpus = 0; // the limit of each team, beyond what the services take; 0: as the world has it
     friend std::ostream& operator<<(std::ostream& o, const Scenario& s) {
@@ -67,7 +67,7 @@
             f.request_cancellation(id);
 }
 
-// The share of machines that can't be asked for so long: cut, hanging, deaf or mute.
+// The share of machines that can't be asked for so long: cut, hanging, unreachable inbound or unreachable outbound.
 inline void unreachable(FaultyFleet& f, double share, double for_s) {
     std::vector<std::string> list;
     for (auto& [id, w] : f.workers)
--- a/tests/fleet.hpp
+++ b/tests/fleet.hpp
@@ -46,7 +46,7 @@
     int expirations = 0;
     // What a controller sends, to which (or none): a path under /peer, or what it asks of the store.
     std::function<void(std::size_t from, std::size_t to, const std::string& what)> on_sent;
-    std::vector<double> changes; // of the holder: when
+    std::vector<double> changes; // of the leader: when
     std::size_t last_leader = SIZE_MAX;
     double bound_s = 2 * settings.lease_s; // from when a path is there: nothing may be late any more
 
@@ -490,9 +490,9 @@
                  execute(x, o->list);
              });
     }
-    double copies = 0;      // the share of reports of which copies come late
-    double kept_copies = 0; // the share of reports of which copies come to every controller when the leader changes
-    std::vector<std::pair<std::string, std::string>> kept; // from where, and the report
+    double copies = 0;      // the share of heartbeats of which copies come late
+    double kept_copies = 0; // the share of heartbeats of which copies come to every controller when the leader changes
+    std::vector<std::pair<std::string, std::string>> kept; // from where, and the heartbeat
     void deliver_kept() {
         for (const auto& [from, body] : std::exchange(kept, {}))
             for (std::size_t to = 0; to < nodes.size(); ++to)
--- a/tests/machines.hpp
+++ b/tests/machines.hpp
@@ -1,5 +1,5 @@
-// Machines in memory that follow the protocol: leases, tenures, fences, orders, gangs; with every rule of where
-// and when a task may run checked as it starts.
+// Machines in memory that follow the protocol: leases, agent epochs, fencing tokens, orders, gangs; with every rule of
+// where and when a task may run checked as it starts.
 #pragma once
 
 #include "heronshift/codec.hpp"
--- a/tests/test_chains.cpp
+++ b/tests/test_chains.cpp
@@ -1,4 +1,4 @@
-// Stories of jobs that wait for others, and of two versions that take turns on one store.
+// Scenarios of jobs that wait for others, and of two versions that take turns on one store.
 #include "world.hpp"
 
 #include <gtest/gtest.h>
@@ -77,7 +77,7 @@
     ASSERT_TRUE(back);
     const auto c = job_stored(codec::StoredJob(*back), 20);
     EXPECT_DOUBLE_EQ(c.age_s, 15);
-    EXPECT_DOUBLE_EQ(c.ready_age_s, 12); // the moment of readiness survives a takeover
+    EXPECT_DOUBLE_EQ(c.ready_age_s, 12); // the moment of readiness survives a failover
     EXPECT_FALSE(c.waits);
 }
 
@@ -107,7 +107,7 @@
     EXPECT_EQ(first(w), "");
 }
 
-// --- whole stories ---
+// --- whole scenarios ---
 
 TEST(Chains, ADiamondRunsInItsOrder) {
     World w(2);
@@ -147,7 +147,7 @@
     EXPECT_EQ(first(w), "");
 }
 
-// Hundreds are written over many small transactions; holders end between any two of them.
+// Hundreds are written over many small transactions; leaders end between any two of them.
 TEST(Chains, ACancellationTakesAllAlongWhoeverHoldsTheOffice) {
     for (unsigned seed = 1; seed <= 4; ++seed) {
         World w(seed);
@@ -232,7 +232,7 @@
     EXPECT_TRUE(wrote_ready(std::move(found), 0.3));
 }
 
-// What only the holder's memory knows to be done, the next holder may run again.
+// What only the leader's memory knows to be done, the next leader may run again.
 TEST(Chains, NothingIsReadyBeforeTheStoreHasTheFinalState) {
     const auto settings = small_settings();
     Snapshot s;
@@ -395,7 +395,7 @@
 };
 class BothVersions : public ::testing::TestWithParam<Turn> {};
 
-// Nodes are replaced one after the other under load and troubles; chains come once all are new.
+// Nodes are replaced one after the other under load and faults; chains come once all are new.
 TEST_P(BothVersions, TakeTurnsAndBreakNoRule) {
     const auto p = GetParam();
     World w(p.seed, 5);
@@ -404,7 +404,7 @@
     w.old_settings = w.settings;
     w.settings.txn_ops = 8;
     w.settings.value_kb = 2;
-    w.check_orphaned = !p.back; // an old holder takes nothing along: see docs/operations.md
+    w.check_orphaned = !p.back; // an old leader takes nothing along: see docs/operations.md
     w.capacity = 60;
     w.heartbeat_loss = w.order_loss = w.late = 0.02;
     for (auto& c : w.controllers)
--- a/tests/test_cluster.cpp
+++ b/tests/test_cluster.cpp
@@ -1,4 +1,4 @@
-// Several controllers: who may act, and whole days of several hundred machines under trouble.
+// Several controllers: who may act, and whole days of several hundred machines under fault.
 #include "world.hpp"
 
 #include <gtest/gtest.h>
@@ -26,7 +26,7 @@
     EXPECT_FALSE(leader.valid(102.4)); // counted from when the earlier of the two was asked
 }
 
-// Whoever took the office in between may have lost it again and told users what we do not know.
+// Whoever became leader in between may have lost it again and told users what we do not know.
 TEST_F(ExtensionVotes, DoNotMendALapse) {
     leader.extension_granted("b", 101.9, 102.5);
     leader.extension_granted("c", 101.9, 102.5);
@@ -38,14 +38,14 @@
     for (double t = 0; t < 10; t += 0.5)
         peer.record_store_answer(true, t);
     EXPECT_FALSE(peer.grant_extension(1, 10, true, false));
-    EXPECT_FALSE(peer.grant_extension(1, 10, false, true)); // nor by one that takes the office itself
+    EXPECT_FALSE(peer.grant_extension(1, 10, false, true)); // nor by one that becomes leader itself
     EXPECT_TRUE(peer.may_acquire(10));
     EXPECT_TRUE(peer.grant_extension(1, 10, true, true));
     EXPECT_FALSE(peer.may_acquire(11));
     EXPECT_TRUE(peer.may_acquire(11.2));
 }
 
-// A new process keeps no longer one than holders ask for: none is given for longer.
+// A new process keeps no longer one than leaders ask for: none is given for longer.
 TEST_F(ExtensionVotes, AreGivenForNoLongerThanANewProcessKeepsThem) {
     LeaderLease peer(ttl, 2, 0);
     for (double t = 0; t < 10; t += 0.5)
@@ -63,7 +63,7 @@
     EXPECT_TRUE(leader_before.may_acquire(50));
 }
 
-// An attempt of our own that is still under way would break the promise without our doing.
+// An attempt of our own that is still under way would break the extension vote without our doing.
 TEST_F(ExtensionVotes, AreNotGivenWhileAnAttemptMayStillBeApplied) {
     LeaderLease peer(ttl, 2, 0);
     EXPECT_FALSE(peer.grant_extension(1, 1, true, true)); // the process before may have left one
@@ -73,7 +73,7 @@
     peer.acquisition_in_doubt();
     EXPECT_FALSE(peer.grant_extension(1, 20, true, true));
     peer.record_store_answer(true, 20);
-    peer.record_store_answer(false, 24); // an outage: holds live on
+    peer.record_store_answer(false, 24); // an outage: leases live on
     peer.record_store_answer(true, 25);
     peer.record_store_answer(true, 30);
     EXPECT_FALSE(peer.grant_extension(1, 30, true, true));
@@ -104,7 +104,7 @@
     EXPECT_EQ(first(w), "");
 }
 
-// The store serves all but the holder: that is no outage, and another must take over.
+// The store serves all but the leader: that is no outage, and another must take over.
 TEST(Cluster, AHolderThatAloneIsCutFromTheStoreIsReplaced) {
     World w(6, 5);
     w.capacity = 20;
--- a/tests/test_core.cpp
+++ b/tests/test_core.cpp
@@ -1,4 +1,4 @@
-// Stories of single guards: each fails when its guard is taken out.
+// Scenarios of single guards: each fails when its guard is taken out.
 #include "world.hpp"
 
 #include <gtest/gtest.h>
@@ -83,11 +83,11 @@
 
 TEST(Core, AnOldReportProvesNothing) {
     OneTask s;
-    // Answer lost; then a report from before the launch arrives late.
+    // Answer lost; then a heartbeat from before the launch arrives late.
     s.give(OrdersAnswered{"n-1", s.launch.batch, 0, true, std::nullopt});
     s.give(HeartbeatReceived{OneTask::heartbeat(2, 0), 2});
     EXPECT_EQ(s.core.live_tasks("wk-000001"), 1U);
-    // So does one that has seen only the fence of the launch itself.
+    // So does one that has seen only the fencing token of the launch itself.
     s.give(HeartbeatReceived{OneTask::heartbeat(3, s.fencing_token), 3});
     EXPECT_EQ(s.core.live_tasks("wk-000001"), 1U);
 }
@@ -103,7 +103,7 @@
         std::vector<Command> q{HeartbeatReceived{OneTask::heartbeat(counter, fencing_token), counter}};
         core.step(q, 0.1, 0.1);
     };
-    // Found by a seed of the world: held since before the launch, it carries the old term's fence.
+    // Found by a seed of the world: held since before the launch, it carries the old term's fencing token.
     heartbeat(2, (std::uint64_t{6} << token_counter_bits) + 3);
     EXPECT_EQ(core.live_tasks("wk-000001"), 1U);
     heartbeat(9, std::uint64_t{7} << token_counter_bits);
@@ -151,7 +151,7 @@
 }
 
 // From the incident in docs/incidents/2026-12-01-kotaferry-f4f7.md: the record of a machine long
-// gone made each new holder wait a whole lease for the tasks it named.
+// gone made each new leader wait a whole lease for the tasks it named.
 TEST(Core, TheRecordOfALapsedMachineNamesNoTasks) {
     OneTask s;
     std::map<std::string, std::string> records;
@@ -169,7 +169,7 @@
         EXPECT_EQ(text, "") << key;
 }
 
-// From the zone cut of kotaferry-tiket-grown: the holder inside the cut took all machines outside
+// From the zone cut of kotaferry-tiket-grown: the leader inside the cut took all machines outside
 // for lost, and when the cut ended it gave them back with what ran there under its successor.
 TEST(Core, AHolderThatMayNotActCommandsNobody) {
     OneTask s;
@@ -232,7 +232,7 @@
     EXPECT_EQ(s.core.machine_count(), before - 1);
 }
 
-// The first report that a new holder sees of a machine may be a copy from long ago, of one that is gone.
+// The first heartbeat that a new leader sees of a machine may be a copy from long ago, of one that is gone.
 TEST(Core, AMachineIsUsedOnceItHasShownThisTermsFence) {
     const auto settings = small_settings();
     Core core(settings, 7, {}, 0, 0);
@@ -253,7 +253,7 @@
     give({MachineTypesKnown{small_types()}, JobStored{job(1, Shape::array, 1, 4), 0},
           HeartbeatReceived{OneTask::heartbeat(50, (std::uint64_t{6} << token_counter_bits) + 3), 1}});
     EXPECT_EQ(launches, 0U);
-    EXPECT_EQ(questions, 1U); // its answer proves it sooner than its next report
+    EXPECT_EQ(questions, 1U); // its answer proves it sooner than its next heartbeat
     give({HeartbeatReceived{OneTask::heartbeat(51, std::uint64_t{7} << token_counter_bits), 2}});
     EXPECT_EQ(launches, 1U);
 }
@@ -320,7 +320,7 @@
 }
 
 // With a hundred thousand jobs waiting, passes that followed each other at once took the whole loop, and
-// the office was lost for want of renewals.
+// the leadership was lost for want of renewals.
 TEST(Core, ManyWaitingJobsMakePassesRarer) {
     const auto few = passes_with(10), many = passes_with(12'000);
     EXPECT_GT(few, 30);
--- a/tests/test_cuts.cpp
+++ b/tests/test_cuts.cpp
@@ -9,7 +9,7 @@
 // What a controller has left: 0 store and workers, 1 the store only, 2 the workers only, 3 neither.
 using Left = std::vector<int>;
 
-// All ways to cut n controllers: the holder's own, then those of the others, whose order does not matter.
+// All ways to cut n controllers: the leader's own, then those of the others, whose order does not matter.
 std::vector<Left> all_cuts(std::size_t n, int leader) {
     std::vector<Left> out;
     std::function<void(Left)> add = [&](Left l) {
@@ -123,7 +123,7 @@
     EXPECT_GT(f.started, 1000);
 }
 
-// From a day on which the holder gave the office up in an outage, because of a view 0.6 s old that said a
+// From a day on which the leader resigned in an outage, because of a view 0.6 s old that said a
 // peer reached the store: nobody could take it for 18 s, longer than a lease, and 2,187 tasks were killed.
 TEST(Cuts, AnOutageOfTheStoreLeavesTheHolderItsOffice) {
     for (unsigned seed = 1; seed <= 24; ++seed) {
@@ -139,7 +139,7 @@
     }
 }
 
-// From a day on which the holder handed the office to one that had reached the cloud at its start, and knew of
+// From a day on which the leader handed the leadership to one that had reached the cloud at its start, and knew of
 // none of the machines that were booting.
 TEST(Cuts, ACloudThatNobodyReachesMovesNoOffice) {
     for (unsigned seed = 1; seed <= 12; ++seed) {
@@ -185,7 +185,7 @@
     f.before_step = [&] {
         if (f.n > 0 && f.chance() < 0.01)
             f.request_cancellation(fmt::format("wk-{:06}", 1 + f.pick(static_cast<std::size_t>(f.n))));
-        // Troubles, then time in which those that last a while longer must have become harmless.
+        // Faults, then time in which those that last a while longer must have become harmless.
         const double in_round = std::fmod(f.now, 120);
         if (f.now < next_trouble || in_round < 25 || in_round > 65 || f.now > 240)
             return;
--- a/tests/test_day.cpp
+++ b/tests/test_day.cpp
@@ -90,7 +90,7 @@
     EXPECT_LT(longest, 75);
 }
 
-// --- stories ---
+// --- scenarios ---
 
 // A day with services, small and wide arrays, and gangs, of two teams.
 struct Day : Troubled {
@@ -140,7 +140,7 @@
 };
 
 // A machine whose reports come while answers do not reach it lost all that was placed there, every lease again;
-// orders, and with them the newest fence, may reach it all the same.
+// orders, and with them the newest fencing token, may reach it all the same.
 void one_gets_nothing_more(bool orders_reach, double known_after, double gone_after) {
     Day f(11, 5, 40);
     ASSERT_TRUE(f.settle(60));
@@ -184,7 +184,7 @@
     one_gets_nothing_more(true, 3, 6);
 }
 
-// Another controller passes its reports on: it keeps its lease and its work.
+// Another controller passes its heartbeats on: it keeps its lease and its work.
 TEST(Deaf, AMachineThatOneControllerDoesNotReachIsReachedByAnother) {
     for (unsigned seed = 1; seed <= 6; ++seed) {
         Day f(20 + seed, 5, 40);
@@ -228,8 +228,8 @@
 
 INSTANTIATE_TEST_SUITE_P(Day, Deafness, ::testing::Values(Silence{0.33, ""}, Silence{1, "b"}));
 
-// Late copies of reports count for nothing, before, during and after changes of office, also of machines that are
-// gone by then.
+// Late copies of heartbeats count for nothing, before, during and after changes of leadership, also of machines that
+// are gone by then.
 TEST(Copies, OfReportsChangeNothing) {
     for (unsigned seed = 1; seed <= 4; ++seed) {
         Day f(40 + seed, 5, 60);
@@ -248,7 +248,7 @@
     }
 }
 
-// For as long as copies of its reports came, a machine that was gone kept its tasks.
+// For as long as copies of its heartbeats came, a machine that was gone kept its tasks.
 TEST(Copies, DoNotKeepTheTasksOfAMachineThatIsGone) {
     Day f(51, 3, 24);
     ASSERT_TRUE(f.settle(40));
@@ -277,7 +277,7 @@
 // One that reaches neither the store nor other controllers may act for a moment longer, then sends workers and
 // users away at once, and nothing of its term has an effect later.
 struct CutOff {
-    int who; // 0 the holder, 1 a standby, 2 the holder and a standby
+    int who; // 0 the leader, 1 a standby, 2 the leader and a standby
     Mode mode;
     double leases;
     friend std::ostream& operator<<(std::ostream& o, const CutOff& c) {
@@ -300,7 +300,7 @@
     for (const auto i : cut)
         f.isolate(i, p.mode, for_s);
     const int expirations = f.expirations;
-    f.work(std::min(for_s - 1, 8.0)); // a hold, and what it takes to know
+    f.work(std::min(for_s - 1, 8.0)); // a store lease, and what it takes to know
     if (for_s > 9)
         for (const auto i : cut) {
             EXPECT_FALSE(f.is_active_leader(i));
@@ -319,7 +319,7 @@
                                codec::to_body(f.heartbeat(f.workers.begin()->second))});
             f.work(1);
             for (const auto* what : {"up", "job", "submission", "report"}) {
-                // A standby may still know who held the office a moment ago.
+                // A standby may still know who was the leader a moment ago.
                 const bool knows = i != h && what == std::string_view("report");
                 EXPECT_EQ((*said)[what].first, knows && (*said)[what].first != 503 ? 421 : 503) << what;
                 EXPECT_LT((*said)[what].second, 0.5) << what;
@@ -363,7 +363,7 @@
             ++times;
             f.send(f.between(0, 0.3), [&f, i] { f.crash(i, f.moment()); });
         };
-        // What makes the controllers say it: changes of office, an outage, a zone that its holder does not reach.
+        // What makes the controllers say it: changes of leadership, an outage, a zone that its leader does not reach.
         f.more = [&] {
             const bool handovers = p.when == "/peer/take"; // no other changes within a lease before
             if (!handovers && std::fmod(f.now, 20) < 0.1)
--- a/tests/test_gap.cpp
+++ b/tests/test_gap.cpp
@@ -132,7 +132,7 @@
 
 INSTANTIATE_TEST_SUITE_P(Gap, GapStories, ::testing::ValuesIn(stories()));
 
-// A view of the others that is older than the outage made the leader give its office up, to nobody.
+// A view of the others that is older than the outage made the leader give its leadership up, to nobody.
 TEST(Gap, ALeaderThatAllPromiseToWaitForStays) {
     for (unsigned k = 0; k < (sanitized ? 4 : 24); ++k) {
         Gap f(450 + k, 5);
--- a/tests/test_large_fleet.cpp
+++ b/tests/test_large_fleet.cpp
@@ -120,7 +120,7 @@
         fleet.pass(s.report_s);
         fleet.hear_all(lost_size, 11 + static_cast<std::uint64_t>(silent));
     }
-    ASSERT_EQ(fleet.known(), fleet_size - lost_size); // they lapsed and were forgotten
+    ASSERT_EQ(fleet.known(), fleet_size - lost_size); // they expired and were forgotten
     ASSERT_EQ(fleet.cluster.counters().lost, lost_size);
     ASSERT_EQ(fleet.whole_job().live, fleet_size - lost_size);
 
--- a/tests/test_late_loop.cpp
+++ b/tests/test_late_loop.cpp
@@ -253,7 +253,7 @@
         ASSERT_TRUE(f.settle(45)) << k;
         const auto leader = *f.leader();
         const auto& name = f.nodes[leader].name;
-        std::size_t asked = 0; // promises, since it goes on
+        std::size_t asked = 0; // extension votes, since it goes on
         f.on_sent = [&](std::size_t from, std::size_t, const std::string& what) {
             asked += from == leader && what == "/peer/promise";
         };
--- a/tests/test_local.cpp
+++ b/tests/test_local.cpp
@@ -1,4 +1,4 @@
-// The stand-in platform: its checks can fail, and its worker keeps the protocol's side of the bargain.
+// The emulator platform: its checks can fail, and its worker keeps the protocol's side of the bargain.
 #include "heronshift/codec.hpp"
 #include "heronshift/local/cloud.hpp"
 #include "heronshift/local/emulator.hpp"
@@ -215,8 +215,8 @@
     EXPECT_EQ(r.tasks[0].state, TaskState::ended);
 }
 
-// What is held up arrives when nobody waits for the answer any more, and is judged then: by the fence and
-// the tenure of that moment.
+// What is held up arrives when nobody waits for the answer any more, and is judged then: by the fencing token and
+// the agent epoch of that moment.
 TEST_F(Wire, AHeldCommandIsJudgedWhenItArrives) {
     rent();
     platform->any()->late_until = platform->now() + 0.6;
@@ -227,7 +227,7 @@
                         [&](HttpReply&& r) { ++(r.status == 0 && r.sent ? given_up : answered); });
     };
     send(7, 0);
-    send(6, 1); // of an earlier holder
+    send(6, 1); // of an earlier leader
     while (given_up + answered < 2) {
         uv_run(&loop, UV_RUN_ONCE);
         client->sweep();
--- a/tests/test_meetings.cpp
+++ b/tests/test_meetings.cpp
@@ -1,4 +1,4 @@
-// Where two troubles meet, one story each (docs/meetings.md names them), over several seeds.
+// Where two faults meet, one scenario each (docs/combined-faults.md names them), over several seeds.
 #include "fault_scenario.hpp"
 
 #include <gtest/gtest.h>
@@ -438,7 +438,7 @@
 INSTANTIATE_TEST_SUITE_P(All, FaultScenarios, ::testing::ValuesIn(scenarios()),
                          [](const auto& p) { return std::string(p.param.name); });
 
-// Any two of them at once, drawn by seed. Two troubles at once may leave nobody who can answer a machine in time, so
+// Any two of them at once, drawn by seed. Two faults at once may leave nobody who can answer a machine in time, so
 // leases are not judged here; rules, answers and what must be known are.
 TEST(Meetings, TwoAtOnceBreakNoRule) {
     std::mt19937 rng(90 + other_seeds());
--- a/tests/test_records.cpp
+++ b/tests/test_records.cpp
@@ -1,4 +1,4 @@
-// Stories of what the store holds: the ring of placements, the progress, and what came before them.
+// Scenarios of what the store holds: the ring of placements, the progress, and what came before them.
 #include "world.hpp"
 
 #include <gtest/gtest.h>
@@ -86,7 +86,7 @@
 };
 
 // What a damaged record named may run anywhere on its machine: until that machine has spoken to us
-// or its lease has surely lapsed, nothing is placed at all.
+// or its lease has surely expired, nothing is placed at all.
 TEST(ClusterRecords, ADamagedRecordHoldsItsMachineUntilItIsProven) {
     const auto settings = small_settings();
     auto stored = one_job(job(1, Shape::array, 2, 1));
@@ -103,7 +103,7 @@
     EXPECT_EQ(l.within(2), 2);
 }
 
-// Else each new holder would have images of 15 GB fetched again that lie ready.
+// Else each new leader would have images of 15 GB fetched again that lie ready.
 TEST(ClusterRecords, ANewHolderKnowsWhereImagesLie) {
     const auto settings = small_settings();
     auto stored = one_job(job(1, Shape::array, 1, 1));
@@ -129,7 +129,7 @@
     EXPECT_EQ(where, "n-2");
 }
 
-// From vagonplan-ops-grown troubles: after each takeover machines were rented for tasks that ran.
+// From vagonplan-ops-grown faults: after each failover machines were rented for tasks that ran.
 TEST(ClusterRecords, NothingIsRentedForWhatRunsAlready) {
     const auto settings = small_settings();
     auto stored = one_job(job(1, Shape::gang, 4, 8));
@@ -174,7 +174,7 @@
 }
 
 // Two thousand launches: each record stays below the longest value, a transaction below its limits,
-// and what a later holder reads names all of them.
+// and what a later leader reads names all of them.
 TEST(ClusterRecords, ABurstOfPlacementsCostsAFewWrites) {
     World w(11);
     w.settings.teams = {{"red", 1e5, 1e6, 0, 0}};
@@ -211,8 +211,8 @@
     EXPECT_EQ(known, 2000U);
 }
 
-// After each change of office machines were given back that were needed a moment later, or none for a
-// minute: the new holder knew neither their age nor how much work the day brings.
+// After each change of leadership machines were given back that were needed a moment later, or none for a
+// minute: the new leader knew neither their age nor how much work the day brings.
 TEST(ClusterRecords, WhatAHolderLearnedOfTheDayGoesToTheNext) {
     const auto settings = small_settings();
     auto returned = [&](const codec::Json& learned) {
--- a/tests/test_replay.cpp
+++ b/tests/test_replay.cpp
@@ -39,7 +39,7 @@
     std::string path;
 };
 
-// All shapes, a chain, a cancellation, lost messages, a new holder in the middle.
+// All shapes, a chain, a cancellation, lost messages, a new leader in the middle.
 void play(World& w, const std::string& path, std::uint64_t max_bytes = 1 << 30) {
     CommandLog log(path, max_bytes);
     w.log = &log;
--- a/tests/test_same.cpp
+++ b/tests/test_same.cpp
@@ -189,7 +189,7 @@
     }
     Outcome run(const std::vector<Wanted>& jobs) {
         for (int i = 0; i < 20; ++i)
-            step(); // the office is taken, types are learned
+            step(); // the leadership is taken, types are learned
         std::multimap<int, std::string> cancels;
         for (std::size_t i = 0; i < jobs.size() || (over.size() < jobs.size() && out.steps < max_steps); ++i) {
             step([&] {
@@ -378,7 +378,7 @@
                 serve(i);
             children.push_back(child);
         }
-        turn(); // all have begun before time passes: when they may take the office counts from there
+        turn(); // all have begun before time passes: when they may become leader counts from there
     }
     ~Processes() override {
         for (const auto c : children) {
--- a/tests/test_scheduler.cpp
+++ b/tests/test_scheduler.cpp
@@ -1,4 +1,4 @@
-// The embedding interface: on the program's loop and on a thread, on a file store, with stand-ins of
+// The embedding interface: on the program's loop and on a thread, on a file store, with emulators of
 // cloud and machines on loopback.
 #include "heronshift/embed/scheduler.hpp"
 
@@ -88,7 +88,7 @@
         platform->know(s);
         history.submitted(s);
     }
-    // Turns the loop until it is so; no story takes this long.
+    // Turns the loop until it is so; no scenario takes this long.
     bool until(const std::function<bool()>& over) {
         const auto end = uv_hrtime() + 60'000'000'000ULL;
         bool so = false;
@@ -354,7 +354,7 @@
     two_copies(on(*service));
 }
 
-// Frozen, or busy with something else, for longer than the hold: another copy acts by then, so it must
+// Frozen, or busy with something else, for longer than the store lease: another copy acts by then, so it must
 // not go on where it was.
 TEST_F(Embedded, ABlockedLoopLosesTheOfficeAndKnowsIt) {
     auto service = state_service(); // on this loop too: while that stands still, holds do not end
@@ -424,7 +424,7 @@
     cut = true;
     ASSERT_TRUE(until([&] { return watch(), two.is_active_leader(); }));
     EXPECT_FALSE(one.is_active_leader());
-    // A report that it took would renew a lease which the other counts as running out.
+    // A heartbeat that it took would renew a lease which the other counts as running out.
     HttpClient worker(&loop, 1, 4);
     int status = 0;
     const Heartbeat heartbeat{"n-000001", "127.0.0.1:1", "m8", "a", false, 1, 1000, 0, -1, {}};
@@ -441,7 +441,7 @@
     EXPECT_TRUE(history.unfinished().empty());
 }
 
-// The state service is out, then silent, for longer than the hold: nothing is told that is not stored, the
+// The state service is out, then silent, for longer than the store lease: nothing is told that is not stored, the
 // caller is sent away, and all goes on when it is back.
 TEST_F(Embedded, ACopyThatLosesItsStoreStopsActingAndGoesOnLater) {
     auto service = state_service();
@@ -466,7 +466,7 @@
 }
 
 // The embedding program is killed at any moment: before a job is stored, between a placement and its
-// launch, between a report and the final state. What it had answered stays true, nothing runs twice,
+// launch, between a heartbeat and the final state. What it had answered stays true, nothing runs twice,
 // nothing is lost.
 TEST_F(Embedded, TheProgramIsKilledAgainAndAgain) {
     // A long run, out of CI: HERONSHIFT_KILLS=300.
--- a/tests/test_store.cpp
+++ b/tests/test_store.cpp
@@ -27,7 +27,7 @@
 using codec::Json;
 using codec::Write;
 
-constexpr double patience_s = 30; // no story takes it; a store that hangs fails here
+constexpr double patience_s = 30; // no scenario takes it; a store that hangs fails here
 
 std::string file_name() {
     const auto* test = ::testing::UnitTest::GetInstance()->current_test_info();
@@ -192,7 +192,7 @@
     ASSERT_EQ(h.status, 200);
     ASSERT_EQ(s.txn({}, {{"on", Json(1), h.lease}, {"off", Json(1), h.lease}}).status, 200);
     EXPECT_EQ(s.get("on").item->lease, h.lease);
-    ASSERT_EQ(s.txn({}, {{"off", Json(2), 0}}).status, 200); // without the hold it is detached
+    ASSERT_EQ(s.txn({}, {{"off", Json(2), 0}}).status, 200); // without the store lease it is detached
     EXPECT_EQ(s.renew_lease(h.lease).status, 200);
     const auto before = s.list("").revision;
     EXPECT_EQ(s.revoke_lease(h.lease).status, 200);
@@ -281,7 +281,7 @@
     s.txn({}, {{"a", Json(1), h.lease}});
     r.server->set_fault_mode(StoreServer::FaultMode::out);
     EXPECT_EQ(s.get("a").status, 503);
-    usleep(400'000); // longer than the hold
+    usleep(400'000); // longer than the store lease
     r.server->set_fault_mode(StoreServer::FaultMode::well);
     EXPECT_EQ(s.get("a").status, 200); // it has its full time again
     r.server->set_fault_mode(StoreServer::FaultMode::busy);
@@ -295,8 +295,8 @@
     EXPECT_NE(s.get("a").status, 0);
 }
 
-// A holder acts until its hold's time is over by its own clock, so a hold must not end a moment sooner,
-// whoever looks. (Shortened holds were caught by no other story.)
+// A leader acts until its store lease's time is over by its own clock, so a store lease must not end a moment sooner,
+// whoever looks. (Shortened leases were caught by no other scenario.)
 TEST(Holds, LiveTheirWholeTimeAndNoLonger) {
     const auto path = file_name();
     for (const bool in_file : {false, true}) {
@@ -401,7 +401,7 @@
     l.wait([&] { return got.has_value(); }, *two);
     ASSERT_EQ(got->items.size(), 1U);
     EXPECT_EQ(got->items[0].value, Json("again"));
-    // A hold that the one does not renew is ended by the other.
+    // A store lease that the one does not renew is ended by the other.
     const auto h = a.create_lease(0.1);
     a.txn({}, {{"held", Json(1), h.lease}});
     one.reset();
--- a/tests/test_world.cpp
+++ b/tests/test_world.cpp
@@ -102,7 +102,7 @@
     EXPECT_EQ(begun_again(13), 0);
 }
 
-// Crashes of the holder, cuts, hangs, lost and late messages, refused transactions.
+// Crashes of the leader, cuts, hangs, lost and late messages, refused transactions.
 class Trouble : public ::testing::TestWithParam<unsigned> {};
 
 TEST_P(Trouble, BreaksNoRule) {
--- a/tests/troubles.hpp
+++ b/tests/troubles.hpp
@@ -1,4 +1,4 @@
-// Troubles drawn by seed, for a fleet at work: cut links of every kind, crashes, processes that stand still, outages,
+// Faults drawn by seed, for a fleet at work: cut links of every kind, crashes, processes that stand still, outages,
 // machines that die, hang or are cut; and those that the users' last word added.
 #pragma once
 
@@ -142,7 +142,8 @@
                     w.dead = true;
         }
     }
-    // A machine that is back within a moment: it stood still, or its process is a new one with a tenure of its own.
+    // A machine that is back within a moment: it stood still, or its process is a new one with an agent epoch of its
+    // own.
     void restart(const std::string& id) {
         auto& w = workers[id];
         if (chance() < 0.5) {
--- a/tests/users.hpp
+++ b/tests/users.hpp
@@ -166,8 +166,8 @@
     }
 
     // --- the end of the day ---
-    double over_at = -1; // since when no trouble is left; below zero: the day goes on
-    // All troubles are over and nothing new is asked for; everybody asks for every job, and each is submitted
+    double over_at = -1; // since when no fault is left; below zero: the day goes on
+    // All faults are over and nothing new is asked for; everybody asks for every job, and each is submitted
     // once more. After so many seconds: what is wrong.
     std::string day_end(double seconds, double excused_s = 0) {
         heal();
--- a/tests/working.hpp
+++ b/tests/working.hpp
@@ -1,4 +1,4 @@
-// A fleet with services that must stay up and short jobs all the time, for stories of many seconds.
+// A fleet with services that must stay up and short jobs all the time, for scenarios of many seconds.
 #pragma once
 
 #include "users.hpp"
--- a/tests/world.hpp
+++ b/tests/world.hpp
@@ -1,5 +1,5 @@
-// A cluster in memory for stories: a store, a cloud, workers that follow the protocol, a network
-// that delays, loses and holds messages, and one controller whose office changes at a word, or
+// A cluster in memory for scenarios: a store, a cloud, workers that follow the protocol, a network
+// that delays, loses and holds messages, and one controller whose leadership changes at a word, or
 // several that take it from each other. After every step all rules are checked.
 #pragma once
 
@@ -21,7 +21,7 @@
 
     struct Controller {
         std::string name;
-        std::unique_ptr<Core> core; // while it holds the office, or believes so
+        std::unique_ptr<Core> core; // while it is the leader, or believes so
         std::vector<Command> queue;
         std::uint64_t life = 0, term = 0, store_lease = 0; // answers for an earlier life are dropped
         std::optional<LeaderLease> leader_lease;           // none: alone, and always entitled
@@ -52,7 +52,7 @@
     std::optional<LeaderRecord> leader_record;
     std::map<std::uint64_t, double> store_leases; // until when
     std::uint64_t term = 0, store_lease_seq = 0;
-    int acquisitions = 0, carried = 0; // times the office was taken; steps it was held by promises alone
+    int acquisitions = 0, carried = 0; // times the leadership was taken; steps it was held by extension votes alone
     std::map<std::string, double> submitted;
     std::set<std::string> asked;             // to be cancelled, by their users
     std::map<std::string, std::string> told; // final states heard
@@ -82,7 +82,7 @@
         return c.alive && c.core && (!c.leader_lease || c.leader_lease->valid(now * c.rate));
     }
 
-    // A new holder of the office: everything it knows is what the store holds.
+    // A new leader: everything it knows is what the store holds.
     void acquire_leadership() {
         ++term;
         start_core(controllers[0]);
@@ -344,7 +344,7 @@
         }
     }
 
-    // What a node does about the office, as src/office.cpp does it over the wire.
+    // What a node does about the leadership, as src/leadership.cpp does it over the wire.
     void run_leader_lease(std::size_t i) {
         auto& c = controllers[i];
         const double t = now * c.rate;
--- a/tools/measure.cpp
+++ b/tools/measure.cpp
@@ -1,7 +1,7 @@
 // Measures the library against the daemon in one run, and what stored jobs cost:
 //   heronshift-measure compare [--jobs N] [--rate N --seconds N]
 //   heronshift-measure restart [--jobs N ...]
-// All on this machine's loopback with stand-ins of cloud and workers; figures are simulated.
+// All on this machine's loopback with emulators of cloud and workers; figures are simulated.
 #include "heronshift/codec.hpp"
 #include "heronshift/embed/scheduler.hpp"
 #include "heronshift/local/cloud.hpp"
@@ -91,7 +91,7 @@
 
 enum class Route { in_process, thread, daemon };
 
-// One way to run the scheduler, with its own stand-ins, store and load.
+// One way to run the scheduler, with its own emulators, store and load.
 class Trial {
 public:
     Trial(Route way, bool fsync, std::string path) : way_(way), path_(std::move(path)), history_({}, 15) {
