--- a/include/heronshift/executor/executor.hpp
+++ b/include/heronshift/executor/executor.hpp
@@ -38,7 +38,7 @@
     /// Takes the answer to a heartbeat.
     using HeartbeatDone = std::function<void(const HeartbeatResponse&)>;
     /// Takes a heartbeat, on the loop's thread.
-    using Reports = std::function<void(Heartbeat&&, HeartbeatDone)>;
+    using Heartbeats = std::function<void(Heartbeat&&, HeartbeatDone)>;
 
     Executor() = default;
     virtual ~Executor() = default;
@@ -46,7 +46,7 @@
     Executor& operator=(const Executor&) = delete;
 
     /// Says where reports that reach the executor itself are to go; called before any other function.
-    virtual void set_heartbeat_handler(Reports) {}
+    virtual void set_heartbeat_handler(Heartbeats) {}
 
     /// Sends orders to one machine: status 200 or 409 with its heartbeat (409: refused, our fencing token or its epoch
     /// is old), 0 or another: no answer.
--- a/include/heronshift/local/cloud.hpp
+++ b/include/heronshift/local/cloud.hpp
@@ -160,7 +160,7 @@
     std::map<std::string, std::vector<std::string>> claims_;
     std::map<std::string, JobSpec> jobs_;
     std::uint64_t ticks_ = 0, named_ = 0, returned_ = 0, messages_ = 0;
-    Executor::Reports reports_; // of a scheduler in this process
+    Executor::Heartbeats reports_; // of a scheduler in this process
     bool direct_ = false;
     LoopTimer timer_;
 };
--- a/src/local/cloud.cpp
+++ b/src/local/cloud.cpp
@@ -333,7 +333,7 @@
     ~Direct() override {
         p_.reports_ = nullptr;
     }
-    void set_heartbeat_handler(Reports r) override {
+    void set_heartbeat_handler(Heartbeats r) override {
         p_.reports_ = std::move(r);
     }
     void command(const SendOrders& o, double, std::function<void(OrdersAnswered&&)> done) override {
--- a/src/local/local.cpp
+++ b/src/local/local.cpp
@@ -345,7 +345,7 @@
             u.state = S::over;
     }
 
-    void trouble(double t) {
+    void inject_fault(double t) {
         if (!o_.faults || t < next_fault_ || t > o_.seconds)
             return;
         next_fault_ = t + fault_every_s * between(0.6, 1.4);
@@ -420,7 +420,7 @@
             c.back_at = -1;
             spawn(c);
         }
-        trouble(t);
+        inject_fault(t);
         bool over = true;
         for (std::size_t i = 0; i < users_wanted_.size(); ++i) {
             serve(i, t);
--- a/tests/troubles.hpp
+++ b/tests/fault_injection.hpp
@@ -6,7 +6,7 @@
 
 namespace heronshift::testing {
 
-struct Troubled : Working {
+struct FaultInjection : Working {
     using Working::Working;
 
     std::size_t pick(std::size_t n) {
@@ -26,7 +26,7 @@
     }
 
     // One of those that the matrices of cut links are drawn from.
-    void trouble(double for_s) {
+    void inject_fault(double for_s) {
         hard_at = now;
         const double c = chance();
         const auto i = pick(nodes.size());
@@ -109,7 +109,7 @@
     double moment() {
         return between(0.05, 0.5);
     }
-    void new_trouble(double for_s) {
+    void inject_later_fault(double for_s) {
         hard_at = now;
         const double c = chance();
         const auto i = pick(nodes.size());
--- a/tests/fault_scenario.hpp
+++ b/tests/fault_scenario.hpp
@@ -2,14 +2,15 @@
 // share (docs/combined-faults.md says which combination of faults each stands for).
 #pragma once
 
-#include "troubles.hpp"
+#include "fault_injection.hpp"
 
 #include <gtest/gtest.h>
 
 namespace heronshift::testing {
 
-struct FaultyFleet : Troubled {
-    explicit FaultyFleet(unsigned seed, std::size_t controllers = 5) : Troubled(seed + other_seeds(), controllers, 24) {
+struct FaultyFleet : FaultInjection {
+    explicit FaultyFleet(unsigned seed, std::size_t controllers = 5)
+        : FaultInjection(seed + other_seeds(), controllers, 24) {
         before_step = [this] {
             if (on_step)
                 on_step();
@@ -38,9 +39,9 @@
             return first(*this);
         return started_cancelled > 0 ? fmt::format("{} started though cancelled", started_cancelled) : "";
     }
-    std::string end_of_day() {
+    std::string run_final_checks() {
         on_step = {};
-        return day_end(std::max(leases(5), 90.0), leases(3));
+        return final_checks(std::max(leases(5), 90.0), leases(3));
     }
     bool every(double seconds, double from = 0) const {
         return std::fmod(now + from, seconds) < 0.1;
@@ -127,7 +128,7 @@
     }
     f.takes = {};
     f.close_looks = false;
-    EXPECT_EQ(f.end_of_day(), "") << seed;
+    EXPECT_EQ(f.run_final_checks(), "") << seed;
     EXPECT_EQ(std::count_if(f.asks.begin(), f.asks.end(), [](const auto& a) { return !a.second.accepted(); }), 0);
     EXPECT_EQ(f.unfinished(f.leases(3)), 0) << seed; // nothing stays suspected, reserved or counted for ever
 }
--- a/tests/day_end.hpp
+++ b/tests/final_checks.hpp
@@ -31,7 +31,7 @@
     bool repeated_ok = true; // submitted again it was answered 200
 };
 
-struct DayEnd {
+struct FinalChecks {
     double now = 0, begin_s = 240, forgotten_s = 75;
 
     [[nodiscard]] static bool served(const Seen& j) {
--- a/tests/fleet.hpp
+++ b/tests/fleet.hpp
@@ -244,7 +244,7 @@
             fleet.node_request<codec::MachinePage>(
                 i, cloud, timeout_s,
                 [f = &fleet](const Answer<codec::MachinePage>& answer) {
-                    answer({f->World::list().machines, false});
+                    answer({f->SimulatedCluster::list().machines, false});
                 },
                 [done = std::move(done)](std::optional<codec::MachinePage> p, bool) { done(std::move(p)); });
         }
--- a/tests/network.hpp
+++ b/tests/network.hpp
@@ -1,7 +1,7 @@
 // Directed links between any two parties by name, each of which may drop, hold, refuse or slow down what passes.
 #pragma once
 
-#include "world.hpp"
+#include "simulated_cluster.hpp"
 
 #include <utility>
 
@@ -9,8 +9,8 @@
 
 enum class Mode : std::uint8_t { open, drop, hold, refuse, slow };
 
-struct Network : World {
-    using World::World;
+struct Network : SimulatedCluster {
+    using SimulatedCluster::SimulatedCluster;
 
     struct Link {
         Mode mode = Mode::open;
--- a/tests/world.hpp
+++ b/tests/simulated_cluster.hpp
@@ -13,7 +13,7 @@
 
 namespace heronshift::testing {
 
-struct World : Machines {
+struct SimulatedCluster : Machines {
     struct Message {
         double at = 0;
         std::function<void()> f;
@@ -30,7 +30,7 @@
         double rate = 1, back_at = 0, next_look = 0, next_renew = 0;
     };
 
-    explicit World(unsigned seed, std::size_t count = 1)
+    explicit SimulatedCluster(unsigned seed, std::size_t count = 1)
         : Machines(seed), controllers(count), core(controllers[0].core) {
         for (std::size_t i = 0; i < count; ++i) {
             controllers[i].name = fmt::format("berth-{}", i);
--- a/tests/test_chains.cpp
+++ b/tests/test_chains.cpp
@@ -1,5 +1,5 @@
 // Scenarios of jobs that wait for others, and of two versions that take turns on one store.
-#include "world.hpp"
+#include "simulated_cluster.hpp"
 
 #include <gtest/gtest.h>
 
@@ -15,7 +15,7 @@
 std::string name(int n) {
     return fmt::format("wk-{:06}", n);
 }
-std::string first(const World& w) {
+std::string first(const SimulatedCluster& w) {
     return w.broken.empty() ? "" : w.broken.front();
 }
 codec::Json waiting(const JobSpec& s, double at = 0) {
@@ -84,7 +84,7 @@
 TEST(Chains, ARecordWithDamagedNeedsWaitsAndCanBeCancelled) {
     auto record = waiting(after(2, {1}));
     record["chain"]["waitsOn"] = {"wk-000001", 5};
-    World w(1);
+    SimulatedCluster w(1);
     w.jobs["wk-000002"] = after(2, {});
     w.store["j/wk-000002"] = record;
     w.acquire_leadership();
@@ -96,7 +96,7 @@
 }
 
 TEST(Chains, AJobThatNeedsWhatTheStoreDoesNotKnowWaitsAndCanBeCancelled) {
-    World w(1);
+    SimulatedCluster w(1);
     w.acquire_leadership();
     w.submit(after(2, {77}));
     w.run(30);
@@ -110,7 +110,7 @@
 // --- whole scenarios ---
 
 TEST(Chains, ADiamondRunsInItsOrder) {
-    World w(2);
+    SimulatedCluster w(2);
     w.acquire_leadership();
     w.submit(after(1, {}));
     w.submit(after(2, {1}));
@@ -130,8 +130,8 @@
     EXPECT_EQ(first(w), "");
 }
 
-TEST(Chains, AChainOfAHundredOutlivesTakeovers) {
-    World w(3);
+TEST(Chains, AChainOfAHundredOutlivesFailovers) {
+    SimulatedCluster w(3);
     w.acquire_leadership();
     for (int i = 0; i < 100; ++i) {
         auto j = after(i + 1, i > 0 ? std::vector<int>{i} : std::vector<int>{}, 1);
@@ -148,9 +148,9 @@
 }
 
 // Hundreds are written over many small transactions; leaders end between any two of them.
-TEST(Chains, ACancellationTakesAllAlongWhoeverHoldsTheOffice) {
+TEST(Chains, ACancellationCancelsAllDependentsWhoeverIsLeader) {
     for (unsigned seed = 1; seed <= 4; ++seed) {
-        World w(seed);
+        SimulatedCluster w(seed);
         w.settings.txn_ops = 5;
         w.settings.value_kb = 2;
         w.settings.state_write_rps = 24;
@@ -182,7 +182,7 @@
 TEST(Chains, ACancellationRacesWithTheLastTask) {
     int done = 0, cancelled = 0;
     for (unsigned seed = 1; seed <= 40; ++seed) {
-        World w(seed);
+        SimulatedCluster w(seed);
         w.acquire_leadership();
         w.submit(after(1, {}));
         w.submit(after(2, {1}));
@@ -205,7 +205,7 @@
 }
 
 // The final state is in the store, that its successor is ready is not; nor is the record of the job.
-TEST(Chains, ANewHolderFindsWhatIsDoneInTheStore) {
+TEST(Chains, ANewLeaderFindsWhatIsDoneInTheStore) {
     Snapshot s;
     s.jobs.push_back({"j/wk-000002", waiting(after(2, {1})), 1, false});
     const auto settings = small_settings();
@@ -265,7 +265,7 @@
 }
 
 TEST(Chains, WhatWaitsHoldsNothingOfItsTeam) {
-    World w(4);
+    SimulatedCluster w(4);
     w.acquire_leadership();
     w.submit(after(1, {}, 1));
     auto large = job(2, Shape::service, 9, 4); // the team's whole limit, nearly
@@ -279,8 +279,8 @@
 }
 
 // A job is as urgent as the one that needs it; the deadline at the end counts for all before it.
-TEST(Chains, TheLastJobsRankIsThatOfAllItNeeds) {
-    World w(5);
+TEST(Chains, TheLastJobsPriorityIsThatOfAllItDependsOn) {
+    SimulatedCluster w(5);
     w.capacity = 2;
     w.acquire_leadership();
     for (int i = 1; i <= 6; ++i) {
@@ -398,7 +398,7 @@
 // Nodes are replaced one after the other under load and faults; chains come once all are new.
 TEST_P(BothVersions, TakeTurnsAndBreakNoRule) {
     const auto p = GetParam();
-    World w(p.seed, 5);
+    SimulatedCluster w(p.seed, 5);
     w.settings.teams = {{"red", 200, 400, 0, 0}, {"blue", 200, 600, 0, 0}};
     w.settings.state_write_rps = 60;
     w.old_settings = w.settings;
@@ -411,7 +411,7 @@
         c.old = true;
     int n = 0;
     std::size_t turned = 0;
-    double next_turn = 15, next_job = 1, next_trouble = 20;
+    double next_turn = 15, next_job = 1, next_fault = 20;
     std::vector<int> arrays;
     while (w.now < 190 && w.broken.empty()) {
         if (turned < 5 && w.now >= next_turn) {
@@ -438,8 +438,8 @@
         }
         if (n > 0 && w.chance() < 0.004)
             w.cancel(name(1 + static_cast<int>(w.between(std::max(0, n - 15), n - 0.01))));
-        if (w.now >= next_trouble) {
-            next_trouble = w.now + w.between(3, 12);
+        if (w.now >= next_fault) {
+            next_fault = w.now + w.between(3, 12);
             const double c = w.chance();
             auto& node = w.controllers[static_cast<std::size_t>(w.between(0, 4.99))];
             if (c < 0.5) {
--- a/tests/test_cluster.cpp
+++ b/tests/test_cluster.cpp
@@ -1,5 +1,5 @@
 // Several controllers: who may act, and whole days of several hundred machines under fault.
-#include "world.hpp"
+#include "simulated_cluster.hpp"
 
 #include <gtest/gtest.h>
 
@@ -15,7 +15,7 @@
     }
 };
 
-TEST_F(ExtensionVotes, OfAllOthersCarryTheHolderOn) {
+TEST_F(ExtensionVotes, OfAllOthersExtendTheLeadersLease) {
     ASSERT_TRUE(leader.valid(101));
     EXPECT_FALSE(leader.extension_granted("b", 101, 101.1));
     EXPECT_FALSE(leader.valid(102)); // one of two is not enough
@@ -27,7 +27,7 @@
 }
 
 // Whoever became leader in between may have lost it again and told users what we do not know.
-TEST_F(ExtensionVotes, DoNotMendALapse) {
+TEST_F(ExtensionVotes, DoNotMendAnExpiry) {
     leader.extension_granted("b", 101.9, 102.5);
     leader.extension_granted("c", 101.9, 102.5);
     EXPECT_FALSE(leader.valid(102.5));
@@ -81,12 +81,12 @@
     EXPECT_TRUE(peer.grant_extension(1, 32, true, true));
 }
 
-std::string first(const World& w) {
+std::string first(const SimulatedCluster& w) {
     return w.broken.empty() ? "" : w.broken.front();
 }
 
-TEST(Cluster, AnOutageLongerThanHoldAndLeaseLosesNothing) {
-    World w(5, 5);
+TEST(Cluster, AnOutageLongerThanStoreLeaseAndWorkerLeaseLosesNothing) {
+    SimulatedCluster w(5, 5);
     w.settings.teams[0].cpus_max = 100;
     w.capacity = 20;
     w.run(20);
@@ -105,8 +105,8 @@
 }
 
 // The store serves all but the leader: that is no outage, and another must take over.
-TEST(Cluster, AHolderThatAloneIsCutFromTheStoreIsReplaced) {
-    World w(6, 5);
+TEST(Cluster, ALeaderThatAloneIsCutFromTheStoreIsReplaced) {
+    SimulatedCluster w(6, 5);
     w.capacity = 20;
     w.run(20);
     ASSERT_TRUE(w.leader_record);
@@ -126,11 +126,11 @@
 
 // Crashes of some and of all, outages, controllers cut from one side only, machines that hang, are
 // cut, die, fail or are silent, messages lost and late.
-class ManyTroubles : public ::testing::TestWithParam<Size> {};
+class ManyFaults : public ::testing::TestWithParam<Size> {};
 
-TEST_P(ManyTroubles, BreakNoRule) {
+TEST_P(ManyFaults, BreakNoRule) {
     const auto size = GetParam();
-    World w(size.seed, size.controllers);
+    SimulatedCluster w(size.seed, size.controllers);
     w.settings.teams = {{"red", 400, 800, 0, 0}, {"blue", 400, 1200, 0, 0}};
     w.settings.state_write_rps = 40;
     w.settings.txn_ops = 16;
@@ -139,7 +139,7 @@
     w.order_loss = 0.03;
     w.late = 0.02;
     int n = 0;
-    double next_job = 2, next_trouble = 25;
+    double next_job = 2, next_fault = 25;
     auto some = [&](double most) { return 1 + static_cast<int>(w.between(0, most)); };
     auto timers = [&](double most, std::function<void()> f) { w.send(w.between(1, most), std::move(f)); };
     while (w.now < 150 && w.broken.empty()) {
@@ -159,8 +159,8 @@
         }
         if (n > 0 && w.chance() < 0.005)
             w.cancel(fmt::format("wk-{:06}", some(n - 0.01)));
-        if (w.now >= next_trouble) {
-            next_trouble = w.now + w.between(2, 10);
+        if (w.now >= next_fault) {
+            next_fault = w.now + w.between(2, 10);
             const double c = w.chance();
             auto& node =
                 w.controllers[static_cast<std::size_t>(w.between(0, static_cast<double>(size.controllers) - 0.01))];
@@ -175,9 +175,9 @@
                 w.store_down = true;
                 timers(20, [&w] { w.end_store_outage(); });
             } else if (c < 0.55) {
-                bool World::Controller::*side = c < 0.42   ? &World::Controller::no_store
-                                                : c < 0.49 ? &World::Controller::no_workers
-                                                           : &World::Controller::no_peers;
+                bool SimulatedCluster::Controller::*side = c < 0.42   ? &SimulatedCluster::Controller::no_store
+                                                           : c < 0.49 ? &SimulatedCluster::Controller::no_workers
+                                                                      : &SimulatedCluster::Controller::no_peers;
                 node.*side = true;
                 timers(25, [&node, side] { node.*side = false; });
             } else {
@@ -209,7 +209,7 @@
     EXPECT_GE(w.acquisitions, 2);
 }
 
-INSTANTIATE_TEST_SUITE_P(Sizes, ManyTroubles,
+INSTANTIATE_TEST_SUITE_P(Sizes, ManyFaults,
                          ::testing::Values(Size{5, 300, 1}, Size{7, 300, 2}, Size{3, 40, 8}, Size{5, 40, 4},
                                            Size{7, 40, 5}, Size{5, 40, 6}, Size{7, 40, 7}));
 
--- a/tests/test_cluster_state.cpp
+++ b/tests/test_cluster_state.cpp
@@ -1,6 +1,6 @@
 // The one function that every placement passes: whatever a policy proposes, no rule is broken.
 #include "heronshift/cluster/cluster_state.hpp"
-#include "world.hpp"
+#include "simulated_cluster.hpp"
 
 #include <gtest/gtest.h>
 
--- a/tests/test_codec.cpp
+++ b/tests/test_codec.cpp
@@ -57,7 +57,7 @@
     EXPECT_LT(std::get<JobSpec>(r).deadline_s, 0);
 }
 
-TEST(Reports, TruncatedOrIllTypedOnesAreNoAnswer) {
+TEST(Heartbeats, TruncatedOrIllTypedOnesAreNoAnswer) {
     const std::string good = R"({"host":"n-1","addr":"10.0.0.9:9000","flavor":"g8","yard":"a","standby":true,
         "tenure":1,"counter":88,"fence":41,"evictionInS":null,
         "shards":[{"shard":"wk-000412/3","try":2,"status":"running"},
--- a/tests/test_meetings.cpp
+++ b/tests/test_combined_faults.cpp
@@ -37,7 +37,7 @@
 constexpr unsigned seeds = sanitized ? 1 : 4;
 
 // Other nodes read what a transaction wrote whose answer was lost; the leader then said something older.
-TEST(Meetings, CloseLooksWhileTheAnswersOfTransactionsAreLost) {
+TEST(CombinedFaults, CloseLooksWhileTheAnswersOfTransactionsAreLost) {
     for (unsigned seed = 1; seed <= seeds; ++seed) {
         FaultyFleet f(500 + seed);
         f.close_looks = true;
@@ -52,12 +52,12 @@
         f.work(60);
         EXPECT_EQ(f.violation(), "") << seed;
         EXPECT_GT(f.looks, 1000) << seed;
-        EXPECT_EQ(f.end_of_day(), "") << seed;
+        EXPECT_EQ(f.run_final_checks(), "") << seed;
     }
 }
 
 // At every controller: a known id gets its state whatever else is wrong, an unknown one the error of the protocol.
-TEST(Meetings, OddRequestsGetTheSameAnswerEverywhere) {
+TEST(CombinedFaults, OddRequestsGetTheSameAnswerEverywhere) {
     FaultyFleet f(510);
     ASSERT_TRUE(f.settle(40));
     std::string done, open;
@@ -80,16 +80,16 @@
     auto crowd = job(1, Shape::gang, 500, 4); // beyond its team's limit, all of it
     auto stranger = job(1, Shape::array, 1, 1, "nobody");
     const auto plain = job(1, Shape::array, 1, 1);
-    struct Odd {
+    struct OddRequest {
         HttpRequest r;
         int status;
         std::string says;
     };
-    std::vector<Odd> odd{{{"POST", runs, "", "[1"}, 400, "error"},
-                         {{"POST", runs, "", "{\"id\":7}"}, 400, "id"},
-                         {{"POST", runs + "/" + done + "/cancel", "", "{}"}, 200, "done"},
-                         {{"POST", runs + "/wk-999999/cancel", "", "{}"}, 404, "no such job"},
-                         {{"GET", runs + "/wk-999999", "", ""}, 404, "no such job"}};
+    std::vector<OddRequest> odd{{{"POST", runs, "", "[1"}, 400, "error"},
+                                {{"POST", runs, "", "{\"id\":7}"}, 400, "id"},
+                                {{"POST", runs + "/" + done + "/cancel", "", "{}"}, 200, "done"},
+                                {{"POST", runs + "/wk-999999/cancel", "", "{}"}, 404, "no such job"},
+                                {{"GET", runs + "/wk-999999", "", ""}, 404, "no such job"}};
     for (const auto& [spec, status, why] : std::vector<std::tuple<JobSpec, int, const char*>>{
              {huge, 422, "machine type"}, {crowd, 422, "cpus"}, {stranger, 422, "owner"}}) {
         odd.push_back({{"POST", runs, "", body(spec, "wk-999998", nullptr)}, status, why});
@@ -440,7 +440,7 @@
 
 // Any two of them at once, drawn by seed. Two faults at once may leave nobody who can answer a machine in time, so
 // leases are not judged here; rules, answers and what must be known are.
-TEST(Meetings, TwoAtOnceBreakNoRule) {
+TEST(CombinedFaults, TwoAtOnceBreakNoRule) {
     std::mt19937 rng(90 + other_seeds());
     const auto all = scenarios();
     for (unsigned k = 0; k < (sanitized ? 2 : 16); ++k) {
@@ -464,7 +464,7 @@
         f.every_s = 1e9;
         f.close_looks = false;
         f.on_step = {};
-        f.day_end(f.leases(5));
+        f.final_checks(f.leases(5));
         for (const auto& [id, u] : f.asks)
             if (u.accepted() && !u.cancels) {
                 EXPECT_LT(u.seen.silent_s, 75) << id << ' ' << k << ' ' << a << ' ' << b;
--- a/tests/test_core.cpp
+++ b/tests/test_core.cpp
@@ -1,5 +1,5 @@
 // Scenarios of single guards: each fails when its guard is taken out.
-#include "world.hpp"
+#include "simulated_cluster.hpp"
 
 #include <gtest/gtest.h>
 
@@ -81,7 +81,7 @@
     EXPECT_FALSE(all<SendOrders>(s.give(Committed{})).empty());
 }
 
-TEST(Core, AnOldReportProvesNothing) {
+TEST(Core, AnOldHeartbeatProvesNothing) {
     OneTask s;
     // Answer lost; then a heartbeat from before the launch arrives late.
     s.give(OrdersAnswered{"n-1", s.launch.batch, 0, true, std::nullopt});
@@ -92,7 +92,7 @@
     EXPECT_EQ(s.core.live_tasks("wk-000001"), 1U);
 }
 
-TEST(Core, AfterATakeoverOnlyAReportThatHasSeenOurTermClearsAnIntent) {
+TEST(Core, AfterAFailoverOnlyAHeartbeatThatHasSeenOurTermClearsAnIntent) {
     const auto settings = small_settings();
     Snapshot stored;
     const auto spec = job(1, Shape::service, 1, 4);
@@ -110,7 +110,7 @@
     EXPECT_EQ(core.live_tasks("wk-000001"), 0U);
 }
 
-TEST(Core, ARaisedFenceSeenInAReportSettlesALostLaunch) {
+TEST(Core, AnIncrementedTokenSeenInAHeartbeatSettlesALostLaunch) {
     OneTask s;
     s.give(OrdersAnswered{"n-1", s.launch.batch, 0, true, std::nullopt});
     const auto answers = all<AnswerHeartbeat>(s.give(HeartbeatReceived{OneTask::heartbeat(2, s.fencing_token), 2}));
@@ -127,7 +127,7 @@
     EXPECT_NE(s.launch.orders[0].attempt, first);
 }
 
-TEST(Core, ANewTenureMeansThatAllTasksAreGone) {
+TEST(Core, ANewAgentEpochMeansThatAllTasksAreGone) {
     OneTask s;
     s.give(HeartbeatReceived{
         OneTask::heartbeat(2, s.fencing_token,
@@ -138,7 +138,7 @@
     EXPECT_EQ(s.core.view("wk-000001")->running, 0U);
 }
 
-TEST(Core, ASilentMachineIsOccupiedUntilItsLeaseHasSurelyRunOut) {
+TEST(Core, ASilentMachineIsOccupiedUntilItsLeaseHasSurelyExpired) {
     OneTask s;
     s.give(HeartbeatReceived{
         OneTask::heartbeat(2, s.fencing_token,
@@ -152,7 +152,7 @@
 
 // From the incident in docs/incidents/2026-12-01-kotaferry-f4f7.md: the record of a machine long
 // gone made each new leader wait a whole lease for the tasks it named.
-TEST(Core, TheRecordOfALapsedMachineNamesNoTasks) {
+TEST(Core, TheRecordOfAnExpiredMachineNamesNoTasks) {
     OneTask s;
     std::map<std::string, std::string> records;
     auto read = [&](const std::vector<Effect>& effects) {
@@ -171,7 +171,7 @@
 
 // From the zone cut of kotaferry-tiket-grown: the leader inside the cut took all machines outside
 // for lost, and when the cut ended it gave them back with what ran there under its successor.
-TEST(Core, AHolderThatMayNotActCommandsNobody) {
+TEST(Core, ALeaderThatMayNotActCommandsNobody) {
     OneTask s;
     std::vector<Command> q;
     for (double t = s.now; t < s.now + 3 * s.settings.lease_s; t += 0.5) {
@@ -186,7 +186,7 @@
     EXPECT_FALSE(q.empty()); // kept for when it may act again
 }
 
-TEST(Core, AHigherTermInAReportEndsTheOffice) {
+TEST(Core, AHigherTermInAHeartbeatEndsTheTerm) {
     OneTask s;
     const auto effects = s.give(HeartbeatReceived{OneTask::heartbeat(2, std::uint64_t{8} << token_counter_bits), 2});
     EXPECT_EQ(all<Resign>(effects).size(), 1U);
@@ -233,7 +233,7 @@
 }
 
 // The first heartbeat that a new leader sees of a machine may be a copy from long ago, of one that is gone.
-TEST(Core, AMachineIsUsedOnceItHasShownThisTermsFence) {
+TEST(Core, AMachineIsUsedOnceItHasShownThisTermsFencingToken) {
     const auto settings = small_settings();
     Core core(settings, 7, {}, 0, 0);
     std::size_t launches = 0, questions = 0;
@@ -259,7 +259,7 @@
 }
 
 // A copy would renew what counts as the lease of a machine that is gone, and be told what the live report should be.
-TEST(Core, ACopyOfAReportIsNoReport) {
+TEST(Core, ACopyOfAHeartbeatIsNoHeartbeat) {
     OneTask s;
     const auto live = OneTask::heartbeat(
         8, s.fencing_token, {{"wk-000001", 0, s.launch.orders[0].attempt, TaskState::running, ExitCause::none, false}});
--- a/tests/test_crowded.cpp
+++ b/tests/test_crowded.cpp
@@ -1,13 +1,13 @@
 // A fleet that is too small for what is asked of it: who goes first, who waits, and for how long.
-#include "world.hpp"
+#include "simulated_cluster.hpp"
 
 #include <gtest/gtest.h>
 
 namespace heronshift::testing {
 namespace {
 
-struct Crowd : World {
-    Crowd(unsigned seed, int spot_machines, int ordinary_machines) : World(seed) {
+struct Crowd : SimulatedCluster {
+    Crowd(unsigned seed, int spot_machines, int ordinary_machines) : SimulatedCluster(seed) {
         settings.teams = {{"red", 400, 400, 0, 0}, {"blue", 400, 400, 0, 0}};
         settings.ops.begin_s = 60;
         capacity = spot_machines;
@@ -39,7 +39,7 @@
             for (const auto& t : w.tasks)
                 if (t.state == TaskState::running)
                     began.emplace(t.job, now - submitted[t.job]);
-        return World::run_controllers();
+        return SimulatedCluster::run_controllers();
     }
     double began_after(const std::string& id) const {
         const auto it = began.find(id);
--- a/tests/test_cuts.cpp
+++ b/tests/test_cuts.cpp
@@ -1,5 +1,5 @@
 // Cuts that leave some links up: real controllers, several hundred machines, directed links.
-#include "troubles.hpp"
+#include "fault_injection.hpp"
 
 #include <gtest/gtest.h>
 
@@ -114,7 +114,7 @@
     EXPECT_EQ(wrong, "");
 }
 
-TEST(Cuts, AnUncutFleetKeepsItsHolder) {
+TEST(Cuts, AFleetWithoutCutsKeepsItsLeader) {
     Working f(1, 5, 300);
     f.every_s = 0.2;
     ASSERT_TRUE(f.settle(90));
@@ -125,7 +125,7 @@
 
 // From a day on which the leader resigned in an outage, because of a view 0.6 s old that said a
 // peer reached the store: nobody could take it for 18 s, longer than a lease, and 2,187 tasks were killed.
-TEST(Cuts, AnOutageOfTheStoreLeavesTheHolderItsOffice) {
+TEST(Cuts, AnOutageOfTheStoreLeavesTheLeaderInPlace) {
     for (unsigned seed = 1; seed <= 24; ++seed) {
         Working f(seed, 5, 24);
         ASSERT_TRUE(f.settle(25 + 0.17 * seed)) << seed;
@@ -141,7 +141,7 @@
 
 // From a day on which the leader handed the leadership to one that had reached the cloud at its start, and knew of
 // none of the machines that were booting.
-TEST(Cuts, ACloudThatNobodyReachesMovesNoOffice) {
+TEST(Cuts, ACloudThatNobodyReachesMovesNoLeadership) {
     for (unsigned seed = 1; seed <= 12; ++seed) {
         Working f(seed, 5, 24);
         ASSERT_TRUE(f.settle(25 + 0.3 * seed)) << seed;
@@ -154,7 +154,7 @@
 }
 
 // One that reaches it does take over.
-TEST(Cuts, ACloudThatAnotherReachesMovesTheOfficeThere) {
+TEST(Cuts, ACloudThatAnotherReachesMovesTheLeadershipThere) {
     Working f(3, 5, 24);
     ASSERT_TRUE(f.settle(40));
     for (std::size_t k = 0; k < 5; ++k)
@@ -178,24 +178,24 @@
 
 TEST_P(Matrices, BreakNoRuleAndHealWhole) {
     const auto p = GetParam();
-    Troubled f(p.seed + other_seeds(), p.controllers, p.machines);
+    FaultInjection f(p.seed + other_seeds(), p.controllers, p.machines);
     f.every_s = 20.0 / p.machines;
     f.late = 0.01;
-    double next_trouble = 25;
+    double next_fault = 25;
     f.before_step = [&] {
         if (f.n > 0 && f.chance() < 0.01)
             f.request_cancellation(fmt::format("wk-{:06}", 1 + f.pick(static_cast<std::size_t>(f.n))));
         // Faults, then time in which those that last a while longer must have become harmless.
         const double in_round = std::fmod(f.now, 120);
-        if (f.now < next_trouble || in_round < 25 || in_round > 65 || f.now > 240)
+        if (f.now < next_fault || in_round < 25 || in_round > 65 || f.now > 240)
             return;
-        next_trouble = f.now + f.between(1, 4);
-        f.trouble(f.chance() < 0.7 ? f.between(2, 30) : 100);
+        next_fault = f.now + f.between(1, 4);
+        f.inject_fault(f.chance() < 0.7 ? f.between(2, 30) : 100);
     };
     f.work(240);
     EXPECT_EQ(first(f), "");
     f.before_step = {};
-    EXPECT_EQ(f.day_end(f.leases(5)), "");
+    EXPECT_EQ(f.final_checks(f.leases(5)), "");
     EXPECT_EQ(f.unfinished(f.leases(3)), 0);
     EXPECT_GT(f.started, p.machines);
 }
--- a/tests/test_same.cpp
+++ b/tests/test_embedded_matches_daemon.cpp
@@ -107,8 +107,8 @@
 };
 
 // The platform and the users; who schedules is for those below.
-struct World {
-    explicit World(const OperatorSettings& ops) {
+struct SimulatedCluster {
+    explicit SimulatedCluster(const OperatorSettings& ops) {
         uv_loop_init(&loop);
         s.zones = {"a", "b"};
         s.teams = {{"red", 60, 120, 4, 8}, {"blue", 40, 80, 4, 8}};
@@ -128,9 +128,9 @@
         plan.lockstep = true;
         history = std::make_unique<local::History>(s.teams, s.cancel_s);
     }
-    virtual ~World() = default;
-    World(const World&) = delete;
-    World& operator=(const World&) = delete;
+    virtual ~SimulatedCluster() = default;
+    SimulatedCluster(const SimulatedCluster&) = delete;
+    SimulatedCluster& operator=(const SimulatedCluster&) = delete;
     void make_platform() {
         platform = std::make_unique<local::Platform>(&loop, plan, *history);
         platform->on_launch = [this](const Order& o, const MachineType& type, const std::string& zone, bool spot) {
@@ -146,10 +146,10 @@
 
     virtual void turn() = 0;
     virtual std::uint64_t messages() = 0;
-    using Told = std::function<void(int status, const std::string& state)>;
-    virtual void submit(const JobSpec& j, Told told) = 0;
-    virtual void get(const std::string& id, Told told) = 0;
-    virtual void cancel(const std::string& id, Told told) = 0;
+    using HistoryChecks = std::function<void(int status, const std::string& state)>;
+    virtual void submit(const JobSpec& j, HistoryChecks told) = 0;
+    virtual void get(const std::string& id, HistoryChecks told) = 0;
+    virtual void cancel(const std::string& id, HistoryChecks told) = 0;
 
     // First the controllers decide, by what had reached them before; then users ask, so soon after that no
     // pass is due again; then machines report what has become of their tasks.
@@ -177,7 +177,7 @@
             quiet = messages() + platform->messages() == before ? quiet + 1 : 0;
         }
     }
-    Told heard(const std::string& id) {
+    HistoryChecks heard(const std::string& id) {
         return [this, id](int status, const std::string& state) {
             ++answered;
             history->told(id, status, state, clock->at);
@@ -230,8 +230,8 @@
     Outcome out;
 };
 
-struct Library final : World {
-    explicit Library(const OperatorSettings& ops) : World(ops) {
+struct Library final : SimulatedCluster {
+    explicit Library(const OperatorSettings& ops) : SimulatedCluster(ops) {
         make_platform();
         SchedulerOptions o;
         o.settings = s;
@@ -255,25 +255,25 @@
     std::uint64_t messages() override {
         return answered;
     }
-    static Scheduler::Done done(Told told) {
+    static Scheduler::Done done(HistoryChecks told) {
         return [told = std::move(told)](const Reply& r) { told(r.status, r.state); };
     }
-    void submit(const JobSpec& j, Told told) override {
+    void submit(const JobSpec& j, HistoryChecks told) override {
         scheduler->submit(j, done(std::move(told)));
     }
-    void get(const std::string& id, Told told) override {
+    void get(const std::string& id, HistoryChecks told) override {
         scheduler->get(id, done(std::move(told)));
     }
-    void cancel(const std::string& id, Told told) override {
+    void cancel(const std::string& id, HistoryChecks told) override {
         scheduler->cancel(id, done(std::move(told)));
     }
     std::unique_ptr<Scheduler> scheduler;
 };
 
 // Three controllers, asked in turn over HTTP on loopback; who runs them is for those below.
-struct OverHttp : World {
+struct OverHttp : SimulatedCluster {
     static constexpr int count = 3;
-    explicit OverHttp(const OperatorSettings& ops) : World(ops) {
+    explicit OverHttp(const OperatorSettings& ops) : SimulatedCluster(ops) {
         state = std::make_unique<store::StoreServer>(
             &loop, std::make_unique<store::Engine>(store::memory_data(), store::Limits{}));
         EXPECT_EQ(state->start({"127.0.0.1", 0}), 0);
@@ -303,7 +303,7 @@
     std::uint64_t messages() override {
         return answered + state->requests() + (asked > heard_of ? ++waiting : 0); // not quiet while a user waits
     }
-    void ask(const char* method, const std::string& path, std::string body, Told told) {
+    void ask(const char* method, const std::string& path, std::string body, HistoryChecks told) {
         const auto& to = plan.workers.nodes[static_cast<std::size_t>(asked++ % count)].second;
         users->request(to, method, path, std::move(body), 60, [this, told = std::move(told)](HttpReply&& r) {
             ++heard_of;
@@ -311,13 +311,13 @@
             told(r.status, a ? a->status : "");
         });
     }
-    void submit(const JobSpec& j, Told told) override {
+    void submit(const JobSpec& j, HistoryChecks told) override {
         ask("POST", std::string(codec::path_jobs), codec::to_body(j), std::move(told));
     }
-    void get(const std::string& id, Told told) override {
+    void get(const std::string& id, HistoryChecks told) override {
         ask("GET", fmt::format("{}/{}", codec::path_jobs, id), "", std::move(told));
     }
-    void cancel(const std::string& id, Told told) override {
+    void cancel(const std::string& id, HistoryChecks told) override {
         ask("POST", fmt::format("{}/{}/{}", codec::path_jobs, id, codec::suffix_cancel), "{}", std::move(told));
     }
     local::Port ports[count], peer_ports[count];
--- a/tests/test_day.cpp
+++ b/tests/test_end_of_day.cpp
@@ -1,7 +1,7 @@
 // The end of a day: every accepted job is known and runs, every class, team and the largest jobs are served,
 // whatever machines that do not hear, late copies, controllers cut off from all but workers, and processes that are
 // back within a moment have done to it.
-#include "troubles.hpp"
+#include "fault_injection.hpp"
 
 #include "heronshift/gateway/fair_token_bucket.hpp"
 
@@ -27,16 +27,16 @@
 }
 
 std::string wrong(const std::vector<Seen>& all) {
-    DayEnd end;
+    FinalChecks end;
     end.now = 500;
     return fmt::format("{}", fmt::join(end.wrong(all), "; "));
 }
 
-TEST(DayEnd, AGoodDayIsOne) {
+TEST(FinalChecks, AGoodDayIsOne) {
     EXPECT_EQ(wrong(a_good_day()), "");
 }
 
-TEST(DayEnd, AJobThatNobodyAnswersForIsForgottenHoweverOthersFare) {
+TEST(FinalChecks, AJobThatNobodyAnswersForIsForgottenHoweverOthersFare) {
     auto day = a_good_day();
     day[7].silent_s = 76;
     EXPECT_EQ(wrong(day), "forgotten: wk-000007 had no answer for 76 s");
@@ -46,7 +46,7 @@
     EXPECT_EQ(wrong(day), "forgotten: wk-000008, submitted again");
 }
 
-TEST(DayEnd, AStarvedTeamIsSeenAmongManyServed) {
+TEST(FinalChecks, AStarvedTeamIsSeenAmongManyServed) {
     auto day = a_good_day();
     int n = 0;
     for (auto& j : day)
@@ -55,7 +55,7 @@
     EXPECT_EQ(wrong(day), "team blue: 8 of 20 served");
 }
 
-TEST(DayEnd, ALargestJobThatBeginsLateIsSeen) {
+TEST(FinalChecks, ALargestJobThatBeginsLateIsSeen) {
     auto day = a_good_day();
     day[36].begun_at = day[36].asked_at + 241; // the largest of "wide"
     EXPECT_EQ(wrong(day), "wk-000036, one of the largest of class wide, begins after 241 s");
@@ -93,8 +93,9 @@
 // --- scenarios ---
 
 // A day with services, small and wide arrays, and gangs, of two teams.
-struct Day : Troubled {
-    Day(unsigned seed, std::size_t controllers, int machines) : Troubled(seed + other_seeds(), controllers, machines) {
+struct Day : FaultInjection {
+    Day(unsigned seed, std::size_t controllers, int machines)
+        : FaultInjection(seed + other_seeds(), controllers, machines) {
         for (auto& [id, u] : asks)
             u.seen.job_class = jobs[id].job_class = "serve";
         before_step = [this] {
@@ -120,7 +121,7 @@
     // Ends the day: what is wrong with it.
     std::string end() {
         more = {};
-        return day_end(std::max(leases(5), 90.0));
+        return final_checks(std::max(leases(5), 90.0));
     }
     const cluster::Machine* known(const std::string& id) {
         const auto& c = nodes[leader().value_or(0)].controller;
@@ -177,15 +178,15 @@
     EXPECT_GT(gone_at, 0);
     EXPECT_EQ(f.end(), "");
 }
-TEST(Deaf, OneMachineGetsNothingMoreAndIsGivenBack) {
+TEST(InboundUnreachable, OneMachineGetsNothingMoreAndIsGivenBack) {
     one_gets_nothing_more(false, 3, 6);
 }
-TEST(Deaf, OneThatOrdersReachGetsNothingMoreAndIsGivenBack) {
+TEST(InboundUnreachable, OneThatOrdersReachGetsNothingMoreAndIsGivenBack) {
     one_gets_nothing_more(true, 3, 6);
 }
 
 // Another controller passes its heartbeats on: it keeps its lease and its work.
-TEST(Deaf, AMachineThatOneControllerDoesNotReachIsReachedByAnother) {
+TEST(InboundUnreachable, AMachineThatOneControllerDoesNotReachIsReachedByAnother) {
     for (unsigned seed = 1; seed <= 6; ++seed) {
         Day f(20 + seed, 5, 40);
         ASSERT_TRUE(f.settle(60)) << seed;
@@ -209,10 +210,10 @@
         return o << s.share << s.zone;
     }
 };
-class Deafness : public ::testing::TestWithParam<Silence> {};
+class InboundUnreachableMachines : public ::testing::TestWithParam<Silence> {};
 
 // With a gang half on such machines, and cancelled jobs on them.
-TEST_P(Deafness, OfManyStartsTheirWorkElsewhereOnlyOnceItIsGone) {
+TEST_P(InboundUnreachableMachines, OfManyStartsTheirWorkElsewhereOnlyOnceItIsGone) {
     Day f(31, 5, 60);
     ASSERT_TRUE(f.settle(60));
     f.make_some_inbound_unreachable(GetParam().share, GetParam().zone, f.all_nodes(), f.leases(3));
@@ -226,11 +227,11 @@
     EXPECT_EQ(f.unfinished(f.leases(3)), 0);
 }
 
-INSTANTIATE_TEST_SUITE_P(Day, Deafness, ::testing::Values(Silence{0.33, ""}, Silence{1, "b"}));
+INSTANTIATE_TEST_SUITE_P(Day, InboundUnreachableMachines, ::testing::Values(Silence{0.33, ""}, Silence{1, "b"}));
 
 // Late copies of heartbeats count for nothing, before, during and after changes of leadership, also of machines that
 // are gone by then.
-TEST(Copies, OfReportsChangeNothing) {
+TEST(Copies, OfHeartbeatsChangeNothing) {
     for (unsigned seed = 1; seed <= 4; ++seed) {
         Day f(40 + seed, 5, 60);
         f.copies = 0.5;
@@ -419,15 +420,15 @@
     Day f(p.seed, p.controllers, p.machines);
     f.every_s = 20.0 / p.machines;
     f.late = 0.01;
-    double next_trouble = 25;
+    double next_fault = 25;
     f.more = [&] {
         if (f.n > 0 && f.chance() < 0.01)
             f.request_cancellation(fmt::format("wk-{:06}", 1 + f.pick(static_cast<std::size_t>(f.n))));
-        if (f.now < next_trouble || f.now > 200)
+        if (f.now < next_fault || f.now > 200)
             return;
-        next_trouble = f.now + f.between(2, 10);
+        next_fault = f.now + f.between(2, 10);
         const double for_s = f.chance() < 0.8 ? f.between(1, 20) : 45;
-        f.chance() < 0.6 ? f.new_trouble(for_s) : f.trouble(for_s);
+        f.chance() < 0.6 ? f.inject_later_fault(for_s) : f.inject_fault(for_s);
     };
     f.work(240);
     EXPECT_EQ(first(f), "");
--- a/tests/test_late_loop.cpp
+++ b/tests/test_late_loop.cpp
@@ -5,7 +5,7 @@
 #include "heronshift/local/port.hpp"
 #include "heronshift/store/server.hpp"
 
-#include "troubles.hpp"
+#include "fault_injection.hpp"
 
 #include <atomic>
 #include <gtest/gtest.h>
@@ -211,8 +211,8 @@
 namespace testing {
 namespace {
 
-struct LateFleet : Troubled {
-    explicit LateFleet(unsigned seed) : Troubled(seed + other_seeds(), 5, 24) {}
+struct LateFleet : FaultInjection {
+    explicit LateFleet(unsigned seed) : FaultInjection(seed + other_seeds(), 5, 24) {}
     // The lease on the leadership.
     [[nodiscard]] double hold_s() const {
         return std::min(settings.report_s, settings.lease_s / 5);
--- a/tests/test_gap.cpp
+++ b/tests/test_leader_cut_off.cpp
@@ -1,14 +1,14 @@
 // The gap: the state service refuses the leader alone, another controller confirms cancellations, then the
 // service is down for all for longer than cancel_s, while workers go on reporting to the old leader.
-#include "troubles.hpp"
+#include "fault_injection.hpp"
 
 #include <gtest/gtest.h>
 
 namespace heronshift::testing {
 namespace {
 
-struct Gap : Troubled {
-    Gap(unsigned seed, std::size_t controllers) : Troubled(seed + other_seeds(), controllers, 24) {
+struct LeaderCutOff : FaultInjection {
+    LeaderCutOff(unsigned seed, std::size_t controllers) : FaultInjection(seed + other_seeds(), controllers, 24) {
         every_s = 6;
         takes = [this](std::uint32_t) { return between(60, 110); }; // they would go on past cancel_s
         before_step = [this] { every_step(); };
@@ -44,17 +44,17 @@
 
 enum class Besides : std::uint8_t { nothing, answers_lost, leader_ends, machines_hang, machines_cut, peers_cut };
 
-struct Story {
+struct Scenario {
     std::size_t controllers;
     double after_s; // from the refusal to the outage
     Besides besides;
-    friend std::ostream& operator<<(std::ostream& o, const Story& s) {
+    friend std::ostream& operator<<(std::ostream& o, const Scenario& s) {
         return o << s.controllers << " outage after " << s.after_s << " besides " << static_cast<int>(s.besides);
     }
 };
 
-std::vector<Story> stories() {
-    std::vector<Story> out;
+std::vector<Scenario> scenarios() {
+    std::vector<Scenario> out;
     for (const std::size_t n : {3U, 5U})
         for (const double after : {0.1, 0.5, 1.0, 1.5, 2.0, 5.0, 8.0})
             for (const auto b : {Besides::nothing, Besides::answers_lost, Besides::leader_ends, Besides::machines_hang,
@@ -65,7 +65,7 @@
 }
 
 // Once: the refusal, the cancellations, the outage; then all is well again.
-void pass(Gap& f, const Story& s, std::size_t asked_at) {
+void pass(LeaderCutOff& f, const Scenario& s, std::size_t asked_at) {
     const auto leader = *f.leader();
     const auto n = f.nodes.size();
     // At the old leader, at the others in turn, or wherever the balancer sends them.
@@ -102,12 +102,12 @@
     f.end_outage();
 }
 
-class GapStories : public ::testing::TestWithParam<Story> {};
+class LeaderCutOffScenarios : public ::testing::TestWithParam<Scenario> {};
 
-TEST_P(GapStories, NoTaskOutlivesItsCancellation) {
+TEST_P(LeaderCutOffScenarios, NoTaskOutlivesItsCancellation) {
     const auto s = GetParam();
     const auto where = static_cast<std::size_t>(s.after_s * 10 + static_cast<int>(s.besides)) % 3;
-    Gap f(400, s.controllers);
+    LeaderCutOff f(400, s.controllers);
     ASSERT_TRUE(f.settle(45));
     pass(f, s, where); // asked at the old leader, the next, the one after it
     EXPECT_EQ(f.what_is_wrong(), "");
@@ -126,16 +126,16 @@
         pass(f, s, 99); // once more on the same day, asked anywhere
     EXPECT_EQ(f.what_is_wrong(), "");
     f.takes = {};
-    EXPECT_EQ(f.day_end(f.leases(5), f.settings.cancel_s * 2), "");
+    EXPECT_EQ(f.final_checks(f.leases(5), f.settings.cancel_s * 2), "");
     EXPECT_EQ(f.what_is_wrong(), "");
 }
 
-INSTANTIATE_TEST_SUITE_P(Gap, GapStories, ::testing::ValuesIn(stories()));
+INSTANTIATE_TEST_SUITE_P(LeaderCutOff, LeaderCutOffScenarios, ::testing::ValuesIn(scenarios()));
 
 // A view of the others that is older than the outage made the leader give its leadership up, to nobody.
-TEST(Gap, ALeaderThatAllPromiseToWaitForStays) {
+TEST(LeaderCutOff, ALeaderWithAllExtensionVotesStays) {
     for (unsigned k = 0; k < (sanitized ? 4 : 24); ++k) {
-        Gap f(450 + k, 5);
+        LeaderCutOff f(450 + k, 5);
         ASSERT_TRUE(f.settle(45 + 0.1 * k)) << k;
         const auto leader = *f.leader();
         pass(f, {5, 0.5 + 0.1 * (k % 12), Besides::nothing}, 99);
--- a/tests/test_local.cpp
+++ b/tests/test_local.cpp
@@ -22,7 +22,7 @@
     return s;
 }
 
-struct Told : ::testing::Test {
+struct HistoryChecks : ::testing::Test {
     History h{{{"red", 4, 8, 0, 0}}, 10};
     History::Place here{"n-1", "m8", "a", false}, there{"n-2", "m8", "b", false}, spot{"n-3", "m8", "a", true};
     std::string first() {
@@ -30,7 +30,7 @@
     }
 };
 
-TEST_F(Told, ATaskInTwoPlaces) {
+TEST_F(HistoryChecks, ATaskInTwoPlaces) {
     h.submitted(array("wk-1"));
     h.on_machine("wk-1", 0, here, 1);
     h.off_machine("wk-1", 0, "n-1");
@@ -40,7 +40,7 @@
     EXPECT_EQ(first(), "ran_twice");
 }
 
-TEST_F(Told, AboveTheLimit) {
+TEST_F(HistoryChecks, AboveTheLimit) {
     h.submitted(array("wk-1", 9));
     for (std::uint32_t i = 0; i < 4; ++i)
         h.on_machine("wk-1", i, here, 1);
@@ -49,7 +49,7 @@
     EXPECT_EQ(first(), "quota");
 }
 
-TEST_F(Told, InTheWrongPlace) {
+TEST_F(HistoryChecks, InTheWrongPlace) {
     auto s = array("wk-1");
     s.spread = true;
     h.submitted(s);
@@ -64,7 +64,7 @@
     EXPECT_EQ(other.broken().size(), 1U);
 }
 
-TEST_F(Told, TooEarly) {
+TEST_F(HistoryChecks, TooEarly) {
     h.submitted(array("wk-1", 1));
     auto s = array("wk-2", 1);
     s.dependencies = {"wk-1"};
@@ -79,7 +79,7 @@
     EXPECT_EQ(first(), "too_early");
 }
 
-TEST_F(Told, CancelledAndStillThere) {
+TEST_F(HistoryChecks, CancelledAndStillThere) {
     h.submitted(array("wk-1"));
     h.cancel_asked("wk-1");
     h.on_machine("wk-1", 0, here, 1);
@@ -90,7 +90,7 @@
     EXPECT_EQ(first(), "ran_cancelled");
 }
 
-TEST_F(Told, AnswersThatCannotBe) {
+TEST_F(HistoryChecks, AnswersThatCannotBe) {
     h.told("wk-9", 404, "", 1);
     EXPECT_EQ(first(), "");
     h.told("wk-9", 200, "pending", 1);
@@ -112,7 +112,7 @@
     EXPECT_EQ(three.broken().size(), 1U);
 }
 
-TEST_F(Told, AJobAcceptedAndNeverOver) {
+TEST_F(HistoryChecks, AJobAcceptedAndNeverOver) {
     h.submitted(array("wk-1", 1));
     h.submitted(array("wk-2", 1));
     h.told("wk-1", 201, "pending", 1);
@@ -196,7 +196,7 @@
     EXPECT_EQ(platform->sum().machines, 0U);
 }
 
-TEST_F(Wire, AWorkerObeysTheHighestFenceAndItsTenure) {
+TEST_F(Wire, AWorkerObeysTheHighestFencingTokenAndItsAgentEpoch) {
     rent();
     auto r = command(7, 1, {{Verb::launch, "wk-1", 0, 1, 0}});
     ASSERT_EQ(r.tasks.size(), 1U);
--- a/tests/test_records.cpp
+++ b/tests/test_records.cpp
@@ -1,5 +1,5 @@
 // Scenarios of what the store holds: the ring of placements, the progress, and what came before them.
-#include "world.hpp"
+#include "simulated_cluster.hpp"
 
 #include <gtest/gtest.h>
 
@@ -87,7 +87,7 @@
 
 // What a damaged record named may run anywhere on its machine: until that machine has spoken to us
 // or its lease has surely expired, nothing is placed at all.
-TEST(ClusterRecords, ADamagedRecordHoldsItsMachineUntilItIsProven) {
+TEST(ClusterRecords, ADamagedRecordKeepsItsMachineOccupiedUntilItIsProven) {
     const auto settings = small_settings();
     auto stored = one_job(job(1, Shape::array, 2, 1));
     stored.intents.push_back({"i/0", {{"t", "n-9 a 1 wk-00"}}, 1, false});
@@ -104,7 +104,7 @@
 }
 
 // Else each new leader would have images of 15 GB fetched again that lie ready.
-TEST(ClusterRecords, ANewHolderKnowsWhereImagesLie) {
+TEST(ClusterRecords, ANewLeaderKnowsWhereImagesLie) {
     const auto settings = small_settings();
     auto stored = one_job(job(1, Shape::array, 1, 1));
     stored.images.push_back(
@@ -176,7 +176,7 @@
 // Two thousand launches: each record stays below the longest value, a transaction below its limits,
 // and what a later leader reads names all of them.
 TEST(ClusterRecords, ABurstOfPlacementsCostsAFewWrites) {
-    World w(11);
+    SimulatedCluster w(11);
     w.settings.teams = {{"red", 1e5, 1e6, 0, 0}};
     w.settings.state_write_rps = 35;
     w.settings.txn_ops = 16;
@@ -213,7 +213,7 @@
 
 // After each change of leadership machines were given back that were needed a moment later, or none for a
 // minute: the new leader knew neither their age nor how much work the day brings.
-TEST(ClusterRecords, WhatAHolderLearnedOfTheDayGoesToTheNext) {
+TEST(ClusterRecords, WhatALeaderLearnedGoesToTheNext) {
     const auto settings = small_settings();
     auto returned = [&](const codec::Json& learned) {
         Snapshot s;
--- a/tests/test_replay.cpp
+++ b/tests/test_replay.cpp
@@ -1,5 +1,5 @@
 // A day of the in-memory cluster is recorded and run again: every effect must come out the same.
-#include "world.hpp"
+#include "simulated_cluster.hpp"
 
 #include <csignal>
 #include <cstdio>
@@ -40,7 +40,7 @@
 };
 
 // All shapes, a chain, a cancellation, lost messages, a new leader in the middle.
-void play(World& w, const std::string& path, std::uint64_t max_bytes = 1 << 30) {
+void play(SimulatedCluster& w, const std::string& path, std::uint64_t max_bytes = 1 << 30) {
     CommandLog log(path, max_bytes);
     w.log = &log;
     w.heartbeat_loss = w.order_loss = 0.1;
@@ -72,7 +72,7 @@
 TEST(Replay, ARecordedDayComesOutTheSame) {
     for (const std::string ending : {".log", ".log.zst"}) {
         File f(ending);
-        World w(11);
+        SimulatedCluster w(11);
         play(w, f.path);
         const auto r = replay::replay(f.path);
         EXPECT_FALSE(r.first) << r.first->what << " " << r.first->got;
@@ -86,7 +86,7 @@
 // The check can fail: one changed constant, and the first decision that it changes is named.
 TEST(Replay, AChangedPayoffIsFoundAndPlaced) {
     File f(".log");
-    World w(11);
+    SimulatedCluster w(11);
     play(w, f.path);
     auto text = f.text();
     const auto at = text.find(R"("headroom":0.25)");
@@ -102,7 +102,7 @@
 TEST(Replay, ADamagedLogIsRefusedWithItsPlace) {
     File f(".log");
     EXPECT_NE(error_of(f.path).find("No such file"), std::string::npos);
-    World w(12);
+    SimulatedCluster w(12);
     play(w, f.path);
     const auto text = f.text();
     const auto damaged = [&](const std::string& from, const std::string& to) {
@@ -129,7 +129,7 @@
 TEST(Replay, ALogThatIsCutOffIsUsedOnlyWhenAskedFor) {
     for (const std::string ending : {".log", ".log.zst"}) {
         File f(ending);
-        World w(13);
+        SimulatedCluster w(13);
         play(w, f.path);
         const auto text = f.text();
         f.write(text.substr(0, text.size() * 2 / 3));
@@ -143,7 +143,7 @@
 
 TEST(Replay, ALogEndsAtItsBoundAndNeverOverwrites) {
     File f(".log");
-    World w(14);
+    SimulatedCluster w(14);
     play(w, f.path, 100'000);
     EXPECT_LE(f.text().size(), 100'000U);
     EXPECT_EQ(error_of(f.path), "none"); // whole lines only
@@ -159,7 +159,7 @@
     auto* const handler = std::signal(SIGXFSZ, SIG_IGN);
     const rlimit small{100'000, before.rlim_max};
     setrlimit(RLIMIT_FSIZE, &small);
-    World w(15);
+    SimulatedCluster w(15);
     {
         CommandLog log(f.path, 1 << 30);
         for (int i = 0; i < 1000 && log.open(); ++i)
--- a/tests/test_scheduler.cpp
+++ b/tests/test_scheduler.cpp
@@ -356,7 +356,7 @@
 
 // Frozen, or busy with something else, for longer than the store lease: another copy acts by then, so it must
 // not go on where it was.
-TEST_F(Embedded, ABlockedLoopLosesTheOfficeAndKnowsIt) {
+TEST_F(Embedded, ABlockedLoopLosesTheLeadershipAndKnowsIt) {
     auto service = state_service(); // on this loop too: while that stands still, holds do not end
     const auto o = options();
     auto two_o = o;
--- a/tests/test_world.cpp
+++ b/tests/test_simulated_cluster.cpp
@@ -1,17 +1,17 @@
 // Whole days in small, with fixed seeds: every rule is checked after every step.
-#include "world.hpp"
+#include "simulated_cluster.hpp"
 
 #include <gtest/gtest.h>
 
 namespace heronshift::testing {
 namespace {
 
-std::string first(const World& w) {
+std::string first(const SimulatedCluster& w) {
     return w.broken.empty() ? "" : w.broken.front();
 }
 
-TEST(World, AQuietDayRunsEverything) {
-    World w(1);
+TEST(SimulatedCluster, AQuietDayRunsEverything) {
+    SimulatedCluster w(1);
     w.acquire_leadership();
     w.submit(job(1, Shape::array, 20, 2));
     w.submit(job(2, Shape::gang, 3, 4));
@@ -27,8 +27,8 @@
     EXPECT_LE(w.workers.size(), 3U);
 }
 
-TEST(World, CancelledWorkIsGoneInTimeAlsoBehindACut) {
-    World w(2);
+TEST(SimulatedCluster, CancelledWorkIsGoneInTimeAlsoBehindACut) {
+    SimulatedCluster w(2);
     w.acquire_leadership();
     w.submit(job(1, Shape::service, 3, 4));
     w.run(30);
@@ -43,8 +43,8 @@
     EXPECT_TRUE(w.store.contains("f/wk-000001"));
 }
 
-TEST(World, ATakeoverKeepsWhatRunsAndCountsWhatItCannotSee) {
-    World w(3);
+TEST(SimulatedCluster, AFailoverKeepsWhatRunsAndCountsWhatItCannotSee) {
+    SimulatedCluster w(3);
     w.acquire_leadership();
     w.submit(job(1, Shape::service, 4, 4));
     w.run(30);
@@ -62,8 +62,8 @@
     EXPECT_EQ(first(w), "");
 }
 
-TEST(World, ASickMachineIsReplacedAndABadJobTakesNoMachineDown) {
-    World w(4);
+TEST(SimulatedCluster, ASickMachineIsReplacedAndABadJobTakesNoMachineDown) {
+    SimulatedCluster w(4);
     w.acquire_leadership();
     w.submit(job(1, Shape::array, 30, 2));
     w.run(14);
@@ -80,7 +80,7 @@
 // Restarted elsewhere for ever, the last task of a job never ended, nor did what waited for the job.
 // How many of ten tasks were begun again, of which the first takes so long and the others 5 s.
 int begun_again(double first_s) {
-    World w(5);
+    SimulatedCluster w(5);
     w.takes = [first_s](std::uint32_t index) { return index == 0 ? first_s : 5.0; };
     w.settings.teams[0].cpus_max = 400;
     w.capacity = 30;
@@ -94,25 +94,25 @@
     EXPECT_EQ(first(w), "");
     return w.started - before - 10;
 }
-TEST(World, ATaskThatIsLongEverywhereEnds) {
+TEST(SimulatedCluster, ATaskThatIsLongEverywhereEnds) {
     EXPECT_EQ(begun_again(15), 1); // once it was worth a try elsewhere
 }
 // Nearly through, the longest of its siblings began anew, and its job was late by that.
-TEST(World, ATaskThatIsALittleLongerIsLeftToRun) {
+TEST(SimulatedCluster, ATaskThatIsALittleLongerIsLeftToRun) {
     EXPECT_EQ(begun_again(13), 0);
 }
 
 // Crashes of the leader, cuts, hangs, lost and late messages, refused transactions.
-class Trouble : public ::testing::TestWithParam<unsigned> {};
+class Fault : public ::testing::TestWithParam<unsigned> {};
 
-TEST_P(Trouble, BreaksNoRule) {
-    World w(GetParam());
+TEST_P(Fault, BreaksNoRule) {
+    SimulatedCluster w(GetParam());
     w.heartbeat_loss = 0.05;
     w.order_loss = 0.1;
     w.late = 0.05;
     w.acquire_leadership();
     int n = 0;
-    double next_job = 0, next_trouble = 10;
+    double next_job = 0, next_fault = 10;
     while (w.now < 400 && w.broken.empty()) {
         if (w.now >= next_job && n < 60) {
             next_job = w.now + w.between(1, 8);
@@ -127,9 +127,9 @@
         }
         if (n > 0 && w.chance() < 0.01)
             w.cancel(fmt::format("wk-{:06}", 1 + static_cast<int>(w.between(0, n))));
-        if (w.now >= next_trouble) {
-            next_trouble = w.now + w.between(3, 20);
-            auto pick = [&]() -> World::Worker* {
+        if (w.now >= next_fault) {
+            next_fault = w.now + w.between(3, 20);
+            auto pick = [&]() -> SimulatedCluster::Worker* {
                 if (w.workers.empty())
                     return nullptr;
                 auto it = w.workers.begin();
@@ -168,7 +168,7 @@
     EXPECT_GT(w.started, 20);
 }
 
-INSTANTIATE_TEST_SUITE_P(Seeds, Trouble,
+INSTANTIATE_TEST_SUITE_P(Seeds, Fault,
                          ::testing::Values(214U, 318U, 444U, 100U, 101U, 102U, 103U, 104U, 105U, 106U, 107U, 108U));
 
 } // namespace
--- a/tests/test_store.cpp
+++ b/tests/test_store.cpp
@@ -185,7 +185,7 @@
     EXPECT_TRUE(s.list("nothing/").items.empty());
 }
 
-TEST_P(Contract, KeysGoWithTheirHold) {
+TEST_P(Contract, KeysGoWithTheirLease) {
     Rig r(GetParam());
     auto s = r.easy();
     const auto h = s.create_lease(60);
@@ -297,7 +297,7 @@
 
 // A leader acts until its store lease's time is over by its own clock, so a store lease must not end a moment sooner,
 // whoever looks. (Shortened leases were caught by no other scenario.)
-TEST(Holds, LiveTheirWholeTimeAndNoLonger) {
+TEST(StoreLeases, LiveTheirWholeTimeAndNoLonger) {
     const auto path = file_name();
     for (const bool in_file : {false, true}) {
         remove_file(path);
--- a/tests/users.hpp
+++ b/tests/users.hpp
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "answers.hpp"
-#include "day_end.hpp"
+#include "final_checks.hpp"
 #include "fleet.hpp"
 
 #include <fmt/ranges.h>
@@ -169,7 +169,7 @@
     double over_at = -1; // since when no fault is left; below zero: the day goes on
     // All faults are over and nothing new is asked for; everybody asks for every job, and each is submitted
     // once more. After so many seconds: what is wrong.
-    std::string day_end(double seconds, double excused_s = 0) {
+    std::string final_checks(double seconds, double excused_s = 0) {
         heal();
         inbound_unreachable.clear();
         misses_answers.clear();
@@ -205,7 +205,7 @@
             u.seen.excused_s = excused_s;
             all.push_back(u.seen);
         }
-        DayEnd end;
+        FinalChecks end;
         end.now = now;
         end.begin_s = settings.ops.begin_s;
         return fmt::format("{}", fmt::join(end.wrong(all), "\n"));
--- a/tests/working.hpp
+++ b/tests/working.hpp
@@ -14,7 +14,7 @@
 inline constexpr bool sanitized = false;
 #endif
 
-inline std::string first(const World& w) {
+inline std::string first(const SimulatedCluster& w) {
     return w.broken.empty() ? "" : fmt::format("{} at {:.1f}", w.broken.front(), w.now);
 }
 
