--- a/include/heronshift/cloud/cloud_client.hpp
+++ b/include/heronshift/cloud/cloud_client.hpp
@@ -30,7 +30,7 @@
         virtual void cloud_answered(bool ok) = 0;
     };
     CloudClient(const Settings& s, TimerQueue& timers, store::StateStore& store, Executor& executor, Host& host)
-        : s_(s), timers_(timers), store_(store), executor_(executor), host_(host),
+        : settings_(s), timers_(timers), store_(store), executor_(executor), host_(host),
           budget_(s.cloud_rps * 0.8, std::max(1.0, s.cloud_rps)) {}
 
     void start() {
@@ -58,7 +58,7 @@
     void from_cloud();
     void learned(std::vector<MachineType>&& types);
 
-    const Settings& s_;
+    const Settings& settings_;
     TimerQueue& timers_;
     store::StateStore& store_;
     Executor& executor_;
--- a/include/heronshift/cluster/cluster_state.hpp
+++ b/include/heronshift/cluster/cluster_state.hpp
@@ -45,10 +45,10 @@
         persistence_ = &b;
     }
     [[nodiscard]] const ClusterData& view() const {
-        return st_;
+        return data_;
     }
     void set_time(double now, double wall) {
-        st_.now = now, st_.wall = wall;
+        data_.now = now, data_.wall = wall;
     }
 
     // What the world says.
@@ -81,7 +81,7 @@
     void retire(const Machine& m, bool leave) override;
     void rent(const Pending& p) override;
     void count_spot(std::size_t machines) override {
-        st_.spot_machines = machines;
+        data_.spot_machines = machines;
     }
     void ask(const Machine& m) override;
     void presume_dead(const Machine& m) override;
@@ -91,7 +91,7 @@
         needs_scheduling_ = true;
     }
     void log(int level, std::string text) override {
-        out_.emplace_back(LogLine{level, std::move(text)});
+        effects_.emplace_back(LogLine{level, std::move(text)});
     }
     void begin_pass() { // of placement: attempts of different passes differ
         ++pass_counter_;
@@ -120,7 +120,7 @@
         resigned_ = true;
     }
     void store_is_late() {
-        st_.unserved_at = st_.now;
+        data_.unserved_at = data_.now;
     }
     void settled() { // placement has seen what changed
         needs_scheduling_ = false;
@@ -203,8 +203,8 @@
     void look_for(const std::string& id, double at);
     void forget_dependencies(Job& j);
 
-    ClusterData st_;
-    std::vector<Effect>& out_;
+    ClusterData data_;
+    std::vector<Effect>& effects_;
     PersistenceListener* persistence_ = nullptr;
     bool needs_scheduling_ = true, resigned_ = false;
     std::uint64_t pass_counter_ = 0, batch_seq_ = 0, claim_seq_ = 0, heartbeat_seq_ = 0;
--- a/include/heronshift/core/core.hpp
+++ b/include/heronshift/core/core.hpp
@@ -59,7 +59,7 @@
 private:
     void take(Command& c);
 
-    const Settings& s_;
+    const Settings& settings_;
     std::vector<Effect> effects_;
     cluster::ClusterState cluster_;
     ClusterRecords records_;
--- a/include/heronshift/gateway/gateway.hpp
+++ b/include/heronshift/gateway/gateway.hpp
@@ -85,7 +85,7 @@
     bool tell_final(const std::string& id, const Responder& res) const; // false: none is known here
     [[nodiscard]] std::string impossible(const JobSpec& s) const;
 
-    const Settings& s_;
+    const Settings& settings_;
     TimerQueue& timers_;
     store::StateStore& store_;
     Peers& peers_;
--- a/include/heronshift/leadership/leader_election.hpp
+++ b/include/heronshift/leadership/leader_election.hpp
@@ -72,8 +72,9 @@
         return leader_term_;
     }
     [[nodiscard]] bool sees_leader() const { // the store told it to this node, a short while ago
-        return valid() || (role_ == Role::follower && seen_at_ >= 0 && timers_.now() - seen_at_ < 2 * s_.report_s &&
-                           members_.store() != membership::Reachability::unreachable);
+        return valid() ||
+               (role_ == Role::follower && seen_at_ >= 0 && timers_.now() - seen_at_ < 2 * settings_.report_s &&
+                members_.store() != membership::Reachability::unreachable);
     }
     [[nodiscard]] double acquired_at() const {
         return acquired_at_;
@@ -103,7 +104,7 @@
     void resign(const std::string& why, const std::vector<std::string>& successors);
     void offer_leadership(const std::string& body, std::vector<std::string> to);
 
-    const Settings& s_;
+    const Settings& settings_;
     TimerQueue& timers_;
     store::StateStore& store_;
     Peers& peers_;
--- a/include/heronshift/leadership/state_loader.hpp
+++ b/include/heronshift/leadership/state_loader.hpp
@@ -16,7 +16,7 @@
 class StateLoader {
 public:
     StateLoader(const Settings& s, TimerQueue& timers, store::StateStore& store)
-        : s_(s), timers_(timers), store_(store) {}
+        : settings_(s), timers_(timers), store_(store) {}
 
     void read_all(const std::function<void(Snapshot&&)>& done);
     void follow_jobs(std::function<void(std::vector<codec::StoredJob>&&)> handle_leader_read); // after read_all
@@ -31,7 +31,7 @@
     void follow();
     void tell(const std::vector<codec::Item>& items);
 
-    const Settings& s_;
+    const Settings& settings_;
     TimerQueue& timers_;
     store::StateStore& store_;
     std::uint64_t generation_ = 0, revision_ = 0;
--- a/include/heronshift/leadership/transaction_queue.hpp
+++ b/include/heronshift/leadership/transaction_queue.hpp
@@ -26,7 +26,7 @@
     };
     TransactionQueue(const Settings& s, TimerQueue& timers, store::StateStore& store, metrics::Timings& became_leader,
                      Ends ends)
-        : s_(s), timers_(timers), store_(store), took_(became_leader), ends_(std::move(ends)) {}
+        : settings_(s), timers_(timers), store_(store), took_(became_leader), ends_(std::move(ends)) {}
 
     void begin(std::uint64_t term, std::uint64_t mod_revision) {
         ++generation_;
@@ -44,7 +44,7 @@
     void resolve(Commit c, int tries);
     void applied(std::uint64_t mod_revision);
 
-    const Settings& s_;
+    const Settings& settings_;
     TimerQueue& timers_;
     store::StateStore& store_;
     metrics::Timings& took_;
--- a/include/heronshift/local/cloud.hpp
+++ b/include/heronshift/local/cloud.hpp
@@ -74,7 +74,7 @@
     void next_node(double now);
     Heartbeat heartbeat();
 
-    Platform& p_;
+    Platform& platform_;
     std::string id_, zone_, addr_;
     const MachineType& type_;
     bool spot_;
--- a/include/heronshift/loop_timer.hpp
+++ b/include/heronshift/loop_timer.hpp
@@ -23,7 +23,7 @@
 
     // Once. Returns 0 or a libuv error.
     int start(uv_loop_t* loop, std::uint64_t every_ms, std::function<void()> f) {
-        f_ = std::move(f);
+        callback_ = std::move(f);
         timer_ = new uv_timer_t;
         uv_timer_init(loop, timer_);
         timer_->data = this;
@@ -31,14 +31,14 @@
             timer_,
             [](uv_timer_t* t) {
                 if (t->data != nullptr)
-                    static_cast<LoopTimer*>(t->data)->f_();
+                    static_cast<LoopTimer*>(t->data)->callback_();
             },
             every_ms, every_ms);
     }
 
 private:
     uv_timer_t* timer_ = nullptr;
-    std::function<void()> f_;
+    std::function<void()> callback_;
 };
 
 } // namespace heronshift
--- a/include/heronshift/membership/link_health.hpp
+++ b/include/heronshift/membership/link_health.hpp
@@ -16,7 +16,7 @@
 
 class LinkHealth {
 public:
-    explicit LinkHealth(FailureThresholds p) : p_(p) {}
+    explicit LinkHealth(FailureThresholds p) : thresholds_(p) {}
 
     // Each returns true if that changed what is thought of it.
     bool worked(double now);
@@ -40,7 +40,7 @@
     }
 
 private:
-    FailureThresholds p_;
+    FailureThresholds thresholds_;
     Reachability reach_ = Reachability::unknown;
     double worked_at_ = -1, failed_at_ = -1, first_failed_ = -1, back_since_ = -1;
     int failures_ = 0;
--- a/include/heronshift/membership/membership.hpp
+++ b/include/heronshift/membership/membership.hpp
@@ -142,7 +142,7 @@
     void changed(const std::string& what, Reachability to);
     Zone* find_zone(const std::string& name);
 
-    const Settings& s_;
+    const Settings& settings_;
     TimerQueue& timers_;
     store::StateStore& state_;
     Executor& executor_;
--- a/include/heronshift/node/controller.hpp
+++ b/include/heronshift/node/controller.hpp
@@ -53,7 +53,7 @@
     void serve_peer(HttpRequest&& r, Responder res);
 
     [[nodiscard]] const Settings& settings() const {
-        return s_;
+        return settings_;
     }
     [[nodiscard]] TimerQueue& timers() {
         return timers_;
@@ -120,7 +120,7 @@
     void perform(Effect& e);
     [[nodiscard]] std::string metrics() const;
 
-    const Settings s_;
+    const Settings settings_;
     std::shared_ptr<const Clock> clock_;
     TimerQueue timers_;
     metrics::Timings took_;
--- a/include/heronshift/persistence/cluster_records.hpp
+++ b/include/heronshift/persistence/cluster_records.hpp
@@ -38,7 +38,7 @@
                (!finals_.empty() || !cancelled_with_dependency_.empty() || !readies_.empty() || !unrecorded_.empty());
     }
     [[nodiscard]] bool late(double after_s) const { // the store's answer
-        return txn_open_ && l_.view().now - sent_at_ > after_s;
+        return txn_open_ && cluster_.view().now - sent_at_ > after_s;
     }
     [[nodiscard]] std::uint64_t committed_count() const {
         return committed_;
@@ -69,12 +69,12 @@
     void drop_job(Job& j);
     static std::size_t bucket_of(const std::string& id);
     void log(int level, std::string text) {
-        l_.log(level, std::move(text));
+        cluster_.log(level, std::move(text));
     }
 
-    cluster::ClusterState& l_;
-    const Settings& s_;
-    std::vector<Effect>& out_;
+    cluster::ClusterState& cluster_;
+    const Settings& settings_;
+    std::vector<Effect>& effects_;
     // The transaction being built and the one in flight.
     bool txn_open_ = false;
     double sent_at_ = 0; // the one in flight
--- a/include/heronshift/scheduling/autoscaler.hpp
+++ b/include/heronshift/scheduling/autoscaler.hpp
@@ -8,7 +8,8 @@
 
 class Autoscaler {
 public:
-    Autoscaler(const ClusterData& view, cluster::Proposals& out) : v_(view), s_(view.settings), out_(out) {}
+    Autoscaler(const ClusterData& view, cluster::Proposals& out)
+        : cluster_(view), settings_(view.settings), proposals_(out) {}
     void plan_capacity();
     void plan_shrink();
     void return_machines();
@@ -39,9 +40,9 @@
                                  const std::map<int, std::pair<int, int>>& inbound_unreachable_by_zone) const;
     void queue_rentals(std::map<std::string, Pending>& wanted);
 
-    const ClusterData& v_;
-    const Settings& s_;
-    cluster::Proposals& out_;
+    const ClusterData& cluster_;
+    const Settings& settings_;
+    cluster::Proposals& proposals_;
     double keep_ready_ = 0, next_silent_ = 0;
     // Of one plan:
     std::vector<Source> sources_;
--- a/include/heronshift/scheduling/placement.hpp
+++ b/include/heronshift/scheduling/placement.hpp
@@ -11,7 +11,7 @@
 class Placement {
 public:
     Placement(const ClusterData& view, cluster::Proposals& out)
-        : v_(view), s_(view.settings), out_(out), index_(view) {}
+        : cluster_(view), settings_(view.settings), proposals_(out), index_(view) {}
     void schedule();
     [[nodiscard]] std::size_t waiting() const { // jobs, at the last pass
         return waiting_;
@@ -65,9 +65,9 @@
     [[nodiscard]] double loss_of(const Entry& e) const;
     void mark_slow(const Machine& m);
 
-    const ClusterData& v_;
-    const Settings& s_;
-    cluster::Proposals& out_;
+    const ClusterData& cluster_;
+    const Settings& settings_;
+    cluster::Proposals& proposals_;
     std::size_t waiting_ = 0;
     std::vector<const Job*> first_of_team_; // whose limit is left to this one until it has begun; by team
     bool ordinary_waits_ = false;           // an array that may not use spot machines
--- a/include/heronshift/scheduling/placement_cost.hpp
+++ b/include/heronshift/scheduling/placement_cost.hpp
@@ -24,13 +24,13 @@
 // the tie-break on top. For one decision: what all machines share is computed once.
 class PlacementCost {
 public:
-    PlacementCost(const ClusterData& v, const Job& j) : v_(v), j_(j) {}
+    PlacementCost(const ClusterData& v, const Job& j) : cluster_(v), j_(j) {}
     [[nodiscard]] double operator()(const Machine& m) const;
 
 private:
     [[nodiscard]] double spot_risk() const;
 
-    const ClusterData& v_;
+    const ClusterData& cluster_;
     const Job& j_;
     mutable double spot_risk_ = -1; // below zero: not known yet
 };
--- a/include/heronshift/scheduling/rebalancer.hpp
+++ b/include/heronshift/scheduling/rebalancer.hpp
@@ -8,7 +8,8 @@
 
 class Rebalancer {
 public:
-    Rebalancer(const ClusterData& view, cluster::Proposals& out) : v_(view), s_(view.settings), out_(out) {}
+    Rebalancer(const ClusterData& view, cluster::Proposals& out)
+        : cluster_(view), settings_(view.settings), proposals_(out) {}
     void rebalance();
 
 private:
@@ -20,9 +21,9 @@
     void reorder(std::vector<const Machine*>& pool_machines, std::vector<const Machine*>& leaving,
                  const std::vector<const Machine*>& to, int cap, Planned& planned);
 
-    const ClusterData& v_;
-    const Settings& s_;
-    cluster::Proposals& out_;
+    const ClusterData& cluster_;
+    const Settings& settings_;
+    cluster::Proposals& proposals_;
 };
 
 } // namespace heronshift::scheduling
--- a/include/heronshift/scheduling/room_index.hpp
+++ b/include/heronshift/scheduling/room_index.hpp
@@ -29,7 +29,7 @@
 
 class RoomIndex {
 public:
-    explicit RoomIndex(const ClusterData& view) : v_(view) {}
+    explicit RoomIndex(const ClusterData& view) : cluster_(view) {}
 
     // At the start of a pass. Until the next one nothing but room and reservations may change, and each
     // machine on which they do has to be passed to update().
@@ -73,7 +73,7 @@
     [[nodiscard]] bool may_hold(const Group& g, const Job& j, PlainMachines which) const;
     void find_reserved(const Job& j, PlainMachines which, std::vector<std::uint32_t>& found) const;
 
-    const ClusterData& v_;
+    const ClusterData& cluster_;
     std::vector<const Machine*> machines_;
     std::vector<Place> places_; // by position
     std::map<GroupKey, Group> groups_;
--- a/include/heronshift/workers/heartbeat_handler.hpp
+++ b/include/heronshift/workers/heartbeat_handler.hpp
@@ -70,7 +70,7 @@
     void send_by(const std::string& peer, const SendOrders& o, std::function<void(OrdersAnswered&&)> done);
     void record_launches(const std::vector<Order>& orders);
 
-    const Settings& s_;
+    const Settings& settings_;
     TimerQueue& timers_;
     Executor& executor_;
     Peers& peers_;
--- a/src/cloud/cloud_client.cpp
+++ b/src/cloud/cloud_client.cpp
@@ -16,7 +16,7 @@
     if (t >= next_types_)
         learn_types();
     if (host_.is_leader() && t >= next_list_) {
-        next_list_ = t + std::max(s_.list_lag_s / 2, 2 / s_.cloud_rps);
+        next_list_ = t + std::max(settings_.list_lag_s / 2, 2 / settings_.cloud_rps);
         list_machines("");
     }
     pump();
@@ -52,7 +52,7 @@
                 host_.cloud_answered(c.outcome == RentOutcome::rented || c.outcome == RentOutcome::no_capacity);
             if (gen != generation_)
                 return;
-            const double delay = c.outcome == RentOutcome::rented ? 0 : s_.report_s / 6;
+            const double delay = c.outcome == RentOutcome::rented ? 0 : settings_.report_s / 6;
             timers_.after(delay, [this, gen, c = std::move(c)]() mutable {
                 if (gen == generation_)
                     host_.push(std::move(c));
@@ -60,7 +60,7 @@
         };
         if (!go)
             return done({wanted.claim, RentOutcome::failed, {}});
-        executor_.rent(wanted, s_.report_s * 2, done);
+        executor_.rent(wanted, settings_.report_s * 2, done);
     });
 }
 
@@ -74,7 +74,7 @@
         };
         if (!go)
             return done({wanted.machines, false});
-        executor_.release(wanted, s_.report_s * 2, done);
+        executor_.release(wanted, settings_.report_s * 2, done);
     });
 }
 
@@ -88,7 +88,7 @@
     request([this, gen = generation_, since](bool go) {
         if (!go)
             return;
-        executor_.list(since, s_.report_s * 2, [this, gen](std::optional<codec::MachinePage>&& page) {
+        executor_.list(since, settings_.report_s * 2, [this, gen](std::optional<codec::MachinePage>&& page) {
             host_.cloud_answered(page.has_value());
             if (gen != generation_ || !page)
                 return;
@@ -108,15 +108,15 @@
 // The types come from the cloud; the leader keeps a copy in the store for nodes that start while
 // the cloud is in fault.
 void CloudClient::learn_types() {
-    next_types_ = timers_.now() + s_.report_s;
+    next_types_ = timers_.now() + settings_.report_s;
     if (learning_types_)
         return;
-    if (!types_.empty() && (!host_.is_leader() || timers_.now() - types_at_ < s_.lease_s))
+    if (!types_.empty() && (!host_.is_leader() || timers_.now() - types_at_ < settings_.lease_s))
         return;
     learning_types_ = true;
     if (!types_.empty())
         return from_cloud();
-    store_.get(types_key, s_.report_s / 2, [this](store::Answer&& r) {
+    store_.get(types_key, settings_.report_s / 2, [this](store::Answer&& r) {
         if (r.item)
             if (auto types = codec::machine_types(r.item->value.dump()); types)
                 return learned(std::move(*types));
@@ -125,7 +125,7 @@
 }
 
 void CloudClient::from_cloud() {
-    executor_.types(s_.report_s * 2, [this](std::optional<std::vector<MachineType>>&& types) {
+    executor_.types(settings_.report_s * 2, [this](std::optional<std::vector<MachineType>>&& types) {
         host_.cloud_answered(types.has_value());
         learning_types_ = false;
         if (!types)
--- a/src/cluster/dependencies.cpp
+++ b/src/cluster/dependencies.cpp
@@ -18,14 +18,14 @@
 void ClusterState::join(Job& j) {
     j.tasks.resize(j.spec.tasks); // a flood of waiting jobs costs no memory for tasks
     if (j.team >= 0) {
-        auto& list = st_.teams[static_cast<std::size_t>(j.team)].jobs; // in the order they became ready
+        auto& list = data_.teams[static_cast<std::size_t>(j.team)].jobs; // in the order they became ready
         const auto at = std::find_if(list.rbegin(), list.rend(), [&](const auto& o) { return o->ready <= j.ready; });
         list.emplace(at.base(), &j);
     }
     log(0, fmt::format("job {} of class {} and team {}: {} tasks of {:.1f} CPUs, {:.0f} s expected, {:.1f} s after its "
                        "submission",
                        j.spec.id, j.spec.job_class, j.spec.team, j.spec.tasks, j.spec.each.cpus, j.spec.estimate_s,
-                       st_.now - j.submitted));
+                       data_.now - j.submitted));
     for (std::uint32_t i = 0; i < j.spec.tasks; ++i)
         queue_task(j, i);
     offer(j);
@@ -51,7 +51,7 @@
         j.unmet.push_back(id);
         dependents_[id].insert(j.spec.id);
         if (n == nullptr)
-            look_for(id, st_.now);
+            look_for(id, data_.now);
     }
     if (j.spec.dependencies_damaged) {
         j.unmet.emplace_back(); // never settled
@@ -67,9 +67,9 @@
 
 void ClusterState::become_ready(Job& j) {
     j.waits = false;
-    j.ready = st_.now;
+    j.ready = data_.now;
     persistence_->became_ready(j);
-    log(0, fmt::format("job {} is ready, {:.1f} s after it was submitted", j.spec.id, st_.now - j.submitted));
+    log(0, fmt::format("job {} is ready, {:.1f} s after it was submitted", j.spec.id, data_.now - j.submitted));
     join(j);
 }
 
@@ -111,9 +111,9 @@
         stack.pop_back();
         if (j.final != Final::none)
             continue;
-        const double due = st_.due_at(j);
+        const double due = data_.due_at(j);
         const double start =
-            due < 0 ? -1 : due - estimate_slack * std::max(1.0, j.spec.estimate_s) - st_.settings.report_s;
+            due < 0 ? -1 : due - estimate_slack * std::max(1.0, j.spec.estimate_s) - data_.settings.report_s;
         for (const auto& id : j.unmet) {
             auto* n = find_job(id);
             if (n == nullptr || n->final != Final::none)
@@ -140,7 +140,7 @@
 // Jobs that others need and that are not known here: finished before this term, or accepted by
 // another node a moment ago.
 void ClusterState::find_dependencies() {
-    while (finding_ < max_concurrent_lookups && !to_find_.empty() && to_find_.begin()->first <= st_.now) {
+    while (finding_ < max_concurrent_lookups && !to_find_.empty() && to_find_.begin()->first <= data_.now) {
         auto id = std::move(to_find_.begin()->second);
         to_find_.erase(to_find_.begin());
         if (!dependents_.contains(id))
@@ -155,7 +155,7 @@
             continue;
         }
         ++finding_;
-        out_.push_back(FindJob{std::move(id)});
+        effects_.push_back(FindJob{std::move(id)});
     }
 }
 
@@ -170,10 +170,10 @@
     case Known::open:
         if (c.job)
             add_job(*c.job);
-        look_for(c.id, st_.now + st_.settings.lease_s); // met by its own end, or else asked for again
+        look_for(c.id, data_.now + data_.settings.lease_s); // met by its own end, or else asked for again
         break;
     case Known::no_answer:
-        look_for(c.id, st_.now + st_.settings.report_s / 10);
+        look_for(c.id, data_.now + data_.settings.report_s / 10);
         break;
     case Known::never:
         if (const auto it = dependents_.find(c.id); it != dependents_.end())
--- a/src/cluster/heartbeat_requests.cpp
+++ b/src/cluster/heartbeat_requests.cpp
@@ -24,9 +24,10 @@
 // fd_limit 1024, for which 2,000 machines that do not answer take two leases and a half. Machines that can reach
 // us need no question: they report by themselves within report_s.
 std::size_t ClusterState::max_asked_at_once() const {
-    const auto& s = st_.settings;
+    const auto& s = data_.settings;
     const double answer_s = s.report_s / 2;
-    const auto within_lease = static_cast<std::size_t>(static_cast<double>(st_.machines.size()) * answer_s / s.lease_s);
+    const auto within_lease =
+        static_cast<std::size_t>(static_cast<double>(data_.machines.size()) * answer_s / s.lease_s);
     const auto sockets = static_cast<std::size_t>(s.fd_limit / sockets_per_asked);
     return std::max(min_asked_at_once, std::min(within_lease, sockets));
 }
@@ -43,18 +44,18 @@
         m->to_be_asked = false;
         if (m->batch != 0 || m->addr.empty())
             continue;
-        if (m->proven && st_.now - m->last_heartbeat_at < st_.settings.report_s)
+        if (m->proven && data_.now - m->last_heartbeat_at < data_.settings.report_s)
             continue;
         ++asking_;
         m->asked = true;
         m->batch = ++batch_seq_;
-        out_.push_back(SendOrders{m->id,
-                                  m->addr,
-                                  m->batch,
-                                  m->fencing_token,
-                                  std::max<std::uint64_t>(1, m->agent_epoch),
-                                  {},
-                                  st_.now < m->relay_orders_until});
+        effects_.push_back(SendOrders{m->id,
+                                      m->addr,
+                                      m->batch,
+                                      m->fencing_token,
+                                      std::max<std::uint64_t>(1, m->agent_epoch),
+                                      {},
+                                      data_.now < m->relay_orders_until});
     }
 }
 
--- a/src/cluster/jobs.cpp
+++ b/src/cluster/jobs.cpp
@@ -31,39 +31,39 @@
 
 ClusterState::ClusterState(const Settings& settings, std::uint64_t term, double now, double wall,
                            std::vector<Effect>& out)
-    : st_(settings), out_(out), recent_finals_(max_recent_finals(settings)), departed_(settings) {
-    st_.term = term;
-    st_.now = st_.started = now;
-    st_.wall = wall;
+    : data_(settings), effects_(out), recent_finals_(max_recent_finals(settings)), departed_(settings) {
+    data_.term = term;
+    data_.now = data_.started = now;
+    data_.wall = wall;
     for (const auto& t : settings.teams)
-        st_.teams.push_back({t, {}, {}});
+        data_.teams.push_back({t, {}, {}});
 }
 
 Job* ClusterState::find_job(const std::string& id) {
-    const auto it = st_.jobs.find(id);
-    return it == st_.jobs.end() ? nullptr : it->second.get();
+    const auto it = data_.jobs.find(id);
+    return it == data_.jobs.end() ? nullptr : it->second.get();
 }
 
 void ClusterState::add_job(JobStored& c) {
-    if (st_.jobs.contains(c.spec.id) || recent_finals_.contains(c.spec.id))
+    if (data_.jobs.contains(c.spec.id) || recent_finals_.contains(c.spec.id))
         return;
     auto j = std::make_unique<Job>();
     j->spec = std::move(c.spec);
-    j->submitted = st_.now - c.age_s;
-    j->ready = st_.now - (c.ready_age_s >= 0 ? c.ready_age_s : c.age_s);
+    j->submitted = data_.now - c.age_s;
+    j->ready = data_.now - (c.ready_age_s >= 0 ? c.ready_age_s : c.age_s);
     j->priority = j->spec.priority;
-    j->zone_live.resize(st_.settings.zones.size() + 1);
+    j->zone_live.resize(data_.settings.zones.size() + 1);
     if (j->spec.shape == Shape::service)
-        for (const auto& o : st_.settings.objectives)
+        for (const auto& o : data_.settings.objectives)
             if (o.kind == "wait" && o.job_class == j->spec.job_class)
                 j->start_within_s = o.within_s;
     j->image = image_id(j->spec.image, j->spec.image_gb);
-    for (std::size_t i = 0; i < st_.teams.size(); ++i)
-        if (st_.teams[i].limits.name == j->spec.team)
+    for (std::size_t i = 0; i < data_.teams.size(); ++i)
+        if (data_.teams[i].limits.name == j->spec.team)
             j->team = static_cast<int>(i);
     auto& stored = *j;
     persistence_->added(stored);
-    st_.jobs.emplace(j->spec.id, std::move(j));
+    data_.jobs.emplace(j->spec.id, std::move(j));
     if (const auto it = dependents_.find(stored.spec.id); it != dependents_.end())
         for (const auto& by : it->second)
             if (auto* n = find_job(by); n != nullptr)
@@ -89,11 +89,11 @@
     auto* j = find_job(c.id);
     if (j == nullptr) {
         const auto v = job(c.id);
-        out_.push_back(AnswerCancellation{c.handle, v ? std::string(v->status) : std::string()});
+        effects_.push_back(AnswerCancellation{c.handle, v ? std::string(v->status) : std::string()});
         return;
     }
     if (j->final != Final::none && j->final_stored) {
-        out_.push_back(AnswerCancellation{
+        effects_.push_back(AnswerCancellation{
             c.handle, std::string(j->final == Final::done ? codec::status_done : codec::status_cancelled)});
         return;
     }
@@ -107,7 +107,7 @@
     // Nobody has any use for what runs after a cancellation was asked for; the answer still
     // waits for the store.
     log(0, fmt::format("job {} of class {}, {} tasks, {} {:.1f} s after it was submitted{}", j.spec.id,
-                       j.spec.job_class, j.spec.tasks, f == Final::done ? "done" : "cancelled", st_.now - j.submitted,
+                       j.spec.job_class, j.spec.tasks, f == Final::done ? "done" : "cancelled", data_.now - j.submitted,
                        j.spec.deadline_s >= 0 ? fmt::format(", due after {:.1f} s", j.spec.deadline_s) : ""));
     for (auto& e : j.entries)
         stop_entry(*e, 0);
@@ -152,7 +152,7 @@
     e.attempt = attempt;
     e.agent_epoch = m.agent_epoch;
     e.fencing_token = m.fencing_token;
-    e.placed_at = st_.now;
+    e.placed_at = data_.now;
     e.at_machine = m.entries.size() - 1;
     e.at_job = j.entries.size();
     j.entries.emplace_back(&e);
@@ -165,9 +165,9 @@
     ++j.tasks[index].live;
     if (m.pool)
         ++j.on_pool;
-    ++j.zone_live[m.zone < 0 ? st_.settings.zones.size() : static_cast<std::size_t>(m.zone)];
+    ++j.zone_live[m.zone < 0 ? data_.settings.zones.size() : static_cast<std::size_t>(m.zone)];
     if (j.team >= 0)
-        st_.teams[static_cast<std::size_t>(j.team)].used += j.spec.each;
+        data_.teams[static_cast<std::size_t>(j.team)].used += j.spec.each;
     use_image(m, j.image, false);
     return e;
 }
@@ -194,7 +194,7 @@
         m.firm -= j.spec.each;
     if (m.entries.empty()) {
         m.used = m.firm = {};
-        m.empty_since = st_.now;
+        m.empty_since = data_.now;
     }
     --j.live;
     --j.tasks[e.index].live;
@@ -202,9 +202,9 @@
         --j.on_pool;
     if (e.phase == Phase::running && j.running > 0)
         --j.running;
-    --j.zone_live[m.zone < 0 ? st_.settings.zones.size() : static_cast<std::size_t>(m.zone)];
+    --j.zone_live[m.zone < 0 ? data_.settings.zones.size() : static_cast<std::size_t>(m.zone)];
     if (j.team >= 0)
-        st_.teams[static_cast<std::size_t>(j.team)].used -= j.spec.each;
+        data_.teams[static_cast<std::size_t>(j.team)].used -= j.spec.each;
     const bool open = j.final == Final::none && !j.tasks[e.index].done;
     if (open)
         queue_task(j, e.index);
@@ -268,13 +268,13 @@
     case ExitCause::done:
         m.failed_jobs.clear();
         // Of what an earlier leader started nobody knows how long it ran.
-        if (e.running_at >= 0 && task.saved_s <= 0 && e.attempt >> attempt_counter_bits == st_.term)
-            record_run_time(j, m, st_.now - e.running_at);
+        if (e.running_at >= 0 && task.saved_s <= 0 && e.attempt >> attempt_counter_bits == data_.term)
+            record_run_time(j, m, data_.now - e.running_at);
         mark_done(j, e.index);
         break;
     case ExitCause::stopped:
         if (t.saved && e.running_at >= 0)
-            task.saved_s += static_cast<float>(st_.now - e.running_at);
+            task.saved_s += static_cast<float>(data_.now - e.running_at);
         break;
     case ExitCause::error:
         log(1, fmt::format("task {}/{} failed on {}", j.spec.id, e.index, m.id));
@@ -285,14 +285,14 @@
         if (!j.had_success && j.error_machines.size() >= 3) {
             // The same job failing on several machines: the job is at fault. It is tried again
             // with a growing pause and takes no machine down with it.
-            j.not_before = st_.now + std::min(st_.settings.lease_s * 3,
-                                              st_.settings.report_s * (1 << std::min(j.error_streak, 6)));
+            j.not_before = data_.now + std::min(data_.settings.lease_s * 3,
+                                                data_.settings.report_s * (1 << std::min(j.error_streak, 6)));
             for (const auto& id : j.error_machines)
                 if (auto* x = find_machine(id); x != nullptr)
                     x->failed_jobs.erase(j.spec.id);
         } else {
             m.failed_jobs.insert(j.spec.id);
-            m.avoid_until = std::max(m.avoid_until, st_.now + st_.settings.lease_s);
+            m.avoid_until = std::max(m.avoid_until, data_.now + data_.settings.lease_s);
             if ((m.failed_jobs.size() >= 2 || j.had_success) && !m.bad) {
                 m.bad = true;
                 log(2, fmt::format("machine {} fails its tasks, taken out of use", m.id));
@@ -303,8 +303,8 @@
     case ExitCause::busy:
     case ExitCause::unknown:
         log(1, fmt::format("task {}/{} refused by {}", j.spec.id, e.index, m.id));
-        m.avoid_until = std::max(m.avoid_until, st_.now + st_.settings.report_s);
-        j.not_before = std::max(j.not_before, st_.now + st_.settings.report_s / 3);
+        m.avoid_until = std::max(m.avoid_until, data_.now + data_.settings.report_s);
+        j.not_before = std::max(j.not_before, data_.now + data_.settings.report_s / 3);
         break;
     default:
         break;
@@ -341,12 +341,12 @@
     if (e.phase == Phase::running && was != Phase::running) {
         ++j.running;
         if (e.running_at < 0) {
-            e.running_at = st_.now;
+            e.running_at = data_.now;
             log(0, fmt::format("task {}/{} runs on {}, {:.1f} s after it was placed, {:.1f} s after its job was ready",
-                               j.spec.id, e.index, e.machine->id, st_.now - e.placed_at, st_.now - j.ready));
+                               j.spec.id, e.index, e.machine->id, data_.now - e.placed_at, data_.now - j.ready));
         }
         if (j.first_start < 0)
-            j.first_start = st_.now;
+            j.first_start = data_.now;
     } else if (was == Phase::running && e.phase != Phase::running && j.running > 0) {
         --j.running;
     }
@@ -355,10 +355,10 @@
 }
 
 std::optional<JobView> ClusterState::job(const std::string& id) const {
-    const auto it = st_.jobs.find(id);
+    const auto it = data_.jobs.find(id);
     if (resigned_)
         return {};
-    if (it == st_.jobs.end()) {
+    if (it == data_.jobs.end()) {
         const auto* r = recent_finals_.find(id);
         if (r == nullptr)
             return {};
@@ -382,26 +382,26 @@
 
 void ClusterState::forget_job(Job& j) {
     if (j.team >= 0)
-        std::erase_if(st_.teams[static_cast<std::size_t>(j.team)].jobs, [&](const auto& x) { return x == &j; });
+        std::erase_if(data_.teams[static_cast<std::size_t>(j.team)].jobs, [&](const auto& x) { return x == &j; });
     forget_dependencies(j);
-    st_.jobs.erase(std::string(j.spec.id));
+    data_.jobs.erase(std::string(j.spec.id));
 }
 
 // Work that arrays bring, averaged over a while: what is kept for those to come.
 void ClusterState::offer(const Job& j) {
     if (j.spec.shape != Shape::array)
         return;
-    auto& l = st_.learned;
-    const double over = st_.average_s();
-    const double left = std::exp(-(st_.now - l.offered_at) / over);
-    const double more = st_.work_left(j) / over * std::exp(-std::max(0.0, st_.now - j.ready) / over);
-    if (st_.now - j.ready < st_.settings.report_s) { // not one read at a failover
+    auto& l = data_.learned;
+    const double over = data_.average_s();
+    const double left = std::exp(-(data_.now - l.offered_at) / over);
+    const double more = data_.work_left(j) / over * std::exp(-std::max(0.0, data_.now - j.ready) / over);
+    if (data_.now - j.ready < data_.settings.report_s) { // not one read at a failover
         l.gaps = std::min(l.gaps + 1, max_gaps);
-        l.gap_s += (st_.now - l.offered_at - l.gap_s) / l.gaps;
+        l.gap_s += (data_.now - l.offered_at - l.gap_s) / l.gaps;
     }
     l.offered = l.offered * left + more;
     l.offered_ordinary = l.offered_ordinary * left + (j.spec.spot ? 0 : more);
-    l.offered_at = st_.now;
+    l.offered_at = data_.now;
 }
 
 // Tasks of one job take much the same time, so the longest of those that are through tells what is
@@ -411,13 +411,13 @@
         return;
     if (j.spec.estimate_s > 0) {
         // On some days most estimates are too low: sums, since single ones are often wrong by half.
-        auto& l = st_.learned;
+        auto& l = data_.learned;
         l.ran_s = 0.995 * l.ran_s + std::min(ran, 5 * j.spec.estimate_s);
         l.estimated_s = 0.995 * l.estimated_s + j.spec.estimate_s;
     }
     ++j.runs;
     j.run_sum += ran;
-    if (st_.now >= m.slow_until)
+    if (data_.now >= m.slow_until)
         j.longest_run = std::max(j.longest_run, ran);
 }
 
--- a/src/cluster/machines.cpp
+++ b/src/cluster/machines.cpp
@@ -20,37 +20,37 @@
 } // namespace
 
 Machine* ClusterState::find_machine(const std::string& id) {
-    const auto it = st_.machines.find(id);
-    return it == st_.machines.end() ? nullptr : it->second.get();
+    const auto it = data_.machines.find(id);
+    return it == data_.machines.end() ? nullptr : it->second.get();
 }
 
 void ClusterState::bind_type(Machine& m) {
-    for (std::size_t i = 0; i < st_.types.size(); ++i)
-        if (st_.types[i].name == m.type_name) {
+    for (std::size_t i = 0; i < data_.types.size(); ++i)
+        if (data_.types[i].name == m.type_name) {
             m.type = static_cast<int>(i);
-            m.whole = st_.types[i].room;
+            m.whole = data_.types[i].room;
         }
     if (m.zone >= 0)
         return;
-    for (std::size_t i = 0; i < st_.settings.zones.size(); ++i)
-        if (st_.settings.zones[i] == m.zone_name)
+    for (std::size_t i = 0; i < data_.settings.zones.size(); ++i)
+        if (data_.settings.zones[i] == m.zone_name)
             m.zone = static_cast<int>(i);
     if (m.zone < 0)
         return;
     for (auto& e : m.entries) { // counted as in an unknown zone until now
-        --e->job->zone_live[st_.settings.zones.size()];
+        --e->job->zone_live[data_.settings.zones.size()];
         ++e->job->zone_live[static_cast<std::size_t>(m.zone)];
     }
 }
 
 Machine& ClusterState::learn_machine(const std::string& id, const std::string& addr, const std::string& type,
                                      const std::string& zone, bool spot) {
-    auto& slot = st_.machines[id];
+    auto& slot = data_.machines[id];
     if (!slot) {
         slot = std::make_unique<Machine>();
         slot->id = id;
-        slot->known_since = st_.now;
-        slot->fencing_token = st_.term << token_counter_bits;
+        slot->known_since = data_.now;
+        slot->fencing_token = data_.term << token_counter_bits;
         if (const auto* last = departed_.find(id); last != nullptr) {
             slot->agent_epoch = last->agent_epoch;
             slot->counter = slot->heartbeat_counter = last->counter;
@@ -59,7 +59,7 @@
         }
         if (const auto hint = image_hints_.find(id); hint != image_hints_.end()) {
             for (const auto image : hint->second)
-                slot->images.push_back({image, true, st_.now});
+                slot->images.push_back({image, true, data_.now});
             image_hints_.erase(hint);
         }
     }
@@ -77,13 +77,13 @@
 }
 
 double ClusterState::lease_expiry_s() const {
-    return st_.settings.lease_s * clock_drift + st_.settings.report_s * lease_margin_heartbeats;
+    return data_.settings.lease_s * clock_drift + data_.settings.report_s * lease_margin_heartbeats;
 }
 
 int ClusterState::image_id(const std::string& name, double gb) {
-    const auto [it, fresh] = image_ids_.emplace(name, static_cast<int>(st_.image_gb.size()));
+    const auto [it, fresh] = image_ids_.emplace(name, static_cast<int>(data_.image_gb.size()));
     if (fresh)
-        st_.image_gb.push_back(gb);
+        data_.image_gb.push_back(gb);
     return it->second;
 }
 
@@ -98,17 +98,17 @@
 void ClusterState::use_image(Machine& m, int image, bool ready) {
     auto* c = cached(m, image);
     if (c == nullptr)
-        c = &m.images.emplace_back(CachedImage{image, false, st_.now});
-    c->used = st_.now;
+        c = &m.images.emplace_back(CachedImage{image, false, data_.now});
+    c->used = data_.now;
     if (!ready || c->ready)
         return;
     c->ready = true;
     if (m.type < 0)
         return;
-    double room = st_.types[static_cast<std::size_t>(m.type)].cache_gb;
+    double room = data_.types[static_cast<std::size_t>(m.type)].cache_gb;
     std::sort(m.images.begin(), m.images.end(), [](const auto& a, const auto& b) { return a.used > b.used; });
     for (std::size_t i = 0; i < m.images.size(); ++i) {
-        room -= st_.image_gb[static_cast<std::size_t>(m.images[i].image)];
+        room -= data_.image_gb[static_cast<std::size_t>(m.images[i].image)];
         if (room >= 0 || i == 0)
             continue;
         m.images.resize(i);
@@ -124,15 +124,15 @@
 }
 
 void ClusterState::forget_machine(const std::string& id, bool released) {
-    const auto it = st_.machines.find(id);
-    if (it == st_.machines.end())
+    const auto it = data_.machines.find(id);
+    if (it == data_.machines.end())
         return;
     if (it->second->asked)
         --asking_;
     std::erase(to_dispatch_, it->second.get());
     if (released || it->second->agent_epoch > 0)
-        departed_.add(id, {it->second->agent_epoch, it->second->counter, released, st_.now});
-    st_.machines.erase(it);
+        departed_.add(id, {it->second->agent_epoch, it->second->counter, released, data_.now});
+    data_.machines.erase(it);
 }
 
 // All tasks here are gone for good; what a transaction under way names is settled by its outcome.
@@ -160,22 +160,22 @@
 
 // Another leader has come: however old the heartbeat is.
 bool ClusterState::outdated(const Heartbeat& r) {
-    if (r.fencing_token >> token_counter_bits <= st_.term)
+    if (r.fencing_token >> token_counter_bits <= data_.term)
         return false;
     resigned_ = true;
-    out_.push_back(Resign{fmt::format("{} has seen fence {} above ours", r.machine, r.fencing_token)});
+    effects_.push_back(Resign{fmt::format("{} has seen fence {} above ours", r.machine, r.fencing_token)});
     return true;
 }
 
 void ClusterState::apply_heartbeat(Machine& m, const Heartbeat& r, std::vector<Order>& reaps) {
-    const bool ours = r.fencing_token >> token_counter_bits == st_.term;
+    const bool ours = r.fencing_token >> token_counter_bits == data_.term;
     if (ours && r.fencing_token > m.fencing_token)
         m.fencing_token = r.fencing_token;
     const bool newer = r.agent_epoch > m.agent_epoch || (r.agent_epoch == m.agent_epoch && r.counter > m.counter);
     if (!newer)
         return; // late: its task list is as old as the heartbeat
     if (ours) {
-        st_.unproven_machines.erase(m.id);
+        data_.unproven_machines.erase(m.id);
         needs_scheduling_ = needs_scheduling_ || !m.proven;
         m.proven = true;
     }
@@ -192,20 +192,20 @@
         m.failed_jobs.clear();
         // The lease of a new agent epoch counts from its beginning, which was at the latest now: it holds
         // without any heartbeat that we answered. (Found by the world with several controllers.)
-        m.lease_started_at = std::max(m.lease_started_at, st_.now);
+        m.lease_started_at = std::max(m.lease_started_at, data_.now);
     }
     m.counter = r.counter;
-    m.last_heartbeat_at = st_.now;
+    m.last_heartbeat_at = data_.now;
     m.presumed_dead = false;
     if (m.status != Status::up) {
-        m.lease_started_at = std::max(m.lease_started_at, st_.now); // it may report to nobody yet
+        m.lease_started_at = std::max(m.lease_started_at, data_.now); // it may report to nobody yet
         m.status = Status::up;
         if (m.up_since < 0) {
-            m.up_since = st_.now;
-            log(0, fmt::format("machine {} is up, {:.0f} s after it was asked for", m.id, st_.now - m.known_since));
+            m.up_since = data_.now;
+            log(0, fmt::format("machine {} is up, {:.0f} s after it was asked for", m.id, data_.now - m.known_since));
         }
         if (m.entries.empty())
-            m.empty_since = st_.now;
+            m.empty_since = data_.now;
         needs_scheduling_ = true;
     }
     const auto mark = ++heartbeat_seq_;
@@ -262,7 +262,7 @@
     if (r.notice_s >= 0 && !m.draining) {
         record_spot_loss();
         m.draining = true;
-        m.notice_until = st_.now + r.notice_s;
+        m.notice_until = data_.now + r.notice_s;
         log(1, fmt::format("machine {} is taken back in {:.0f} s", m.id, r.notice_s));
         needs_scheduling_ = true;
     }
@@ -270,12 +270,12 @@
 
 // Its lease ran out, as a heartbeat says or an answer to orders.
 void ClusterState::lease_restarted(Machine& m) {
-    const double now = st_.now;
+    const double now = data_.now;
     ++m.fencing_token; // that it shows this one, told from now on, will prove that it hears
     // Orders may reach it, and the fencing token with them, while answers do not: then its lease runs out again and
     // again. It is seen a heartbeat late now and then, so what lies between may look shorter than a lease; but reports
     // that were held and come all at once are no sign of that.
-    const double lease = st_.settings.lease_s, since = now - m.lease_expired_at;
+    const double lease = data_.settings.lease_s, since = now - m.lease_expired_at;
     if (m.lease_expired_at >= 0 && m.last_answered_at > m.lease_expired_at && since > lease / 2 &&
         since < trusted_leases * lease)
         m.inbound_unreachable_until = now + trusted_leases * lease;
@@ -286,10 +286,10 @@
 // all that is placed there is lost again. What it has heard shows in its fencing token, and in a lease that runs out
 // though its heartbeats were answered.
 void ClusterState::update_inbound_reachability(Machine& m, const Heartbeat& r) {
-    const double now = st_.now;
+    const double now = data_.now;
     if (r.fencing_token >= m.acknowledged_token)
         m.heartbeats_without_token = 0;
-    else if (now - m.token_acknowledged_at > st_.settings.report_s / 2)
+    else if (now - m.token_acknowledged_at > data_.settings.report_s / 2)
         ++m.heartbeats_without_token;
     const bool inbound_unreachable =
         m.heartbeats_without_token >= max_heartbeats_without_token || now < m.inbound_unreachable_until;
@@ -304,8 +304,8 @@
 }
 
 void ClusterState::log_stale_heartbeats() {
-    const bool first = st_.now - stale_heartbeats_logged_at_ > st_.settings.lease_s;
-    stale_heartbeats_logged_at_ = st_.now;
+    const bool first = data_.now - stale_heartbeats_logged_at_ > data_.settings.lease_s;
+    stale_heartbeats_logged_at_ = data_.now;
     if (first)
         log(1, "old reports come late, they count for nothing");
 }
@@ -317,7 +317,7 @@
             // A second stop of a saving task with no grace would end it before it has saved.
             if (e->phase == Phase::saving && e->drain_s > 0)
                 continue;
-            e->stop_at = st_.now;
+            e->stop_at = data_.now;
             out.push_back({Verb::stop, e->job->spec.id, e->index, e->attempt, e->drain_s});
         }
     return out;
@@ -337,7 +337,7 @@
 // not even as a sign of life. Else a machine that is long gone would keep its tasks for as long as they come.
 void ClusterState::receive_heartbeat(const HeartbeatReceived& c) {
     const auto& r = c.heartbeat;
-    const auto refuse = [&] { out_.push_back(AnswerHeartbeat{c.handle, 503, 0, {}}); };
+    const auto refuse = [&] { effects_.push_back(AnswerHeartbeat{c.handle, 503, 0, {}}); };
     if (departed_.released(r.machine)) {
         ++counters_.heartbeats_of_gone_machines;
         log_stale_heartbeats();
@@ -357,17 +357,17 @@
     apply_heartbeat(m, r, orders);
     update_inbound_reachability(m, r);
     m.heartbeat_counter = r.counter;
-    m.lease_started_at = std::max(m.lease_started_at, overtaken ? m.last_heartbeat_at : st_.now);
-    m.last_answered_at = st_.now;
+    m.lease_started_at = std::max(m.lease_started_at, overtaken ? m.last_heartbeat_at : data_.now);
+    m.last_answered_at = data_.now;
     if (m.fencing_token > m.acknowledged_token) {
         m.acknowledged_token = m.fencing_token;
-        m.token_acknowledged_at = st_.now;
+        m.token_acknowledged_at = data_.now;
     }
     if (!m.proven)
         want_heartbeat(m); // an answer to empty orders proves that it is there
     auto stops = standing_orders(m);
     orders.insert(orders.end(), stops.begin(), stops.end());
-    out_.push_back(AnswerHeartbeat{c.handle, 200, m.fencing_token, std::move(orders)});
+    effects_.push_back(AnswerHeartbeat{c.handle, 200, m.fencing_token, std::move(orders)});
 }
 
 void ClusterState::dispatch(Machine& m) {
@@ -378,7 +378,7 @@
             break;
         }
         if (e->stop && e->phase >= Phase::sent && e->stop_at < 0) {
-            e->stop_at = st_.now;
+            e->stop_at = data_.now;
             o.orders.push_back({Verb::stop, e->job->spec.id, e->index, e->attempt, e->drain_s});
         }
     }
@@ -409,8 +409,8 @@
     o.batch = m.batch = ++batch_seq_;
     o.fencing_token = m.fencing_token;
     o.agent_epoch = m.agent_epoch;
-    o.prefer_relay = st_.now < m.relay_orders_until;
-    out_.push_back(std::move(o));
+    o.prefer_relay = data_.now < m.relay_orders_until;
+    effects_.push_back(std::move(o));
 }
 
 void ClusterState::answered(const OrdersAnswered& c) {
@@ -422,7 +422,7 @@
         return;
     // The other way next time: this one may be cut though reports come.
     if (c.status == 0)
-        m->relay_orders_until = st_.now < m->relay_orders_until ? -1 : st_.now + st_.settings.lease_s;
+        m->relay_orders_until = data_.now < m->relay_orders_until ? -1 : data_.now + data_.settings.lease_s;
     std::vector<Order> reaps;
     if (m->asked) {
         m->asked = false;
@@ -453,9 +453,9 @@
             if (outstanding(m->entries[i]))
                 remove_entry(*m->entries[i]);
         for (auto& e : m->entries)
-            e->stop_at = e->stop ? st_.now : e->stop_at; // beats repeat the stops
+            e->stop_at = e->stop ? data_.now : e->stop_at; // beats repeat the stops
         if (!c.sent)
-            m->avoid_until = std::max(m->avoid_until, st_.now + st_.settings.report_s / 2);
+            m->avoid_until = std::max(m->avoid_until, data_.now + data_.settings.report_s / 2);
         if (c.heartbeat)
             apply_heartbeat(*m, *c.heartbeat, reaps);
         return;
@@ -463,16 +463,16 @@
     // The outcome is open: the commands may still be executed, minutes later. Raising the fencing token
     // and seeing the raised value in a heartbeat proves that they no longer can be.
     ++m->fencing_token;
-    m->avoid_until = std::max(m->avoid_until, st_.now + st_.settings.report_s / 2);
+    m->avoid_until = std::max(m->avoid_until, data_.now + data_.settings.report_s / 2);
     log(0, fmt::format("no answer of {} to commands, fence raised to {}", m->id, m->fencing_token));
 }
 
 void ClusterState::expire_leases() {
     const double lease = lease_expiry_s();
     std::vector<std::string> remove;
-    for (auto& [id, mp] : st_.machines) {
+    for (auto& [id, mp] : data_.machines) {
         auto& m = *mp;
-        if (m.status == Status::up && st_.now > m.lease_started_at + lease) {
+        if (m.status == Status::up && data_.now > m.lease_started_at + lease) {
             if (!m.entries.empty())
                 log(2, fmt::format("lease of {} has lapsed, {} tasks lost", id, m.entries.size()));
             for (const auto& e : m.entries)
@@ -481,24 +481,24 @@
                 record_spot_loss();
             lose_entries(m);
             m.status = Status::lost;
-            m.empty_since = st_.now;
-            st_.unproven_machines.erase(id);
+            m.empty_since = data_.now;
+            data_.unproven_machines.erase(id);
         }
         // Gone from the list for good, or never there: nothing of it is left to keep.
-        const bool unlisted =
-            st_.now - std::max(m.listed_at, m.known_since) > 4 * st_.settings.list_lag_s + 2 * st_.settings.lease_s;
+        const bool unlisted = data_.now - std::max(m.listed_at, m.known_since) >
+                              4 * data_.settings.list_lag_s + 2 * data_.settings.lease_s;
         if (m.status != Status::up && m.entries.empty() && unlisted && m.batch == 0)
             remove.push_back(id);
     }
     // Without room for what was last heard of it, a machine stays tracked as lost until there is.
-    remove.resize(departed_.room_for(remove.size(), st_.now));
+    remove.resize(departed_.room_for(remove.size(), data_.now));
     for (const auto& id : remove)
         forget_machine(id, false);
 }
 
 void ClusterState::rented(const Rented& c) {
-    const auto it = st_.rentals.find(c.claim);
-    if (it == st_.rentals.end())
+    const auto it = data_.rentals.find(c.claim);
+    if (it == data_.rentals.end())
         return;
     auto& p = it->second;
     p.in_flight = false;
@@ -510,17 +510,18 @@
         log(1, fmt::format("rented {} of {} {} in {}{}", c.machines.size(), p.count, p.type, p.zone,
                            p.spot ? " (spot)" : ""));
         if (static_cast<int>(c.machines.size()) < p.count)
-            st_.no_capacity[fmt::format("{}/{}/{}", p.type, p.zone, p.spot)] = st_.now + 2 * st_.settings.report_s;
-        st_.rentals.erase(it);
+            data_.no_capacity[fmt::format("{}/{}/{}", p.type, p.zone, p.spot)] =
+                data_.now + 2 * data_.settings.report_s;
+        data_.rentals.erase(it);
     } else if (c.outcome == RentOutcome::no_capacity) {
-        st_.no_capacity[fmt::format("{}/{}/{}", p.type, p.zone, p.spot)] = st_.now + 2 * st_.settings.report_s;
-        st_.rentals.erase(it);
+        data_.no_capacity[fmt::format("{}/{}/{}", p.type, p.zone, p.spot)] = data_.now + 2 * data_.settings.report_s;
+        data_.rentals.erase(it);
     } else if (c.outcome == RentOutcome::failed) {
-        st_.rentals.erase(it); // surely not executed
+        data_.rentals.erase(it); // surely not executed
     } else {
         // The answer was lost: the same claim again, so that nothing is rented twice.
         p.in_flight = true;
-        out_.push_back(Rent{c.claim, p.type, p.zone, p.spot, p.count});
+        effects_.push_back(Rent{c.claim, p.type, p.zone, p.spot, p.count});
     }
 }
 
@@ -532,7 +533,7 @@
             continue;
         m->release_asked = false;
         if (!c.ok) {
-            m->release_retry = st_.now + st_.settings.report_s;
+            m->release_retry = data_.now + data_.settings.report_s;
             continue;
         }
         // By the time of the answer the machine and everything on it are gone.
@@ -550,26 +551,26 @@
         if (departed_.released(l.id))
             continue;
         auto& m = learn_machine(l.id, l.addr, l.type, l.zone, l.spot);
-        m.listed_at = st_.now;
+        m.listed_at = data_.now;
         // Known from records or a heartbeat first, as after a failover, it is older than that: from a day on
         // which no machine was emptied for a minute after each change of leadership, 300 too many kept.
-        m.known_since = std::min(m.known_since, st_.now - l.age_s);
+        m.known_since = std::min(m.known_since, data_.now - l.age_s);
         if (l.status == "failed" && !m.releasing) {
             log(1, fmt::format("machine {} has failed", m.id));
             lose_entries(m);
             m.status = Status::lost;
             m.bad = true;
         }
-        if (!st_.asked_all && l.status == "running")
+        if (!data_.asked_all && l.status == "running")
             want_heartbeat(m);
     }
-    st_.asked_all = true;
+    data_.asked_all = true;
     needs_scheduling_ = true;
 }
 
 void ClusterState::types_known(std::vector<MachineType>&& types) {
-    st_.types = std::move(types);
-    for (auto& [id, m] : st_.machines)
+    data_.types = std::move(types);
+    for (auto& [id, m] : data_.machines)
         bind_type(*m);
     needs_scheduling_ = true;
 }
@@ -586,9 +587,9 @@
 }
 
 void ClusterState::record_spot_loss() {
-    auto& l = st_.learned;
-    l.spot_losses = l.spot_losses * std::exp(-(st_.now - l.spot_losses_at) / st_.average_s()) + 1;
-    l.spot_losses_at = st_.now;
+    auto& l = data_.learned;
+    l.spot_losses = l.spot_losses * std::exp(-(data_.now - l.spot_losses_at) / data_.average_s()) + 1;
+    l.spot_losses_at = data_.now;
 }
 
 } // namespace heronshift::cluster
--- a/src/cluster/proposals.cpp
+++ b/src/cluster/proposals.cpp
@@ -10,7 +10,7 @@
 bool ClusterState::place(const Job& job, const Machine& machine) {
     auto& j = own(job);
     auto& m = own(machine);
-    if (const auto* why = st_.refusal(j, m); why != nullptr) {
+    if (const auto* why = data_.refusal(j, m); why != nullptr) {
         log(2, fmt::format("no task of job {} on {}: {}", j.spec.id, m.id, why));
         return false;
     }
@@ -21,7 +21,7 @@
         if (j.tasks[i].done || j.tasks[i].live > 0)
             continue;
         // A task is placed once a pass at most, so the pass makes the attempt unique.
-        const auto attempt = (st_.term << attempt_counter_bits) + pass_counter_;
+        const auto attempt = (data_.term << attempt_counter_bits) + pass_counter_;
         if (j.spec.shape == Shape::gang)
             j.gang_attempt = attempt;
         add_entry(m, j, i, attempt);
@@ -85,20 +85,20 @@
 }
 
 void ClusterState::set_pool(const std::vector<const Machine*>& pool, const Resources& service_shape) {
-    st_.service_shape = service_shape;
-    for (auto& [id, m] : st_.machines)
+    data_.service_shape = service_shape;
+    for (auto& [id, m] : data_.machines)
         m->pool = false;
     for (const auto* m : pool)
         own(*m).pool = true;
 }
 
 void ClusterState::set_common_shape(const Resources& r) {
-    st_.common_shape = r;
+    data_.common_shape = r;
 }
 
 // A job is within its team's guarantee if it fits into that with the team's earlier ones.
 void ClusterState::mark_guarantees() {
-    for (auto& t : st_.teams) {
+    for (auto& t : data_.teams) {
         double cpus = 0, gpus = 0;
         for (auto& j : t.jobs) {
             if (j->final != Final::none)
@@ -132,13 +132,13 @@
 
 void ClusterState::rent(const Pending& p) {
     // The term makes the name unique among all leaders there ever were.
-    const auto claim = fmt::format("r-{}-{}", st_.term, ++claim_seq_);
-    st_.rentals[claim] = p;
-    out_.emplace_back(Rent{claim, p.type, p.zone, p.spot, p.count});
+    const auto claim = fmt::format("r-{}-{}", data_.term, ++claim_seq_);
+    data_.rentals[claim] = p;
+    effects_.emplace_back(Rent{claim, p.type, p.zone, p.spot, p.count});
 }
 
 void ClusterState::ask(const Machine& m) {
-    own(m).asked_at = st_.now;
+    own(m).asked_at = data_.now;
     to_ask_.push_back(m.id);
 }
 
@@ -159,12 +159,12 @@
 // A machine that is given back must stay known as gone for as long as late messages may name it. Without room for
 // that it stays rented, takes no work, and is asked for again.
 void ClusterState::release(std::vector<std::string> machines) {
-    const auto room = departed_.room_for(releases_under_way_ + machines.size(), st_.now);
+    const auto room = departed_.room_for(releases_under_way_ + machines.size(), data_.now);
     const auto may_go = std::min(machines.size(), room - std::min(room, releases_under_way_));
     for (auto i = may_go; i < machines.size(); ++i)
         if (auto* m = find_machine(machines[i]); m != nullptr) {
             m->release_asked = false;
-            m->release_retry = st_.now + st_.settings.report_s;
+            m->release_retry = data_.now + data_.settings.report_s;
         }
     if (may_go < machines.size())
         log(2, fmt::format("{} machines stay rented for now: {} departed lately", machines.size() - may_go,
@@ -173,7 +173,7 @@
     if (machines.empty())
         return;
     releases_under_way_ += machines.size();
-    out_.emplace_back(Release{std::move(machines)});
+    effects_.emplace_back(Release{std::move(machines)});
 }
 
 } // namespace heronshift::cluster
--- a/src/core/core.cpp
+++ b/src/core/core.cpp
@@ -13,9 +13,10 @@
 } // namespace
 
 Core::Core(const Settings& settings, std::uint64_t term, const Snapshot& stored, double now, double wall)
-    : s_(settings), cluster_(settings, term, now, wall, effects_), records_(cluster_, settings, stored, wall, effects_),
-      placement_(cluster_.view(), cluster_), rebalancer_(cluster_.view(), cluster_),
-      autoscaler_(cluster_.view(), cluster_), next_round_(now + settings.ops.round_s) {}
+    : settings_(settings), cluster_(settings, term, now, wall, effects_),
+      records_(cluster_, settings, stored, wall, effects_), placement_(cluster_.view(), cluster_),
+      rebalancer_(cluster_.view(), cluster_), autoscaler_(cluster_.view(), cluster_),
+      next_round_(now + settings.ops.round_s) {}
 
 void Core::take(Command& command) {
     std::visit(Overloaded{
@@ -45,14 +46,14 @@
                 effects_.emplace_back(AnswerHeartbeat{b->handle, 503, 0, {}});
             return b != nullptr;
         });
-        wake_at_ = now + s_.report_s / 10;
+        wake_at_ = now + settings_.report_s / 10;
         return std::move(effects_);
     }
     for (auto& c : commands)
         take(c);
     commands.clear();
     if (now >= next_tick_) {
-        next_tick_ = now + s_.report_s / 20;
+        next_tick_ = now + settings_.report_s / 20;
         cluster_.expire_leases();
         placement_.drain_noticed();
         placement_.find_slow();
@@ -67,28 +68,28 @@
         // A pass looks at all that waits. With a hundred thousand jobs, passes that followed each other at
         // once took the whole loop, and the leadership was lost for want of renewals.
         const double load = static_cast<double>(placement_.waiting()) / jobs_a_pass;
-        next_schedule_ = now + s_.report_s / 60 * std::max(1.0, load);
+        next_schedule_ = now + settings_.report_s / 60 * std::max(1.0, load);
     }
     if (now >= next_rent_) {
-        next_rent_ = now + s_.report_s / 3;
+        next_rent_ = now + settings_.report_s / 3;
         autoscaler_.plan_capacity();
         autoscaler_.plan_shrink();
         autoscaler_.return_machines();
     }
     if (now >= next_round_) {
-        next_round_ = now + s_.ops.round_s;
+        next_round_ = now + settings_.ops.round_s;
         if (!cluster_.view().types.empty())
             autoscaler_.log_fleet();
         rebalancer_.rebalance();
     }
     cluster_.find_dependencies();
     records_.collect_commit();
-    if (records_.late(s_.report_s / 3))
+    if (records_.late(settings_.report_s / 3))
         cluster_.store_is_late();
     cluster_.send_due_orders();
     wake_at_ = next_tick_;
     if (records_.waiting())
-        wake_at_ = std::min(wake_at_, now + 1 / s_.state_write_rps); // as the budget allows
+        wake_at_ = std::min(wake_at_, now + 1 / settings_.state_write_rps); // as the budget allows
     if (cluster_.needs_scheduling())
         wake_at_ = std::min(wake_at_, next_schedule_);
     return std::move(effects_);
--- a/src/embed/scheduler.cpp
+++ b/src/embed/scheduler.cpp
@@ -17,25 +17,26 @@
 // be let go inside one of its own callbacks.
 class Scheduler::Inner : public std::enable_shared_from_this<Inner> {
 public:
-    Inner(uv_loop_t* loop, SchedulerOptions o) : loop_(loop), o_(std::move(o)) {
-        if (!o_.clock)
-            o_.clock = std::make_shared<Clock>();
+    Inner(uv_loop_t* loop, SchedulerOptions o) : loop_(loop), options_(std::move(o)) {
+        if (!options_.clock)
+            options_.clock = std::make_shared<Clock>();
     }
 
     // On the loop's thread. Throws what the constructors of Scheduler do.
     void start() {
         Node::Parts parts;
-        if (o_.state) {
-            parts.state = o_.state(loop_);
-        } else if (!o_.state_file.empty()) {
-            parts.state = store::file_store(loop_, o_.state_file, o_.settings.txn_ops, o_.settings.value_kb);
+        if (options_.state) {
+            parts.state = options_.state(loop_);
+        } else if (!options_.state_file.empty()) {
+            parts.state =
+                store::file_store(loop_, options_.state_file, options_.settings.txn_ops, options_.settings.value_kb);
         }
-        if (o_.executor)
-            parts.executor = o_.executor(loop_);
-        parts.clock = o_.clock;
-        node_ = std::make_unique<Node>(loop_, o_.settings, std::move(parts));
-        if (!o_.command_log.empty())
-            node_->record(std::make_unique<replay::CommandLog>(o_.command_log, replay::usual_size));
+        if (options_.executor)
+            parts.executor = options_.executor(loop_);
+        parts.clock = options_.clock;
+        node_ = std::make_unique<Node>(loop_, options_.settings, std::move(parts));
+        if (!options_.command_log.empty())
+            node_->record(std::make_unique<replay::CommandLog>(options_.command_log, replay::usual_size));
         if (const int e = node_->start(); e != 0) {
             node_.reset();
             throw std::system_error(-e, std::generic_category(), "the scheduler cannot listen");
@@ -102,7 +103,7 @@
     std::thread thread;
     std::atomic<std::thread::id> thread_id;
     [[nodiscard]] bool is_active_leader() const {
-        return o_.clock->now() < active_until_;
+        return options_.clock->now() < active_until_;
     }
     [[nodiscard]] int port() const {
         return port_;
@@ -157,7 +158,7 @@
     void watch_from_now() {
         if (!node_)
             return;
-        node_->state().list("f/", "", 1, o_.settings.report_s, [this](store::Answer&& a) {
+        node_->state().list("f/", "", 1, options_.settings.report_s, [this](store::Answer&& a) {
             if (a.status != 200)
                 return again();
             follow(a.revision);
@@ -167,7 +168,7 @@
     void again() { // after a pause that costs the store little
         if (!node_)
             return;
-        node_->after(o_.settings.report_s, [this] {
+        node_->after(options_.settings.report_s, [this] {
             for (const auto& w : watches_)
                 if (!silent_)
                     w({{}, {}, true});
@@ -178,7 +179,7 @@
     void follow(std::uint64_t since) {
         if (!node_)
             return;
-        node_->state().follow("f/", since, o_.settings.lease_s, [this, since](store::Answer&& a) {
+        node_->state().follow("f/", since, options_.settings.lease_s, [this, since](store::Answer&& a) {
             if (a.status != 200)
                 return again();
             for (const auto& i : a.items) {
@@ -194,7 +195,7 @@
     }
 
     uv_loop_t* loop_;
-    SchedulerOptions o_;
+    SchedulerOptions options_;
     std::unique_ptr<Node> node_;
     uv_async_t* async_ = nullptr;
     std::shared_ptr<Inner> self_;
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -34,7 +34,7 @@
 
 Gateway::Gateway(const Settings& s, TimerQueue& timers, store::StateStore& store, Peers& peers,
                  const membership::Membership& members, metrics::Timings& took, Host& host)
-    : s_(s), timers_(timers), store_(store), peers_(peers), members_(members), took_(took), host_(host),
+    : settings_(s), timers_(timers), store_(store), peers_(peers), members_(members), took_(took), host_(host),
       // What a user's read may take when this node is alone with the store.
       reads_(s.state_rps / 4, s.state_rps / 6, patience_leases * s.lease_s, max_refused(s)),
       submissions_(s.state_write_rps / 5, s.state_write_rps / 3, s.lease_s, max_refused(s)),
@@ -78,7 +78,7 @@
 void Gateway::tick() {
     // A cancellation that the store does not take in time is refused, not held back.
     for (auto it = cancels_.begin(); it != cancels_.end();) {
-        if (timers_.now() - it->second.since < s_.report_s / 2) {
+        if (timers_.now() - it->second.since < settings_.report_s / 2) {
             ++it;
             continue;
         }
@@ -97,7 +97,7 @@
 std::vector<std::string> Gateway::ways(bool to_leader, bool to_store) const {
     std::vector<std::string> out;
     const auto& leader = host_.leader();
-    if (to_leader && !leader.empty() && leader != s_.name &&
+    if (to_leader && !leader.empty() && leader != settings_.name &&
         members_.peer(leader) != membership::Reachability::unreachable)
         out.push_back(leader);
     if (to_store && members_.store() == membership::Reachability::unreachable)
@@ -112,7 +112,7 @@
                       Otherwise otherwise) {
     if (to.empty())
         return otherwise(std::move(res));
-    const double each_s = std::min(s_.report_s / 3, share_of_wait * wait_s / static_cast<double>(to.size()));
+    const double each_s = std::min(settings_.report_s / 3, share_of_wait * wait_s / static_cast<double>(to.size()));
     const auto first = to.front();
     to.erase(to.begin());
     const char* method = r->method == "GET" ? "GET" : "POST";
@@ -167,27 +167,28 @@
         f.known = final || a.status == 404;
         return f.known;
     };
-    store_.get("f/" + id, s_.report_s / 3, [this, id, final_of, end = std::move(end)](store::Answer&& first) {
+    store_.get("f/" + id, settings_.report_s / 3, [this, id, final_of, end = std::move(end)](store::Answer&& first) {
         Found f;
         // A damaged one may be told by what is left of the job's record.
         if (!final_of(first, f) ? first.status != 200 : !f.status.empty())
             return end(std::move(f));
         reads_.spend(timers_.now(), 2);
-        store_.get("j/" + id, s_.report_s / 3, [this, id, final_of, end](store::Answer&& r) {
+        store_.get("j/" + id, settings_.report_s / 3, [this, id, final_of, end](store::Answer&& r) {
             Found g;
             g.job = std::move(r.item);
             if (r.status != 404 && !g.job)
                 return end({});
-            store_.get("f/" + id, s_.report_s / 3, [final_of, end, g = std::move(g)](store::Answer&& last) mutable {
-                if (!final_of(last, g) && last.status == 200 && g.job)
-                    if (const auto j = codec::stored_job(g.job->value, 0); j && !j->final.empty()) {
-                        g.status = j->final;
-                        g.known = true;
-                    }
-                if (g.known && g.status.empty() && g.job)
-                    g.status = codec::status_pending;
-                end(std::move(g));
-            });
+            store_.get("f/" + id, settings_.report_s / 3,
+                       [final_of, end, g = std::move(g)](store::Answer&& last) mutable {
+                           if (!final_of(last, g) && last.status == 200 && g.job)
+                               if (const auto j = codec::stored_job(g.job->value, 0); j && !j->final.empty()) {
+                                   g.status = j->final;
+                                   g.known = true;
+                               }
+                           if (g.known && g.status.empty() && g.job)
+                               g.status = codec::status_pending;
+                           end(std::move(g));
+                       });
         });
     });
 }
@@ -272,7 +273,7 @@
 
 std::string Gateway::impossible(const JobSpec& s) const {
     const TeamLimits* team = nullptr;
-    for (const auto& t : s_.teams)
+    for (const auto& t : settings_.teams)
         if (t.name == s.team)
             team = &t;
     if (team == nullptr)
@@ -287,8 +288,9 @@
     // Its longest record, with the times written out.
     const auto record =
         codec::to_record({s, 1e9 + 0.123456, 1e9 + 0.123456, !s.dependencies.empty(), {}}).dump().size() + 40;
-    if (record > static_cast<std::size_t>(s_.value_kb * 1024))
-        return fmt::format("the job's record is longer than the {} KiB that the state service takes", s_.value_kb);
+    if (record > static_cast<std::size_t>(settings_.value_kb * 1024))
+        return fmt::format("the job's record is longer than the {} KiB that the state service takes",
+                           settings_.value_kb);
     for (const auto& t : host_.types()) {
         if (!s.types.empty() && std::find(s.types.begin(), s.types.end(), t.name) == s.types.end())
             continue;
@@ -380,11 +382,11 @@
             continue;
         }
         if (!reads_.would_take(id, timers_.now(), 1) || lookups_ > max_lookups_) {
-            if (timers_.now() - s->since > s_.report_s / 2) {
+            if (timers_.now() - s->since > settings_.report_s / 2) {
                 ++took_.refused;
                 return s->res.send(503, not_now, retry_soon_s);
             }
-            return timers_.after(s_.report_s / 60, [this, s] { check_dependencies(s); });
+            return timers_.after(settings_.report_s / 60, [this, s] { check_dependencies(s); });
         }
         return look_up(id, [this, s, id, refuse](const Found& f) {
             if (!f.known)
@@ -408,7 +410,7 @@
     const std::vector<codec::Write> writes{
         {"j/" + id, codec::to_record({s->spec, at, -1, !s->spec.dependencies.empty(), {}}), 0}};
     // Where the store does not answer this node, another may still be served within the user's time.
-    const double patience = s->forwarded ? s_.report_s / 2 : s_.report_s / 10;
+    const double patience = s->forwarded ? settings_.report_s / 2 : settings_.report_s / 10;
     store_.transact(guards, writes, patience,
                     [this, s, at, began](store::Answer&& r) { stored(s, std::move(r), at, began); });
 }
--- a/src/leadership/leader_election.cpp
+++ b/src/leadership/leader_election.cpp
@@ -27,7 +27,7 @@
 
 LeaderElection::LeaderElection(const Settings& s, TimerQueue& timers, store::StateStore& store, Peers& peers,
                                const membership::Membership& members, metrics::Timings& became_leader, Host& host)
-    : s_(s), timers_(timers), store_(store), peers_(peers), members_(members), host_(host),
+    : settings_(s), timers_(timers), store_(store), peers_(peers), members_(members), host_(host),
       // Short, so that others take over soon: outages of the store are bridged by extension votes.
       leader_lease_(std::min(s.report_s, s.lease_s / 5), s.peers.size(), timers.now()), state_loader_(s, timers, store),
       transactions_(s, timers, store, became_leader,
@@ -49,7 +49,7 @@
         renew();
     if (t < next_look_)
         return;
-    next_look_ = t + look_heartbeats * s_.report_s;
+    next_look_ = t + look_heartbeats * settings_.report_s;
     if (valid())
         return consider_better_candidates();
     learn_leader_from_peers();
@@ -71,8 +71,8 @@
     else if (better_candidate_since_ < 0)
         better_candidate_since_ = t;
     const bool no_worker = hears_no_worker(t);
-    if (better_candidate && t - better_candidate_since_ > steady_heartbeats * s_.report_s &&
-        (no_worker || t - acquired_at_ > s_.lease_s))
+    if (better_candidate && t - better_candidate_since_ > steady_heartbeats * settings_.report_s &&
+        (no_worker || t - acquired_at_ > settings_.lease_s))
         return resign(fmt::format("{} is fitter ({}; here {})", *better_candidate,
                                   describe(members_.eligibility(*better_candidate)),
                                   describe(members_.own_eligibility())),
@@ -87,7 +87,7 @@
 // A store so slow that answers come too late goes on extending the store lease, while nobody may act.
 void LeaderElection::resign_if_store_unavailable() {
     const double since = is_leader() ? std::max(leader_lease_.until(), acquired_at_) : acquired_at_;
-    if (timers_.now() - since > unserved_leases * s_.lease_s)
+    if (timers_.now() - since > unserved_leases * settings_.lease_s)
         return resign("the store has not answered for long", {});
     if (!is_leader())
         return;
@@ -100,9 +100,9 @@
 bool LeaderElection::hears_no_worker(double t) const {
     const double last_heartbeat_at = members_.last_worker_heartbeat_at();
     const double silent = t - std::max(last_heartbeat_at, acquired_at_);
-    const double patience = last_heartbeat_at <= acquired_at_ ? no_worker_leases * s_.lease_s
-                            : members_.all_zones_lost()       ? no_zone_heartbeats * s_.report_s
-                                                              : no_worker_heartbeats * s_.report_s;
+    const double patience = last_heartbeat_at <= acquired_at_ ? no_worker_leases * settings_.lease_s
+                            : members_.all_zones_lost()       ? no_zone_heartbeats * settings_.report_s
+                                                              : no_worker_heartbeats * settings_.report_s;
     return silent > patience && host_.machines_up() >= min_machines_to_judge;
 }
 
@@ -111,7 +111,7 @@
     if (role_ != Role::follower)
         return;
     const auto gen = generation_;
-    store_.get(leader_key, s_.report_s / 2, [this, gen](store::Answer&& r) {
+    store_.get(leader_key, settings_.report_s / 2, [this, gen](store::Answer&& r) {
         if (gen == generation_ && role_ == Role::follower)
             handle_leader_read(r);
     });
@@ -139,22 +139,22 @@
         // A a better candidate one goes first; but views may be wrong, so nobody waits for ever.
         const double wait = free_since_ + members_.candidacy_delay_s() - t;
         if (wait > 0)
-            return watch_leader_key_after(std::min(wait, s_.report_s / 8));
+            return watch_leader_key_after(std::min(wait, settings_.report_s / 8));
         return acquire();
     }
     const auto& item = r.item;
     if (!item || !item->value.is_object())
-        return watch_leader_key_after(s_.report_s / 6);
+        return watch_leader_key_after(settings_.report_s / 6);
     seen_at_ = t;
     free_since_ = -1;
     const auto name = item->value.value("node", std::string());
-    if (name == s_.name) {
+    if (name == settings_.name) {
         // We have just started: the process that was the leader under our name is dead.
         const auto hold = item->value.value("hold", std::uint64_t{0});
         leader_lease_.previous_process_was_leader();
         spdlog::info("the office is held by an earlier process of this node, ending its hold {}", hold);
         const auto gen = generation_;
-        store_.revoke_lease(hold, s_.report_s / 2, [this, gen](store::Answer&&) {
+        store_.revoke_lease(hold, settings_.report_s / 2, [this, gen](store::Answer&&) {
             if (gen == generation_)
                 watch_leader_key_after(0.01);
         });
@@ -165,9 +165,9 @@
     leader_ = name;
     leader_term_ = item->value.value("term", std::uint64_t{0});
     const auto gen = generation_;
-    store_.follow(leader_key, item->mod_revision, s_.report_s, [this, gen](store::Answer&& f) {
+    store_.follow(leader_key, item->mod_revision, settings_.report_s, [this, gen](store::Answer&& f) {
         if (gen == generation_)
-            watch_leader_key_after(f.status == 200 ? 0 : s_.report_s / 6);
+            watch_leader_key_after(f.status == 200 ? 0 : settings_.report_s / 6);
     });
 }
 
@@ -179,11 +179,11 @@
     if (sees_leader() || (said && said->leader == leader_ && said->term == leader_term_))
         known_at_ = t;
     // What was known long ago is worse than nothing: others would be sent to a leader that is none.
-    if (role_ == Role::follower && !leader_.empty() && t - known_at_ > forget_heartbeats * s_.report_s) {
+    if (role_ == Role::follower && !leader_.empty() && t - known_at_ > forget_heartbeats * settings_.report_s) {
         spdlog::info("who holds the office is not known here any more");
         leader_.clear();
     }
-    if (!said || said->leader == s_.name || said->leader == leader_)
+    if (!said || said->leader == settings_.name || said->leader == leader_)
         return;
     // Cut off from the store, a leader whose time is over would never learn that another has taken its
     // place, and would keep its machines waiting.
@@ -206,7 +206,7 @@
         store_.revoke_lease(store_lease_, attempt_s, [](store::Answer&&) {});
     role_ = Role::follower;
     ++generation_;
-    watch_leader_key_after(s_.report_s / 10);
+    watch_leader_key_after(settings_.report_s / 10);
 }
 
 void LeaderElection::acquire() {
@@ -235,25 +235,26 @@
 void LeaderElection::claim(std::uint64_t term, std::uint64_t term_counter_revision) {
     const auto gen = generation_;
     term_ = term;
-    store_.transact({{leader_key, 0}, {term_counter_key, term_counter_revision}},
-                    {{leader_key, Json{{"node", s_.name}, {"hold", store_lease_}, {"term", term_}}, store_lease_},
-                     {term_counter_key, Json{{"term", term_}, {"n", 0}}, 0}},
-                    attempt_s, [this, gen](store::Answer&& t) {
-                        // An answer that cannot be read settles nothing either.
-                        if ((t.status == 0 && t.sent) || t.status == 502)
-                            leader_lease_.acquisition_in_doubt();
-                        if (gen != generation_)
-                            return;
-                        if (t.status != 200)
-                            return acquire_failed();
-                        transactions_.begin(term_, t.revision);
-                        became_leader();
-                    });
+    store_.transact(
+        {{leader_key, 0}, {term_counter_key, term_counter_revision}},
+        {{leader_key, Json{{"node", settings_.name}, {"hold", store_lease_}, {"term", term_}}, store_lease_},
+         {term_counter_key, Json{{"term", term_}, {"n", 0}}, 0}},
+        attempt_s, [this, gen](store::Answer&& t) {
+            // An answer that cannot be read settles nothing either.
+            if ((t.status == 0 && t.sent) || t.status == 502)
+                leader_lease_.acquisition_in_doubt();
+            if (gen != generation_)
+                return;
+            if (t.status != 200)
+                return acquire_failed();
+            transactions_.begin(term_, t.revision);
+            became_leader();
+        });
 }
 
 void LeaderElection::became_leader() {
     role_ = Role::loading;
-    leader_ = s_.name;
+    leader_ = settings_.name;
     leader_term_ = term_;
     acquired_at_ = timers_.now();
     leader_lease_.begin();
@@ -291,8 +292,8 @@
     });
     if (!is_leader() || !leader_lease_.wants_extension_votes(sent))
         return;
-    const auto body = Json{{"node", s_.name}, {"term", term_}, {"forS", leader_lease_.extension_s()}}.dump();
-    for (const auto& p : s_.peers)
+    const auto body = Json{{"node", settings_.name}, {"term", term_}, {"forS", leader_lease_.extension_s()}}.dump();
+    for (const auto& p : settings_.peers)
         peers_.request(Lane::control, p.name, "POST", peer_extension_vote, body, ttl / 5,
                        [this, gen, sent, name = p.name](HttpReply&& r) {
                            if (gen != generation_)
@@ -382,9 +383,9 @@
         store_.revoke_lease(hold, attempt_s, [](store::Answer&&) {});
     if (hold != 0 && !successors.empty()) {
         ++handovers_;
-        offer_leadership(Json{{"node", s_.name}, {"term", term_}, {"hold", hold}}.dump(), successors);
+        offer_leadership(Json{{"node", settings_.name}, {"term", term_}, {"hold", hold}}.dump(), successors);
     }
-    watch_leader_key_after(s_.report_s / 10);
+    watch_leader_key_after(settings_.report_s / 10);
 }
 
 // To the first that can be reached. It ends the store lease if this node could not.
@@ -414,7 +415,7 @@
         return res.send(400, codec::error_answer("node, term and hold are needed"));
     if (role_ != Role::follower)
         return res.send(409, codec::error_answer("not a standby"));
-    store_.get(leader_key, s_.report_s / 4, [this, node, term, hold, res](store::Answer&& a) {
+    store_.get(leader_key, settings_.report_s / 4, [this, node, term, hold, res](store::Answer&& a) {
         const auto take = [this, res] {
             res.send(200, "{}");
             if (role_ != Role::follower)
@@ -429,7 +430,7 @@
                           a.item->value.value("hold", std::uint64_t{0}) == hold;
         if (!same)
             return res.send(409, codec::error_answer("the office does not name this hold"));
-        store_.revoke_lease(hold, s_.report_s / 4, [take](store::Answer&&) { take(); });
+        store_.revoke_lease(hold, settings_.report_s / 4, [take](store::Answer&&) { take(); });
     });
 }
 
--- a/src/leadership/state_loader.cpp
+++ b/src/leadership/state_loader.cpp
@@ -35,7 +35,7 @@
         if (gen != generation_)
             return;
         if (page.status != 200)
-            return timers_.after(s_.report_s / 10, [=, this] {
+            return timers_.after(settings_.report_s / 10, [=, this] {
                 if (gen == generation_)
                     load(prefix, since, into, next);
             });
@@ -71,7 +71,7 @@
 // Other nodes accept jobs too; the leader learns of them here.
 void StateLoader::follow() {
     const auto gen = generation_;
-    store_.follow("j/", revision_, s_.lease_s / 2, [this, gen](store::Answer&& r) {
+    store_.follow("j/", revision_, settings_.lease_s / 2, [this, gen](store::Answer&& r) {
         if (gen != generation_)
             return;
         auto again = [this, gen](double delay_s) {
@@ -88,7 +88,7 @@
             });
         }
         if (r.status != 200)
-            return again(s_.report_s / 10);
+            return again(settings_.report_s / 10);
         revision_ = std::max(revision_, r.revision);
         tell(r.items);
         again(0);
--- a/src/local/cloud.cpp
+++ b/src/local/cloud.cpp
@@ -20,20 +20,20 @@
 
 EmulatedWorker::EmulatedWorker(Platform& p, std::string id, const MachineType& type, std::string zone, bool spot,
                                double up_at)
-    : p_(p), id_(std::move(id)), zone_(std::move(zone)), type_(type), spot_(spot), rented_at_(p.now()), up_at_(up_at),
-      lease_from_(up_at), next_heartbeat_(up_at), speed_(p.between(0.95, 1.05)),
+    : platform_(p), id_(std::move(id)), zone_(std::move(zone)), type_(type), spot_(spot), rented_at_(p.now()),
+      up_at_(up_at), lease_from_(up_at), next_heartbeat_(up_at), speed_(p.between(0.95, 1.05)),
       server_(p.loop_, 64, 600, [this](HttpRequest&& r, const Responder& res) { handle(std::move(r), res); }) {}
 
 int EmulatedWorker::start() {
-    if (p_.direct_) {
+    if (platform_.direct_) {
         addr_ = id_;
         return 0;
     }
     if (const int e = server_.listen({"127.0.0.1", 0}); e != 0)
         return e;
     addr_ = fmt::format("127.0.0.1:{}", server_.port());
-    if (!p_.plan_.workers.nodes.empty() && !p_.plan_.lockstep)
-        node_ = p_.rng_() % p_.plan_.workers.nodes.size();
+    if (!platform_.plan_.workers.nodes.empty() && !platform_.plan_.lockstep)
+        node_ = platform_.rng_() % platform_.plan_.workers.nodes.size();
     return 0;
 }
 
@@ -50,9 +50,9 @@
 
 void EmulatedWorker::end(Run& r, ExitCause cause, bool saved) {
     if (r.counted)
-        p_.history_.off_machine(r.t.job, r.t.index, id_);
+        platform_.history_.off_machine(r.t.job, r.t.index, id_);
     if (cause == ExitCause::done)
-        p_.history_.task_done(r.t.job, r.t.index);
+        platform_.history_.task_done(r.t.job, r.t.index);
     r.counted = false;
     r.t.state = TaskState::ended;
     r.t.cause = cause;
@@ -63,21 +63,21 @@
 void EmulatedWorker::lose_all() {
     for (auto& r : runs_)
         if (r.counted)
-            p_.history_.off_machine(r.t.job, r.t.index, id_);
+            platform_.history_.off_machine(r.t.job, r.t.index, id_);
     runs_.clear();
 }
 
 void EmulatedWorker::launch(const Order& o, double now) {
-    if (!p_.jobs_.contains(o.job) && p_.ask)
-        if (const auto s = p_.ask(o.job); s) {
-            p_.know(*s);
-            p_.history_.submitted(*s);
+    if (!platform_.jobs_.contains(o.job) && platform_.ask)
+        if (const auto s = platform_.ask(o.job); s) {
+            platform_.know(*s);
+            platform_.history_.submitted(*s);
         }
-    const auto& specs = p_.jobs_;
+    const auto& specs = platform_.jobs_;
     Run r;
     r.t = {o.job, o.index, o.attempt, TaskState::fetching, ExitCause::none, false};
-    if (p_.on_launch)
-        p_.on_launch(o, type_, zone_, spot_);
+    if (platform_.on_launch)
+        platform_.on_launch(o, type_, zone_, spot_);
     const auto spec = specs.find(o.job);
     Resources used;
     bool here = false;
@@ -120,7 +120,7 @@
         }
         if (it->t.state == TaskState::ended)
             continue;
-        const auto& s = p_.jobs_[o.job];
+        const auto& s = platform_.jobs_[o.job];
         if (it->t.state == TaskState::running && s.checkpoint_s > 0 && o.drain_s >= s.save_s) {
             it->t.state = TaskState::saving;
             it->until = now + s.save_s;
@@ -133,8 +133,8 @@
 
 std::pair<int, std::optional<Heartbeat>> EmulatedWorker::obey(std::uint64_t fencing_token, std::uint64_t agent_epoch,
                                                               const std::vector<Order>& list) {
-    const double now = p_.now();
-    ++p_.messages_;
+    const double now = platform_.now();
+    ++platform_.messages_;
     if (now < hung_until || now < cut_until || !up(now))
         return {0, {}};
     if (fencing_token < fencing_token_ || agent_epoch != agent_epoch_)
@@ -146,7 +146,7 @@
 }
 
 void EmulatedWorker::handle(HttpRequest&& r, const Responder& res) {
-    const double now = p_.now();
+    const double now = platform_.now();
     if (now < hung_until || now < cut_until || !up(now))
         return; // silence: the caller gives up
     if (r.method == "GET" && r.path == codec::path_status)
@@ -167,7 +167,7 @@
 }
 
 void EmulatedWorker::next_node(double now) {
-    const auto n = p_.plan_.workers.nodes.size();
+    const auto n = platform_.plan_.workers.nodes.size();
     if (n > 0)
         node_ = (node_ + 1) % n;
     next_heartbeat_ = now + next_node_s;
@@ -175,15 +175,15 @@
 
 void EmulatedWorker::answered(const HeartbeatResponse& a, double sent, std::uint64_t agent_epoch) {
     in_flight_ = false;
-    const double now = p_.now();
+    const double now = platform_.now();
     if (now < cut_until || now < hung_until)
         return;
-    const auto& nodes = p_.plan_.workers.nodes;
+    const auto& nodes = platform_.plan_.workers.nodes;
     if (a.status == 421) {
         for (std::size_t i = 0; i < nodes.size(); ++i)
             if (nodes[i].first == a.leader && i != node_) {
                 node_ = i;
-                next_heartbeat_ = now + (p_.plan_.lockstep ? 0 : p_.between(0, 0.5));
+                next_heartbeat_ = now + (platform_.plan_.lockstep ? 0 : platform_.between(0, 0.5));
                 return;
             }
         return next_node(now);
@@ -199,29 +199,30 @@
 }
 
 void EmulatedWorker::heartbeat(double now) {
-    const auto& w = p_.plan_.workers;
+    const auto& w = platform_.plan_.workers;
     if (in_flight_ || w.nodes.empty())
         return;
     const bool due = now >= next_heartbeat_ ||
                      (changed_ && now >= last_heartbeat_at_ + min_pause_s && next_heartbeat_ - now < w.report_s);
     if (!due)
         return;
-    next_heartbeat_ = now + w.report_s * (p_.plan_.lockstep ? 1 : p_.between(0.75, 1.25));
+    next_heartbeat_ = now + w.report_s * (platform_.plan_.lockstep ? 1 : platform_.between(0.75, 1.25));
     last_heartbeat_at_ = now;
     changed_ = false;
     if (now < cut_until)
         return;
     if (now < late_until) { // given up meanwhile: nobody hears the answer
-        held_.emplace_back([this, r = heartbeat()] { p_.send(*this, r, [](const HeartbeatResponse&) {}); });
+        held_.emplace_back([this, r = heartbeat()] { platform_.send(*this, r, [](const HeartbeatResponse&) {}); });
         return;
     }
     in_flight_ = true;
-    p_.send(*this, heartbeat(), [&p = p_, id = id_, now, agent_epoch = agent_epoch_](const HeartbeatResponse& a) {
-        ++p.messages_;
-        const auto it = p.machines_.find(id);
-        if (it != p.machines_.end())
-            it->second->answered(a, now, agent_epoch);
-    });
+    platform_.send(*this, heartbeat(),
+                   [&p = platform_, id = id_, now, agent_epoch = agent_epoch_](const HeartbeatResponse& a) {
+                       ++p.messages_;
+                       const auto it = p.machines_.find(id);
+                       if (it != p.machines_.end())
+                           it->second->answered(a, now, agent_epoch);
+                   });
 }
 
 void Platform::send(EmulatedWorker& w, Heartbeat r, std::function<void(const HeartbeatResponse&)> done) {
@@ -247,7 +248,7 @@
 void EmulatedWorker::tick(double now) {
     if (!up(now))
         return;
-    const auto& w = p_.plan_.workers;
+    const auto& w = platform_.plan_.workers;
     // A hanging machine too: past its lease its tasks never go on.
     if (now > lease_from_ + w.lease_s) {
         lose_all();
@@ -261,25 +262,25 @@
         for (const auto& f : std::exchange(held_, {}))
             f();
     for (auto& r : runs_) {
-        const auto& s = p_.jobs_[r.t.job];
+        const auto& s = platform_.jobs_[r.t.job];
         if (r.t.state == TaskState::fetching && now >= r.until) {
             images_.insert(s.image);
             if (sick) {
                 end(r, ExitCause::error);
                 continue;
             }
-            p_.history_.on_machine(r.t.job, r.t.index, {id_, type_.name, zone_, spot_}, now);
+            platform_.history_.on_machine(r.t.job, r.t.index, {id_, type_.name, zone_, spot_}, now);
             r.counted = true;
             r.t.state = s.shape == Shape::gang && s.tasks > 1 ? TaskState::waiting : TaskState::running;
-            const double run = p_.run_s(s, r.t) / speed_;
+            const double run = platform_.run_s(s, r.t) / speed_;
             r.until = now + (r.t.state == TaskState::waiting ? w.gang_wait_s : run);
             changed_ = true;
         } else if (r.t.state == TaskState::waiting) {
-            const auto all = p_.mates(r.t.job, r.t.attempt);
+            const auto all = platform_.mates(r.t.job, r.t.attempt);
             const bool ready = all.size() == s.tasks && std::all_of(all.begin(), all.end(), [](const auto& x) {
                                    return x.run->t.state == TaskState::waiting;
                                });
-            const double run = p_.run_s(s, all.empty() ? r.t : all.front().run->t);
+            const double run = platform_.run_s(s, all.empty() ? r.t : all.front().run->t);
             for (const auto& x : all) {
                 if (!ready)
                     break;
@@ -291,7 +292,7 @@
             if (!ready && now >= r.until)
                 end(r, ExitCause::alone);
         } else if (r.t.state == TaskState::running && s.shape == Shape::gang && s.tasks > 1) {
-            const auto all = p_.mates(r.t.job, r.t.attempt);
+            const auto all = platform_.mates(r.t.job, r.t.attempt);
             if (all.size() < s.tasks) {
                 if (r.mate_lost < 0)
                     r.mate_lost = now;
@@ -329,41 +330,41 @@
 // loop, as they do there.
 class Platform::Direct final : public Executor {
 public:
-    explicit Direct(Platform& p) : p_(p), answers_(p.loop_) {}
+    explicit Direct(Platform& p) : platform_(p), answers_(p.loop_) {}
     ~Direct() override {
-        p_.reports_ = nullptr;
+        platform_.reports_ = nullptr;
     }
     void set_heartbeat_handler(Heartbeats r) override {
-        p_.reports_ = std::move(r);
+        platform_.reports_ = std::move(r);
     }
     void command(const SendOrders& o, double, std::function<void(OrdersAnswered&&)> done) override {
-        const auto it = p_.machines_.find(o.machine);
-        OrdersAnswered a{o.machine, o.batch, 0, it != p_.machines_.end(), std::nullopt};
-        if (it != p_.machines_.end())
+        const auto it = platform_.machines_.find(o.machine);
+        OrdersAnswered a{o.machine, o.batch, 0, it != platform_.machines_.end(), std::nullopt};
+        if (it != platform_.machines_.end())
             std::tie(a.status, a.heartbeat) = it->second->obey(o.fencing_token, o.agent_epoch, o.orders);
         timers(std::move(done), std::move(a));
     }
     void rent(const Rent& ask, double, std::function<void(Rented&&)> done) override {
-        timers(std::move(done), p_.out ? Rented{ask.claim, RentOutcome::failed, {}} : p_.rent(ask));
+        timers(std::move(done), platform_.out ? Rented{ask.claim, RentOutcome::failed, {}} : platform_.rent(ask));
     }
     void release(const Release& ask, double, std::function<void(Released&&)> done) override {
-        if (!p_.out)
-            p_.release(ask.machines);
-        timers(std::move(done), Released{ask.machines, !p_.out});
+        if (!platform_.out)
+            platform_.release(ask.machines);
+        timers(std::move(done), Released{ask.machines, !platform_.out});
     }
     void list(const std::string& since, double,
               std::function<void(std::optional<codec::MachinePage>&&)> done) override {
-        timers(std::move(done), p_.out ? std::nullopt : std::optional(p_.page(since)));
+        timers(std::move(done), platform_.out ? std::nullopt : std::optional(platform_.page(since)));
     }
     void types(double, std::function<void(std::optional<std::vector<MachineType>>&&)> done) override {
-        timers(std::move(done), p_.out ? std::nullopt : std::optional(p_.plan_.types));
+        timers(std::move(done), platform_.out ? std::nullopt : std::optional(platform_.plan_.types));
     }
 
 private:
     template <class F, class A> void timers(F done, A answer) {
         answers_.post([done = std::move(done), answer = std::move(answer)]() mutable { done(std::move(answer)); });
     }
-    Platform& p_;
+    Platform& platform_;
     LoopQueue answers_;
 };
 
--- a/src/local/local.cpp
+++ b/src/local/local.cpp
@@ -52,7 +52,7 @@
 
 class Local {
 public:
-    explicit Local(const LocalOptions& o) : o_(o), rng_(o.seed), history_(teams(), cancel_s) {
+    explicit Local(const LocalOptions& o) : options_(o), rng_(o.seed), history_(teams(), cancel_s) {
         uv_loop_init(&loop_);
         users_ = std::make_unique<HttpClient>(&loop_, 64, 1024);
     }
@@ -108,7 +108,7 @@
 
     std::string start() {
         began_ = static_cast<double>(uv_hrtime()) * 1e-9;
-        folder_ = o_.folder;
+        folder_ = options_.folder;
         if (folder_.empty()) {
             const char* tmp = std::getenv("TMPDIR");
             folder_ = fmt::format("{}/heronshift-XXXXXX", tmp != nullptr ? tmp : "/tmp");
@@ -125,8 +125,8 @@
         plan.workers.report_s = report_s;
         plan.workers.lease_s = lease_s;
         plan.types = usual_types();
-        plan.seed = o_.seed;
-        for (int i = 0; i < (o_.serve_port > 0 ? 0 : nodes); ++i) {
+        plan.seed = options_.seed;
+        for (int i = 0; i < (options_.serve_port > 0 ? 0 : nodes); ++i) {
             Controller c;
             c.name = fmt::format("berth-{}", i);
             c.config = fmt::format("{}/{}.toml", folder_, c.name);
@@ -134,8 +134,8 @@
             plan.workers.nodes.emplace_back(c.name, fmt::format("127.0.0.1:{}", c.user.number()));
             nodes_.push_back(std::move(c));
         }
-        if (o_.serve_port > 0)
-            plan.workers.nodes.emplace_back("alone", fmt::format("127.0.0.1:{}", o_.serve_port));
+        if (options_.serve_port > 0)
+            plan.workers.nodes.emplace_back("alone", fmt::format("127.0.0.1:{}", options_.serve_port));
         platform_ = std::make_unique<Platform>(&loop_, std::move(plan), history_);
         if (platform_->start({"127.0.0.1", 0}) != 0)
             return "the cloud cannot listen";
@@ -144,7 +144,7 @@
             auto j = row ? codec::stored_job(codec::parse(row->data), 0) : std::nullopt;
             if (j)
                 return std::move(j->spec);
-            if (o_.serve_port == 0)
+            if (options_.serve_port == 0)
                 return {};
             // Kept in the other program's own store, where nobody here can read it.
             return any_job(id);
@@ -156,12 +156,12 @@
             if (!spawn(nodes_[i]))
                 return "a controller cannot be started";
         }
-        if (o_.serve_port > 0) {
+        if (options_.serve_port > 0) {
             const auto path = folder_ + "/settings.toml";
-            if (!write_settings(path, "alone", o_.serve_port, spare_.number()))
+            if (!write_settings(path, "alone", options_.serve_port, spare_.number()))
                 return path + ": cannot be written";
             say("settings for the program that schedules here: " + path);
-            o_.stay = true;
+            options_.stay = true;
         } else {
             plan_load();
         }
@@ -204,7 +204,7 @@
     }
 
     bool spawn(Controller& c) {
-        const std::string program = o_.program.empty() ? "/proc/self/exe" : o_.program;
+        const std::string program = options_.program.empty() ? "/proc/self/exe" : options_.program;
         const int log = ::open(c.log.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0644);
         if (log < 0)
             return false;
@@ -252,9 +252,9 @@
             u.spec = std::move(s);
             users_wanted_.push_back(std::move(u));
         };
-        const double last = o_.seconds;
-        for (int i = 0; i < o_.jobs; ++i) {
-            const double at = 2 + (last - 2) * i / std::max(1, o_.jobs);
+        const double last = options_.seconds;
+        for (int i = 0; i < options_.jobs; ++i) {
+            const double at = 2 + (last - 2) * i / std::max(1, options_.jobs);
             const auto team = i % 3 == 0 ? "blue" : "red";
             if (i % 4 == 1) {
                 auto s = job(++n, Shape::gang, 2 + static_cast<std::uint32_t>(rng_() % 3), 4, team, 2);
@@ -346,7 +346,7 @@
     }
 
     void inject_fault(double t) {
-        if (!o_.faults || t < next_fault_ || t > o_.seconds)
+        if (!options_.faults || t < next_fault_ || t > options_.seconds)
             return;
         next_fault_ = t + fault_every_s * between(0.6, 1.4);
         auto* w = platform_->any();
@@ -430,9 +430,9 @@
             next_line_ = t + 1;
             progress();
         }
-        if (over && !o_.stay)
+        if (over && !options_.stay)
             finish("");
-        if (t > o_.seconds + patience_s && !o_.stay)
+        if (t > options_.seconds + patience_s && !options_.stay)
             finish("time is over");
     }
 
@@ -478,12 +478,12 @@
         for (const auto& b : history_.broken())
             std::cout << "BROKEN     " << b << "\n";
         std::cout << fmt::format("rules      {}\n", history_.broken().empty() ? "none broken" : "broken, see above");
-        if (o_.faults)
-            std::cout << fmt::format("seed       {}\n", o_.seed);
-        return history_.broken().empty() && (left.empty() || o_.stay) && ended_ == 0 ? 0 : 1;
+        if (options_.faults)
+            std::cout << fmt::format("seed       {}\n", options_.seed);
+        return history_.broken().empty() && (left.empty() || options_.stay) && ended_ == 0 ? 0 : 1;
     }
 
-    LocalOptions o_;
+    LocalOptions options_;
     std::mt19937 rng_;
     uv_loop_t loop_{};
     double began_ = 0, next_fault_ = 4, store_well_at_ = -1, cloud_well_at_ = -1, next_line_ = 1;
--- a/src/membership/link_health.cpp
+++ b/src/membership/link_health.cpp
@@ -10,7 +10,7 @@
     if (back_since_ < 0)
         back_since_ = now;
     // What was lost has to work for a while: else every flap would move the leadership or the workers.
-    if (reach_ == Reachability::unreachable && now - back_since_ < p_.back_s)
+    if (reach_ == Reachability::unreachable && now - back_since_ < thresholds_.back_s)
         return false;
     return std::exchange(reach_, Reachability::reachable) == Reachability::unreachable;
 }
@@ -20,9 +20,9 @@
     back_since_ = -1;
     if (failures_++ == 0)
         first_failed_ = now;
-    if (reach_ == Reachability::unreachable || failures_ < p_.failures)
+    if (reach_ == Reachability::unreachable || failures_ < thresholds_.failures)
         return false;
-    if (now - (worked_at_ < 0 ? first_failed_ : worked_at_) < p_.lost_s)
+    if (now - (worked_at_ < 0 ? first_failed_ : worked_at_) < thresholds_.lost_s)
         return false;
     reach_ = Reachability::unreachable;
     return true;
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -51,8 +51,8 @@
 
 Membership::Membership(const Settings& s, TimerQueue& timers, store::StateStore& store, Executor& executor,
                        Peers& peers, Host& host)
-    : s_(s), timers_(timers), state_(store), executor_(executor), peers_(peers), host_(host), store_(store_patience(s)),
-      cloud_(store_patience(s)) {
+    : settings_(s), timers_(timers), state_(store), executor_(executor), peers_(peers), host_(host),
+      store_(store_patience(s)), cloud_(store_patience(s)) {
     for (const auto& z : s.zones)
         zones_.emplace(z, s);
     for (const auto& p : s.peers)
@@ -127,7 +127,7 @@
     if (z.samples.size() < max_samples)
         return z.samples.push_back({addr, t});
     for (auto& x : z.samples)
-        if (t - x.at > silence_heartbeats * s_.report_s) {
+        if (t - x.at > silence_heartbeats * settings_.report_s) {
             x = {addr, t};
             return;
         }
@@ -138,11 +138,11 @@
 void Membership::tick() {
     const double t = timers_.now();
     if (t >= next_silence_) {
-        next_silence_ = t + s_.report_s / 10;
+        next_silence_ = t + settings_.report_s / 10;
         watch_silence();
     }
-    if (t >= next_probe_ && !s_.peers.empty()) {
-        next_probe_ = t + probe_heartbeats * s_.report_s;
+    if (t >= next_probe_ && !settings_.peers.empty()) {
+        next_probe_ = t + probe_heartbeats * settings_.report_s;
         probe();
     }
     // Those that the store does not serve learn only from this who is the leader now.
@@ -150,8 +150,9 @@
         was_active_leader_ = is_active_leader;
         exchange_soon_ = true;
     }
-    if (t >= next_exchange_ || (exchange_soon_ && t >= next_exchange_ - (exchange_heartbeats - soon) * s_.report_s)) {
-        next_exchange_ = t + exchange_heartbeats * s_.report_s;
+    if (t >= next_exchange_ ||
+        (exchange_soon_ && t >= next_exchange_ - (exchange_heartbeats - soon) * settings_.report_s)) {
+        next_exchange_ = t + exchange_heartbeats * settings_.report_s;
         exchange_soon_ = false;
         exchange();
     }
@@ -172,11 +173,11 @@
             z.samples.clear(); // given back: that they are silent says nothing
             continue;
         }
-        if (z.in.lost() && t - z.in.failed_at() > s_.lease_s)
+        if (z.in.lost() && t - z.in.failed_at() > settings_.lease_s)
             reset_inbound_health(z);
         const double patience = machines < min_machines_to_judge ? silence_small_fleet_heartbeats : silence_heartbeats;
         const double since = std::max({z.last_heartbeat_at, z.relayed_at, z.trusted_at, host_.active_since()});
-        if (t - since < patience * s_.report_s)
+        if (t - since < patience * settings_.report_s)
             continue;
         if (z.in.failed(t))
             changed(fmt::format("workers in {}", name), Reachability::unreachable);
@@ -184,16 +185,16 @@
 }
 
 void Membership::reset_inbound_health(Zone& z) {
-    z.in = LinkHealth(silence_patience(s_));
+    z.in = LinkHealth(silence_patience(settings_));
     z.trusted_at = timers_.now();
     exchange_soon_ = true;
 }
 
 void Membership::probe() {
     const double t = timers_.now();
-    if (!asking_store_ && t - store_asked_at_ >= store_heartbeats * s_.report_s) {
+    if (!asking_store_ && t - store_asked_at_ >= store_heartbeats * settings_.report_s) {
         asking_store_ = true;
-        state_.get("office", s_.report_s / 4, [this](store::Answer&&) { asking_store_ = false; });
+        state_.get("office", settings_.report_s / 4, [this](store::Answer&&) { asking_store_ = false; });
     }
     for (auto& [name, z] : zones_)
         probe_zone(name, z);
@@ -202,17 +203,17 @@
     if (h == peer_states_.end() || !fresh(h->second) || h->second.view.cloud != Reachability::unreachable ||
         t < next_cloud_)
         return;
-    next_cloud_ = t + s_.lease_s / 2;
-    executor_.types(s_.report_s,
+    next_cloud_ = t + settings_.lease_s / 2;
+    executor_.types(settings_.report_s,
                     [this](std::optional<std::vector<MachineType>>&& types) { cloud_answered(types.has_value()); });
 }
 
 void Membership::probe_zone(const std::string& name, Zone& z) {
     const double t = timers_.now();
-    std::erase_if(z.samples, [&](const auto& x) { return t - x.at > samples_leases * s_.lease_s; });
+    std::erase_if(z.samples, [&](const auto& x) { return t - x.at > samples_leases * settings_.lease_s; });
     // Machines that were given back answer nobody: where others report, those that do not are not asked. (The
     // leadership was handed on, its zone of two machines taken for lost.)
-    const auto silent = [&](const auto& x) { return t - x.at > silence_heartbeats * s_.report_s; };
+    const auto silent = [&](const auto& x) { return t - x.at > silence_heartbeats * settings_.report_s; };
     if (!std::all_of(z.samples.begin(), z.samples.end(), silent))
         std::erase_if(z.samples, silent);
     if (z.probes > z.answered || z.samples.empty())
@@ -223,7 +224,7 @@
     z.probes = static_cast<int>(n);
     for (std::size_t i = 0; i < n; ++i) {
         ++probes_;
-        executor_.probe(z.samples[z.next_sample++ % z.samples.size()].addr, probe_wait * s_.report_s,
+        executor_.probe(z.samples[z.next_sample++ % z.samples.size()].addr, probe_wait * settings_.report_s,
                         [this, name, any](std::optional<bool> ok) { probed(name, *any, ok); });
     }
 }
@@ -247,7 +248,7 @@
 
 PeerView Membership::own_view() const {
     PeerView v;
-    v.node = s_.name;
+    v.node = settings_.name;
     v.sent = timers_.wall();
     v.store = store_.reach();
     v.cloud = cloud_.reach();
@@ -264,7 +265,7 @@
     v.is_active_leader = host_.is_active_leader();
     for (const auto& [name, z] : zones_)
         for (const auto& x : z.samples)
-            if (timers_.now() - x.at < s_.lease_s)
+            if (timers_.now() - x.at < settings_.lease_s)
                 v.machines[name].push_back(x.addr);
     return v;
 }
@@ -276,7 +277,7 @@
             continue;
         o.asking = true;
         ++exchanges_;
-        peers_.request(Lane::control, name, "POST", peer_view, body, exchange_wait * s_.report_s,
+        peers_.request(Lane::control, name, "POST", peer_view, body, exchange_wait * settings_.report_s,
                        [this, name = name, sent = timers_.now()](HttpReply&& r) {
                            auto& to = peer_states_.at(name);
                            to.asking = false;
@@ -308,7 +309,7 @@
     if (it == peer_states_.end())
         return;
     // One that was held up on the way is as old as it is; clocks differ by the bound of the settings.
-    const double late = std::max(0.0, timers_.wall() - v.sent - 2 * s_.time_bound_s);
+    const double late = std::max(0.0, timers_.wall() - v.sent - 2 * settings_.time_bound_s);
     const double t = timers_.now();
     if (t - late < it->second.at)
         return;
@@ -317,7 +318,7 @@
         if (z == nullptr || list.empty() || host_.is_active_leader() || !(v.is_active_leader || z->samples.empty()))
             continue;
         // What others only remember is used, but not handed on: it would never grow old.
-        const double at = v.is_active_leader ? t : t - s_.lease_s;
+        const double at = v.is_active_leader ? t : t - settings_.lease_s;
         z->samples.clear();
         for (const auto& addr : list)
             z->samples.push_back({addr, at});
@@ -357,7 +358,7 @@
 }
 
 bool Membership::fresh(const PeerState& o) const {
-    return o.at >= 0 && timers_.now() - o.at < fresh_heartbeats * s_.report_s;
+    return o.at >= 0 && timers_.now() - o.at < fresh_heartbeats * settings_.report_s;
 }
 
 bool Membership::alive(const std::string& name) const {
@@ -387,7 +388,7 @@
     Eligibility out;
     out.store = counts(v.store);
     out.cloud = v.cloud != Reachability::unreachable; // asked for only when the leader cannot reach it
-    for (const auto& z : s_.zones) {
+    for (const auto& z : settings_.zones) {
         const auto of = [&z](const PeerView& x) {
             const auto r = x.zones.find(z);
             return r == x.zones.end() ? Reachability::unknown : r->second;
@@ -401,7 +402,7 @@
             return name != v.node && of(x) == Reachability::reachable && link != v.peers.end() &&
                    link->second == Reachability::reachable;
         };
-        bool any = v.node != s_.name && by(s_.name, own_view());
+        bool any = v.node != settings_.name && by(settings_.name, own_view());
         for (const auto& [name, o] : peer_states_)
             any = any || (fresh(o) && by(name, o.view));
         out.zones_by_others += any;
@@ -412,7 +413,7 @@
 // Whether somebody else got an answer after this node's own link had begun to fail. From a day on which the
 // leader resigned in an outage of the store: the last view of a peer, 0.6 s old, said it was there.
 bool Membership::since_lost(double at, const LinkHealth& mine) const {
-    return !mine.lost() || at > mine.failing_since() + answer_heartbeats * s_.report_s;
+    return !mine.lost() || at > mine.failing_since() + answer_heartbeats * settings_.report_s;
 }
 
 // Surely so: what others reach counts only if that is newer than the failure here.
@@ -450,7 +451,7 @@
 
 double Membership::candidacy_delay_s() const {
     const auto mine = own_eligibility();
-    const double yield = candidacy_delay_leases * s_.lease_s;
+    const double yield = candidacy_delay_leases * settings_.lease_s;
     int before = 0; // as fit as this node, and earlier by name
     for (const auto& [name, o] : peer_states_) {
         if (!fresh(o))
@@ -458,12 +459,12 @@
         const auto x = eligibility(o.view, true);
         if (x > mine)
             return yield;
-        before += x == mine && name < s_.name;
+        before += x == mine && name < settings_.name;
     }
     // Unreachable inbound, and not all the others are known to be no better.
-    if (mine.zones + mine.zones_by_others == 0 && !s_.zones.empty() && !no_better_candidate())
+    if (mine.zones + mine.zones_by_others == 0 && !settings_.zones.empty() && !no_better_candidate())
         return yield;
-    return before * stagger_heartbeats * s_.report_s;
+    return before * stagger_heartbeats * settings_.report_s;
 }
 
 std::optional<std::string> Membership::with_store(const std::string& rather) const {
--- a/src/node/controller.cpp
+++ b/src/node/controller.cpp
@@ -11,13 +11,13 @@
 using gateway::retry_soon_s;
 
 Controller::Controller(Settings settings, Parts parts)
-    : s_(std::move(settings)), clock_(std::move(parts.clock)), timers_(clock_), store_(std::move(parts.state)),
+    : settings_(std::move(settings)), clock_(std::move(parts.clock)), timers_(clock_), store_(std::move(parts.state)),
       executor_(std::move(parts.executor)), peers_(std::move(parts.peers)),
-      members_(s_, timers_, store_, *executor_, peers_, *this),
-      election_(s_, timers_, store_, peers_, members_, took_, *this),
-      gateway_(s_, timers_, store_, peers_, members_, took_, *this),
-      heartbeat_handler_(s_, timers_, *executor_, peers_, members_, took_, *this),
-      cloud_(s_, timers_, store_, *executor_, *this) {
+      members_(settings_, timers_, store_, *executor_, peers_, *this),
+      election_(settings_, timers_, store_, peers_, members_, took_, *this),
+      gateway_(settings_, timers_, store_, peers_, members_, took_, *this),
+      heartbeat_handler_(settings_, timers_, *executor_, peers_, members_, took_, *this),
+      cloud_(settings_, timers_, store_, *executor_, *this) {
     store_.on_answer = [this](bool ok) { members_.store_answered(ok); };
     peers_.on_answer = [this](const std::string& name, bool ok) { members_.peer_answered(name, ok); };
     timers_.on_change = [this] {
@@ -71,8 +71,8 @@
     ++life_;
     queue_.clear();
     if (log_)
-        log_->begin(s_, term, stored, at, wall_at);
-    core_ = std::make_unique<Core>(s_, term, stored, at, wall_at);
+        log_->begin(settings_, term, stored, at, wall_at);
+    core_ = std::make_unique<Core>(settings_, term, stored, at, wall_at);
     spdlog::info("term {}: {} jobs and {} records read", term, stored.jobs.size(),
                  stored.intents.size() + stored.progress.size() + stored.earlier.size());
     cloud_.on_leadership_acquired();
@@ -130,7 +130,7 @@
     }
     const double took = timers_.now() - t;
     took_.step.add(took);
-    if (took > s_.report_s / 100)
+    if (took > settings_.report_s / 100)
         spdlog::debug("a step took {:.0f} ms for {} commands and {} effects", took * 1000, commands, effects.size());
     queue_.insert(queue_.begin(), std::make_move_iterator(batch.begin()), std::make_move_iterator(batch.end()));
     const auto life = life_;
--- a/src/persistence/cluster_records.cpp
+++ b/src/persistence/cluster_records.cpp
@@ -64,10 +64,10 @@
 
 ClusterRecords::ClusterRecords(cluster::ClusterState& cluster, const Settings& settings, const Snapshot& stored,
                                double wall, std::vector<Effect>& out)
-    : l_(cluster), s_(settings), out_(out), write_tokens_(settings.txn_ops), tokens_at_(cluster.view().now),
-      max_value_(static_cast<std::size_t>(settings.value_kb * 1024 * record_share)),
+    : cluster_(cluster), settings_(settings), effects_(out), write_tokens_(settings.txn_ops),
+      tokens_at_(cluster.view().now), max_value_(static_cast<std::size_t>(settings.value_kb * 1024 * record_share)),
       max_ops_(static_cast<std::size_t>(settings.txn_ops)) {
-    l_.set_persistence(*this);
+    cluster_.set_persistence(*this);
     load(stored, wall);
 }
 
@@ -104,7 +104,7 @@
     if (b.dirty)
         return;
     b.dirty = true;
-    b.since = l_.view().now;
+    b.since = cluster_.view().now;
 }
 
 void ClusterRecords::became_ready(Job& j) {
@@ -151,10 +151,11 @@
             d.add("j/" + j->spec.id, std::nullopt, 0);
             f.moves.emplace_back(j, j->final);
         } else if (!j->final_stored) {
-            d.add("j/" + j->spec.id,
-                  codec::to_record({codec::remains_of(j->spec), l_.st_.wall - (l_.st_.now - j->submitted), -1, false,
-                                    std::string(status)}),
-                  300);
+            d.add(
+                "j/" + j->spec.id,
+                codec::to_record({codec::remains_of(j->spec), cluster_.data_.wall - (cluster_.data_.now - j->submitted),
+                                  -1, false, std::string(status)}),
+                300);
             f.finals.emplace_back(j, j->final);
         }
     }
@@ -171,8 +172,11 @@
         auto spec = j->spec;
         spec.dependencies.clear();
         d.add("j/" + spec.id,
-              codec::to_record(
-                  {spec, l_.st_.wall - (l_.st_.now - j->submitted), l_.st_.wall - (l_.st_.now - j->ready), false, {}}),
+              codec::to_record({spec,
+                                cluster_.data_.wall - (cluster_.data_.now - j->submitted),
+                                cluster_.data_.wall - (cluster_.data_.now - j->ready),
+                                false,
+                                {}}),
               600);
         j->ready_recorded = true;
         in_flight_.readies.push_back(j);
@@ -299,7 +303,7 @@
             break;
     }
     // Records that name what is long gone would keep its place after a failover.
-    if (l_.st_.now < next_idle_write_ || d.full(max_ops_ / 2) || more())
+    if (cluster_.data_.now < next_idle_write_ || d.full(max_ops_ / 2) || more())
         return;
     for (std::size_t n = 0; n < ring_.size(); ++n, advance()) {
         if (ring_[next_slot_].stale == 0 && too_long_ < 0)
@@ -308,7 +312,7 @@
             continue;
         if (!draft_slot(d, next_slot_))
             continue;
-        next_idle_write_ = l_.st_.now + s_.report_s / 10;
+        next_idle_write_ = cluster_.data_.now + settings_.report_s / 10;
         advance();
         return;
     }
@@ -317,13 +321,13 @@
 // Progress gathers for a while: losing it costs only an image fetch, since a finished task that is
 // started again ends at once.
 void ClusterRecords::draft_progress(Draft& d) {
-    const double gather =
-        std::max(s_.report_s, static_cast<double>(progress_records) / (progress_share * s_.state_write_rps));
+    const double gather = std::max(settings_.report_s, static_cast<double>(progress_records) /
+                                                           (progress_share * settings_.state_write_rps));
     for (std::size_t b = 0; b < buckets_.size() && !d.full(1); ++b) {
-        if (!buckets_[b].dirty || l_.st_.now - buckets_[b].since < gather)
+        if (!buckets_[b].dirty || cluster_.data_.now - buckets_[b].since < gather)
             continue;
         std::vector<Job*> jobs;
-        for (auto& [id, j] : l_.st_.jobs)
+        for (auto& [id, j] : cluster_.data_.jobs)
             if (j->bucket == b && j->final == Final::none && j->done > 0)
                 jobs.push_back(j.get());
         const auto most = max_value_ / std::max<std::size_t>(1, jobs.size());
@@ -350,18 +354,18 @@
 // Which machine has which image is a hint that spares the next leader fetches; it is written now and
 // then, a part of the machines at a time, each with the names it needs.
 void ClusterRecords::draft_images(Draft& d) {
-    if (l_.st_.now < next_images_ || l_.st_.machines.empty() || d.full(max_ops_ / 2))
+    if (cluster_.data_.now < next_images_ || cluster_.data_.machines.empty() || d.full(max_ops_ / 2))
         return;
-    next_images_ = l_.st_.now + 2 * s_.report_s;
-    std::vector<const std::string*> by_id(l_.st_.image_gb.size());
-    for (const auto& [name, id] : l_.image_ids_)
+    next_images_ = cluster_.data_.now + 2 * settings_.report_s;
+    std::vector<const std::string*> by_id(cluster_.data_.image_gb.size());
+    for (const auto& [name, id] : cluster_.image_ids_)
         by_id[static_cast<std::size_t>(id)] = &name;
     std::unordered_map<int, std::size_t> place;
     auto names = codec::Json::array();
     auto held = codec::Json::object();
     std::size_t size = 40;
-    auto it = image_part_ == 0 ? l_.st_.machines.begin() : l_.st_.machines.upper_bound(images_after_);
-    for (; it != l_.st_.machines.end(); ++it) {
+    auto it = image_part_ == 0 ? cluster_.data_.machines.begin() : cluster_.data_.machines.upper_bound(images_after_);
+    for (; it != cluster_.data_.machines.end(); ++it) {
         const auto& m = *it->second;
         std::size_t more = m.id.size() + 8;
         for (const auto& c : m.images)
@@ -377,7 +381,7 @@
             const auto [at, fresh] = place.emplace(c.image, names.size());
             const auto i = static_cast<std::size_t>(c.image);
             if (fresh)
-                names.push_back({*by_id[i], l_.st_.image_gb[i]});
+                names.push_back({*by_id[i], cluster_.data_.image_gb[i]});
             list.push_back(at->second);
         }
         if (!list.empty())
@@ -386,7 +390,7 @@
     }
     // What the cluster was larger for goes when the parts begin anew.
     const auto part = image_part_++;
-    if (it == l_.st_.machines.end()) {
+    if (it == cluster_.data_.machines.end()) {
         for (auto k = image_part_; k < image_parts_; ++k)
             gone_records_.push_back(fmt::format("c/{}", k));
         image_parts_ = image_part_;
@@ -398,31 +402,32 @@
 // What a leader has learned of this day: how much work comes, how far estimates are off, how many spot
 // machines are lost. Without it the next one gives back machines that it needs a moment later.
 void ClusterRecords::draft_learned(Draft& d) {
-    if (l_.st_.now < next_learned_ || d.full(max_ops_ / 2))
+    if (cluster_.data_.now < next_learned_ || d.full(max_ops_ / 2))
         return;
-    next_learned_ = l_.st_.now + 2 * s_.report_s;
-    const double over = l_.st_.average_s();
-    const double left = std::exp(-(l_.st_.now - l_.st_.learned.offered_at) / over);
-    d.add(learned_key,
-          codec::Json{{"at", l_.st_.wall},
-                      {"offered", l_.st_.learned.offered * left},
-                      {"offeredOrdinary", l_.st_.learned.offered_ordinary * left},
-                      {"ran", l_.st_.learned.ran_s},
-                      {"estimated", l_.st_.learned.estimated_s},
-                      {"spotLosses",
-                       l_.st_.learned.spot_losses * std::exp(-(l_.st_.now - l_.st_.learned.spot_losses_at) / over)}},
-          160);
+    next_learned_ = cluster_.data_.now + 2 * settings_.report_s;
+    const double over = cluster_.data_.average_s();
+    const double left = std::exp(-(cluster_.data_.now - cluster_.data_.learned.offered_at) / over);
+    d.add(
+        learned_key,
+        codec::Json{{"at", cluster_.data_.wall},
+                    {"offered", cluster_.data_.learned.offered * left},
+                    {"offeredOrdinary", cluster_.data_.learned.offered_ordinary * left},
+                    {"ran", cluster_.data_.learned.ran_s},
+                    {"estimated", cluster_.data_.learned.estimated_s},
+                    {"spotLosses", cluster_.data_.learned.spot_losses *
+                                       std::exp(-(cluster_.data_.now - cluster_.data_.learned.spot_losses_at) / over)}},
+        160);
 }
 
 // One transaction is in flight at a time; this builds the next of what is due, most urgent first.
 void ClusterRecords::collect_commit() {
-    if (txn_open_ || l_.resigned())
+    if (txn_open_ || cluster_.resigned())
         return;
     // The leader's part of the write budget; the rest is left to submissions on all nodes.
-    const double rate = s_.state_write_rps * (cancelled_with_dependency_.empty() ? 0.7 : 0.85);
-    const double max_saved = std::max(s_.state_write_rps * 0.5, 4.0);
-    write_tokens_ = std::min(write_tokens_ + (l_.st_.now - tokens_at_) * rate, max_saved);
-    tokens_at_ = l_.st_.now;
+    const double rate = settings_.state_write_rps * (cancelled_with_dependency_.empty() ? 0.7 : 0.85);
+    const double max_saved = std::max(settings_.state_write_rps * 0.5, 4.0);
+    write_tokens_ = std::min(write_tokens_ + (cluster_.data_.now - tokens_at_) * rate, max_saved);
+    tokens_at_ = cluster_.data_.now;
     // A few writes are saved up first: placements alone would spend each as it comes, and final
     // states would never find the two or three they need together.
     if (write_tokens_ < std::min(fewest_writes, max_saved))
@@ -444,9 +449,9 @@
     if (d.commit.writes.empty())
         return;
     txn_open_ = true;
-    sent_at_ = l_.st_.now;
+    sent_at_ = cluster_.data_.now;
     write_tokens_ -= static_cast<double>(d.commit.writes.size()) + 1;
-    out_.push_back(std::move(d.commit));
+    effects_.push_back(std::move(d.commit));
 }
 
 void ClusterRecords::committed(const Committed& c) {
@@ -454,7 +459,7 @@
     auto f = std::move(in_flight_);
     in_flight_ = {};
     if (c.outcome == TxnOutcome::leadership_lost) {
-        l_.resign();
+        cluster_.resign();
         return;
     }
     const bool ok = c.outcome == TxnOutcome::applied;
@@ -470,9 +475,9 @@
     auto stored = [&](Job& j) {
         j.final_stored = true;
         for (const auto h : j.cancels)
-            out_.push_back(AnswerCancellation{h, word_of(j.final == Final::done)});
+            effects_.push_back(AnswerCancellation{h, word_of(j.final == Final::done)});
         j.cancels.clear();
-        l_.dependency_settled(j.spec.id, j.final);
+        cluster_.dependency_settled(j.spec.id, j.final);
     };
     auto again = [&](Job& j) { final_due(j, Urgency::done); };
     for (auto& [j, final] : f.finals) {
@@ -518,7 +523,7 @@
                 continue;
             e->phase = ok ? Phase::stored : Phase::intent;
             if (ok)
-                l_.want_orders(*e->machine);
+                cluster_.want_orders(*e->machine);
         }
         if (!ok)
             ++ring_[s].stale;
@@ -539,13 +544,13 @@
 
 // The store keeps the final state; memory only holds what is alive.
 void ClusterRecords::drop_job(Job& j) {
-    l_.remember_final(j);
+    cluster_.remember_final(j);
     if (j.live > 0)
         return; // something showed up meanwhile: it is stopped first
     std::erase(finals_, &j);
     std::erase(cancelled_with_dependency_, &j);
     std::erase(readies_, &j);
-    l_.forget_job(j);
+    cluster_.forget_job(j);
 }
 
 } // namespace heronshift
--- a/src/persistence/load.cpp
+++ b/src/persistence/load.cpp
@@ -45,8 +45,8 @@
             continue;
         const auto id = r->spec.id;
         auto c = job_stored(std::move(*r), wall);
-        l_.add_job(c);
-        if (auto* j = l_.find_job(id); j != nullptr && !r->final.empty()) {
+        cluster_.add_job(c);
+        if (auto* j = cluster_.find_job(id); j != nullptr && !r->final.empty()) {
             j->final = r->final == codec::status_done ? Final::done : Final::cancelled;
             j->final_stored = true;
         }
@@ -59,7 +59,7 @@
         if (!i.value.is_object())
             continue;
         for (const auto& [id, ranges] : i.value.items())
-            if (auto* j = l_.find_job(id); j != nullptr && ranges.is_string())
+            if (auto* j = cluster_.find_job(id); j != nullptr && ranges.is_string())
                 load_done(*j, ranges.get<std::string>());
     }
     for (const auto& i : stored.intents) {
@@ -89,7 +89,7 @@
     load_earlier(stored);
     for (const auto& i : stored.learned)
         load_learned(i, wall);
-    for (auto& [id, job] : l_.st_.jobs) {
+    for (auto& [id, job] : cluster_.data_.jobs) {
         auto& j = job;
         // What runs or is done does not wait: on a day with many failovers machines were rented for it.
         std::erase_if(j->pending, [&](std::uint32_t i) {
@@ -103,18 +103,18 @@
             for (const auto& e : j->entries)
                 j->gang_attempt = std::max(j->gang_attempt, e->attempt);
             if (j->live < j->spec.tasks - j->done)
-                l_.break_gang(*j);
+                cluster_.break_gang(*j);
         }
         if (j->final == Final::none && j->done == j->spec.tasks)
-            l_.finalize(*j, Final::done);
+            cluster_.finalize(*j, Final::done);
         if (j->final == Final::none)
             continue;
         for (auto& e : j->entries)
-            l_.stop_entry(*e, 0);
+            cluster_.stop_entry(*e, 0);
         if (j->live == 0)
             final_due(*j, Urgency::done);
     }
-    l_.needs_scheduling_ = true;
+    cluster_.needs_scheduling_ = true;
 }
 
 void ClusterRecords::load_done(Job& j, std::string_view ranges) {
@@ -128,25 +128,25 @@
 }
 
 void ClusterRecords::load_intent(const intents::Intent& i, int slot) {
-    auto* j = l_.find_job(i.job);
+    auto* j = cluster_.find_job(i.job);
     // The record of a job goes only when none of its tasks is left anywhere.
     if (j == nullptr || i.index >= j->tasks.size())
         return;
-    auto& m = l_.learn_machine(i.machine, "", "", i.zone, false);
+    auto& m = cluster_.learn_machine(i.machine, "", "", i.zone, false);
     m.agent_epoch = std::max(m.agent_epoch, i.agent_epoch);
     // Whoever was entitled before us may have answered this machine until the moment we took
     // leadership, so its lease counts from there.
-    m.lease_started_at = l_.st_.now;
+    m.lease_started_at = cluster_.data_.now;
     m.status = Status::up;
     for (const auto& e : m.entries)
         if (e->job == j && e->index == i.index && e->attempt == i.attempt)
             return;
-    auto& e = l_.add_entry(m, *j, i.index, i.attempt);
+    auto& e = cluster_.add_entry(m, *j, i.index, i.attempt);
     e.phase = Phase::sent;
     e.recorded = slot >= 0;
     // Only a heartbeat that has seen our own term proves anything: one from before the launch
     // may arrive late, and we have no count of this machine's to tell.
-    e.fencing_token = (l_.st_.term << token_counter_bits) - 1;
+    e.fencing_token = (cluster_.data_.term << token_counter_bits) - 1;
     e.agent_epoch = i.agent_epoch;
     leave_slot(e);
     put_in_slot(e, slot);
@@ -156,12 +156,12 @@
 // term, or its expired lease, ends the doubt; where not even its name is known, only time does.
 void ClusterRecords::hold_unproven(const std::string& machine) {
     log(2, fmt::format("a damaged record{}{}", machine.empty() ? "" : " of machine ", machine));
-    l_.st_.unproven_until = l_.st_.now + l_.lease_expiry_s();
-    l_.st_.unproven_machines.insert(machine);
+    cluster_.data_.unproven_until = cluster_.data_.now + cluster_.lease_expiry_s();
+    cluster_.data_.unproven_machines.insert(machine);
     if (machine.empty())
         return;
-    auto& m = l_.learn_machine(machine, "", "", "", false);
-    m.lease_started_at = l_.st_.now;
+    auto& m = cluster_.learn_machine(machine, "", "", "", false);
+    m.lease_started_at = cluster_.data_.now;
     m.status = Status::up;
 }
 
@@ -172,7 +172,7 @@
         const auto id = i.key.substr(2);
         const auto& v = i.value;
         if (i.key.starts_with("d/")) {
-            auto* j = l_.find_job(id);
+            auto* j = cluster_.find_job(id);
             if (j == nullptr || !v.is_object())
                 continue;
             load_done(*j, v.value("done", std::string()));
@@ -217,14 +217,14 @@
     std::vector<int> ids;
     for (const auto& n : names) {
         const bool good = n.is_array() && n.size() == 2 && n[0].is_string() && n[1].is_number();
-        ids.push_back(good ? l_.image_id(n[0].get<std::string>(), n[1].get<double>()) : -1);
+        ids.push_back(good ? cluster_.image_id(n[0].get<std::string>(), n[1].get<double>()) : -1);
     }
     for (const auto& [id, list] : held.items()) {
         if (!list.is_array())
             continue;
         for (const auto& k : list)
             if (k.is_number_unsigned() && k.get<std::size_t>() < ids.size() && ids[k.get<std::size_t>()] >= 0)
-                l_.image_hints_[id].push_back(ids[k.get<std::size_t>()]);
+                cluster_.image_hints_[id].push_back(ids[k.get<std::size_t>()]);
     }
 }
 
@@ -238,16 +238,16 @@
                  losses = number("spotLosses");
     if (at < 0 || offered < 0 || ran <= 0 || estimated <= 0 || losses < 0)
         return;
-    const double left = std::exp(-std::max(0.0, wall - at) / l_.st_.average_s());
-    l_.st_.learned.offered =
-        std::max(l_.st_.learned.offered, offered * left); // jobs read from the store are part of it
-    l_.st_.learned.spot_losses = losses * left;
+    const double left = std::exp(-std::max(0.0, wall - at) / cluster_.data_.average_s());
+    cluster_.data_.learned.offered =
+        std::max(cluster_.data_.learned.offered, offered * left); // jobs read from the store are part of it
+    cluster_.data_.learned.spot_losses = losses * left;
     // The versions before do not say it.
-    l_.st_.learned.offered_ordinary =
-        std::max(l_.st_.learned.offered_ordinary, std::max(0.0, number("offeredOrdinary")) * left);
-    l_.st_.learned.offered_at = l_.st_.learned.spot_losses_at = l_.st_.now;
-    l_.st_.learned.ran_s = ran;
-    l_.st_.learned.estimated_s = estimated;
+    cluster_.data_.learned.offered_ordinary =
+        std::max(cluster_.data_.learned.offered_ordinary, std::max(0.0, number("offeredOrdinary")) * left);
+    cluster_.data_.learned.offered_at = cluster_.data_.learned.spot_losses_at = cluster_.data_.now;
+    cluster_.data_.learned.ran_s = ran;
+    cluster_.data_.learned.estimated_s = estimated;
 }
 
 } // namespace heronshift
--- a/src/scheduling/autoscaler.cpp
+++ b/src/scheduling/autoscaler.cpp
@@ -39,17 +39,17 @@
         bool spot;
     };
     std::vector<Due> list;
-    for (const auto& [id, j] : v_.jobs) {
+    for (const auto& [id, j] : cluster_.jobs) {
         if (j->spec.shape != Shape::array || j->final != Final::none || j->waits)
             continue;
-        const double each = j->spec.each.cpus, run = std::max(1.0, j->spec.estimate_s) * v_.learned.bias();
+        const double each = j->spec.each.cpus, run = std::max(1.0, j->spec.estimate_s) * cluster_.learned.bias();
         const double waiting = static_cast<double>(j->pending.size());
-        const double due = v_.due_at(*j);
-        double window = due < 0 ? 10 * run : (due - v_.now - run) * window_used;
+        const double due = cluster_.due_at(*j);
+        double window = due < 0 ? 10 * run : (due - cluster_.now - run) * window_used;
         if (j->guaranteed)
-            for (const auto& o : s_.objectives)
+            for (const auto& o : settings_.objectives)
                 if (o.kind == "guarantee")
-                    window = std::min(window, j->ready + o.within_s - v_.now);
+                    window = std::min(window, j->ready + o.within_s - cluster_.now);
         list.push_back(
             {std::max(window, 1e-3), each * run * (waiting + 0.5 * j->live), each * (waiting + j->live), j->spec.spot});
     }
@@ -69,12 +69,13 @@
 }
 
 Autoscaler::Cpus Autoscaler::offered() const {
-    const auto& l = v_.learned;
+    const auto& l = cluster_.learned;
     // Where arrays came all the time and none has come for many times as long as between two, no more will for a
     // while: at the end of a day the fleet stood idle for minutes.
-    if (l.gaps >= sure_gaps && v_.now - std::max(l.offered_at, v_.unserved_at) > quiet_gaps * l.gap_s + s_.report_s)
+    if (l.gaps >= sure_gaps &&
+        cluster_.now - std::max(l.offered_at, cluster_.unserved_at) > quiet_gaps * l.gap_s + settings_.report_s)
         return {};
-    const double left = l.bias() * std::exp(-(v_.now - l.offered_at) / v_.average_s());
+    const double left = l.bias() * std::exp(-(cluster_.now - l.offered_at) / cluster_.average_s());
     return {l.offered * left, l.offered_ordinary * left};
 }
 
@@ -85,14 +86,14 @@
 // All kinds of machines that may be had at all, in the order of types, zones and spot first.
 void Autoscaler::list_sources(std::map<std::string, int>& in_zone) {
     sources_.clear();
-    for (const auto& t : v_.types)
+    for (const auto& t : cluster_.types)
         for (const auto& z : t.zones)
             for (const bool spot : {true, false}) {
-                if (std::find(s_.zones.begin(), s_.zones.end(), z) == s_.zones.end())
+                if (std::find(settings_.zones.begin(), settings_.zones.end(), z) == settings_.zones.end())
                     continue;
                 auto key = fmt::format("{}/{}/{}", t.name, z, spot);
-                const auto blocked = v_.no_capacity.find(key);
-                const bool refused = blocked != v_.no_capacity.end() && v_.now < blocked->second;
+                const auto blocked = cluster_.no_capacity.find(key);
+                const bool refused = blocked != cluster_.no_capacity.end() && cluster_.now < blocked->second;
                 sources_.push_back({std::move(key), &t, &z, spot, refused, &in_zone[z]});
             }
 }
@@ -131,7 +132,7 @@
 // request a round for each type, zone and kind. Dear machines are rented for arrays only as far as
 // these would be late otherwise.
 void Autoscaler::plan_capacity() {
-    if (v_.types.empty())
+    if (cluster_.types.empty())
         return;
     struct Coming {
         Resources free;
@@ -144,24 +145,25 @@
     double have = 0, have_ordinary = 0; // CPUs that arrays have or will have
     int ready = 0;                      // machines that a gang may have, if need be by taking the place of arrays
     leaving_.clear();
-    for (const auto& [id, m] : v_.machines) {
+    for (const auto& [id, m] : cluster_.machines) {
         if (m->retiring && !m->releasing)
             leaving_.push_back(m.get());
         if (m->status != Status::lost)
             ++in_zone[m->zone_name];
-        const auto* t = v_.type_of(m->type_name);
-        if (m->status == Status::booting && t != nullptr && !m->releasing && v_.now - m->known_since < 3 * t->boot_s)
+        const auto* t = cluster_.type_of(m->type_name);
+        if (m->status == Status::booting && t != nullptr && !m->releasing &&
+            cluster_.now - m->known_since < 3 * t->boot_s)
             coming.push_back({t->room, t, m->zone_name, m->spot});
-        if (!serves(v_, *m) || m->retiring)
+        if (!serves(cluster_, *m) || m->retiring)
             continue;
         have += m->whole.cpus - m->firm.cpus;
         if (plain(*m))
             have_ordinary += m->whole.cpus - m->firm.cpus;
         ready += is_ready(*m);
     }
-    for (const auto& [claim, p] : v_.rentals) {
+    for (const auto& [claim, p] : cluster_.rentals) {
         in_zone[p.zone] += p.count;
-        if (const auto* t = v_.type_of(p.type); t != nullptr)
+        if (const auto* t = cluster_.type_of(p.type); t != nullptr)
             for (int i = 0; i < p.count; ++i)
                 coming.push_back({t->room, t, p.zone, p.spot});
     }
@@ -208,7 +210,7 @@
                 break;
             auto& w = wanted[source->key];
             if (w.type.empty())
-                w = {source->type->name, *source->zone, source->spot, 0, v_.now, true};
+                w = {source->type->name, *source->zone, source->spot, 0, cluster_.now, true};
             if (w.count >= max_rented)
                 break;
             ++w.count;
@@ -220,12 +222,12 @@
             coming.push_back({t->room, t, *source->zone, source->spot});
         }
     };
-    auto shape = v_.common_shape;
-    const auto jobs = waiting_jobs(v_, shape);
-    out_.set_common_shape(shape);
+    auto shape = cluster_.common_shape;
+    const auto jobs = waiting_jobs(cluster_, shape);
+    proposals_.set_common_shape(shape);
     const Job* gang = nullptr;
     for (const auto* j : jobs) {
-        int left = std::min(static_cast<int>(j->pending.size()), v_.quota_room(*j));
+        int left = std::min(static_cast<int>(j->pending.size()), cluster_.quota_room(*j));
         if (j->spec.shape == Shape::gang && j->spec.each.gpus > 0) {
             const int n = std::min(left, ready);
             left -= n;
@@ -234,7 +236,7 @@
         source_for(*j, left);
     }
     // Machines that boot for longer than a gang may wait must be there before it comes.
-    for (const auto& [id, j] : v_.jobs)
+    for (const auto& [id, j] : cluster_.jobs)
         if (j->spec.shape == Shape::gang && j->spec.each.gpus > 0 && j->final == Final::none && !j->waits)
             gang = j.get();
     if (gang != nullptr)
@@ -252,13 +254,13 @@
     const Machine* best = nullptr;
     const bool gang = j.spec.shape == Shape::gang;
     for (const auto* m : leaving_) {
-        const bool good = j.spec.each.fits(m->whole - (gang ? m->firm : m->used)) && usable(v_, *m, j, true);
+        const bool good = j.spec.each.fits(m->whole - (gang ? m->firm : m->used)) && usable(cluster_, *m, j, true);
         if (good && (best == nullptr || m->used.cpus > best->used.cpus))
             best = m;
     }
     if (best == nullptr)
         return nullptr;
-    out_.retire(*best, false);
+    proposals_.retire(*best, false);
     std::erase(leaving_, best);
     return best;
 }
@@ -266,12 +268,12 @@
 void Autoscaler::queue_rentals(std::map<std::string, Pending>& wanted) {
     for (auto& [key, pending] : wanted) {
         auto& w = pending;
-        const bool busy = std::any_of(v_.rentals.begin(), v_.rentals.end(), [&](const auto& r) {
+        const bool busy = std::any_of(cluster_.rentals.begin(), cluster_.rentals.end(), [&](const auto& r) {
             return r.second.type == w.type && r.second.zone == w.zone && r.second.spot == w.spot;
         });
         if (busy)
             continue;
-        out_.rent(w);
+        proposals_.rent(w);
     }
 }
 
@@ -279,14 +281,14 @@
 // work, its arrays end by themselves and its replicas move, a few a round.
 void Autoscaler::plan_shrink() {
     // A new leader first hears what runs where, and what comes.
-    if (v_.term > 1 && v_.now - v_.started < s_.lease_s)
+    if (cluster_.term > 1 && cluster_.now - cluster_.started < settings_.lease_s)
         return;
     double have = 0, need = 0, largest_gang = 0, gang_machines = 0, ready = 0;
     double have_ordinary = 0, need_ordinary = 0; // of these: on ordinary machines without accelerators
     std::vector<const Machine*> list;
     std::unordered_map<const Machine*, double> lasting;
-    for (const auto& [id, m] : v_.machines) {
-        if (!serves(v_, *m) || m->retiring)
+    for (const auto& [id, m] : cluster_.machines) {
+        if (!serves(cluster_, *m) || m->retiring)
             continue;
         double services = 0, gangs = 0;
         for (const auto& e : m->entries) {
@@ -298,7 +300,8 @@
             }
         }
         have += m->whole.cpus;
-        const double lasts = services + gangs + (m->pool ? v_.service_shape.cpus * 2 : 0); // usable() leaves those
+        const double lasts =
+            services + gangs + (m->pool ? cluster_.service_shape.cpus * 2 : 0); // usable() leaves those
         need += lasts;
         if (plain(*m)) {
             have_ordinary += m->whole.cpus;
@@ -307,11 +310,11 @@
         gang_machines += gangs > 0;
         ready += is_ready(*m);
         lasting[m.get()] = services;
-        const bool paid = v_.now - m->known_since < min_charged_s;
-        if (!m->pool && gangs <= 0 && !paid && (m->reserved_for == nullptr || v_.now >= m->reserved_until))
+        const bool paid = cluster_.now - m->known_since < min_charged_s;
+        if (!m->pool && gangs <= 0 && !paid && (m->reserved_for == nullptr || cluster_.now >= m->reserved_until))
             list.push_back(m.get());
     }
-    for (const auto& [id, j] : v_.jobs) {
+    for (const auto& [id, j] : cluster_.jobs) {
         if (j->final != Final::none || j->pending.empty())
             continue;
         if (j->spec.shape != Shape::array)
@@ -320,15 +323,15 @@
             largest_gang = std::max(largest_gang, static_cast<double>(j->spec.tasks));
     }
     const auto due = array_need(), brought = offered();
-    out_.log(0,
-             fmt::format("capacity: {:.0f} CPUs ({:.0f} ordinary), {:.0f} for services and gangs, arrays need {:.0f} "
-                         "({:.0f}) and bring {:.0f} ({:.0f})",
-                         have, have_ordinary, need, due.all, due.ordinary, brought.all, brought.ordinary));
+    proposals_.log(
+        0, fmt::format("capacity: {:.0f} CPUs ({:.0f} ordinary), {:.0f} for services and gangs, arrays need {:.0f} "
+                       "({:.0f}) and bring {:.0f} ({:.0f})",
+                       have, have_ordinary, need, due.all, due.ordinary, brought.all, brought.ordinary));
     need += std::max(due.all, brought.all) * spare;
     need_ordinary += std::max(due.ordinary, brought.ordinary) * spare;
     std::sort(list.begin(), list.end(), [&](const Machine* a, const Machine* b) {
-        const double pa = price_per_cpu(v_.types[static_cast<std::size_t>(a->type)], a->spot);
-        const double pb = price_per_cpu(v_.types[static_cast<std::size_t>(b->type)], b->spot);
+        const double pa = price_per_cpu(cluster_.types[static_cast<std::size_t>(a->type)], a->spot);
+        const double pb = price_per_cpu(cluster_.types[static_cast<std::size_t>(b->type)], b->spot);
         if (pa != pb)
             return pa > pb;
         if (lasting[a] != lasting[b])
@@ -352,8 +355,8 @@
             --ready;
         }
         have -= m->whole.cpus;
-        out_.retire(*m, true);
-        out_.log(0, fmt::format("machine {} is to become empty, {:.0f} of its CPUs in use", m->id, m->used.cpus));
+        proposals_.retire(*m, true);
+        proposals_.log(0, fmt::format("machine {} is to become empty, {:.0f} of its CPUs in use", m->id, m->used.cpus));
     }
 }
 
@@ -361,46 +364,47 @@
 // and its tasks start elsewhere at once, long before its lease would have run out. Not so where
 // ordinary machines of the zone are silent too: that is a cut, and behind it work goes on.
 void Autoscaler::watch_silent() {
-    if (v_.now < next_silent_)
+    if (cluster_.now < next_silent_)
         return;
-    next_silent_ = v_.now + s_.report_s / 6;
+    next_silent_ = cluster_.now + settings_.report_s / 6;
     struct Zone {
         double up = 0, silent = 0;
     };
     std::map<std::pair<int, bool>, Zone> zones;
     std::size_t spot_up = 0;
     std::vector<const Machine*> silent;
-    for (const auto& [id, m] : v_.machines) {
+    for (const auto& [id, m] : cluster_.machines) {
         if (m->status != Status::up || m->releasing)
             continue;
         spot_up += m->spot;
-        const double since = v_.now - std::max({m->last_heartbeat_at, v_.started, m->known_since});
+        const double since = cluster_.now - std::max({m->last_heartbeat_at, cluster_.started, m->known_since});
         const bool unlisted = m->type < 0; // known from records only: mostly gone before we became leader
         auto& z = zones[{m->zone, m->spot}];
         if (!unlisted)
             ++z.up;
-        if (since < silent_heartbeats * s_.report_s)
+        if (since < silent_heartbeats * settings_.report_s)
             continue;
         if (!unlisted)
             ++z.silent;
         silent.push_back(m.get());
-        if (v_.now - m->asked_at < s_.report_s || m->batch != 0)
+        if (cluster_.now - m->asked_at < settings_.report_s || m->batch != 0)
             continue;
-        out_.ask(*m);
+        proposals_.ask(*m);
     }
-    out_.count_spot(spot_up);
+    proposals_.count_spot(spot_up);
     for (const auto* m : silent) {
-        if (m->type < 0 && !v_.asked_all)
+        if (m->type < 0 && !cluster_.asked_all)
             continue;
         if ((!m->spot && m->type >= 0) ||
-            v_.now - std::max({m->last_heartbeat_at, v_.started, m->known_since}) < dead_heartbeats * s_.report_s)
+            cluster_.now - std::max({m->last_heartbeat_at, cluster_.started, m->known_since}) <
+                dead_heartbeats * settings_.report_s)
             continue;
         const auto& ordinary = zones[{m->zone, false}];
         const auto& spot = zones[{m->zone, true}];
-        const bool taken = m->draining && v_.now > m->notice_until;
+        const bool taken = m->draining && cluster_.now > m->notice_until;
         if (!taken && (ordinary.silent > 1 + max_silent * ordinary.up || spot.silent > 1 + spot.up / 2))
             continue;
-        out_.presume_dead(*m);
+        proposals_.presume_dead(*m);
     }
 }
 
@@ -412,51 +416,53 @@
         return false;
     const auto& [inbound_unreachable, up] = inbound_unreachable_by_zone.at(m.zone);
     const bool cut = inbound_unreachable > 1 + max_silent * up;
-    return v_.now - m.inbound_unreachable_since > (cut ? cut_leases : no_worker_leases) * s_.lease_s;
+    return cluster_.now - m.inbound_unreachable_since > (cut ? cut_leases : no_worker_leases) * settings_.lease_s;
 }
 
 void Autoscaler::return_machines() {
     std::vector<std::string> out;
     std::map<int, std::pair<int, int>> inbound_unreachable_by_zone; // by zone, and those that are up
-    for (const auto& [id, m] : v_.machines) {
+    for (const auto& [id, m] : cluster_.machines) {
         auto& z = inbound_unreachable_by_zone[m->zone];
         z.first += m->inbound_unreachable();
         z.second += m->status == Status::up;
     }
-    for (const auto& [id, mp] : v_.machines) {
+    for (const auto& [id, mp] : cluster_.machines) {
         const auto& m = *mp;
         if (out.size() >= max_returned)
             break;
-        if (m.release_asked || v_.now < m.release_retry)
+        if (m.release_asked || cluster_.now < m.release_retry)
             continue;
-        const auto* t = m.type >= 0 ? &v_.types[static_cast<std::size_t>(m.type)] : nullptr;
-        const double boot = t != nullptr ? t->boot_s : s_.lease_s;
+        const auto* t = m.type >= 0 ? &cluster_.types[static_cast<std::size_t>(m.type)] : nullptr;
+        const double boot = t != nullptr ? t->boot_s : settings_.lease_s;
         bool give_back = m.releasing;
-        if (m.status == Status::booting && v_.now - m.known_since > 5 * boot + s_.lease_s)
+        if (m.status == Status::booting && cluster_.now - m.known_since > 5 * boot + settings_.lease_s)
             give_back = true;
-        if (m.status == Status::lost && m.entries.empty() && (m.bad || v_.now - m.lease_started_at > 2 * s_.lease_s))
+        if (m.status == Status::lost && m.entries.empty() &&
+            (m.bad || cluster_.now - m.lease_started_at > 2 * settings_.lease_s))
             give_back = true;
         if (m.bad && m.status == Status::up) {
             for (auto& e : m.entries)
-                out_.stop(*e, e->job->spec.checkpoint_s > 0 ? e->job->spec.save_s + 1 : 0);
+                proposals_.stop(*e, e->job->spec.checkpoint_s > 0 ? e->job->spec.save_s + 1 : 0);
             if (m.entries.empty())
                 give_back = true;
         }
-        const bool unwanted = m.retiring || (s_.ops.empty_s > 0 && v_.now - m.empty_since > s_.ops.empty_s);
+        const bool unwanted =
+            m.retiring || (settings_.ops.empty_s > 0 && cluster_.now - m.empty_since > settings_.ops.empty_s);
         if (m.status == Status::up && m.entries.empty() && !m.draining && m.empty_since >= 0 && unwanted &&
-            v_.now - v_.started > s_.report_s && m.batch == 0)
+            cluster_.now - cluster_.started > settings_.report_s && m.batch == 0)
             give_back = true;
         if (m.presumed_dead || inbound_unreachable_for_long(m, inbound_unreachable_by_zone))
             give_back = true;
         if (!give_back || (!m.entries.empty() && !m.presumed_dead))
             continue;
-        out_.give_back(m);
+        proposals_.give_back(m);
         out.push_back(id);
     }
     if (out.empty())
         return;
-    out_.log(1, fmt::format("returning {} machines, {} first", out.size(), out.front()));
-    out_.release(std::move(out));
+    proposals_.log(1, fmt::format("returning {} machines, {} first", out.size(), out.front()));
+    proposals_.release(std::move(out));
 }
 
 // One line a kind of machine, for operators who watch the fleet.
@@ -466,7 +472,7 @@
         double room = 0, services = 0, gangs = 0, arrays = 0;
     };
     std::map<std::string, Sum> kinds;
-    for (const auto& [id, m] : v_.machines) {
+    for (const auto& [id, m] : cluster_.machines) {
         auto& s = kinds[m->type_name + (m->spot ? " (spot)" : "")];
         s.booting += m->status == Status::booting;
         if (m->status != Status::up)
@@ -481,24 +487,25 @@
                                                   : s.arrays) += e->job->spec.each.cpus;
     }
     for (const auto& [kind, s] : kinds)
-        out_.log(0, fmt::format(
-                        "fleet: {}: {} up ({} pool, {} empty), {} booting, of {:.0f} CPUs {:.0f} in services, {:.0f} "
+        proposals_.log(
+            0,
+            fmt::format("fleet: {}: {} up ({} pool, {} empty), {} booting, of {:.0f} CPUs {:.0f} in services, {:.0f} "
                         "in gangs, {:.0f} in arrays",
                         kind, s.up, s.pool, s.empty, s.booting, s.room, s.services, s.gangs, s.arrays));
     std::map<Phase, std::size_t> phases;
-    for (const auto& [id, m] : v_.machines)
+    for (const auto& [id, m] : cluster_.machines)
         for (const auto& e : m->entries)
             ++phases[e->phase];
-    out_.log(
+    proposals_.log(
         0, fmt::format("tasks: {} placed, {} being stored, {} to be sent, {} sent, {} fetching, {} waiting, {} running",
                        phases[Phase::intent], phases[Phase::storing], phases[Phase::stored], phases[Phase::sent],
                        phases[Phase::fetching], phases[Phase::waiting], phases[Phase::running]));
     std::map<Priority, std::size_t> waiting;
-    for (const auto& [id, j] : v_.jobs)
+    for (const auto& [id, j] : cluster_.jobs)
         if (j->final == Final::none)
             waiting[j->priority] += j->pending.size();
     for (const auto& [priority, n] : waiting)
-        out_.log(0, fmt::format("waiting: {} tasks of rank {}", n, static_cast<int>(priority)));
+        proposals_.log(0, fmt::format("waiting: {} tasks of rank {}", n, static_cast<int>(priority)));
 }
 
 } // namespace heronshift::scheduling
--- a/src/scheduling/making_room.cpp
+++ b/src/scheduling/making_room.cpp
@@ -21,7 +21,7 @@
 // What is lost when a task is stopped now, in CPU seconds.
 double Placement::loss_of(const Entry& e) const {
     const auto& s = e.job->spec;
-    double run = e.running_at >= 0 ? v_.now - e.running_at : 0;
+    double run = e.running_at >= 0 ? cluster_.now - e.running_at : 0;
     if (s.checkpoint_s > 0)
         run = std::min(run, s.save_s);
     return (run + 1) * s.each.cpus;
@@ -32,9 +32,9 @@
 Placement::Room Placement::room_on(const Machine& m, const Job& j, int most, double loss_weight) const {
     Room r;
     r.machine = &m;
-    if (!j.spec.each.fits(m.whole - m.firm) || !usable(v_, m, j) || left_to_others(m, j))
+    if (!j.spec.each.fits(m.whole - m.firm) || !usable(cluster_, m, j) || left_to_others(m, j))
         return r;
-    if (m.reserved_for != nullptr && m.reserved_for != &j && v_.now < m.reserved_until)
+    if (m.reserved_for != nullptr && m.reserved_for != &j && cluster_.now < m.reserved_until)
         return r;
     const auto fits = [&](Resources left) {
         int n = 0;
@@ -67,21 +67,21 @@
         }
     }
     if (r.tasks > 0)
-        r.cost = placement_cost(v_, m, j) + loss_weight * loss / r.tasks +
-                 placement::fragmentation(free - j.spec.each, m.whole, v_.common_shape);
+        r.cost = placement_cost(cluster_, m, j) + loss_weight * loss / r.tasks +
+                 placement::fragmentation(free - j.spec.each, m.whole, cluster_.common_shape);
     // Room that is being made stays the choice, or work would be stopped on ever more machines.
-    if (m.reserved_for == &j && v_.now < m.reserved_until)
+    if (m.reserved_for == &j && cluster_.now < m.reserved_until)
         r.cost -= chosen_already;
     return r;
 }
 
 void Placement::take_room(const Room& r, const Job& j) {
     for (const auto* e : r.victims)
-        out_.preempt(*e);
+        proposals_.preempt(*e);
     if (!r.victims.empty())
-        out_.log(0,
-                 fmt::format("job {} takes the place of {} tasks on {}", j.spec.id, r.victims.size(), r.machine->id));
-    out_.reserve(*r.machine, j, r.tasks, v_.now + s_.report_s, j.priority);
+        proposals_.log(
+            0, fmt::format("job {} takes the place of {} tasks on {}", j.spec.id, r.victims.size(), r.machine->id));
+    proposals_.reserve(*r.machine, j, r.tasks, cluster_.now + settings_.report_s, j.priority);
     room_changed(*r.machine);
 }
 
@@ -92,8 +92,9 @@
         return 0;
     if (j.spec.shape != Shape::array)
         return 1e18;
-    const double whole = j.runs >= few_runs ? j.run_sum / j.runs : std::max(1.0, j.spec.estimate_s) * v_.learned.bias();
-    const double ran = e.running_at >= 0 ? v_.now - e.running_at : 0;
+    const double whole =
+        j.runs >= few_runs ? j.run_sum / j.runs : std::max(1.0, j.spec.estimate_s) * cluster_.learned.bias();
+    const double ran = e.running_at >= 0 ? cluster_.now - e.running_at : 0;
     return std::max(whole - ran, whole * min_rest);
 }
 
@@ -118,9 +119,9 @@
 }
 
 bool Placement::may_await(const Machine& m, const Job& j) const {
-    if (!j.spec.each.fits(m.whole - m.firm) || !usable(v_, m, j) || left_to_others(m, j))
+    if (!j.spec.each.fits(m.whole - m.firm) || !usable(cluster_, m, j) || left_to_others(m, j))
         return false;
-    return m.reserved_for == nullptr || m.reserved_for == &j || v_.now >= m.reserved_until;
+    return m.reserved_for == nullptr || m.reserved_for == &j || cluster_.now >= m.reserved_until;
 }
 
 // Where tasks end all the time, room comes by itself: the machines where it comes first are kept for the job,
@@ -137,7 +138,7 @@
         const Machine* machine;
     };
     std::vector<Slot> slots;
-    const PlacementCost cost_of(v_, j);
+    const PlacementCost cost_of(cluster_, j);
     for (std::size_t p = 0; p < index_.machines().size(); ++p) {
         const auto* m = index_.machines()[p];
         if (!may_await(*m, j))
@@ -159,7 +160,7 @@
     for (const auto& s : slots)
         ++tasks[s.machine];
     for (const auto& [m, n] : tasks) {
-        out_.reserve(*m, j, n, v_.now + s_.report_s, against);
+        proposals_.reserve(*m, j, n, cluster_.now + settings_.report_s, against);
         room_changed(*m);
     }
 }
@@ -168,7 +169,7 @@
 void Placement::await_first(const Job& j, double within_s, Priority against) {
     const Machine* best = nullptr;
     double best_at = std::numeric_limits<double>::infinity();
-    const PlacementCost cost_of(v_, j);
+    const PlacementCost cost_of(cluster_, j);
     for (std::size_t p = 0; p < index_.machines().size(); ++p) {
         const auto& releases = releases_on(p);
         if (releases.empty() || releases.front().rest_s >= best_at)
@@ -193,7 +194,7 @@
     }
     if (best == nullptr)
         return;
-    out_.reserve(*best, j, 1, v_.now + s_.report_s, against);
+    proposals_.reserve(*best, j, 1, cluster_.now + settings_.report_s, against);
     room_changed(*best);
 }
 
@@ -202,7 +203,7 @@
 int Placement::make_room(const Job& j, double cap) {
     int left = std::min(static_cast<int>(j.pending.size()), quota_left(j)), made = 0;
     std::vector<Room> rooms;
-    const PlacementCost cost_of(v_, j);
+    const PlacementCost cost_of(cluster_, j);
     for (const auto* m : index_.machines()) {
         if (j.spec.each.fits(m->whole - m->used) || (m->reserved_for != &j && cost_of(*m) >= cap))
             continue; // nothing has to be stopped there, or it costs too much as it is
@@ -230,13 +231,13 @@
 // keep it from others.
 bool Placement::place_gang(const Job& j) {
     const int tasks = static_cast<int>(j.spec.tasks);
-    if (j.live > 0 || v_.now < j.room_until || quota_left(j) < tasks)
+    if (j.live > 0 || cluster_.now < j.room_until || quota_left(j) < tasks)
         return false;
-    out_.room_asked(j, v_.now + s_.report_s / 10); // looking at all machines takes time
+    proposals_.room_asked(j, cluster_.now + settings_.report_s / 10); // looking at all machines takes time
     std::vector<Room> best;
     double best_cost = 1e18;
     const bool may_stop = j.priority <= Priority::high;
-    const int tries = j.spec.one_zone ? static_cast<int>(s_.zones.size()) : 1;
+    const int tries = j.spec.one_zone ? static_cast<int>(settings_.zones.size()) : 1;
     for (int z = 0; z < tries; ++z) {
         std::vector<Room> rooms;
         for (const auto* m : index_.machines())
@@ -244,7 +245,7 @@
                 if (auto r = room_on(*m, j, tasks, gang_loss_weight); r.tasks > 0 && (r.ready || may_stop))
                     rooms.push_back(std::move(r));
         std::sort(rooms.begin(), rooms.end(), [](const Room& a, const Room& b) { return a.cost < b.cost; });
-        std::vector<std::uint32_t> zone(s_.zones.size());
+        std::vector<std::uint32_t> zone(settings_.zones.size());
         std::vector<Room> chosen;
         int left = tasks;
         double cost = 0;
@@ -274,7 +275,7 @@
             take_room(r, j);
         return false;
     }
-    out_.gang_whole(j);
+    proposals_.gang_whole(j);
     for (const auto& r : best)
         for (int n = 0; n < r.tasks; ++n)
             place(j, *r.machine);
--- a/src/scheduling/placement.cpp
+++ b/src/scheduling/placement.cpp
@@ -20,20 +20,20 @@
 // become empty and go back.
 void Placement::choose_pool() {
     Resources need, largest;
-    for (const auto& [id, j] : v_.jobs)
+    for (const auto& [id, j] : cluster_.jobs)
         if (j->spec.shape == Shape::service && j->final == Final::none && !j->waits) {
             need += j->spec.each * j->spec.tasks;
             largest.cpus = std::max(largest.cpus, j->spec.each.cpus);
             largest.memory_gb = std::max(largest.memory_gb, j->spec.each.memory_gb);
         }
-    need = need * (1 + s_.ops.headroom) + largest * static_cast<double>(s_.zones.size());
+    need = need * (1 + settings_.ops.headroom) + largest * static_cast<double>(settings_.zones.size());
     std::map<int, std::vector<const Machine*>> by_zone;
     std::vector<const Machine*> pool;
     std::size_t total = 0;
-    for (const auto& [id, m] : v_.machines) {
+    for (const auto& [id, m] : cluster_.machines) {
         if (m->spot || m->status != Status::up || m->bad || m->releasing || m->type < 0 || m->zone < 0)
             continue;
-        if (v_.types[static_cast<std::size_t>(m->type)].room.gpus > 0)
+        if (cluster_.types[static_cast<std::size_t>(m->type)].room.gpus > 0)
             continue;
         by_zone[m->zone].push_back(m.get());
         ++total;
@@ -52,7 +52,7 @@
             pool.push_back(list[k]);
             need -= list[k]->whole;
         }
-    out_.set_pool(pool, largest);
+    proposals_.set_pool(pool, largest);
 }
 
 // On ordinary machines what may use nothing else goes first, whatever its rank, until the others' aims are in
@@ -68,7 +68,7 @@
 }
 
 void Placement::place(const Job& j, const Machine& m) {
-    out_.place(j, m);
+    proposals_.place(j, m);
     room_changed(m);
 }
 
@@ -84,18 +84,18 @@
     if (j.team < 0)
         return 0;
     const auto* first = first_of_team_[static_cast<std::size_t>(j.team)];
-    return first != nullptr && first != &j ? 0 : v_.quota_room(j);
+    return first != nullptr && first != &j ? 0 : cluster_.quota_room(j);
 }
 
 // Small work goes first, so that most jobs are home in time; a large one might wait for ever. From a day on which
 // the largest array, as big as its team's whole limit, began after 396 s. One task of each that has waited for half
 // the time goes before all others; where there is no room or the team's limit is used up, both are kept for it.
 void Placement::begin_waiting(const std::vector<const Job*>& jobs) {
-    first_of_team_.assign(v_.teams.size(), nullptr);
+    first_of_team_.assign(cluster_.teams.size(), nullptr);
     std::vector<const Job*> late;
     for (const auto* j : jobs)
         if (j->spec.shape == Shape::array && j->live == 0 && j->done == 0 && j->team >= 0 &&
-            v_.now - j->ready > begin_share * s_.ops.begin_s)
+            cluster_.now - j->ready > begin_share * settings_.ops.begin_s)
             late.push_back(j);
     std::sort(late.begin(), late.end(), [](const Job* a, const Job* b) {
         return std::tie(a->ready, a->spec.id) < std::tie(b->ready, b->spec.id);
@@ -104,13 +104,13 @@
         auto& first = first_of_team_[static_cast<std::size_t>(j->team)];
         if (first != nullptr)
             continue;
-        if (v_.quota_room(*j) < 1) {
+        if (cluster_.quota_room(*j) < 1) {
             first = j;
             continue;
         }
-        if (place_batch({j}, 1, 1e18) > 0 || v_.now < j->room_until)
+        if (place_batch({j}, 1, 1e18) > 0 || cluster_.now < j->room_until)
             continue;
-        out_.room_asked(*j, v_.now + s_.report_s / 2);
+        proposals_.room_asked(*j, cluster_.now + settings_.report_s / 2);
         await_room(*j, 1, 1e18, Priority::critical);
     }
 }
@@ -120,9 +120,9 @@
     const double cost = cost_of(m);
     if (!m.pool || j.spec.shape != Shape::service)
         return cost;
-    const placement::Payoff f{s_.ops.alpha, s_.ops.beta, s_.ops.gamma};
-    const double gain = placement::pool_gain(f, j.on_pool, j.spec.tasks, s_.ops.target_share);
-    return std::max(0.0, cost + 1 - gain / s_.ops.gamma);
+    const placement::Payoff f{settings_.ops.alpha, settings_.ops.beta, settings_.ops.gamma};
+    const double gain = placement::pool_gain(f, j.on_pool, j.spec.tasks, settings_.ops.target_share);
+    return std::max(0.0, cost + 1 - gain / settings_.ops.gamma);
 }
 
 // New tasks go in batches of at most eight, without moves, placing the most, none above the cap.
@@ -132,14 +132,14 @@
     int left = most;
     std::vector<const Job*> jobs;
     for (auto* j : batch) {
-        out_.drop_settled(*j, true);
+        proposals_.drop_settled(*j, true);
         // Of one team only the first may use up its limit.
         if (team_left.contains(j->team))
             continue;
         const int n = std::min({left, static_cast<int>(j->pending.size()), quota_left(*j)});
         if (n <= 0)
             continue;
-        const auto& l = v_.teams[static_cast<std::size_t>(j->team)].limits;
+        const auto& l = cluster_.teams[static_cast<std::size_t>(j->team)].limits;
         if (l.cpus_max > 0 || l.gpus_max > 0)
             team_left[j->team] = 0;
         groups.push_back({j->spec.each, n, {}});
@@ -170,7 +170,7 @@
     for (std::size_t g = 0; g < groups.size(); ++g) {
         groups[g].cost.assign(bins.size(), -1);
         auto allowed = rooms[g].begin();
-        const PlacementCost cost_of(v_, *jobs[g]);
+        const PlacementCost cost_of(cluster_, *jobs[g]);
         for (std::size_t b = 0; b < bins.size() && allowed != rooms[g].end(); ++b) {
             if (positions[b] != *allowed)
                 continue;
@@ -180,7 +180,7 @@
                 groups[g].cost[b] = cost;
         }
     }
-    const auto plan = placement::match_batch(groups, bins, v_.common_shape);
+    const auto plan = placement::match_batch(groups, bins, cluster_.common_shape);
     int placed = 0;
     for (std::size_t g = 0; g < groups.size(); ++g)
         for (std::size_t b = 0; b < bins.size(); ++b)
@@ -193,19 +193,19 @@
 int Placement::place_single(const Job& j, double cap) {
     int placed = 0;
     while (!j.pending.empty() && quota_left(j) > 0) {
-        out_.drop_settled(j, false);
+        proposals_.drop_settled(j, false);
         if (j.pending.empty())
             break;
         const Machine* best = nullptr;
         double best_cost = cap;
-        const PlacementCost cost_of(v_, j);
+        const PlacementCost cost_of(cluster_, j);
         for (const auto p : find_room(j)) {
             const auto* m = index_.machines()[p];
             const auto free = m->whole - m->used;
             double cost = cost_of(*m);
             if (j.spec.spread)
                 cost += j.zone_live[static_cast<std::size_t>(m->zone)];
-            cost += placement::fragmentation(free - j.spec.each, m->whole, v_.common_shape);
+            cost += placement::fragmentation(free - j.spec.each, m->whole, cluster_.common_shape);
             if (cost < best_cost) {
                 best_cost = cost;
                 best = m;
@@ -226,22 +226,22 @@
         if (j.spec.spread || j.spec.one_zone)
             return place_single(j, cap);
         int placed = 0, n = 0;
-        while ((n = place_batch({&j}, s_.ops.batch, cap)) > 0)
+        while ((n = place_batch({&j}, settings_.ops.batch, cap)) > 0)
             placed += n;
         return placed;
     };
     int placed = place(good_place_s);
     if (j.pending.empty() || quota_left(j) <= 0)
         return placed;
-    if (v_.now < j.room_until && j.good_room)
+    if (cluster_.now < j.room_until && j.good_room)
         return placed; // being made
     double free_cost = 1e18;
-    const PlacementCost cost_of(v_, j);
+    const PlacementCost cost_of(cluster_, j);
     for (const auto p : index_.find(j, RoomIndex::PlainMachines::included))
         free_cost = std::min(free_cost, cost_of(*index_.machines()[p]));
-    out_.good_room(j, v_.now >= j.room_until && make_room(j, free_cost) > 0);
+    proposals_.good_room(j, cluster_.now >= j.room_until && make_room(j, free_cost) > 0);
     if (j.good_room)
-        out_.room_asked(j, v_.now + s_.report_s / 6);
+        proposals_.room_asked(j, cluster_.now + settings_.report_s / 6);
     else
         placed += place(1e18);
     return placed;
@@ -254,19 +254,19 @@
 }
 
 void Placement::schedule() {
-    if (v_.types.empty() || v_.unproven())
+    if (cluster_.types.empty() || cluster_.unproven())
         return;
-    out_.mark_guarantees();
+    proposals_.mark_guarantees();
     choose_pool();
     begin_pass();
-    auto shape = v_.common_shape;
-    const auto jobs = waiting_jobs(v_, shape);
+    auto shape = cluster_.common_shape;
+    const auto jobs = waiting_jobs(cluster_, shape);
     waiting_ = jobs.size();
     begin_waiting(jobs);
     ordinary_waits_ = std::any_of(jobs.begin(), jobs.end(), [this](const Job* j) {
         return j->spec.shape == Shape::array && !j->spec.spot && quota_left(*j) > 0;
     });
-    out_.set_common_shape(shape);
+    proposals_.set_common_shape(shape);
     std::vector<NoRoom> failed;
     int budget = 64; // placements a pass, so that beats and users are not kept waiting
     for (std::size_t k = 0; k < jobs.size() && budget > 0; ++k) {
@@ -283,7 +283,7 @@
         ask_for_room(j);
     }
     if (budget <= 0)
-        out_.request_pass();
+        proposals_.request_pass();
 }
 
 // If a smaller task found no place, a larger one won't.
@@ -317,7 +317,7 @@
         return place_single(j, 1e18);
     std::vector<const Job*> batch{&j};
     std::size_t total = j.pending.size();
-    for (std::size_t i = at + 1; i < jobs.size() && total < static_cast<std::size_t>(s_.ops.batch); ++i) {
+    for (std::size_t i = at + 1; i < jobs.size() && total < static_cast<std::size_t>(settings_.ops.batch); ++i) {
         const auto& o = jobs[i]->spec;
         if (o.shape == Shape::gang || o.spread || o.one_zone || jobs[i]->priority != j.priority)
             break;
@@ -325,17 +325,17 @@
         total += jobs[i]->pending.size();
     }
     int placed = 0, n = 0;
-    while (placed < budget && (n = place_batch(batch, s_.ops.batch, 1e18)) > 0)
+    while (placed < budget && (n = place_batch(batch, settings_.ops.batch, 1e18)) > 0)
         placed += n;
     return placed;
 }
 
 // Urgent work keeps the machines where room comes first, or once it has waited for too long takes it.
 void Placement::ask_for_room(const Job& j) {
-    if (j.spec.shape == Shape::gang || j.priority > Priority::high || v_.now < j.room_until)
+    if (j.spec.shape == Shape::gang || j.priority > Priority::high || cluster_.now < j.room_until)
         return;
-    out_.room_asked(j, v_.now + s_.report_s / 2);
-    const double left = j.ready + patience_s(v_, j) - v_.now;
+    proposals_.room_asked(j, cluster_.now + settings_.report_s / 2);
+    const double left = j.ready + patience_s(cluster_, j) - cluster_.now;
     if (left > 0)
         await_room(j, static_cast<int>(j.spec.tasks), left, j.priority);
     else
--- a/src/scheduling/placement_cost.cpp
+++ b/src/scheduling/placement_cost.cpp
@@ -39,16 +39,16 @@
 double PlacementCost::spot_risk() const {
     if (spot_risk_ >= 0)
         return spot_risk_;
-    const auto& s = v_.settings;
-    const double run = std::max(1.0, j_.spec.estimate_s) * v_.learned.bias();
-    const double due = v_.due_at(j_);
-    const bool tight = j_.latest >= 0 || (due >= 0 && due - v_.now < 2 * run + s.lease_s);
-    spot_risk_ = spot_loss_rate(v_) * run * (tight ? tight_loss_s : s.lease_s);
+    const auto& s = cluster_.settings;
+    const double run = std::max(1.0, j_.spec.estimate_s) * cluster_.learned.bias();
+    const double due = cluster_.due_at(j_);
+    const bool tight = j_.latest >= 0 || (due >= 0 && due - cluster_.now < 2 * run + s.lease_s);
+    spot_risk_ = spot_loss_rate(cluster_) * run * (tight ? tight_loss_s : s.lease_s);
     return spot_risk_;
 }
 
 double PlacementCost::operator()(const Machine& m) const {
-    const auto& v = v_;
+    const auto& v = cluster_;
     const auto& j = j_;
     const auto& t = v.types[static_cast<std::size_t>(m.type)];
     double cost = 0;
--- a/src/scheduling/rebalancer.cpp
+++ b/src/scheduling/rebalancer.cpp
@@ -20,7 +20,7 @@
 const Machine* Rebalancer::place_to_move(const Entry& e, const std::vector<const Machine*>& to,
                                          Planned& planned) const {
     for (auto* m : to) {
-        if (m == e.machine || !usable(v_, *m, *e.job) || !m->has_image(e.job->image))
+        if (m == e.machine || !usable(cluster_, *m, *e.job) || !m->has_image(e.job->image))
             continue;
         auto& taken = planned[m];
         if (!(e.job->spec.each + taken).fits(m->whole - m->used))
@@ -32,24 +32,25 @@
 }
 
 void Rebalancer::move_away(const Entry& e) {
-    out_.move_away(e, e.job->spec.checkpoint_s > 0 ? e.job->spec.save_s + 1 : 0);
+    proposals_.move_away(e, e.job->spec.checkpoint_s > 0 ? e.job->spec.save_s + 1 : 0);
 }
 
 // Only service tasks, or tasks of no gang that are under a minute old, are moved; and none before
 // its start counts for its user.
 bool Rebalancer::movable(const Entry& e) const {
-    return !e.stop && e.phase == Phase::running && v_.now - e.running_at > start_counts_s &&
+    return !e.stop && e.phase == Phase::running && cluster_.now - e.running_at > start_counts_s &&
            e.job->final == Final::none &&
-           (e.job->spec.shape == Shape::service || (e.job->spec.shape == Shape::array && v_.now - e.placed_at < 60));
+           (e.job->spec.shape == Shape::service ||
+            (e.job->spec.shape == Shape::array && cluster_.now - e.placed_at < 60));
 }
 
 // Pull-back from overflow to the pool, then reordering, both capped.
 void Rebalancer::rebalance() {
-    if (v_.types.empty())
+    if (cluster_.types.empty())
         return;
     // Room for urgent work that waits comes first.
     double replicas = 0;
-    for (const auto& [id, j] : v_.jobs) {
+    for (const auto& [id, j] : cluster_.jobs) {
         if (j->final != Final::none)
             continue;
         if (!j->pending.empty() && j->priority <= Priority::high)
@@ -60,8 +61,8 @@
     const int more = static_cast<int>(replicas * moved_share);
     Resources pool;
     std::vector<const Machine*> pool_machines, others, leaving;
-    for (const auto& [id, m] : v_.machines) {
-        if (!serves(v_, *m))
+    for (const auto& [id, m] : cluster_.machines) {
+        if (!serves(cluster_, *m))
             continue;
         if (m->retiring)
             leaving.push_back(m.get());
@@ -76,26 +77,27 @@
     std::stable_sort(pool_machines.begin(), pool_machines.end(), fullest);
     std::stable_sort(others.begin(), others.end(), fullest);
     Planned planned;
-    if (s_.ops.pull_back_cap > 0)
-        pull_back(pool_machines, pool, s_.ops.pull_back_cap + more, planned);
-    if (s_.ops.reorder_cap > 0) {
+    if (settings_.ops.pull_back_cap > 0)
+        pull_back(pool_machines, pool, settings_.ops.pull_back_cap + more, planned);
+    if (settings_.ops.reorder_cap > 0) {
         auto to = pool_machines;
         to.insert(to.end(), others.begin(), others.end());
-        reorder(pool_machines, leaving, to, s_.ops.reorder_cap + more, planned);
+        reorder(pool_machines, leaving, to, settings_.ops.reorder_cap + more, planned);
     }
 }
 
 void Rebalancer::pull_back(const std::vector<const Machine*>& pool_machines, const Resources& pool, int cap,
                            Planned& planned) {
-    const placement::Payoff f{s_.ops.alpha, s_.ops.beta, s_.ops.gamma};
+    const placement::Payoff f{settings_.ops.alpha, settings_.ops.beta, settings_.ops.gamma};
     std::vector<std::pair<double, const Entry*>> list;
-    for (const auto& [id, m] : v_.machines) {
+    for (const auto& [id, m] : cluster_.machines) {
         if (m->status != Status::up || m->pool)
             continue;
         for (const auto& e : m->entries) {
             if (!movable(*e) || e->job->spec.shape != Shape::service)
                 continue;
-            const double gain = placement::pool_gain(f, e->job->on_pool, e->job->spec.tasks, s_.ops.target_share);
+            const double gain =
+                placement::pool_gain(f, e->job->on_pool, e->job->spec.tasks, settings_.ops.target_share);
             // From a machine that is to become empty first: it costs until it is.
             list.emplace_back(gain / placement::task_size(e->job->spec.each, pool) * (m->retiring ? 2 : 1), e.get());
         }
@@ -128,7 +130,7 @@
             --cap;
         }
     auto frag = [&](const Machine& m, const Resources& extra) {
-        return placement::fragmentation(m.whole - m.used + extra, m.whole, v_.common_shape);
+        return placement::fragmentation(m.whole - m.used + extra, m.whole, cluster_.common_shape);
     };
     std::sort(pool_machines.begin(), pool_machines.end(),
               [&](const Machine* a, const Machine* b) { return frag(*a, {}) > frag(*b, {}); });
@@ -143,7 +145,7 @@
             ++looked;
             for (auto* other : pool_machines) {
                 const auto& each = e->job->spec.each;
-                if (other == &from || !usable(v_, *other, *e->job) || !each.fits(other->whole - other->used) ||
+                if (other == &from || !usable(cluster_, *other, *e->job) || !each.fits(other->whole - other->used) ||
                     !other->has_image(e->job->image))
                     continue;
                 const double before = frag(from, {}) + frag(*other, {});
--- a/src/scheduling/room_index.cpp
+++ b/src/scheduling/room_index.cpp
@@ -52,11 +52,11 @@
     if (m.status != Status::up || m.draining || m.bad || m.releasing || m.retiring || m.type < 0 || m.zone < 0 ||
         !m.proven || m.inbound_unreachable())
         return false;
-    return v_.now >= m.avoid_until && v_.now <= m.last_heartbeat_at + 1.5 * v_.settings.report_s;
+    return cluster_.now >= m.avoid_until && cluster_.now <= m.last_heartbeat_at + 1.5 * cluster_.settings.report_s;
 }
 
 bool RoomIndex::is_reserved(const Machine& m) const {
-    return m.reserved_for != nullptr && v_.now < m.reserved_until;
+    return m.reserved_for != nullptr && cluster_.now < m.reserved_until;
 }
 
 Resources RoomIndex::service_room(const Machine& m) const {
@@ -64,10 +64,10 @@
 }
 
 Resources RoomIndex::task_room(const Machine& m) const {
-    if (is_reserved(m) || v_.now < m.slow_until)
+    if (is_reserved(m) || cluster_.now < m.slow_until)
         return no_room;
     const auto free = m.whole - m.used;
-    return m.pool ? free - v_.service_shape * 2 + Resources{rounding, rounding, rounding} : free;
+    return m.pool ? free - cluster_.service_shape * 2 + Resources{rounding, rounding, rounding} : free;
 }
 
 void RoomIndex::rebuild() {
@@ -79,7 +79,7 @@
         g.service_rooms.clear();
         g.task_rooms.clear();
     }
-    for (const auto& [id, m] : v_.machines) {
+    for (const auto& [id, m] : cluster_.machines) {
         if (!takes_work(*m))
             continue;
         const auto at = static_cast<std::uint32_t>(machines_.size());
@@ -126,7 +126,7 @@
     const auto& any = *machines_[g.members.front()];
     if (which == PlainMachines::left_out && plain(any))
         return false;
-    return v_.allowed_there(j, any);
+    return cluster_.allowed_there(j, any);
 }
 
 void RoomIndex::find_reserved(const Job& j, PlainMachines which, std::vector<std::uint32_t>& found) const {
@@ -153,7 +153,7 @@
     }
     find_reserved(j, which, positions);
     std::sort(positions.begin(), positions.end());
-    std::erase_if(positions, [&](std::uint32_t p) { return !usable(v_, *machines_[p], j); });
+    std::erase_if(positions, [&](std::uint32_t p) { return !usable(cluster_, *machines_[p], j); });
     return positions;
 }
 
--- a/src/scheduling/slow_machines.cpp
+++ b/src/scheduling/slow_machines.cpp
@@ -17,7 +17,7 @@
 // A machine that is taken back: what saves is told to save, what cannot end in time is stopped
 // so that it starts elsewhere at once.
 void Placement::drain_noticed() {
-    for (const auto& [id, m] : v_.machines) {
+    for (const auto& [id, m] : cluster_.machines) {
         if (!m->draining || m->entries.empty())
             continue;
         for (auto& owned : m->entries) {
@@ -25,21 +25,22 @@
             const auto& s = e.job->spec;
             if (e.stop || e.phase < Phase::sent)
                 continue;
-            const double left = m->notice_until - v_.now;
-            const double rest = s.estimate_s > 0 && e.running_at >= 0 ? s.estimate_s - (v_.now - e.running_at) : 1e9;
+            const double left = m->notice_until - cluster_.now;
+            const double rest =
+                s.estimate_s > 0 && e.running_at >= 0 ? s.estimate_s - (cluster_.now - e.running_at) : 1e9;
             if (s.checkpoint_s <= 0 && rest > 0 && rest < left / 2)
                 continue;
-            out_.stop(e, s.checkpoint_s > 0 ? s.save_s + 1 : 0);
+            proposals_.stop(e, s.checkpoint_s > 0 ? s.save_s + 1 : 0);
         }
     }
 }
 
 void Placement::find_slow() {
-    if (v_.now < next_slow_)
+    if (cluster_.now < next_slow_)
         return;
-    next_slow_ = v_.now + s_.report_s / 3;
-    for (const auto& [id, m] : v_.machines) {
-        if (!serves(v_, *m) || v_.now < m->slow_until)
+    next_slow_ = cluster_.now + settings_.report_s / 3;
+    for (const auto& [id, m] : cluster_.machines) {
+        if (!serves(cluster_, *m) || cluster_.now < m->slow_until)
             continue;
         int over = 0;
         for (const auto& e : m->entries) {
@@ -53,14 +54,14 @@
             // Where it is as slow elsewhere, the task is long, not the machine: from a day on which the last
             // task of an import was restarted every 35 s for ever, and its pipeline with it.
             const int blamed = e->job->tasks[e->index].blamed;
-            const double limit = much * j.longest_run * (1 << (2 * blamed)) + s_.report_s / 3;
-            const double ran = v_.now - e->running_at;
+            const double limit = much * j.longest_run * (1 << (2 * blamed)) + settings_.report_s / 3;
+            const double ran = cluster_.now - e->running_at;
             // One task may be longer than its siblings by itself, even the longest of thousands: two are the
             // machine's doing, or one that goes on and on. From quiet days on which each hour 70 machines were
             // taken for slow and the last task of a job, nearly through, began anew.
             if (ran < limit || (++over < 2 && ran < sure_of_one * limit))
                 continue;
-            out_.blame(*e);
+            proposals_.blame(*e);
             mark_slow(*m);
             break;
         }
@@ -70,23 +71,24 @@
 // A machine that is slow takes no work that has a speed for a while, longer each time; what has not
 // run for long there starts again elsewhere.
 void Placement::mark_slow(const Machine& m) {
-    if (v_.now < m.slow_until)
+    if (cluster_.now < m.slow_until)
         return;
-    const auto slow = std::count_if(v_.machines.begin(), v_.machines.end(),
-                                    [this](const auto& x) { return v_.now < x.second->slow_until; });
-    if (static_cast<double>(slow) > max_slow * static_cast<double>(v_.machines.size()))
+    const auto slow = std::count_if(cluster_.machines.begin(), cluster_.machines.end(),
+                                    [this](const auto& x) { return cluster_.now < x.second->slow_until; });
+    if (static_cast<double>(slow) > max_slow * static_cast<double>(cluster_.machines.size()))
         return; // it is not them
-    out_.slow(m, v_.now + 2 * s_.lease_s * (1 << std::min(m.slow_seen, 4)));
-    out_.log(1, fmt::format("machine {} is slow", m.id));
+    proposals_.slow(m, cluster_.now + 2 * settings_.lease_s * (1 << std::min(m.slow_seen, 4)));
+    proposals_.log(1, fmt::format("machine {} is slow", m.id));
     for (const auto& e : m.entries) {
         const auto& j = *e->job;
         if (e->stop || j.spec.shape != Shape::array || e->phase < Phase::sent)
             continue;
-        const double whole = j.runs >= few_runs ? j.longest_run : std::max(1.0, j.spec.estimate_s) * v_.learned.bias();
-        const double ran = e->phase == Phase::running ? v_.now - e->running_at : 0;
+        const double whole =
+            j.runs >= few_runs ? j.longest_run : std::max(1.0, j.spec.estimate_s) * cluster_.learned.bias();
+        const double ran = e->phase == Phase::running ? cluster_.now - e->running_at : 0;
         if (ran > 2 * whole)
             continue; // nearly through all the same
-        out_.stop(*e, j.spec.checkpoint_s > 0 ? 4 * j.spec.save_s + 1 : 0);
+        proposals_.stop(*e, j.spec.checkpoint_s > 0 ? 4 * j.spec.save_s + 1 : 0);
     }
 }
 
--- a/src/store/file_data.cpp
+++ b/src/store/file_data.cpp
@@ -198,35 +198,36 @@
     class Statement {
     public:
         Statement(sqlite3* db, const std::string& path, const std::string& sql) : db_(db), path_(path) {
-            check(sqlite3_prepare_v3(db, sql.c_str(), -1, SQLITE_PREPARE_PERSISTENT, &s_, nullptr), SQLITE_OK);
+            check(sqlite3_prepare_v3(db, sql.c_str(), -1, SQLITE_PREPARE_PERSISTENT, &statement_, nullptr), SQLITE_OK);
         }
         ~Statement() {
-            sqlite3_finalize(s_);
+            sqlite3_finalize(statement_);
         }
         Statement(const Statement&) = delete;
         Statement& operator=(const Statement&) = delete;
 
         Statement& reset() {
-            sqlite3_reset(s_);
+            sqlite3_reset(statement_);
             return *this;
         }
         Statement& bind(int at, const std::string& text) {
-            check(sqlite3_bind_text(s_, at, text.data(), static_cast<int>(text.size()), SQLITE_TRANSIENT), SQLITE_OK);
+            check(sqlite3_bind_text(statement_, at, text.data(), static_cast<int>(text.size()), SQLITE_TRANSIENT),
+                  SQLITE_OK);
             return *this;
         }
         Statement& bind(int at, std::uint64_t n) {
-            check(sqlite3_bind_int64(s_, at, static_cast<sqlite3_int64>(n)), SQLITE_OK);
+            check(sqlite3_bind_int64(statement_, at, static_cast<sqlite3_int64>(n)), SQLITE_OK);
             return *this;
         }
         void bind_null(int at) {
-            sqlite3_bind_null(s_, at);
+            sqlite3_bind_null(statement_, at);
         }
         bool row() {
-            const int e = sqlite3_step(s_);
+            const int e = sqlite3_step(statement_);
             if (e == SQLITE_ROW)
                 return true;
             check(e, SQLITE_DONE);
-            sqlite3_reset(s_);
+            sqlite3_reset(statement_);
             return false;
         }
         void run() {
@@ -234,14 +235,14 @@
             }
         }
         std::string text(int at) {
-            const auto* p = reinterpret_cast<const char*>(sqlite3_column_text(s_, at));
-            return p == nullptr ? "" : std::string(p, static_cast<std::size_t>(sqlite3_column_bytes(s_, at)));
+            const auto* p = reinterpret_cast<const char*>(sqlite3_column_text(statement_, at));
+            return p == nullptr ? "" : std::string(p, static_cast<std::size_t>(sqlite3_column_bytes(statement_, at)));
         }
         std::uint64_t number(int at) {
-            return static_cast<std::uint64_t>(sqlite3_column_int64(s_, at));
+            return static_cast<std::uint64_t>(sqlite3_column_int64(statement_, at));
         }
         bool null(int at) {
-            return sqlite3_column_type(s_, at) == SQLITE_NULL;
+            return sqlite3_column_type(statement_, at) == SQLITE_NULL;
         }
 
     private:
@@ -251,7 +252,7 @@
         }
         sqlite3* db_;
         const std::string& path_;
-        sqlite3_stmt* s_ = nullptr;
+        sqlite3_stmt* statement_ = nullptr;
     };
 
     static std::uint64_t number(std::int64_t n) {
--- a/src/workers/heartbeat_handler.cpp
+++ b/src/workers/heartbeat_handler.cpp
@@ -33,7 +33,7 @@
 
 HeartbeatHandler::HeartbeatHandler(const Settings& s, TimerQueue& timers, Executor& executor, Peers& peers,
                                    membership::Membership& members, metrics::Timings& took, Host& host)
-    : s_(s), timers_(timers), executor_(executor), peers_(peers), members_(members), took_(took), host_(host),
+    : settings_(s), timers_(timers), executor_(executor), peers_(peers), members_(members), took_(took), host_(host),
       max_sent_away_(entries_in_share(s.memory_mb, sent_away_memory_share, sent_away_bytes)),
       max_early_bytes_(bytes_in_share(s.memory_mb, early_memory_share)),
       max_relays_(static_cast<std::size_t>(s.fd_limit / sockets_per_relay)) {
@@ -47,7 +47,7 @@
 
 HeartbeatResponse HeartbeatHandler::not_leader_response() const {
     const auto& leader = host_.leader();
-    const bool other = !leader.empty() && leader != s_.name;
+    const bool other = !leader.empty() && leader != settings_.name;
     return {other ? 421 : 503, 0, {}, other ? leader : ""};
 }
 
@@ -142,10 +142,10 @@
     const double t = timers_.now();
     if (t < next_sent_away_sweep_)
         return false;
-    next_sent_away_sweep_ = t + s_.report_s;
+    next_sent_away_sweep_ = t + settings_.report_s;
     std::erase_if(redirected_, [&](const auto& entry) {
         const auto& sent = entry.second;
-        return sent.leader != host_.leader() || t - sent.came_at > s_.lease_s;
+        return sent.leader != host_.leader() || t - sent.came_at > settings_.lease_s;
     });
     return redirected_.size() < max_sent_away_;
 }
@@ -168,9 +168,9 @@
     const bool known = last.leader == leader;
     if (known) {
         const double since = t - last.at;
-        const bool back = last.at >= 0 && since < s_.lease_s / 2;
+        const bool back = last.at >= 0 && since < settings_.lease_s / 2;
         if (back && since >= worker_waits_s)
-            last.relay_until = t + s_.lease_s;
+            last.relay_until = t + settings_.lease_s;
         if (back || t < last.relay_until) {
             last.at = -1;
             return reached ? Route::relay : Route::next;
@@ -180,7 +180,7 @@
     // It has heard this leader and left it all the same: answers from there do not reach it any more.
     if (known || !host_.is_of_leader_term(r.fencing_token))
         return Route::leader;
-    last.relay_until = t + s_.lease_s;
+    last.relay_until = t + settings_.lease_s;
     last.at = -1;
     return reached ? Route::relay : Route::next;
 }
@@ -243,7 +243,7 @@
             o.prefer_relay || members_.zone(zone) == membership::Reachability::unreachable)
             if (const auto by = members_.relay_to(zone); by)
                 return send_by(*by, o, std::move(done));
-    executor_.command(o, s_.report_s / 2, [this, done = std::move(done)](OrdersAnswered&& a) {
+    executor_.command(o, settings_.report_s / 2, [this, done = std::move(done)](OrdersAnswered&& a) {
         if (a.status != 0)
             members_.machine_answered();
         done(std::move(a));
@@ -254,7 +254,7 @@
                                std::function<void(OrdersAnswered&&)> done) {
     ++took_.relayed_by_others;
     peers_.request(Lane::relays, peer, "POST", std::string(peer_relay) + o.addr,
-                   codec::commands(o.fencing_token, o.agent_epoch, o.orders), s_.report_s / 2,
+                   codec::commands(o.fencing_token, o.agent_epoch, o.orders), settings_.report_s / 2,
                    [this, done = std::move(done), id = o.machine, batch = o.batch](HttpReply&& r) {
                        OrdersAnswered a{id, batch, r.status, r.sent, std::nullopt};
                        if (r.status == 200 || r.status == 409) {
@@ -282,7 +282,7 @@
     }
     ++relaying_;
     ++took_.relayed;
-    executor_.forward(r.query.substr(to.size()), std::move(r.body), s_.report_s / 3, [this, res](HttpReply&& a) {
+    executor_.forward(r.query.substr(to.size()), std::move(r.body), settings_.report_s / 3, [this, res](HttpReply&& a) {
         --relaying_;
         if (a.status != 0)
             return res.send(a.status, a.body);
