--- a/apps/heronshift/main.cpp
+++ b/apps/heronshift/main.cpp
@@ -35,13 +35,13 @@
         const auto since = m.time.time_since_epoch();
         const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(since).count();
         const auto level = spdlog::level::to_string_view(m.level);
-        nlohmann::ordered_json j{{"time", fmt::format("{:%Y-%m-%dT%H:%M:%S}.{:03}Z",
-                                                      fmt::gmtime(static_cast<std::time_t>(ms / 1000)), ms % 1000)},
-                                 {"level", std::string(level.data(), level.size())}};
+        nlohmann::ordered_json json{{"time", fmt::format("{:%Y-%m-%dT%H:%M:%S}.{:03}Z",
+                                                         fmt::gmtime(static_cast<std::time_t>(ms / 1000)), ms % 1000)},
+                                    {"level", std::string(level.data(), level.size())}};
         if (!node_.empty())
-            j["node"] = node_;
-        j["message"] = std::string(m.payload.data(), m.payload.size());
-        const auto text = j.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace) + "\n";
+            json["node"] = node_;
+        json["message"] = std::string(m.payload.data(), m.payload.size());
+        const auto text = json.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace) + "\n";
         out.append(text.data(), text.data() + text.size());
     }
     [[nodiscard]] std::unique_ptr<spdlog::formatter> clone() const override {
@@ -65,10 +65,10 @@
 }
 
 heronshift::Settings read(const std::string& config, const std::string& operators) {
-    auto s = heronshift::load_settings(config);
+    auto settings = heronshift::load_settings(config);
     if (!operators.empty())
-        s.ops = heronshift::load_operator_settings(operators, s.report_s);
-    return s;
+        settings.ops = heronshift::load_operator_settings(operators, settings.report_s);
+    return settings;
 }
 
 void hold_against(const std::string& file, const char* schema, std::string (*as_json)(const std::string&)) {
@@ -76,13 +76,14 @@
         throw heronshift::SettingsError(file + ": " + why);
 }
 
-int run(heronshift::Settings s, std::unique_ptr<heronshift::replay::CommandLog> log, const std::string& state_file) {
+int run(heronshift::Settings settings, std::unique_ptr<heronshift::replay::CommandLog> log,
+        const std::string& state_file) {
     std::signal(SIGPIPE, SIG_IGN);
     auto* loop = uv_default_loop();
     heronshift::Node::Parts parts;
     if (!state_file.empty())
-        parts.state = store::file_store(loop, state_file, s.txn_ops, s.value_kb);
-    heronshift::Node node(loop, std::move(s), std::move(parts));
+        parts.state = store::file_store(loop, state_file, settings.txn_ops, settings.value_kb);
+    heronshift::Node node(loop, std::move(settings), std::move(parts));
     if (log)
         node.record(std::move(log));
     if (const int e = node.start(); e != 0) {
@@ -120,8 +121,8 @@
         std::cout << fmt::format("the same: {} terms, {} batches, {} commands, {} effects{}\n", r.terms, r.batches,
                                  r.commands, r.effects, r.cut ? "; the log is cut off after these" : "");
         return 0;
-    } catch (const heronshift::replay::LogError& e) {
-        std::cerr << "heronshift: " << e.what() << "\n";
+    } catch (const heronshift::replay::LogError& error) {
+        std::cerr << "heronshift: " << error.what() << "\n";
         return 2;
     }
 }
@@ -228,10 +229,10 @@
     replay_verb->add_flag("--allow-cut", allow_cut, "accept a log whose writer was killed");
     try {
         app.parse(argc, argv);
-    } catch (const CLI::ParseError& e) {
-        if (e.get_exit_code() == 0)
-            return app.exit(e); // help and version
-        std::cerr << "heronshift: " << e.what() << "\n";
+    } catch (const CLI::ParseError& error) {
+        if (error.get_exit_code() == 0)
+            return app.exit(error); // help and version
+        std::cerr << "heronshift: " << error.what() << "\n";
         return 2;
     }
     if (schema_verb->parsed()) {
@@ -282,8 +283,8 @@
                 cloud.workers.nodes.emplace_back(n.substr(0, eq), local_ns::address(n.substr(eq + 1)).str());
             }
             return local_ns::run_cloud(at, std::move(cloud));
-        } catch (const heronshift::SettingsError& e) {
-            std::cerr << "heronshift: " << e.what() << "\n";
+        } catch (const heronshift::SettingsError& error) {
+            std::cerr << "heronshift: " << error.what() << "\n";
             return 2;
         }
     }
@@ -293,8 +294,8 @@
         try {
             store::back_up(backup_from, backup_to);
             return 0;
-        } catch (const store::StoreError& e) {
-            std::cerr << "heronshift: " << e.what() << "\n";
+        } catch (const store::StoreError& error) {
+            std::cerr << "heronshift: " << error.what() << "\n";
             return 2;
         }
     }
@@ -321,14 +322,14 @@
             log = std::make_unique<heronshift::replay::CommandLog>(command_log,
                                                                    static_cast<std::uint64_t>(command_log_mb * 1e6));
         return run(std::move(s), std::move(log), state_file);
-    } catch (const store::StoreError& e) {
-        std::cerr << "heronshift: --state-file: " << e.what() << "\n";
+    } catch (const store::StoreError& error) {
+        std::cerr << "heronshift: --state-file: " << error.what() << "\n";
         return 2;
-    } catch (const heronshift::replay::LogError& e) {
-        std::cerr << "heronshift: --command-log: " << e.what() << "\n";
+    } catch (const heronshift::replay::LogError& error) {
+        std::cerr << "heronshift: --command-log: " << error.what() << "\n";
         return 2;
-    } catch (const heronshift::SettingsError& e) {
-        std::cerr << "heronshift: " << e.what() << "\n";
+    } catch (const heronshift::SettingsError& error) {
+        std::cerr << "heronshift: " << error.what() << "\n";
         return 2;
     }
 }
--- a/include/heronshift/cloud/cloud_client.hpp
+++ b/include/heronshift/cloud/cloud_client.hpp
@@ -26,12 +26,12 @@
         virtual ~Host() = default;
         [[nodiscard]] virtual bool is_active_leader() const = 0; // at this moment
         [[nodiscard]] virtual bool is_leader() const = 0;        // this node is the leader
-        virtual void push(Command c) = 0;                        // to the core, if there is one
+        virtual void push(Command command) = 0;                  // to the core, if there is one
         virtual void cloud_answered(bool ok) = 0;
     };
-    CloudClient(const Settings& s, TimerQueue& timers, store::StateStore& store, Executor& executor, Host& host)
-        : settings_(s), timers_(timers), store_(store), executor_(executor), host_(host),
-          budget_(s.cloud_rps * 0.8, std::max(1.0, s.cloud_rps)) {}
+    CloudClient(const Settings& settings, TimerQueue& timers, store::StateStore& store, Executor& executor, Host& host)
+        : settings_(settings), timers_(timers), store_(store), executor_(executor), host_(host),
+          budget_(settings.cloud_rps * 0.8, std::max(1.0, settings.cloud_rps)) {}
 
     void start() {
         learn_types();
--- a/include/heronshift/cluster/cluster_data.hpp
+++ b/include/heronshift/cluster/cluster_data.hpp
@@ -150,7 +150,7 @@
     }
     [[nodiscard]] bool has_image(int image) const {
         return std::any_of(images.begin(), images.end(),
-                           [&](const CachedImage& c) { return c.image == image && c.ready; });
+                           [&](const CachedImage& cached) { return cached.image == image && cached.ready; });
     }
 };
 
@@ -207,9 +207,9 @@
         return it == jobs.end() ? nullptr : it->second.get();
     }
     [[nodiscard]] const MachineType* type_of(const std::string& name) const {
-        for (const auto& t : types)
-            if (t.name == name)
-                return &t;
+        for (const auto& type : types)
+            if (type.name == name)
+                return &type;
         return nullptr;
     }
     [[nodiscard]] bool unproven() const {
@@ -218,17 +218,17 @@
     // Over which work and losses are averaged.
     [[nodiscard]] double average_s() const;
     // CPU seconds that the tasks not done yet take by their owner's estimate.
-    [[nodiscard]] double work_left(const Job& j) const;
+    [[nodiscard]] double work_left(const Job& job) const;
     // When a job should be complete, by its owner's deadline, by those that need it or by the aim of
     // its class; below zero: none.
-    [[nodiscard]] double due_at(const Job& j) const;
+    [[nodiscard]] double due_at(const Job& job) const;
     // How many more tasks the team's limit allows.
-    [[nodiscard]] int quota_room(const Job& j) const;
+    [[nodiscard]] int quota_room(const Job& job) const;
     // The rules of where a task of this job may run, given all that may be on machines now: nothing
     // before its needs are done, type, zone, kind, room, quota. Empty: it may. Every placement passes.
-    [[nodiscard]] const char* refusal(const Job& j, const Machine& m) const;
+    [[nodiscard]] const char* refusal(const Job& job, const Machine& machine) const;
     // The part of it that is about the place: type, zone and kind.
-    [[nodiscard]] bool allowed_there(const Job& j, const Machine& m) const;
+    [[nodiscard]] bool allowed_there(const Job& job, const Machine& machine) const;
 };
 
 } // namespace heronshift::cluster
--- a/include/heronshift/cluster/cluster_state.hpp
+++ b/include/heronshift/cluster/cluster_state.hpp
@@ -29,13 +29,13 @@
 class PersistenceListener {
 public:
     virtual ~PersistenceListener() = default;
-    virtual void added(Job& j) = 0;
-    virtual void added(Entry& e) = 0;
-    virtual void removed(Entry& e) = 0;
+    virtual void added(Job& job) = 0;
+    virtual void added(Entry& entry) = 0;
+    virtual void removed(Entry& entry) = 0;
     enum class Urgency : std::uint8_t { cancelled, done, cancelled_with_dependency };
-    virtual void final_due(Job& j, Urgency u) = 0; // its final state, or that nothing is left of it
-    virtual void progressed(Job& j) = 0;
-    virtual void became_ready(Job& j) = 0;
+    virtual void final_due(Job& job, Urgency urgency) = 0; // its final state, or that nothing is left of it
+    virtual void progressed(Job& job) = 0;
+    virtual void became_ready(Job& job) = 0;
 };
 
 class ClusterState final : public Proposals {
@@ -52,40 +52,40 @@
     }
 
     // What the world says.
-    void add_job(JobStored& c);
-    void cancel(const CancellationRequested& c);
-    void found(JobFound& c);
-    void receive_heartbeat(const HeartbeatReceived& c);
-    void answered(const OrdersAnswered& c);
-    void rented(const Rented& c);
-    void released(const Released& c);
-    void listed(const MachinesListed& c);
+    void add_job(JobStored& command);
+    void cancel(const CancellationRequested& command);
+    void found(JobFound& command);
+    void receive_heartbeat(const HeartbeatReceived& command);
+    void answered(const OrdersAnswered& command);
+    void rented(const Rented& command);
+    void released(const Released& command);
+    void listed(const MachinesListed& command);
     void types_known(std::vector<MachineType>&& types);
     void expire_leases();
 
     // What policies propose, see proposals.hpp.
-    bool place(const Job& j, const Machine& m) override;
-    void drop_settled(const Job& j, bool all) override;
-    void stop(const Entry& e, double drain_s) override;
-    void preempt(const Entry& e) override;
-    void move_away(const Entry& e, double drain_s) override;
-    void gang_whole(const Job& j) override;
-    void reserve(const Machine& m, const Job& j, int tasks, double until, Priority against) override;
-    void room_asked(const Job& j, double until) override;
-    void good_room(const Job& j, bool being_made) override;
+    bool place(const Job& job, const Machine& machine) override;
+    void drop_settled(const Job& job, bool all) override;
+    void stop(const Entry& entry, double drain_s) override;
+    void preempt(const Entry& entry) override;
+    void move_away(const Entry& entry, double drain_s) override;
+    void gang_whole(const Job& job) override;
+    void reserve(const Machine& machine, const Job& job, int tasks, double until, Priority against) override;
+    void room_asked(const Job& job, double until) override;
+    void good_room(const Job& job, bool being_made) override;
     void set_pool(const std::vector<const Machine*>& pool, const Resources& service_shape) override;
-    void set_common_shape(const Resources& r) override;
+    void set_common_shape(const Resources& resources) override;
     void mark_guarantees() override;
-    void blame(const Entry& e) override;
-    void slow(const Machine& m, double until) override;
-    void retire(const Machine& m, bool leave) override;
-    void rent(const Pending& p) override;
+    void blame(const Entry& entry) override;
+    void slow(const Machine& machine, double until) override;
+    void retire(const Machine& machine, bool leave) override;
+    void rent(const Pending& rental) override;
     void count_spot(std::size_t machines) override {
         data_.spot_machines = machines;
     }
-    void ask(const Machine& m) override;
-    void presume_dead(const Machine& m) override;
-    void give_back(const Machine& m) override;
+    void ask(const Machine& machine) override;
+    void presume_dead(const Machine& machine) override;
+    void give_back(const Machine& machine) override;
     void release(std::vector<std::string> machines) override;
     void request_pass() override {
         needs_scheduling_ = true;
@@ -106,10 +106,10 @@
     void find_dependencies();
 
     // From the persistence: the store holds it.
-    void dependency_settled(const std::string& id, Final f);
-    void finalize(Job& j, Final f, bool cancelled_with_dependency = false);
-    void remember_final(const Job& j);
-    void forget_job(Job& j);
+    void dependency_settled(const std::string& id, Final final_state);
+    void finalize(Job& job, Final final_state, bool cancelled_with_dependency = false);
+    void remember_final(const Job& job);
+    void forget_job(Job& job);
 
     // None: not known here. An answer is never older than what was told before.
     [[nodiscard]] std::optional<JobView> job(const std::string& id) const;
@@ -142,66 +142,66 @@
     friend class heronshift::ClusterRecords; // what a failover reads is entered as it stands
 
     // What a policy was given const is ours to write.
-    static Job& own(const Job& j) {
-        return const_cast<Job&>(j); // NOLINT(cppcoreguidelines-pro-type-const-cast)
+    static Job& own(const Job& job) {
+        return const_cast<Job&>(job); // NOLINT(cppcoreguidelines-pro-type-const-cast)
     }
-    static Machine& own(const Machine& m) {
-        return const_cast<Machine&>(m); // NOLINT(cppcoreguidelines-pro-type-const-cast)
+    static Machine& own(const Machine& machine) {
+        return const_cast<Machine&>(machine); // NOLINT(cppcoreguidelines-pro-type-const-cast)
     }
-    static Entry& own(const Entry& e) {
-        return const_cast<Entry&>(e); // NOLINT(cppcoreguidelines-pro-type-const-cast)
+    static Entry& own(const Entry& entry) {
+        return const_cast<Entry&>(entry); // NOLINT(cppcoreguidelines-pro-type-const-cast)
     }
 
     // ledger.cpp
     Job* find_job(const std::string& id);
-    void update_entry(Entry& e, const ReportedTask& t);
-    void mark_seen(Entry& e);
-    void store_cancellation(Job& j);
-    void launch_settled(Job& j);
-    static bool launch_open(const Entry& e);
-    void task_exited(Entry& e, const ReportedTask& t);
-    void record_run_time(Job& j, const Machine& m, double ran);
-    void mark_done(Job& j, std::uint32_t index);
-    Entry& add_entry(Machine& m, Job& j, std::uint32_t index, std::uint64_t attempt);
-    void remove_entry(Entry& e);
-    void queue_task(Job& j, std::uint32_t index);
-    void break_gang(Job& j);
-    void stop_entry(Entry& e, double drain_s);
-    void offer(const Job& j);
+    void update_entry(Entry& entry, const ReportedTask& task);
+    void mark_seen(Entry& entry);
+    void store_cancellation(Job& job);
+    void launch_settled(Job& job);
+    static bool launch_open(const Entry& entry);
+    void task_exited(Entry& entry, const ReportedTask& task);
+    void record_run_time(Job& job, const Machine& machine, double ran);
+    void mark_done(Job& job, std::uint32_t index);
+    Entry& add_entry(Machine& machine, Job& job, std::uint32_t index, std::uint64_t attempt);
+    void remove_entry(Entry& entry);
+    void queue_task(Job& job, std::uint32_t index);
+    void break_gang(Job& job);
+    void stop_entry(Entry& entry, double drain_s);
+    void offer(const Job& job);
 
     // machines.cpp
     Machine* find_machine(const std::string& id);
     Machine& learn_machine(const std::string& id, const std::string& addr, const std::string& type,
                            const std::string& zone, bool spot);
-    void bind_type(Machine& m);
-    bool outdated(const Heartbeat& r);
-    bool copy_of_departed(const Heartbeat& r);
-    void apply_heartbeat(Machine& m, const Heartbeat& r, std::vector<Order>& reaps);
-    void lease_restarted(Machine& m);
-    void update_inbound_reachability(Machine& m, const Heartbeat& r);
+    void bind_type(Machine& machine);
+    bool outdated(const Heartbeat& heartbeat);
+    bool copy_of_departed(const Heartbeat& heartbeat);
+    void apply_heartbeat(Machine& machine, const Heartbeat& heartbeat, std::vector<Order>& reaps);
+    void lease_restarted(Machine& machine);
+    void update_inbound_reachability(Machine& machine, const Heartbeat& heartbeat);
     void log_stale_heartbeats();
-    bool may_reap(const ReportedTask& t);
-    static Entry* find_entry(Machine& m, const ReportedTask& t);
-    void lose_entries(Machine& m);
+    bool may_reap(const ReportedTask& task);
+    static Entry* find_entry(Machine& machine, const ReportedTask& task);
+    void lose_entries(Machine& machine);
     int image_id(const std::string& name, double gb);
-    static CachedImage* cached(Machine& m, int image);
-    void use_image(Machine& m, int image, bool ready);
-    void want_orders(Machine& m);
-    void want_heartbeat(Machine& m);
+    static CachedImage* cached(Machine& machine, int image);
+    void use_image(Machine& machine, int image, bool ready);
+    void want_orders(Machine& machine);
+    void want_heartbeat(Machine& machine);
     void forget_machine(const std::string& id, bool released);
-    void dispatch(Machine& m);
+    void dispatch(Machine& machine);
     [[nodiscard]] std::size_t max_asked_at_once() const;
     void ask_machines();
-    std::vector<Order> standing_orders(Machine& m);
+    std::vector<Order> standing_orders(Machine& machine);
     void record_spot_loss();
 
     // needs.cpp: jobs that wait for others
-    void join(Job& j);
-    void wait_for_dependencies(Job& j);
-    void become_ready(Job& j);
+    void join(Job& job);
+    void wait_for_dependencies(Job& job);
+    void become_ready(Job& job);
     void propagate_urgency(Job& from);
     void look_for(const std::string& id, double at);
-    void forget_dependencies(Job& j);
+    void forget_dependencies(Job& job);
 
     ClusterData data_;
     std::vector<Effect>& effects_;
--- a/include/heronshift/cluster/proposals.hpp
+++ b/include/heronshift/cluster/proposals.hpp
@@ -11,30 +11,30 @@
     virtual ~Proposals() = default;
     // One more task of the job there, at once, so that the view shows it to the next decision. False:
     // a rule forbids it (said in the log), or no task waits.
-    virtual bool place(const Job& j, const Machine& m) = 0;
-    virtual void drop_settled(const Job& j, bool all) = 0; // from those that wait: done or placed meanwhile
+    virtual bool place(const Job& job, const Machine& machine) = 0;
+    virtual void drop_settled(const Job& job, bool all) = 0; // from those that wait: done or placed meanwhile
     // With so many seconds to save.
-    virtual void stop(const Entry& e, double drain_s) = 0;
-    virtual void preempt(const Entry& e) = 0;
-    virtual void move_away(const Entry& e, double drain_s) = 0;
+    virtual void stop(const Entry& entry, double drain_s) = 0;
+    virtual void preempt(const Entry& entry) = 0;
+    virtual void move_away(const Entry& entry, double drain_s) = 0;
     // Room on a machine is kept for a job, against others of this rank and below, or was looked for, until then.
-    virtual void reserve(const Machine& m, const Job& j, int tasks, double until, Priority against) = 0;
-    virtual void room_asked(const Job& j, double until) = 0;
-    virtual void good_room(const Job& j, bool being_made) = 0;
-    virtual void gang_whole(const Job& j) = 0;
+    virtual void reserve(const Machine& machine, const Job& job, int tasks, double until, Priority against) = 0;
+    virtual void room_asked(const Job& job, double until) = 0;
+    virtual void good_room(const Job& job, bool being_made) = 0;
+    virtual void gang_whole(const Job& job) = 0;
     virtual void mark_guarantees() = 0;
     virtual void set_pool(const std::vector<const Machine*>& pool, const Resources& service_shape) = 0;
-    virtual void set_common_shape(const Resources& r) = 0;
+    virtual void set_common_shape(const Resources& resources) = 0;
     // A task is too long on its machine; the machine is slow until then.
-    virtual void blame(const Entry& e) = 0;
-    virtual void slow(const Machine& m, double until) = 0;
+    virtual void blame(const Entry& entry) = 0;
+    virtual void slow(const Machine& machine, double until) = 0;
     // Machines: to become empty or not after all, asked for a word, taken for dead, given back.
-    virtual void retire(const Machine& m, bool leave) = 0;
-    virtual void rent(const Pending& p) = 0;
+    virtual void retire(const Machine& machine, bool leave) = 0;
+    virtual void rent(const Pending& rental) = 0;
     virtual void count_spot(std::size_t machines) = 0;
-    virtual void ask(const Machine& m) = 0;
-    virtual void presume_dead(const Machine& m) = 0;
-    virtual void give_back(const Machine& m) = 0;
+    virtual void ask(const Machine& machine) = 0;
+    virtual void presume_dead(const Machine& machine) = 0;
+    virtual void give_back(const Machine& machine) = 0;
     virtual void release(std::vector<std::string> machines) = 0;
     virtual void request_pass() = 0; // more could be placed in the next pass
     virtual void log(int level, std::string text) = 0;
--- a/include/heronshift/codec.hpp
+++ b/include/heronshift/codec.hpp
@@ -34,8 +34,8 @@
 bool valid_job_id(std::string_view id);
 
 std::variant<JobSpec, Invalid> submission(std::string_view body);
-Json to_json(const JobSpec& s); // as the store keeps it
-std::optional<JobSpec> spec_from_store(const Json& j);
+Json to_json(const JobSpec& spec); // as the store keeps it
+std::optional<JobSpec> spec_from_store(const Json& json);
 
 // The record of a job. One that waits for others has its spec under another name than the rest: the
 // versions before chains take a record without "spec" for no job of theirs, so that such a leader
@@ -47,10 +47,10 @@
     bool waits = false; // for jobs it needs
     std::string final;  // empty: none yet
 };
-Json to_record(const StoredJob& j);
+Json to_record(const StoredJob& stored_job);
 std::optional<StoredJob> stored_job(const Json& value, double wall);
 // Once a job is final only its size and its team still matter, so that its record always fits.
-JobSpec remains_of(const JobSpec& s);
+JobSpec remains_of(const JobSpec& spec);
 Json final_record(std::string_view status, Shape shape);
 struct StoredFinal {
     std::string status;
@@ -70,7 +70,7 @@
 std::string error_answer(const std::string& what);
 inline constexpr const char* not_now = R"({"error":"not now, try again"})";
 // The worker's side, for emulators.
-std::string to_body(const Heartbeat& r);
+std::string to_body(const Heartbeat& heartbeat);
 struct Orders {
     std::optional<std::uint64_t> fencing_token, agent_epoch; // none: the field is missing
     std::vector<Order> list;
@@ -97,7 +97,7 @@
 std::optional<RentalRequest> rental_request(std::string_view body);
 std::string to_body(const MachinePage& p);
 // The user's side.
-std::string to_body(const JobSpec& s);
+std::string to_body(const JobSpec& spec);
 struct JobAnswer {
     std::string id, status;
     std::uint64_t done = 0, running = 0;
--- a/include/heronshift/config.hpp
+++ b/include/heronshift/config.hpp
@@ -141,7 +141,7 @@
 /// Throws SettingsError.
 OperatorSettings load_operator_settings(const std::string& path, double report_s);
 /// What is in force, a line for each setting, for people.
-std::string describe(const Settings& s);
+std::string describe(const Settings& settings);
 
 /// The platform's settings as a JSON text, nothing checked but the syntax: for schemas. Throws SettingsError.
 std::string settings_as_json(const std::string& path);
--- a/include/heronshift/connection_shares.hpp
+++ b/include/heronshift/connection_shares.hpp
@@ -45,27 +45,27 @@
     void opened() {
         ++counts_[index(ClientKind::unknown)];
     }
-    void closed(Entry& e) {
-        busy(e);
-        --counts_[index(e.kind_)];
+    void closed(Entry& entry) {
+        busy(entry);
+        --counts_[index(entry.kind_)];
     }
-    void idle(Entry& e, Connection* c) {
-        busy(e);
-        auto& list = idle_[index(e.kind_)];
-        list.emplace_back(c, ++turns_);
-        e.at_ = std::prev(list.end());
-        e.idle_ = true;
+    void idle(Entry& entry, Connection* connection) {
+        busy(entry);
+        auto& list = idle_[index(entry.kind_)];
+        list.emplace_back(connection, ++turns_);
+        entry.at_ = std::prev(list.end());
+        entry.idle_ = true;
     }
-    void busy(Entry& e) {
-        if (e.idle_)
-            idle_[index(e.kind_)].erase(e.at_);
-        e.idle_ = false;
+    void busy(Entry& entry) {
+        if (entry.idle_)
+            idle_[index(entry.kind_)].erase(entry.at_);
+        entry.idle_ = false;
     }
     // Its first request has come.
-    void classify(Entry& e, ClientKind kind) {
-        busy(e);
-        --counts_[index(e.kind_)];
-        e.kind_ = kind;
+    void classify(Entry& entry, ClientKind kind) {
+        busy(entry);
+        --counts_[index(entry.kind_)];
+        entry.kind_ = kind;
         ++counts_[index(kind)];
     }
 
--- a/include/heronshift/core/core.hpp
+++ b/include/heronshift/core/core.hpp
@@ -57,7 +57,7 @@
     }
 
 private:
-    void take(Command& c);
+    void take(Command& command);
 
     const Settings& settings_;
     std::vector<Effect> effects_;
--- a/include/heronshift/gateway/gateway.hpp
+++ b/include/heronshift/gateway/gateway.hpp
@@ -32,30 +32,30 @@
         [[nodiscard]] virtual const Core* active_core() const = 0;
         [[nodiscard]] virtual const std::string& leader() const = 0; // a hint, may be empty
         [[nodiscard]] virtual const std::vector<MachineType>& types() const = 0;
-        virtual void push(Command c) = 0;       // to the core
-        virtual void stored(JobStored&& j) = 0; // a job was accepted here
+        virtual void push(Command command) = 0;       // to the core
+        virtual void stored(JobStored&& command) = 0; // a job was accepted here
     };
-    Gateway(const Settings& s, TimerQueue& timers, store::StateStore& store, Peers& peers,
+    Gateway(const Settings& settings, TimerQueue& timers, store::StateStore& store, Peers& peers,
             const membership::Membership& members, metrics::Timings& took, Host& host);
 
     // A path of /v2/runs. passed_on: by another controller, so it is not passed on again.
-    void serve(HttpRequest&& r, Responder res, bool forwarded);
+    void serve(HttpRequest&& request, Responder res, bool forwarded);
     void tick();
     void on_leadership_lost(); // nothing that was asked of the core is answered by it any more
 
     // From the core.
-    void answered(const AnswerCancellation& a);
+    void answered(const AnswerCancellation& effect);
     void find(const std::string& id, std::function<void(JobFound&&)> done);
 
 private:
-    void submit(HttpRequest&& r, Responder res, bool forwarded);
+    void submit(HttpRequest&& request, Responder res, bool forwarded);
     void poll(const std::string& id, const Responder& res);
     [[nodiscard]] std::optional<JobView> known_here(const std::string& id) const;
-    void cancel(const std::string& id, HttpRequest&& r, Responder res, bool forwarded);
+    void cancel(const std::string& id, HttpRequest&& request, Responder res, bool forwarded);
     void ask_core_to_cancel(const std::string& id, Responder res);
     using Otherwise = std::function<void(Responder)>;
     [[nodiscard]] std::vector<std::string> ways(bool to_leader, bool to_store) const;
-    void forward(std::shared_ptr<const HttpRequest> r, Responder res, std::vector<std::string> to, double wait_s,
+    void forward(std::shared_ptr<const HttpRequest> request, Responder res, std::vector<std::string> to, double wait_s,
                  Otherwise otherwise);
     // Fresh reads: the final state if there is one, else whether the job was accepted.
     struct Found {
@@ -76,14 +76,14 @@
         int tries = 0;
     };
     using Open = std::shared_ptr<Submission>;
-    void check_dependencies(const Open& s);
-    void accept(const Open& s);
-    void store_job(const Open& s);
-    void stored(const Open& s, store::Answer&& r, double at, double began);
+    void check_dependencies(const Open& submission);
+    void accept(const Open& submission);
+    void store_job(const Open& submission);
+    void stored(const Open& submission, store::Answer&& answer, double at, double began);
     void refuse_unless_known(const std::string& id, int status, const std::string& why, const Responder& res);
     void remember_final(const std::string& id, const std::string& status);
     bool tell_final(const std::string& id, const Responder& res) const; // false: none is known here
-    [[nodiscard]] std::string impossible(const JobSpec& s) const;
+    [[nodiscard]] std::string impossible(const JobSpec& spec) const;
 
     const Settings& settings_;
     TimerQueue& timers_;
--- a/include/heronshift/http.hpp
+++ b/include/heronshift/http.hpp
@@ -38,12 +38,12 @@
     explicit Responder(std::shared_ptr<ServerConnection> c) : conn_(std::move(c)) {}
     // For a caller in this process; called once, with status 0 if nobody ever answers.
     using Direct = std::function<void(int status, std::string_view body, int retry_after_s)>;
-    explicit Responder(Direct f) : direct_(std::make_shared<Once>(std::move(f))) {}
+    explicit Responder(Direct callback) : direct_(std::make_shared<Once>(std::move(callback))) {}
     void send(int status, std::string_view body, int retry_after_s = 0) const;
 
 private:
     struct Once {
-        explicit Once(Direct d) : f(std::move(d)) {}
+        explicit Once(Direct callback) : f(std::move(callback)) {}
         ~Once() {
             send(0, {}, 0);
         }
@@ -84,7 +84,7 @@
 private:
     friend class ServerConnection;
     void accept();
-    bool admit(ServerConnection& c, const HttpRequest& r);
+    bool admit(ServerConnection& c, const HttpRequest& request);
     uv_loop_t* loop_;
     uv_tcp_t* tcp_ = nullptr;
     ConnectionShares<ServerConnection> shares_;
@@ -132,8 +132,8 @@
     void pump(const std::string& addr);
     void pump_starved();
     bool make_room();
-    void remove(Connection* c);
-    void finish(Connection* c, HttpReply reply, bool keep);
+    void remove(Connection* connection);
+    void finish(Connection* connection, HttpReply reply, bool keep);
     uv_loop_t* loop_;
     std::size_t most_, most_waiting_, max_connections_, connections_ = 0;
     std::unordered_map<std::string, Pool> pools_;
--- a/include/heronshift/leadership/leader_election.hpp
+++ b/include/heronshift/leadership/leader_election.hpp
@@ -38,14 +38,14 @@
         virtual void committed(TxnOutcome outcome) = 0;
         virtual std::size_t machines_up() const = 0; // that should be heard from
     };
-    LeaderElection(const Settings& s, TimerQueue& timers, store::StateStore& store, Peers& peers,
+    LeaderElection(const Settings& settings, TimerQueue& timers, store::StateStore& store, Peers& peers,
                    const membership::Membership& members, metrics::Timings& became_leader, Host& host);
 
     void start();
     void tick();
     void stop();
-    void commit(Commit c) {
-        transactions_.send(std::move(c));
+    void commit(Commit effect) {
+        transactions_.send(std::move(effect));
     }
     void resign(const std::string& why) {
         resign(why, {});
@@ -82,14 +82,14 @@
     [[nodiscard]] std::vector<metrics::Value> metrics() const;
 
     // What peers ask.
-    void handle_extension_vote_request(const HttpRequest& r, const Responder& res);
-    void handle_takeover_request(const HttpRequest& r, const Responder& res);
+    void handle_extension_vote_request(const HttpRequest& request, const Responder& res);
+    void handle_takeover_request(const HttpRequest& request, const Responder& res);
 
 private:
     enum class Role : std::uint8_t { follower, acquiring, loading, is_leader };
     void watch_leader_key();
     void watch_leader_key_after(double delay_s);
-    void handle_leader_read(const store::Answer& r);
+    void handle_leader_read(const store::Answer& answer);
     void learn_leader_from_peers();
     void acquire();
     void acquire_failed();
--- a/include/heronshift/leadership/state_loader.hpp
+++ b/include/heronshift/leadership/state_loader.hpp
@@ -15,8 +15,8 @@
 
 class StateLoader {
 public:
-    StateLoader(const Settings& s, TimerQueue& timers, store::StateStore& store)
-        : settings_(s), timers_(timers), store_(store) {}
+    StateLoader(const Settings& settings, TimerQueue& timers, store::StateStore& store)
+        : settings_(settings), timers_(timers), store_(store) {}
 
     void read_all(const std::function<void(Snapshot&&)>& done);
     void follow_jobs(std::function<void(std::vector<codec::StoredJob>&&)> handle_leader_read); // after read_all
--- a/include/heronshift/leadership/transaction_queue.hpp
+++ b/include/heronshift/leadership/transaction_queue.hpp
@@ -24,9 +24,9 @@
         std::function<void(const std::string& why)> over;
         std::function<bool()> valid; // whether the node may act; not asked while it waits for answers
     };
-    TransactionQueue(const Settings& s, TimerQueue& timers, store::StateStore& store, metrics::Timings& became_leader,
-                     Ends ends)
-        : settings_(s), timers_(timers), store_(store), took_(became_leader), ends_(std::move(ends)) {}
+    TransactionQueue(const Settings& settings, TimerQueue& timers, store::StateStore& store,
+                     metrics::Timings& became_leader, Ends ends)
+        : settings_(settings), timers_(timers), store_(store), took_(became_leader), ends_(std::move(ends)) {}
 
     void begin(std::uint64_t term, std::uint64_t mod_revision) {
         ++generation_;
@@ -35,13 +35,13 @@
     void stop() {
         ++generation_;
     }
-    void send(Commit c) {
-        send(std::move(c), 0);
+    void send(Commit effect) {
+        send(std::move(effect), 0);
     }
 
 private:
-    void send(Commit c, int tries);
-    void resolve(Commit c, int tries);
+    void send(Commit effect, int tries);
+    void resolve(Commit effect, int tries);
     void applied(std::uint64_t mod_revision);
 
     const Settings& settings_;
--- a/include/heronshift/local/cloud.hpp
+++ b/include/heronshift/local/cloud.hpp
@@ -65,9 +65,9 @@
         bool counted = false;  // told to the history as on the machine
         double mate_lost = -1; // since when
     };
-    void handle(HttpRequest&& r, const Responder& res);
+    void handle(HttpRequest&& request, const Responder& res);
     void execute(const std::vector<Order>& list, double now);
-    void launch(const Order& o, double now);
+    void launch(const Order& order, double now);
     void end(Run& r, ExitCause cause, bool saved = false);
     void heartbeat(double now);
     void answered(const HeartbeatResponse& a, double sent, std::uint64_t agent_epoch);
@@ -104,8 +104,8 @@
     void heartbeat_to(std::vector<std::pair<std::string, std::string>> nodes) {
         plan_.workers.nodes = std::move(nodes);
     }
-    void know(const JobSpec& s) { // its user has uploaded it
-        jobs_[s.id] = s;
+    void know(const JobSpec& spec) { // its user has uploaded it
+        jobs_[spec.id] = spec;
     }
     // For jobs of users from outside: their description, if there is one.
     std::function<std::optional<JobSpec>(const std::string& id)> ask;
@@ -132,16 +132,16 @@
 private:
     friend class EmulatedWorker;
     class Direct;
-    void handle(HttpRequest&& r, const Responder& res);
+    void handle(HttpRequest&& request, const Responder& res);
     Rented rent(const Rent& ask);
     void release(const std::vector<std::string>& machines);
     codec::MachinePage page(const std::string& since);
-    void send(EmulatedWorker& w, Heartbeat r, std::function<void(const HeartbeatResponse&)> done);
+    void send(EmulatedWorker& w, Heartbeat heartbeat, std::function<void(const HeartbeatResponse&)> done);
     double between(double a, double b) {
         return std::uniform_real_distribution<double>(a, b)(rng_);
     }
     // Drawn from what the attempt is called, so that it does not hang on the order of other draws.
-    [[nodiscard]] double run_s(const JobSpec& s, const ReportedTask& t) const;
+    [[nodiscard]] double run_s(const JobSpec& spec, const ReportedTask& task) const;
     // The tasks of one attempt of a gang that are on machines.
     struct Mate {
         EmulatedWorker* on;
--- a/include/heronshift/local/history.hpp
+++ b/include/heronshift/local/history.hpp
@@ -15,8 +15,8 @@
 public:
     History(std::vector<TeamLimits> teams, double cancel_s) : teams_(std::move(teams)), cancel_s_(cancel_s) {}
 
-    void submitted(const JobSpec& s) {
-        jobs_[s.id].spec = s;
+    void submitted(const JobSpec& spec) {
+        jobs_[spec.id].spec = spec;
     }
     void cancel_asked(const std::string& id) {
         jobs_[id].asked = true;
@@ -53,8 +53,8 @@
         std::multimap<std::uint32_t, Place> on;
     };
     void breaks(const std::string& rule, const std::string& what);
-    [[nodiscard]] bool over(const Job& j) const {
-        return j.done.size() >= j.spec.tasks;
+    [[nodiscard]] bool over(const Job& job) const {
+        return job.done.size() >= job.spec.tasks;
     }
     [[nodiscard]] bool cancelled_with_dependency(const std::string& id) const; // a cancellation reaches it
     std::vector<TeamLimits> teams_;
--- a/include/heronshift/loop_queue.hpp
+++ b/include/heronshift/loop_queue.hpp
@@ -30,8 +30,8 @@
     LoopQueue(const LoopQueue&) = delete;
     LoopQueue& operator=(const LoopQueue&) = delete;
 
-    void post(std::function<void()> f) {
-        list_.push_back(std::move(f));
+    void post(std::function<void()> callback) {
+        list_.push_back(std::move(callback));
         uv_async_send(async_);
     }
 
--- a/include/heronshift/loop_timer.hpp
+++ b/include/heronshift/loop_timer.hpp
@@ -22,8 +22,8 @@
     LoopTimer& operator=(const LoopTimer&) = delete;
 
     // Once. Returns 0 or a libuv error.
-    int start(uv_loop_t* loop, std::uint64_t every_ms, std::function<void()> f) {
-        callback_ = std::move(f);
+    int start(uv_loop_t* loop, std::uint64_t every_ms, std::function<void()> callback) {
+        callback_ = std::move(callback);
         timer_ = new uv_timer_t;
         uv_timer_init(loop, timer_);
         timer_->data = this;
--- a/include/heronshift/membership/link_health.hpp
+++ b/include/heronshift/membership/link_health.hpp
@@ -16,7 +16,7 @@
 
 class LinkHealth {
 public:
-    explicit LinkHealth(FailureThresholds p) : thresholds_(p) {}
+    explicit LinkHealth(FailureThresholds thresholds) : thresholds_(thresholds) {}
 
     // Each returns true if that changed what is thought of it.
     bool worked(double now);
--- a/include/heronshift/membership/membership.hpp
+++ b/include/heronshift/membership/membership.hpp
@@ -29,7 +29,7 @@
     int store = 0, zones = 0, zones_by_others = 0, cloud = 0;
     auto operator<=>(const Eligibility&) const = default;
 };
-std::string describe(const Eligibility& s);
+std::string describe(const Eligibility& eligibility);
 
 class Membership {
 public:
@@ -44,7 +44,7 @@
         // Machines by zone that should report to this node; while it acts.
         [[nodiscard]] virtual std::map<std::string, std::size_t> machines_by_zone() const = 0;
     };
-    Membership(const Settings& s, TimerQueue& timers, store::StateStore& store, Executor& executor, Peers& peers,
+    Membership(const Settings& settings, TimerQueue& timers, store::StateStore& store, Executor& executor, Peers& peers,
                Host& host);
 
     void tick();
@@ -57,7 +57,7 @@
     void machine_answered() {
         last_worker_heartbeat_at_ = timers_.now();
     }
-    void handle_view(const HttpRequest& r, const Responder& res); // POST /peer/view
+    void handle_view(const HttpRequest& request, const Responder& res); // POST /peer/view
 
     // What is thought of this node's own links.
     [[nodiscard]] Reachability store() const {
@@ -105,7 +105,7 @@
 
 private:
     struct Zone {
-        explicit Zone(const Settings& s);
+        explicit Zone(const Settings& settings);
         LinkHealth in, out; // reports that should come; requests that should be answered
         double last_heartbeat_at = -1, relayed_at = -1,
                trusted_at = -1; // a heartbeat of its own; another's; taken for well again
@@ -118,7 +118,7 @@
         int probes = 0, answered = 0; // of the round under way
     };
     struct PeerState {
-        explicit PeerState(const Settings& s);
+        explicit PeerState(const Settings& settings);
         LinkHealth link;
         PeerView view;
         double at = -1;                      // when the view came; below zero: never
@@ -126,17 +126,17 @@
         bool asking = false;
     };
     [[nodiscard]] PeerView own_view() const;
-    [[nodiscard]] Eligibility eligibility(const PeerView& v, bool doubt) const;
-    [[nodiscard]] Eligibility eligibility(const PeerState& o) const;
+    [[nodiscard]] Eligibility eligibility(const PeerView& view, bool doubt) const;
+    [[nodiscard]] Eligibility eligibility(const PeerState& peer) const;
     [[nodiscard]] bool since_lost(double at, const LinkHealth& mine) const;
-    [[nodiscard]] Reachability reach(const Zone& z) const;
-    void reset_inbound_health(Zone& z);
-    void remember(Zone& z, const std::string& addr);
-    [[nodiscard]] bool fresh(const PeerState& o) const;
-    void receive_view(PeerView&& v);
+    [[nodiscard]] Reachability reach(const Zone& zone) const;
+    void reset_inbound_health(Zone& zone);
+    void remember(Zone& zone, const std::string& addr);
+    [[nodiscard]] bool fresh(const PeerState& peer) const;
+    void receive_view(PeerView&& view);
     void exchange();
     void probe();
-    void probe_zone(const std::string& name, Zone& z);
+    void probe_zone(const std::string& name, Zone& zone);
     void probed(const std::string& zone, bool& any, std::optional<bool> ok);
     void watch_silence();
     void changed(const std::string& what, Reachability to);
--- a/include/heronshift/membership/observed_clients.hpp
+++ b/include/heronshift/membership/observed_clients.hpp
@@ -17,11 +17,11 @@
         // A follow that stays open proves nothing: during an outage it does, too.
         if (std::holds_alternative<store::Follow>(c))
             return inner_->call(std::move(c), timeout_s, std::move(done));
-        inner_->call(std::move(c), timeout_s, [this, done = std::move(done)](store::Answer&& a) {
+        inner_->call(std::move(c), timeout_s, [this, done = std::move(done)](store::Answer&& answer) {
             // 429 is an answer: the store is there. Without one the request may have failed here.
             if (on_answer)
-                on_answer(a.status != 0 && a.status != 502 && a.status != 503);
-            done(std::move(a));
+                on_answer(answer.status != 0 && answer.status != 502 && answer.status != 503);
+            done(std::move(answer));
         });
     }
     void sweep() override {
@@ -40,10 +40,10 @@
     void request(Lane lane, const std::string& name, const char* method, const std::string& path, std::string body,
                  double timeout_s, Done done) override {
         inner_->request(lane, name, method, path, std::move(body), timeout_s,
-                        [this, name, done = std::move(done)](HttpReply&& r) {
+                        [this, name, done = std::move(done)](HttpReply&& reply) {
                             if (on_answer)
-                                on_answer(name, r.status != 0);
-                            done(std::move(r));
+                                on_answer(name, reply.status != 0);
+                            done(std::move(reply));
                         });
     }
     void sweep() override {
--- a/include/heronshift/membership/peer_view.hpp
+++ b/include/heronshift/membership/peer_view.hpp
@@ -32,7 +32,7 @@
     bool sees_leader = false, is_active_leader = false;
 };
 
-std::string to_body(const PeerView& v);
+std::string to_body(const PeerView& view);
 std::optional<PeerView> view(std::string_view body); // none: not one
 
 } // namespace heronshift::membership
--- a/include/heronshift/messages.hpp
+++ b/include/heronshift/messages.hpp
@@ -107,7 +107,7 @@
     std::variant<Commit, SendOrders, AnswerHeartbeat, AnswerCancellation, Rent, Release, FindJob, Resign, LogLine>;
 
 // The age of a stored job by the wall clock (seconds since 1970).
-JobStored job_stored(codec::StoredJob&& r, double wall);
+JobStored job_stored(codec::StoredJob&& stored_job, double wall);
 
 inline constexpr int max_rented = 50; // by one request
 inline constexpr std::size_t max_returned = 100;
--- a/include/heronshift/node/controller.hpp
+++ b/include/heronshift/node/controller.hpp
@@ -49,8 +49,8 @@
     void run_core();
 
     // A request of a user or a worker; one that a peer sends, its path with /peer.
-    void serve(HttpRequest&& r, Responder res);
-    void serve_peer(HttpRequest&& r, Responder res);
+    void serve(HttpRequest&& request, Responder res);
+    void serve_peer(HttpRequest&& request, Responder res);
 
     [[nodiscard]] const Settings& settings() const {
         return settings_;
@@ -113,11 +113,11 @@
     void cloud_answered(bool ok) override {
         members_.cloud_answered(ok);
     }
-    void stored(JobStored&& j) override;
-    void push(Command c) override;
+    void stored(JobStored&& command) override;
+    void push(Command command) override;
 
-    void serve(HttpRequest&& r, Responder res, bool forwarded);
-    void perform(Effect& e);
+    void serve(HttpRequest&& request, Responder res, bool forwarded);
+    void perform(Effect& effect);
     [[nodiscard]] std::string metrics() const;
 
     const Settings settings_;
--- a/include/heronshift/node/node.hpp
+++ b/include/heronshift/node/node.hpp
@@ -31,14 +31,14 @@
         wake();
     }
     // A user's request from inside this process, answered as one that came over the network.
-    void call(HttpRequest&& r, Responder res) {
-        controller_.serve(std::move(r), std::move(res));
+    void call(HttpRequest&& request, Responder res) {
+        controller_.serve(std::move(request), std::move(res));
     }
-    void after(double delay_s, std::function<void()> f) { // on the loop, while the node lives
-        controller_.timers().after(delay_s, std::move(f));
+    void after(double delay_s, std::function<void()> callback) { // on the loop, while the node lives
+        controller_.timers().after(delay_s, std::move(callback));
     }
-    void each_tick(std::function<void()> f) { // some thirty times in report_s
-        on_tick_ = std::move(f);
+    void each_tick(std::function<void()> callback) { // some thirty times in report_s
+        on_tick_ = std::move(callback);
     }
     [[nodiscard]] store::StateStore& state() {
         return controller_.state();
@@ -53,7 +53,7 @@
     }
 
 private:
-    static Parts whole(uv_loop_t* loop, const Settings& s, Parts parts);
+    static Parts whole(uv_loop_t* loop, const Settings& settings, Parts parts);
     void start_timers();
     void look_at_sockets_first();
     void after_sockets();
--- a/include/heronshift/persistence/cluster_records.hpp
+++ b/include/heronshift/persistence/cluster_records.hpp
@@ -24,15 +24,15 @@
     ClusterRecords(cluster::ClusterState& cluster, const Settings& settings, const Snapshot& stored, double wall,
                    std::vector<Effect>& out);
 
-    void added(cluster::Job& j) override;
-    void added(cluster::Entry& e) override;
-    void removed(cluster::Entry& e) override;
-    void final_due(cluster::Job& j, Urgency u) override;
-    void progressed(cluster::Job& j) override;
-    void became_ready(cluster::Job& j) override;
+    void added(cluster::Job& job) override;
+    void added(cluster::Entry& entry) override;
+    void removed(cluster::Entry& entry) override;
+    void final_due(cluster::Job& job, Urgency urgency) override;
+    void progressed(cluster::Job& job) override;
+    void became_ready(cluster::Job& job) override;
 
     void collect_commit(); // the next transaction, if one is due and none is in flight
-    void committed(const Committed& c);
+    void committed(const Committed& command);
     [[nodiscard]] bool waiting() const { // for the budget
         return !txn_open_ &&
                (!finals_.empty() || !cancelled_with_dependency_.empty() || !readies_.empty() || !unrecorded_.empty());
@@ -48,25 +48,25 @@
     using Entry = cluster::Entry;
     using Job = cluster::Job;
     struct Draft;
-    void load(const Snapshot& s, double wall);
+    void load(const Snapshot& snapshot, double wall);
     void load_intent(const intents::Intent& i, int slot);
-    void load_done(Job& j, std::string_view ranges);
-    void load_earlier(const Snapshot& s);
+    void load_done(Job& job, std::string_view ranges);
+    void load_earlier(const Snapshot& snapshot);
     void hold_unproven(const std::string& machine);
-    void draft_finals(Draft& d);
-    void draft_ready(Draft& d);
-    void draft_intents(Draft& d);
+    void draft_finals(Draft& draft);
+    void draft_ready(Draft& draft);
+    void draft_intents(Draft& draft);
     static std::string slot_text(std::vector<Entry*> list);
-    static bool may_record(const Entry& e);
-    bool draft_slot(Draft& d, std::size_t slot);
-    void draft_progress(Draft& d);
-    void draft_images(Draft& d);
+    static bool may_record(const Entry& entry);
+    bool draft_slot(Draft& draft, std::size_t slot);
+    void draft_progress(Draft& draft);
+    void draft_images(Draft& draft);
     void load_images(const codec::Item& i);
-    void draft_learned(Draft& d);
+    void draft_learned(Draft& draft);
     void load_learned(const codec::Item& i, double wall);
-    void put_in_slot(Entry& e, int slot);
-    void leave_slot(Entry& e);
-    void drop_job(Job& j);
+    void put_in_slot(Entry& entry, int slot);
+    void leave_slot(Entry& entry);
+    void drop_job(Job& job);
     static std::size_t bucket_of(const std::string& id);
     void log(int level, std::string text) {
         cluster_.log(level, std::move(text));
--- a/include/heronshift/replay/command_log.hpp
+++ b/include/heronshift/replay/command_log.hpp
@@ -35,7 +35,7 @@
     CommandLog(const CommandLog&) = delete;
     CommandLog& operator=(const CommandLog&) = delete;
 
-    void begin(const Settings& s, std::uint64_t term, const Snapshot& stored, double now, double wall);
+    void begin(const Settings& settings, std::uint64_t term, const Snapshot& stored, double now, double wall);
     // Before step(), since that consumes the commands, and after it.
     void commands(const std::vector<Command>& batch, double now, double wall, bool may_act);
     void effects(const std::vector<Effect>& list);
@@ -92,6 +92,6 @@
 Outcome replay(const std::string& path, bool allow_cut = false);
 
 // For tests and for readers of a log: one effect as the digest sees it.
-std::string text_of(const Effect& e);
+std::string text_of(const Effect& effect);
 
 } // namespace heronshift::replay
--- a/include/heronshift/scheduling/autoscaler.hpp
+++ b/include/heronshift/scheduling/autoscaler.hpp
@@ -22,7 +22,7 @@
     };
     [[nodiscard]] Cpus array_need() const;
     [[nodiscard]] Cpus offered() const;
-    static double price_per_cpu(const MachineType& t, bool spot);
+    static double price_per_cpu(const MachineType& type, bool spot);
     struct Source { // a kind of machine to rent
         std::string key;
         const MachineType* type;
@@ -32,11 +32,11 @@
         int* in_zone; // how many machines there are in its zone
     };
     void list_sources(std::map<std::string, int>& in_zone);
-    [[nodiscard]] const Source* cheapest_source(const Job& j, bool dear) const;
-    const Machine* keep_again(const Job& j);
-    static bool is_ready(const Machine& m);
+    [[nodiscard]] const Source* cheapest_source(const Job& job, bool dear) const;
+    const Machine* keep_again(const Job& job);
+    static bool is_ready(const Machine& machine);
     [[nodiscard]] bool
-    inbound_unreachable_for_long(const Machine& m,
+    inbound_unreachable_for_long(const Machine& machine,
                                  const std::map<int, std::pair<int, int>>& inbound_unreachable_by_zone) const;
     void queue_rentals(std::map<std::string, Pending>& wanted);
 
--- a/include/heronshift/scheduling/batch_assignment.hpp
+++ b/include/heronshift/scheduling/batch_assignment.hpp
@@ -16,7 +16,7 @@
 };
 
 // Gain of moving one more of `tasks` tasks to the pool, of which `on_pool` are there.
-double pool_gain(const Payoff& f, double on_pool, double tasks, double target);
+double pool_gain(const Payoff& payoff, double on_pool, double tasks, double target);
 
 // Square root of the pool's CPU share times its memory share.
 double task_size(const Resources& each, const Resources& pool);
--- a/include/heronshift/scheduling/rebalancer.hpp
+++ b/include/heronshift/scheduling/rebalancer.hpp
@@ -14,9 +14,9 @@
 
 private:
     using Planned = std::unordered_map<const Machine*, Resources>; // room a round has given away
-    [[nodiscard]] bool movable(const Entry& e) const;
-    void move_away(const Entry& e);
-    const Machine* place_to_move(const Entry& e, const std::vector<const Machine*>& to, Planned& planned) const;
+    [[nodiscard]] bool movable(const Entry& entry) const;
+    void move_away(const Entry& entry);
+    const Machine* place_to_move(const Entry& entry, const std::vector<const Machine*>& to, Planned& planned) const;
     void pull_back(const std::vector<const Machine*>& pool_machines, const Resources& pool, int cap, Planned& planned);
     void reorder(std::vector<const Machine*>& pool_machines, std::vector<const Machine*>& leaving,
                  const std::vector<const Machine*>& to, int cap, Planned& planned);
--- a/include/heronshift/scheduling/room_index.hpp
+++ b/include/heronshift/scheduling/room_index.hpp
@@ -34,18 +34,18 @@
     // At the start of a pass. Until the next one nothing but room and reservations may change, and each
     // machine on which they do has to be passed to update().
     void rebuild();
-    void update(const Machine& m);
+    void update(const Machine& machine);
 
     enum class PlainMachines : std::uint8_t { included, left_out };
     // The positions in machines() of those with free room for a task of the job where usable() holds, ascending.
-    [[nodiscard]] std::vector<std::uint32_t> find(const Job& j, PlainMachines which) const;
+    [[nodiscard]] std::vector<std::uint32_t> find(const Job& job, PlainMachines which) const;
     // All machines that may take work in this pass, in the order of their ids.
     [[nodiscard]] const std::vector<const Machine*>& machines() const {
         return machines_;
     }
     static constexpr std::size_t none = SIZE_MAX;
     // The position of a machine there, or none.
-    [[nodiscard]] std::size_t position(const Machine& m) const;
+    [[nodiscard]] std::size_t position(const Machine& machine) const;
 
 private:
     // Machines that are alike but for their room.
@@ -65,13 +65,13 @@
         Priority priority = Priority::low;
     };
 
-    [[nodiscard]] bool takes_work(const Machine& m) const;
-    [[nodiscard]] bool is_reserved(const Machine& m) const;
-    [[nodiscard]] Resources service_room(const Machine& m) const;
-    [[nodiscard]] Resources task_room(const Machine& m) const;
-    void note_reservation(const Machine& m, std::uint32_t at);
-    [[nodiscard]] bool may_hold(const Group& g, const Job& j, PlainMachines which) const;
-    void find_reserved(const Job& j, PlainMachines which, std::vector<std::uint32_t>& found) const;
+    [[nodiscard]] bool takes_work(const Machine& machine) const;
+    [[nodiscard]] bool is_reserved(const Machine& machine) const;
+    [[nodiscard]] Resources service_room(const Machine& machine) const;
+    [[nodiscard]] Resources task_room(const Machine& machine) const;
+    void note_reservation(const Machine& machine, std::uint32_t at);
+    [[nodiscard]] bool may_hold(const Group& group, const Job& job, PlainMachines which) const;
+    void find_reserved(const Job& job, PlainMachines which, std::vector<std::uint32_t>& found) const;
 
     const ClusterData& cluster_;
     std::vector<const Machine*> machines_;
--- a/include/heronshift/store/engine.hpp
+++ b/include/heronshift/store/engine.hpp
@@ -57,19 +57,19 @@
     virtual std::optional<Row> get(const std::string& key) = 0;
     // In key order after `since`, until f returns false.
     virtual void each(const std::string& under, const std::string& since,
-                      const std::function<bool(const std::string&, const Row&)>& f) = 0;
+                      const std::function<bool(const std::string&, const Row&)>& callback) = 0;
     virtual void put(const std::string& key, const Row& row) = 0;
     virtual void erase(const std::string& key) = 0;
     virtual void add_change(const Change& c) = 0; // the oldest beyond kept_changes are forgotten
     // Those after `since`; nothing if some of these are forgotten.
     virtual std::optional<std::vector<Change>> changes(const std::string& under, std::uint64_t since) = 0;
 
-    struct CreateLease {
+    struct Lease {
         std::int64_t ttl_ms = 0, ends_ms = 0;
     };
-    virtual std::uint64_t add_lease(const CreateLease& h) = 0;
-    virtual std::optional<CreateLease> get_lease(std::uint64_t id) = 0;
-    virtual void set_lease(std::uint64_t id, const CreateLease& h) = 0;
+    virtual std::uint64_t add_lease(const Lease& h) = 0;
+    virtual std::optional<Lease> get_lease(std::uint64_t id) = 0;
+    virtual void set_lease(std::uint64_t id, const Lease& h) = 0;
     virtual void erase_lease(std::uint64_t id) = 0;
     virtual std::vector<std::uint64_t> expired_leases(std::int64_t now_ms) = 0;
     virtual std::vector<std::string> keys_of(std::uint64_t lease) = 0;
@@ -94,7 +94,7 @@
     Answer revoke_lease(std::uint64_t lease, std::int64_t now_ms);
     Answer follow_opened(const std::string& under, std::uint64_t since, std::int64_t now_ms); // 429, or as below
     Answer follow(const std::string& under, std::uint64_t since); // at once; no items: nothing has changed yet
-    Answer run(const Call& c, std::int64_t now_ms);               // any but a follow, inside begin() and commit()
+    Answer run(const Call& call, std::int64_t now_ms);            // any but a follow, inside begin() and commit()
     // A follow that waits. Look at it outside of begin() and commit(); no answer: it goes on waiting.
     struct Waiting {
         Follow follow;
--- a/include/heronshift/store/server.hpp
+++ b/include/heronshift/store/server.hpp
@@ -30,7 +30,7 @@
     }
 
 private:
-    void handle(HttpRequest&& r, const Responder& res);
+    void handle(HttpRequest&& request, const Responder& res);
     uv_loop_t* loop_;
     DirectStore store_;
     HttpServer server_;
--- a/include/heronshift/timer_queue.hpp
+++ b/include/heronshift/timer_queue.hpp
@@ -17,8 +17,8 @@
 public:
     explicit TimerQueue(std::shared_ptr<const Clock> clock) : clock_(std::move(clock)) {}
 
-    void after(double delay_s, std::function<void()> f) {
-        list_.push_back({clock_->now() + delay_s, std::move(f)});
+    void after(double delay_s, std::function<void()> callback) {
+        list_.push_back({clock_->now() + delay_s, std::move(callback)});
         if (on_change)
             on_change();
     }
@@ -34,13 +34,13 @@
             list_[i] = std::move(list_.back());
             list_.pop_back();
         }
-        for (auto& e : due)
-            e.f();
+        for (auto& entry : due)
+            entry.f();
     }
     [[nodiscard]] double next_at() const {
         double at = std::numeric_limits<double>::infinity();
-        for (const auto& e : list_)
-            at = std::min(at, e.at);
+        for (const auto& entry : list_)
+            at = std::min(at, entry.at);
         return at;
     }
     [[nodiscard]] double now() const {
--- a/include/heronshift/types.hpp
+++ b/include/heronshift/types.hpp
@@ -24,26 +24,26 @@
     double memory_gb = 0;
 
     /// Adds each amount.
-    Resources& operator+=(const Resources& o) {
-        cpus += o.cpus, gpus += o.gpus, memory_gb += o.memory_gb;
+    Resources& operator+=(const Resources& resources) {
+        cpus += resources.cpus, gpus += resources.gpus, memory_gb += resources.memory_gb;
         return *this;
     }
     /// Subtracts each amount; the result may be negative.
-    Resources& operator-=(const Resources& o) {
-        cpus -= o.cpus, gpus -= o.gpus, memory_gb -= o.memory_gb;
+    Resources& operator-=(const Resources& resources) {
+        cpus -= resources.cpus, gpus -= resources.gpus, memory_gb -= resources.memory_gb;
         return *this;
     }
     /// The sum of each amount.
-    friend Resources operator+(Resources a, const Resources& b) {
-        return a += b;
+    friend Resources operator+(Resources resources, const Resources& b) {
+        return resources += b;
     }
     /// The difference of each amount; may be negative.
-    friend Resources operator-(Resources a, const Resources& b) {
-        return a -= b;
+    friend Resources operator-(Resources resources, const Resources& b) {
+        return resources -= b;
     }
     /// Each amount k times.
-    friend Resources operator*(Resources a, double k) {
-        return {a.cpus * k, a.gpus * k, a.memory_gb * k};
+    friend Resources operator*(Resources resources, double k) {
+        return {resources.cpus * k, resources.gpus * k, resources.memory_gb * k};
     }
     /// Whether each amount is at most that of `room`. Amounts are decimal numbers, so sums carry rounding errors,
     /// which are allowed for.
--- a/include/heronshift/workers/heartbeat_handler.hpp
+++ b/include/heronshift/workers/heartbeat_handler.hpp
@@ -31,19 +31,19 @@
         [[nodiscard]] virtual const std::string& leader() const = 0; // a hint, may be empty
         [[nodiscard]] virtual bool is_of_leader_term(std::uint64_t fencing_token) const = 0;
         [[nodiscard]] virtual std::string zone_of(const std::string& machine) const = 0; // empty: not known
-        virtual void push(Command c) = 0;                                                // to the core
+        virtual void push(Command command) = 0;                                          // to the core
     };
-    HeartbeatHandler(const Settings& s, TimerQueue& timers, Executor& executor, Peers& peers,
+    HeartbeatHandler(const Settings& settings, TimerQueue& timers, Executor& executor, Peers& peers,
                      membership::Membership& members, metrics::Timings& took, Host& host);
 
-    void handle_heartbeat(HttpRequest&& r, const Responder& res, bool relayed); // POST /agent/beat
-    void forward(HttpRequest&& r, const Responder& res); // POST /peer/relay: orders for a machine
+    void handle_heartbeat(HttpRequest&& request, const Responder& res, bool relayed); // POST /agent/beat
+    void forward(HttpRequest&& request, const Responder& res); // POST /peer/relay: orders for a machine
     void retry_pending_heartbeats(); // reports that came while the leadership changed hands; often, and once it is ours
     void on_leadership_lost();       // who waits for an answer is sent away
 
     // From the core.
-    void answer(AnswerHeartbeat&& a);
-    void send(const SendOrders& o, std::function<void(OrdersAnswered&&)> done);
+    void answer(AnswerHeartbeat&& effect);
+    void send(const SendOrders& effect, std::function<void(OrdersAnswered&&)> done);
 
 private:
     struct RawRequest { // a heartbeat as it came, so that it can be passed on
@@ -59,15 +59,15 @@
         std::string refused_by;          // a leader that did not take it
         [[nodiscard]] std::size_t bytes() const;
     };
-    void take(PendingHeartbeat&& e);
-    void keep_waiting(PendingHeartbeat&& e);
+    void take(PendingHeartbeat&& pending);
+    void keep_waiting(PendingHeartbeat&& pending);
     bool make_room_for_sent_away();
     [[nodiscard]] HeartbeatResponse
     not_leader_response() const; // what a heartbeat is told that this node must not take
     enum class Route : std::uint8_t { leader, relay, next };
-    [[nodiscard]] Route route_of(const Heartbeat& r);
-    void relay(Heartbeat&& r, RawRequest&& whole, double since);
-    void send_by(const std::string& peer, const SendOrders& o, std::function<void(OrdersAnswered&&)> done);
+    [[nodiscard]] Route route_of(const Heartbeat& heartbeat);
+    void relay(Heartbeat&& heartbeat, RawRequest&& whole, double since);
+    void send_by(const std::string& peer, const SendOrders& effect, std::function<void(OrdersAnswered&&)> done);
     void record_launches(const std::vector<Order>& orders);
 
     const Settings& settings_;
--- a/src/cli/client.cpp
+++ b/src/cli/client.cpp
@@ -23,7 +23,7 @@
         do {
             std::optional<HttpReply> got;
             http_.request(nodes_[next_++ % nodes_.size()], method, path, body, answer_s,
-                          [&](HttpReply&& r) { got = std::move(r); });
+                          [&](HttpReply&& reply) { got = std::move(reply); });
             while (!got) {
                 uv_run(&loop_.loop, UV_RUN_NOWAIT);
                 http_.sweep();
@@ -37,13 +37,13 @@
         } while (now() < end);
         return {};
     }
-    int print(const std::optional<HttpReply>& r) const {
-        if (!r) {
+    int print(const std::optional<HttpReply>& reply) const {
+        if (!reply) {
             std::cerr << "heronshift: not in " << patience_s << " s; the last answer: " << last_ << "\n";
             return 3;
         }
-        const bool good = r->status == 200 || r->status == 201;
-        (good ? std::cout : std::cerr) << r->body << "\n";
+        const bool good = reply->status == 200 || reply->status == 201;
+        (good ? std::cout : std::cerr) << reply->body << "\n";
         return good ? 0 : 1;
     }
     void pause(double s) {
@@ -102,13 +102,13 @@
     Client c(nodes);
     std::string last;
     for (;; c.pause(poll_s)) {
-        const auto r = c.ask("GET", path_of(id), "");
-        const auto a = r && r->status == 200 ? codec::job_answer_of(r->body) : std::nullopt;
+        const auto reply = c.ask("GET", path_of(id), "");
+        const auto a = reply && reply->status == 200 ? codec::job_answer_of(reply->body) : std::nullopt;
         if (!a)
-            return c.print(r);
-        if (r->body != last)
-            std::cout << r->body << std::endl; // seen at once, also through a pipe
-        last = r->body;
+            return c.print(reply);
+        if (reply->body != last)
+            std::cout << reply->body << std::endl; // seen at once, also through a pipe
+        last = reply->body;
         if (a->status == codec::status_done)
             return 0;
         if (a->status == codec::status_cancelled)
--- a/src/cloud/cloud_client.cpp
+++ b/src/cloud/cloud_client.cpp
@@ -12,11 +12,11 @@
 } // namespace
 
 void CloudClient::tick() {
-    const double t = timers_.now();
-    if (t >= next_types_)
+    const double now = timers_.now();
+    if (now >= next_types_)
         learn_types();
-    if (host_.is_leader() && t >= next_list_) {
-        next_list_ = t + std::max(settings_.list_lag_s / 2, 2 / settings_.cloud_rps);
+    if (host_.is_leader() && now >= next_list_) {
+        next_list_ = now + std::max(settings_.list_lag_s / 2, 2 / settings_.cloud_rps);
         list_machines("");
     }
     pump();
@@ -47,15 +47,16 @@
 
 void CloudClient::rent(const Rent& wanted) {
     request([this, gen = generation_, wanted](bool go) {
-        auto done = [this, gen, go](Rented&& c) {
+        auto done = [this, gen, go](Rented&& command) {
             if (go)
-                host_.cloud_answered(c.outcome == RentOutcome::rented || c.outcome == RentOutcome::no_capacity);
+                host_.cloud_answered(command.outcome == RentOutcome::rented ||
+                                     command.outcome == RentOutcome::no_capacity);
             if (gen != generation_)
                 return;
-            const double delay = c.outcome == RentOutcome::rented ? 0 : settings_.report_s / 6;
-            timers_.after(delay, [this, gen, c = std::move(c)]() mutable {
+            const double delay = command.outcome == RentOutcome::rented ? 0 : settings_.report_s / 6;
+            timers_.after(delay, [this, gen, command = std::move(command)]() mutable {
                 if (gen == generation_)
-                    host_.push(std::move(c));
+                    host_.push(std::move(command));
             });
         };
         if (!go)
@@ -66,11 +67,11 @@
 
 void CloudClient::release(const Release& wanted) {
     request([this, gen = generation_, wanted](bool go) {
-        auto done = [this, gen, go](Released&& c) {
+        auto done = [this, gen, go](Released&& command) {
             if (go)
-                host_.cloud_answered(c.ok);
+                host_.cloud_answered(command.ok);
             if (gen == generation_)
-                host_.push(std::move(c));
+                host_.push(std::move(command));
         };
         if (!go)
             return done({wanted.machines, false});
@@ -93,9 +94,9 @@
             if (gen != generation_ || !page)
                 return;
             std::string last;
-            for (auto& m : page->machines) {
-                last = m.id;
-                listing_.push_back(std::move(m));
+            for (auto& listed_machine : page->machines) {
+                last = listed_machine.id;
+                listing_.push_back(std::move(listed_machine));
             }
             if (page->more && !last.empty())
                 return list_machines(last);
@@ -116,9 +117,9 @@
     learning_types_ = true;
     if (!types_.empty())
         return from_cloud();
-    store_.get(types_key, settings_.report_s / 2, [this](store::Answer&& r) {
-        if (r.item)
-            if (auto types = codec::machine_types(r.item->value.dump()); types)
+    store_.get(types_key, settings_.report_s / 2, [this](store::Answer&& answer) {
+        if (answer.item)
+            if (auto types = codec::machine_types(answer.item->value.dump()); types)
                 return learned(std::move(*types));
         from_cloud();
     });
--- a/src/cluster/dependencies.cpp
+++ b/src/cluster/dependencies.cpp
@@ -15,32 +15,32 @@
 } // namespace
 
 // From now on it is work like any other: it waits for room, counts to its team and may be rented for.
-void ClusterState::join(Job& j) {
-    j.tasks.resize(j.spec.tasks); // a flood of waiting jobs costs no memory for tasks
-    if (j.team >= 0) {
-        auto& list = data_.teams[static_cast<std::size_t>(j.team)].jobs; // in the order they became ready
-        const auto at = std::find_if(list.rbegin(), list.rend(), [&](const auto& o) { return o->ready <= j.ready; });
-        list.emplace(at.base(), &j);
+void ClusterState::join(Job& job) {
+    job.tasks.resize(job.spec.tasks); // a flood of waiting jobs costs no memory for tasks
+    if (job.team >= 0) {
+        auto& list = data_.teams[static_cast<std::size_t>(job.team)].jobs; // in the order they became ready
+        const auto at = std::find_if(list.rbegin(), list.rend(), [&](const auto& o) { return o->ready <= job.ready; });
+        list.emplace(at.base(), &job);
     }
     log(0, fmt::format("job {} of class {} and team {}: {} tasks of {:.1f} CPUs, {:.0f} s expected, {:.1f} s after its "
                        "submission",
-                       j.spec.id, j.spec.job_class, j.spec.team, j.spec.tasks, j.spec.each.cpus, j.spec.estimate_s,
-                       data_.now - j.submitted));
-    for (std::uint32_t i = 0; i < j.spec.tasks; ++i)
-        queue_task(j, i);
-    offer(j);
+                       job.spec.id, job.spec.job_class, job.spec.team, job.spec.tasks, job.spec.each.cpus,
+                       job.spec.estimate_s, data_.now - job.submitted));
+    for (std::uint32_t i = 0; i < job.spec.tasks; ++i)
+        queue_task(job, i);
+    offer(job);
     needs_scheduling_ = true;
 }
 
 // A need counts as met only once the store holds that it is done: what only this memory knows might
 // be run again by the next leader, and then a start would have been too early.
-void ClusterState::wait_for_dependencies(Job& j) {
-    j.waits = true;
-    j.ready_recorded = false;
+void ClusterState::wait_for_dependencies(Job& job) {
+    job.waits = true;
+    job.ready_recorded = false;
     bool doomed = false;
-    for (const auto& id : j.spec.dependencies) {
-        if (const auto* r = recent_finals_.find(id); r != nullptr) {
-            doomed = doomed || *r == Final::cancelled;
+    for (const auto& id : job.spec.dependencies) {
+        if (const auto* final_state = recent_finals_.find(id); final_state != nullptr) {
+            doomed = doomed || *final_state == Final::cancelled;
             continue;
         }
         const auto* n = find_job(id);
@@ -48,34 +48,34 @@
             doomed = doomed || n->final == Final::cancelled;
             continue;
         }
-        j.unmet.push_back(id);
-        dependents_[id].insert(j.spec.id);
+        job.unmet.push_back(id);
+        dependents_[id].insert(job.spec.id);
         if (n == nullptr)
             look_for(id, data_.now);
     }
-    if (j.spec.dependencies_damaged) {
-        j.unmet.emplace_back(); // never settled
-        log(2, fmt::format("job {} waits: its record does not say for which jobs", j.spec.id));
+    if (job.spec.dependencies_damaged) {
+        job.unmet.emplace_back(); // never settled
+        log(2, fmt::format("job {} waits: its record does not say for which jobs", job.spec.id));
     }
-    log(0, fmt::format("job {} of class {} waits for {}", j.spec.id, j.spec.job_class, fmt::join(j.unmet, " ")));
-    propagate_urgency(j);
+    log(0, fmt::format("job {} of class {} waits for {}", job.spec.id, job.spec.job_class, fmt::join(job.unmet, " ")));
+    propagate_urgency(job);
     if (doomed)
-        finalize(j, Final::cancelled, true);
-    else if (j.unmet.empty())
-        become_ready(j);
+        finalize(job, Final::cancelled, true);
+    else if (job.unmet.empty())
+        become_ready(job);
 }
 
-void ClusterState::become_ready(Job& j) {
-    j.waits = false;
-    j.ready = data_.now;
-    persistence_->became_ready(j);
-    log(0, fmt::format("job {} is ready, {:.1f} s after it was submitted", j.spec.id, data_.now - j.submitted));
-    join(j);
+void ClusterState::become_ready(Job& job) {
+    job.waits = false;
+    job.ready = data_.now;
+    persistence_->became_ready(job);
+    log(0, fmt::format("job {} is ready, {:.1f} s after it was submitted", job.spec.id, data_.now - job.submitted));
+    join(job);
 }
 
 // Called once the final state of a job is in the store. A cancellation takes along all that need it,
 // directly or not: as the first one is stored, every later leader finds the same.
-void ClusterState::dependency_settled(const std::string& id, Final f) {
+void ClusterState::dependency_settled(const std::string& id, Final final_state) {
     std::vector<std::string> settled{id};
     while (!settled.empty()) {
         const auto it = dependents_.find(settled.back());
@@ -86,17 +86,17 @@
         const auto list = std::move(it->second);
         dependents_.erase(it);
         for (const auto& by : list) {
-            auto* j = find_job(by);
-            if (j == nullptr || j->final != Final::none || !j->waits)
+            auto* job = find_job(by);
+            if (job == nullptr || job->final != Final::none || !job->waits)
                 continue;
-            if (f == Final::done) {
-                std::erase(j->unmet, need);
-                if (j->unmet.empty())
-                    become_ready(*j);
+            if (final_state == Final::done) {
+                std::erase(job->unmet, need);
+                if (job->unmet.empty())
+                    become_ready(*job);
                 continue;
             }
             log(1, fmt::format("job {} is cancelled, as {} is, which it needs", by, need));
-            finalize(*j, Final::cancelled, true);
+            finalize(*job, Final::cancelled, true);
             settled.push_back(by);
         }
     }
@@ -107,20 +107,20 @@
 void ClusterState::propagate_urgency(Job& from) {
     std::vector<Job*> stack{&from};
     while (!stack.empty()) {
-        auto& j = *stack.back();
+        auto& job = *stack.back();
         stack.pop_back();
-        if (j.final != Final::none)
+        if (job.final != Final::none)
             continue;
-        const double due = data_.due_at(j);
+        const double due = data_.due_at(job);
         const double start =
-            due < 0 ? -1 : due - estimate_slack * std::max(1.0, j.spec.estimate_s) - data_.settings.report_s;
-        for (const auto& id : j.unmet) {
+            due < 0 ? -1 : due - estimate_slack * std::max(1.0, job.spec.estimate_s) - data_.settings.report_s;
+        for (const auto& id : job.unmet) {
             auto* n = find_job(id);
             if (n == nullptr || n->final != Final::none)
                 continue;
             bool changed = false;
-            if (j.priority < n->priority) {
-                n->priority = j.priority;
+            if (job.priority < n->priority) {
+                n->priority = job.priority;
                 changed = true;
             }
             if (start >= 0 && (n->latest < 0 || start < n->latest)) {
@@ -150,8 +150,8 @@
                 dependency_settled(id, n->final);
             continue;
         }
-        if (const auto* r = recent_finals_.find(id); r != nullptr) {
-            dependency_settled(id, *r);
+        if (const auto* final_state = recent_finals_.find(id); final_state != nullptr) {
+            dependency_settled(id, *final_state);
             continue;
         }
         ++finding_;
@@ -159,35 +159,35 @@
     }
 }
 
-void ClusterState::found(JobFound& c) {
+void ClusterState::found(JobFound& command) {
     if (finding_ > 0)
         --finding_;
-    switch (c.state) {
+    switch (command.state) {
     case Known::done:
     case Known::cancelled:
-        dependency_settled(c.id, c.state == Known::done ? Final::done : Final::cancelled);
+        dependency_settled(command.id, command.state == Known::done ? Final::done : Final::cancelled);
         break;
     case Known::open:
-        if (c.job)
-            add_job(*c.job);
-        look_for(c.id, data_.now + data_.settings.lease_s); // met by its own end, or else asked for again
+        if (command.job)
+            add_job(*command.job);
+        look_for(command.id, data_.now + data_.settings.lease_s); // met by its own end, or else asked for again
         break;
     case Known::no_answer:
-        look_for(c.id, data_.now + data_.settings.report_s / 10);
+        look_for(command.id, data_.now + data_.settings.report_s / 10);
         break;
     case Known::never:
-        if (const auto it = dependents_.find(c.id); it != dependents_.end())
+        if (const auto it = dependents_.find(command.id); it != dependents_.end())
             log(2, fmt::format("job {} and {} others wait for {}, of which the store knows nothing",
-                               *it->second.begin(), it->second.size() - 1, c.id));
+                               *it->second.begin(), it->second.size() - 1, command.id));
     }
 }
 
-void ClusterState::forget_dependencies(Job& j) {
-    for (const auto& id : j.unmet) {
+void ClusterState::forget_dependencies(Job& job) {
+    for (const auto& id : job.unmet) {
         const auto it = dependents_.find(id);
         if (it == dependents_.end())
             continue;
-        it->second.erase(j.spec.id);
+        it->second.erase(job.spec.id);
         if (it->second.empty())
             dependents_.erase(it);
     }
--- a/src/cluster/heartbeat_requests.cpp
+++ b/src/cluster/heartbeat_requests.cpp
@@ -13,22 +13,22 @@
 
 // Once in the queue, however often it reports before its turn: machines that do not hear us stay unproven, and
 // 2,000 of them would queue up faster than they can be asked.
-void ClusterState::want_heartbeat(Machine& m) {
-    if (m.to_be_asked)
+void ClusterState::want_heartbeat(Machine& machine) {
+    if (machine.to_be_asked)
         return;
-    m.to_be_asked = true;
-    to_ask_.push_back(m.id);
+    machine.to_be_asked = true;
+    to_ask_.push_back(machine.id);
 }
 
 // All machines within a lease, if each takes its whole time to answer, as far as there are sockets: 64 at once with
 // fd_limit 1024, for which 2,000 machines that do not answer take two leases and a half. Machines that can reach
 // us need no question: they report by themselves within report_s.
 std::size_t ClusterState::max_asked_at_once() const {
-    const auto& s = data_.settings;
-    const double answer_s = s.report_s / 2;
+    const auto& settings = data_.settings;
+    const double answer_s = settings.report_s / 2;
     const auto within_lease =
-        static_cast<std::size_t>(static_cast<double>(data_.machines.size()) * answer_s / s.lease_s);
-    const auto sockets = static_cast<std::size_t>(s.fd_limit / sockets_per_asked);
+        static_cast<std::size_t>(static_cast<double>(data_.machines.size()) * answer_s / settings.lease_s);
+    const auto sockets = static_cast<std::size_t>(settings.fd_limit / sockets_per_asked);
     return std::max(min_asked_at_once, std::min(within_lease, sockets));
 }
 
@@ -37,25 +37,25 @@
 void ClusterState::ask_machines() {
     const auto max_asked = max_asked_at_once();
     while (!to_ask_.empty() && asking_ < max_asked) {
-        auto* m = find_machine(to_ask_.front());
+        auto* machine = find_machine(to_ask_.front());
         to_ask_.pop_front();
-        if (m == nullptr)
+        if (machine == nullptr)
             continue;
-        m->to_be_asked = false;
-        if (m->batch != 0 || m->addr.empty())
+        machine->to_be_asked = false;
+        if (machine->batch != 0 || machine->addr.empty())
             continue;
-        if (m->proven && data_.now - m->last_heartbeat_at < data_.settings.report_s)
+        if (machine->proven && data_.now - machine->last_heartbeat_at < data_.settings.report_s)
             continue;
         ++asking_;
-        m->asked = true;
-        m->batch = ++batch_seq_;
-        effects_.push_back(SendOrders{m->id,
-                                      m->addr,
-                                      m->batch,
-                                      m->fencing_token,
-                                      std::max<std::uint64_t>(1, m->agent_epoch),
+        machine->asked = true;
+        machine->batch = ++batch_seq_;
+        effects_.push_back(SendOrders{machine->id,
+                                      machine->addr,
+                                      machine->batch,
+                                      machine->fencing_token,
+                                      std::max<std::uint64_t>(1, machine->agent_epoch),
                                       {},
-                                      data_.now < m->relay_orders_until});
+                                      data_.now < machine->relay_orders_until});
     }
 }
 
--- a/src/cluster/jobs.cpp
+++ b/src/cluster/jobs.cpp
@@ -35,8 +35,8 @@
     data_.term = term;
     data_.now = data_.started = now;
     data_.wall = wall;
-    for (const auto& t : settings.teams)
-        data_.teams.push_back({t, {}, {}});
+    for (const auto& limits : settings.teams)
+        data_.teams.push_back({limits, {}, {}});
 }
 
 Job* ClusterState::find_job(const std::string& id) {
@@ -44,31 +44,31 @@
     return it == data_.jobs.end() ? nullptr : it->second.get();
 }
 
-void ClusterState::add_job(JobStored& c) {
-    if (data_.jobs.contains(c.spec.id) || recent_finals_.contains(c.spec.id))
+void ClusterState::add_job(JobStored& command) {
+    if (data_.jobs.contains(command.spec.id) || recent_finals_.contains(command.spec.id))
         return;
-    auto j = std::make_unique<Job>();
-    j->spec = std::move(c.spec);
-    j->submitted = data_.now - c.age_s;
-    j->ready = data_.now - (c.ready_age_s >= 0 ? c.ready_age_s : c.age_s);
-    j->priority = j->spec.priority;
-    j->zone_live.resize(data_.settings.zones.size() + 1);
-    if (j->spec.shape == Shape::service)
-        for (const auto& o : data_.settings.objectives)
-            if (o.kind == "wait" && o.job_class == j->spec.job_class)
-                j->start_within_s = o.within_s;
-    j->image = image_id(j->spec.image, j->spec.image_gb);
+    auto job = std::make_unique<Job>();
+    job->spec = std::move(command.spec);
+    job->submitted = data_.now - command.age_s;
+    job->ready = data_.now - (command.ready_age_s >= 0 ? command.ready_age_s : command.age_s);
+    job->priority = job->spec.priority;
+    job->zone_live.resize(data_.settings.zones.size() + 1);
+    if (job->spec.shape == Shape::service)
+        for (const auto& objective : data_.settings.objectives)
+            if (objective.kind == "wait" && objective.job_class == job->spec.job_class)
+                job->start_within_s = objective.within_s;
+    job->image = image_id(job->spec.image, job->spec.image_gb);
     for (std::size_t i = 0; i < data_.teams.size(); ++i)
-        if (data_.teams[i].limits.name == j->spec.team)
-            j->team = static_cast<int>(i);
-    auto& stored = *j;
+        if (data_.teams[i].limits.name == job->spec.team)
+            job->team = static_cast<int>(i);
+    auto& stored = *job;
     persistence_->added(stored);
-    data_.jobs.emplace(j->spec.id, std::move(j));
+    data_.jobs.emplace(job->spec.id, std::move(job));
     if (const auto it = dependents_.find(stored.spec.id); it != dependents_.end())
         for (const auto& by : it->second)
             if (auto* n = find_job(by); n != nullptr)
                 propagate_urgency(*n);
-    if (c.waits)
+    if (command.waits)
         wait_for_dependencies(stored);
     else
         join(stored);
@@ -76,282 +76,285 @@
 
 // In the order of their indices: in which order reports came must not decide which is next. What comes back was
 // placed early, so its place is near the front.
-void ClusterState::queue_task(Job& j, std::uint32_t index) {
-    auto& t = j.tasks[index];
-    if (t.queued || t.done || t.live > 0)
+void ClusterState::queue_task(Job& job, std::uint32_t index) {
+    auto& task = job.tasks[index];
+    if (task.queued || task.done || task.live > 0)
         return;
-    t.queued = true;
-    auto& p = j.pending;
+    task.queued = true;
+    auto& p = job.pending;
     p.insert(p.empty() || p.back() < index ? p.end() : std::lower_bound(p.begin(), p.end(), index), index);
 }
 
-void ClusterState::cancel(const CancellationRequested& c) {
-    auto* j = find_job(c.id);
+void ClusterState::cancel(const CancellationRequested& command) {
+    auto* j = find_job(command.id);
     if (j == nullptr) {
-        const auto v = job(c.id);
-        effects_.push_back(AnswerCancellation{c.handle, v ? std::string(v->status) : std::string()});
+        const auto v = job(command.id);
+        effects_.push_back(AnswerCancellation{command.handle, v ? std::string(v->status) : std::string()});
         return;
     }
     if (j->final != Final::none && j->final_stored) {
         effects_.push_back(AnswerCancellation{
-            c.handle, std::string(j->final == Final::done ? codec::status_done : codec::status_cancelled)});
+            command.handle, std::string(j->final == Final::done ? codec::status_done : codec::status_cancelled)});
         return;
     }
-    j->cancels.push_back(c.handle);
+    j->cancels.push_back(command.handle);
     if (j->final == Final::none)
         finalize(*j, Final::cancelled);
 }
 
-void ClusterState::finalize(Job& j, Final f, bool cancelled_with_dependency) {
-    j.final = f;
+void ClusterState::finalize(Job& job, Final final_state, bool cancelled_with_dependency) {
+    job.final = final_state;
     // Nobody has any use for what runs after a cancellation was asked for; the answer still
     // waits for the store.
-    log(0, fmt::format("job {} of class {}, {} tasks, {} {:.1f} s after it was submitted{}", j.spec.id,
-                       j.spec.job_class, j.spec.tasks, f == Final::done ? "done" : "cancelled", data_.now - j.submitted,
-                       j.spec.deadline_s >= 0 ? fmt::format(", due after {:.1f} s", j.spec.deadline_s) : ""));
-    for (auto& e : j.entries)
-        stop_entry(*e, 0);
+    log(0, fmt::format("job {} of class {}, {} tasks, {} {:.1f} s after it was submitted{}", job.spec.id,
+                       job.spec.job_class, job.spec.tasks, final_state == Final::done ? "done" : "cancelled",
+                       data_.now - job.submitted,
+                       job.spec.deadline_s >= 0 ? fmt::format(", due after {:.1f} s", job.spec.deadline_s) : ""));
+    for (auto& entry : job.entries)
+        stop_entry(*entry, 0);
     needs_scheduling_ = true;
-    if (f != Final::cancelled)
-        persistence_->final_due(j, PersistenceListener::Urgency::done);
+    if (final_state != Final::cancelled)
+        persistence_->final_due(job, PersistenceListener::Urgency::done);
     else if (cancelled_with_dependency)
-        persistence_->final_due(j, PersistenceListener::Urgency::cancelled_with_dependency);
+        persistence_->final_due(job, PersistenceListener::Urgency::cancelled_with_dependency);
     else
-        store_cancellation(j);
+        store_cancellation(job);
 }
 
 // A launch was sent and its outcome is not known: the machine may still carry it out.
-bool ClusterState::launch_open(const Entry& e) {
-    return e.phase == Phase::sent && !e.seen;
+bool ClusterState::launch_open(const Entry& entry) {
+    return entry.phase == Phase::sent && !entry.seen;
 }
 
 // Whoever reads the final state may tell the user that the job is cancelled, and from then on none of its tasks may
 // start. So it is stored only once no launch is open, of this leader or an earlier one: seen in a heartbeat, refused,
 // ruled out by a raised fencing token, or its machine's lease has run out.
 // (LateCommands: launches that came seconds late were carried out after the confirmation.)
-void ClusterState::store_cancellation(Job& j) {
-    const auto open = std::count_if(j.entries.begin(), j.entries.end(), [](const auto& e) { return launch_open(*e); });
-    j.open_launches = static_cast<std::uint32_t>(open);
+void ClusterState::store_cancellation(Job& job) {
+    const auto open =
+        std::count_if(job.entries.begin(), job.entries.end(), [](const auto& e) { return launch_open(*e); });
+    job.open_launches = static_cast<std::uint32_t>(open);
     if (open == 0)
-        persistence_->final_due(j, PersistenceListener::Urgency::cancelled);
+        persistence_->final_due(job, PersistenceListener::Urgency::cancelled);
 }
 
-void ClusterState::launch_settled(Job& j) {
-    if (j.open_launches == 0)
+void ClusterState::launch_settled(Job& job) {
+    if (job.open_launches == 0)
         return;
-    --j.open_launches;
-    if (j.open_launches == 0)
-        persistence_->final_due(j, PersistenceListener::Urgency::cancelled);
+    --job.open_launches;
+    if (job.open_launches == 0)
+        persistence_->final_due(job, PersistenceListener::Urgency::cancelled);
 }
 
-Entry& ClusterState::add_entry(Machine& m, Job& j, std::uint32_t index, std::uint64_t attempt) {
-    auto& e = *m.entries.emplace_back(std::make_unique<Entry>());
-    e.machine = &m;
-    e.job = &j;
-    e.index = index;
-    e.attempt = attempt;
-    e.agent_epoch = m.agent_epoch;
-    e.fencing_token = m.fencing_token;
-    e.placed_at = data_.now;
-    e.at_machine = m.entries.size() - 1;
-    e.at_job = j.entries.size();
-    j.entries.emplace_back(&e);
-    persistence_->added(e);
-    m.used += j.spec.each;
-    if (j.spec.shape != Shape::array)
-        m.firm += j.spec.each;
-    m.empty_since = -1;
-    ++j.live;
-    ++j.tasks[index].live;
-    if (m.pool)
-        ++j.on_pool;
-    ++j.zone_live[m.zone < 0 ? data_.settings.zones.size() : static_cast<std::size_t>(m.zone)];
-    if (j.team >= 0)
-        data_.teams[static_cast<std::size_t>(j.team)].used += j.spec.each;
-    use_image(m, j.image, false);
-    return e;
+Entry& ClusterState::add_entry(Machine& machine, Job& job, std::uint32_t index, std::uint64_t attempt) {
+    auto& entry = *machine.entries.emplace_back(std::make_unique<Entry>());
+    entry.machine = &machine;
+    entry.job = &job;
+    entry.index = index;
+    entry.attempt = attempt;
+    entry.agent_epoch = machine.agent_epoch;
+    entry.fencing_token = machine.fencing_token;
+    entry.placed_at = data_.now;
+    entry.at_machine = machine.entries.size() - 1;
+    entry.at_job = job.entries.size();
+    job.entries.emplace_back(&entry);
+    persistence_->added(entry);
+    machine.used += job.spec.each;
+    if (job.spec.shape != Shape::array)
+        machine.firm += job.spec.each;
+    machine.empty_since = -1;
+    ++job.live;
+    ++job.tasks[index].live;
+    if (machine.pool)
+        ++job.on_pool;
+    ++job.zone_live[machine.zone < 0 ? data_.settings.zones.size() : static_cast<std::size_t>(machine.zone)];
+    if (job.team >= 0)
+        data_.teams[static_cast<std::size_t>(job.team)].used += job.spec.each;
+    use_image(machine, job.image, false);
+    return entry;
 }
 
 void ClusterState::remove_entry(Entry& gone) {
-    auto& m = *gone.machine;
-    auto& j = *gone.job;
+    auto& machine = *gone.machine;
+    auto& job = *gone.job;
     persistence_->removed(gone);
-    if (gone.at_job + 1 < j.entries.size())
-        j.entries[gone.at_job] = std::move(j.entries.back());
-    j.entries[gone.at_job]->at_job = gone.at_job;
-    j.entries.pop_back();
-    const auto owned = std::move(m.entries[gone.at_machine]);
-    if (gone.at_machine + 1 < m.entries.size()) {
-        m.entries[gone.at_machine] = std::move(m.entries.back());
-        m.entries[gone.at_machine]->at_machine = gone.at_machine;
+    if (gone.at_job + 1 < job.entries.size())
+        job.entries[gone.at_job] = std::move(job.entries.back());
+    job.entries[gone.at_job]->at_job = gone.at_job;
+    job.entries.pop_back();
+    const auto owned = std::move(machine.entries[gone.at_machine]);
+    if (gone.at_machine + 1 < machine.entries.size()) {
+        machine.entries[gone.at_machine] = std::move(machine.entries.back());
+        machine.entries[gone.at_machine]->at_machine = gone.at_machine;
     }
-    m.entries.pop_back();
-    const Entry& e = *owned;
-    if (launch_open(e))
-        launch_settled(j);
-    m.used -= j.spec.each;
-    if (j.spec.shape != Shape::array)
-        m.firm -= j.spec.each;
-    if (m.entries.empty()) {
-        m.used = m.firm = {};
-        m.empty_since = data_.now;
+    machine.entries.pop_back();
+    const Entry& entry = *owned;
+    if (launch_open(entry))
+        launch_settled(job);
+    machine.used -= job.spec.each;
+    if (job.spec.shape != Shape::array)
+        machine.firm -= job.spec.each;
+    if (machine.entries.empty()) {
+        machine.used = machine.firm = {};
+        machine.empty_since = data_.now;
     }
-    --j.live;
-    --j.tasks[e.index].live;
-    if (j.on_pool > 0 && m.pool)
-        --j.on_pool;
-    if (e.phase == Phase::running && j.running > 0)
-        --j.running;
-    --j.zone_live[m.zone < 0 ? data_.settings.zones.size() : static_cast<std::size_t>(m.zone)];
-    if (j.team >= 0)
-        data_.teams[static_cast<std::size_t>(j.team)].used -= j.spec.each;
-    const bool open = j.final == Final::none && !j.tasks[e.index].done;
+    --job.live;
+    --job.tasks[entry.index].live;
+    if (job.on_pool > 0 && machine.pool)
+        --job.on_pool;
+    if (entry.phase == Phase::running && job.running > 0)
+        --job.running;
+    --job.zone_live[machine.zone < 0 ? data_.settings.zones.size() : static_cast<std::size_t>(machine.zone)];
+    if (job.team >= 0)
+        data_.teams[static_cast<std::size_t>(job.team)].used -= job.spec.each;
+    const bool open = job.final == Final::none && !job.tasks[entry.index].done;
     if (open)
-        queue_task(j, e.index);
+        queue_task(job, entry.index);
     // What a stale record named of an earlier attempt says nothing about this one.
-    if (j.spec.shape == Shape::gang && open && e.attempt == j.gang_attempt)
-        break_gang(j);
-    if (j.live == 0) {
-        j.gang_breaking = false;
-        if (j.final != Final::none && j.final_stored)
-            persistence_->final_due(j, PersistenceListener::Urgency::done);
+    if (job.spec.shape == Shape::gang && open && entry.attempt == job.gang_attempt)
+        break_gang(job);
+    if (job.live == 0) {
+        job.gang_breaking = false;
+        if (job.final != Final::none && job.final_stored)
+            persistence_->final_due(job, PersistenceListener::Urgency::done);
     }
     needs_scheduling_ = true;
 }
 
 // A gang that lost a task is stopped whole; it starts again once every old task is proven gone.
-void ClusterState::break_gang(Job& j) {
-    if (j.gang_breaking || j.live == 0)
+void ClusterState::break_gang(Job& job) {
+    if (job.gang_breaking || job.live == 0)
         return;
-    j.gang_breaking = true;
-    for (auto& e : j.entries)
-        stop_entry(*e, 0);
+    job.gang_breaking = true;
+    for (auto& entry : job.entries)
+        stop_entry(*entry, 0);
 }
 
-void ClusterState::stop_entry(Entry& e, double drain_s) {
-    if (e.stop && e.drain_s <= drain_s)
+void ClusterState::stop_entry(Entry& entry, double drain_s) {
+    if (entry.stop && entry.drain_s <= drain_s)
         return;
-    e.stop = true;
-    e.drain_s = drain_s;
-    e.stop_at = -1;
-    want_orders(*e.machine);
+    entry.stop = true;
+    entry.drain_s = drain_s;
+    entry.stop_at = -1;
+    want_orders(*entry.machine);
 }
 
-void ClusterState::mark_done(Job& j, std::uint32_t index) {
-    auto& t = j.tasks[index];
-    if (t.done)
+void ClusterState::mark_done(Job& job, std::uint32_t index) {
+    auto& task = job.tasks[index];
+    if (task.done)
         return;
-    t.done = true;
-    ++j.done;
-    j.had_success = true;
-    j.error_streak = 0;
-    j.unstored.push_back(index);
-    if (j.spec.shape == Shape::gang && j.done < j.spec.tasks) {
+    task.done = true;
+    ++job.done;
+    job.had_success = true;
+    job.error_streak = 0;
+    job.unstored.push_back(index);
+    if (job.spec.shape == Shape::gang && job.done < job.spec.tasks) {
         // A gang completes together: if one task is done, all are.
-        for (auto& x : j.tasks)
+        for (auto& x : job.tasks)
             x.done = true;
-        j.done = j.spec.tasks;
+        job.done = job.spec.tasks;
     }
-    if (j.done == j.spec.tasks) {
-        if (j.final == Final::none)
-            finalize(j, Final::done);
+    if (job.done == job.spec.tasks) {
+        if (job.final == Final::none)
+            finalize(job, Final::done);
     } else {
-        persistence_->progressed(j);
+        persistence_->progressed(job);
     }
 }
 
-void ClusterState::task_exited(Entry& e, const ReportedTask& t) {
-    auto& m = *e.machine;
-    auto& j = *e.job;
-    auto& task = j.tasks[e.index];
+void ClusterState::task_exited(Entry& entry, const ReportedTask& t) {
+    auto& machine = *entry.machine;
+    auto& job = *entry.job;
+    auto& task = job.tasks[entry.index];
     switch (t.cause) {
     case ExitCause::done:
-        m.failed_jobs.clear();
+        machine.failed_jobs.clear();
         // Of what an earlier leader started nobody knows how long it ran.
-        if (e.running_at >= 0 && task.saved_s <= 0 && e.attempt >> attempt_counter_bits == data_.term)
-            record_run_time(j, m, data_.now - e.running_at);
-        mark_done(j, e.index);
+        if (entry.running_at >= 0 && task.saved_s <= 0 && entry.attempt >> attempt_counter_bits == data_.term)
+            record_run_time(job, machine, data_.now - entry.running_at);
+        mark_done(job, entry.index);
         break;
     case ExitCause::stopped:
-        if (t.saved && e.running_at >= 0)
-            task.saved_s += static_cast<float>(data_.now - e.running_at);
+        if (t.saved && entry.running_at >= 0)
+            task.saved_s += static_cast<float>(data_.now - entry.running_at);
         break;
     case ExitCause::error:
-        log(1, fmt::format("task {}/{} failed on {}", j.spec.id, e.index, m.id));
-        j.error_machines.insert(m.id);
-        ++j.error_streak;
+        log(1, fmt::format("task {}/{} failed on {}", job.spec.id, entry.index, machine.id));
+        job.error_machines.insert(machine.id);
+        ++job.error_streak;
         if (task.failures < 200)
             ++task.failures;
-        if (!j.had_success && j.error_machines.size() >= 3) {
+        if (!job.had_success && job.error_machines.size() >= 3) {
             // The same job failing on several machines: the job is at fault. It is tried again
             // with a growing pause and takes no machine down with it.
-            j.not_before = data_.now + std::min(data_.settings.lease_s * 3,
-                                                data_.settings.report_s * (1 << std::min(j.error_streak, 6)));
-            for (const auto& id : j.error_machines)
+            job.not_before = data_.now + std::min(data_.settings.lease_s * 3,
+                                                  data_.settings.report_s * (1 << std::min(job.error_streak, 6)));
+            for (const auto& id : job.error_machines)
                 if (auto* x = find_machine(id); x != nullptr)
-                    x->failed_jobs.erase(j.spec.id);
+                    x->failed_jobs.erase(job.spec.id);
         } else {
-            m.failed_jobs.insert(j.spec.id);
-            m.avoid_until = std::max(m.avoid_until, data_.now + data_.settings.lease_s);
-            if ((m.failed_jobs.size() >= 2 || j.had_success) && !m.bad) {
-                m.bad = true;
-                log(2, fmt::format("machine {} fails its tasks, taken out of use", m.id));
+            machine.failed_jobs.insert(job.spec.id);
+            machine.avoid_until = std::max(machine.avoid_until, data_.now + data_.settings.lease_s);
+            if ((machine.failed_jobs.size() >= 2 || job.had_success) && !machine.bad) {
+                machine.bad = true;
+                log(2, fmt::format("machine {} fails its tasks, taken out of use", machine.id));
             }
         }
         break;
     case ExitCause::no_room:
     case ExitCause::busy:
     case ExitCause::unknown:
-        log(1, fmt::format("task {}/{} refused by {}", j.spec.id, e.index, m.id));
-        m.avoid_until = std::max(m.avoid_until, data_.now + data_.settings.report_s);
-        j.not_before = std::max(j.not_before, data_.now + data_.settings.report_s / 3);
+        log(1, fmt::format("task {}/{} refused by {}", job.spec.id, entry.index, machine.id));
+        machine.avoid_until = std::max(machine.avoid_until, data_.now + data_.settings.report_s);
+        job.not_before = std::max(job.not_before, data_.now + data_.settings.report_s / 3);
         break;
     default:
         break;
     }
 }
 
-void ClusterState::mark_seen(Entry& e) {
-    const bool was_open = launch_open(e);
-    e.seen = true;
+void ClusterState::mark_seen(Entry& entry) {
+    const bool was_open = launch_open(entry);
+    entry.seen = true;
     if (was_open)
-        launch_settled(*e.job);
+        launch_settled(*entry.job);
 }
 
-void ClusterState::update_entry(Entry& e, const ReportedTask& t) {
-    mark_seen(e);
-    const auto was = e.phase;
-    switch (t.state) {
+void ClusterState::update_entry(Entry& entry, const ReportedTask& task) {
+    mark_seen(entry);
+    const auto was = entry.phase;
+    switch (task.state) {
     case TaskState::fetching:
-        e.phase = Phase::fetching;
+        entry.phase = Phase::fetching;
         break;
     case TaskState::waiting:
-        e.phase = Phase::waiting;
+        entry.phase = Phase::waiting;
         break;
     case TaskState::running:
-        e.phase = Phase::running;
+        entry.phase = Phase::running;
         break;
     case TaskState::saving:
-        e.phase = Phase::saving;
+        entry.phase = Phase::saving;
         break;
     case TaskState::ended:
         break;
     }
-    auto& j = *e.job;
-    if (e.phase == Phase::running && was != Phase::running) {
-        ++j.running;
-        if (e.running_at < 0) {
-            e.running_at = data_.now;
+    auto& job = *entry.job;
+    if (entry.phase == Phase::running && was != Phase::running) {
+        ++job.running;
+        if (entry.running_at < 0) {
+            entry.running_at = data_.now;
             log(0, fmt::format("task {}/{} runs on {}, {:.1f} s after it was placed, {:.1f} s after its job was ready",
-                               j.spec.id, e.index, e.machine->id, data_.now - e.placed_at, data_.now - j.ready));
+                               job.spec.id, entry.index, entry.machine->id, data_.now - entry.placed_at,
+                               data_.now - job.ready));
         }
-        if (j.first_start < 0)
-            j.first_start = data_.now;
-    } else if (was == Phase::running && e.phase != Phase::running && j.running > 0) {
-        --j.running;
+        if (job.first_start < 0)
+            job.first_start = data_.now;
+    } else if (was == Phase::running && entry.phase != Phase::running && job.running > 0) {
+        --job.running;
     }
-    if (e.phase == Phase::running || e.phase == Phase::waiting)
-        use_image(*e.machine, j.image, true);
+    if (entry.phase == Phase::running || entry.phase == Phase::waiting)
+        use_image(*entry.machine, job.image, true);
 }
 
 std::optional<JobView> ClusterState::job(const std::string& id) const {
@@ -359,10 +362,10 @@
     if (resigned_)
         return {};
     if (it == data_.jobs.end()) {
-        const auto* r = recent_finals_.find(id);
-        if (r == nullptr)
+        const auto* final_state = recent_finals_.find(id);
+        if (final_state == nullptr)
             return {};
-        return JobView{*r == Final::done ? codec::status_done : codec::status_cancelled, 0, 0};
+        return JobView{*final_state == Final::done ? codec::status_done : codec::status_cancelled, 0, 0};
     }
     const auto& j = *it->second;
     JobView v;
@@ -376,49 +379,49 @@
     return v;
 }
 
-void ClusterState::remember_final(const Job& j) {
-    recent_finals_.add(j.spec.id, j.final);
+void ClusterState::remember_final(const Job& job) {
+    recent_finals_.add(job.spec.id, job.final);
 }
 
-void ClusterState::forget_job(Job& j) {
-    if (j.team >= 0)
-        std::erase_if(data_.teams[static_cast<std::size_t>(j.team)].jobs, [&](const auto& x) { return x == &j; });
-    forget_dependencies(j);
-    data_.jobs.erase(std::string(j.spec.id));
+void ClusterState::forget_job(Job& job) {
+    if (job.team >= 0)
+        std::erase_if(data_.teams[static_cast<std::size_t>(job.team)].jobs, [&](const auto& x) { return x == &job; });
+    forget_dependencies(job);
+    data_.jobs.erase(std::string(job.spec.id));
 }
 
 // Work that arrays bring, averaged over a while: what is kept for those to come.
-void ClusterState::offer(const Job& j) {
-    if (j.spec.shape != Shape::array)
+void ClusterState::offer(const Job& job) {
+    if (job.spec.shape != Shape::array)
         return;
     auto& l = data_.learned;
     const double over = data_.average_s();
     const double left = std::exp(-(data_.now - l.offered_at) / over);
-    const double more = data_.work_left(j) / over * std::exp(-std::max(0.0, data_.now - j.ready) / over);
-    if (data_.now - j.ready < data_.settings.report_s) { // not one read at a failover
+    const double more = data_.work_left(job) / over * std::exp(-std::max(0.0, data_.now - job.ready) / over);
+    if (data_.now - job.ready < data_.settings.report_s) { // not one read at a failover
         l.gaps = std::min(l.gaps + 1, max_gaps);
         l.gap_s += (data_.now - l.offered_at - l.gap_s) / l.gaps;
     }
     l.offered = l.offered * left + more;
-    l.offered_ordinary = l.offered_ordinary * left + (j.spec.spot ? 0 : more);
+    l.offered_ordinary = l.offered_ordinary * left + (job.spec.spot ? 0 : more);
     l.offered_at = data_.now;
 }
 
 // Tasks of one job take much the same time, so the longest of those that are through tells what is
 // too long, long before any estimate would.
-void ClusterState::record_run_time(Job& j, const Machine& m, double ran) {
-    if (j.spec.shape != Shape::array)
+void ClusterState::record_run_time(Job& job, const Machine& machine, double ran) {
+    if (job.spec.shape != Shape::array)
         return;
-    if (j.spec.estimate_s > 0) {
+    if (job.spec.estimate_s > 0) {
         // On some days most estimates are too low: sums, since single ones are often wrong by half.
         auto& l = data_.learned;
-        l.ran_s = 0.995 * l.ran_s + std::min(ran, 5 * j.spec.estimate_s);
-        l.estimated_s = 0.995 * l.estimated_s + j.spec.estimate_s;
+        l.ran_s = 0.995 * l.ran_s + std::min(ran, 5 * job.spec.estimate_s);
+        l.estimated_s = 0.995 * l.estimated_s + job.spec.estimate_s;
     }
-    ++j.runs;
-    j.run_sum += ran;
-    if (data_.now >= m.slow_until)
-        j.longest_run = std::max(j.longest_run, ran);
+    ++job.runs;
+    job.run_sum += ran;
+    if (data_.now >= machine.slow_until)
+        job.longest_run = std::max(job.longest_run, ran);
 }
 
 } // namespace heronshift::cluster
--- a/src/cluster/placement_rules.cpp
+++ b/src/cluster/placement_rules.cpp
@@ -14,62 +14,62 @@
     return offered_leases * settings.lease_s;
 }
 
-double ClusterData::work_left(const Job& j) const {
-    return j.spec.each.cpus * (j.spec.tasks - j.done) * std::max(1.0, j.spec.estimate_s);
+double ClusterData::work_left(const Job& job) const {
+    return job.spec.each.cpus * (job.spec.tasks - job.done) * std::max(1.0, job.spec.estimate_s);
 }
 
-double ClusterData::due_at(const Job& j) const {
-    double due = j.spec.deadline_s >= 0 ? j.submitted + j.spec.deadline_s : 1e18;
-    if (j.latest >= 0)
-        due = std::min(due, j.latest);
-    if (j.spec.deadline_s < 0 && !j.waits)
-        for (const auto& o : settings.objectives)
-            if (o.kind == "finished" && o.job_class == j.spec.job_class)
-                due = std::min(due, j.ready + o.within_s);
+double ClusterData::due_at(const Job& job) const {
+    double due = job.spec.deadline_s >= 0 ? job.submitted + job.spec.deadline_s : 1e18;
+    if (job.latest >= 0)
+        due = std::min(due, job.latest);
+    if (job.spec.deadline_s < 0 && !job.waits)
+        for (const auto& objective : settings.objectives)
+            if (objective.kind == "finished" && objective.job_class == job.spec.job_class)
+                due = std::min(due, job.ready + objective.within_s);
     return due < 1e18 ? due : -1;
 }
 
-int ClusterData::quota_room(const Job& j) const {
-    if (j.team < 0)
+int ClusterData::quota_room(const Job& job) const {
+    if (job.team < 0)
         return 0;
-    const auto& t = teams[static_cast<std::size_t>(j.team)];
+    const auto& team = teams[static_cast<std::size_t>(job.team)];
     double n = 1e6;
-    if (t.limits.cpus_max > 0)
-        n = std::min(n, (t.limits.cpus_max - t.used.cpus + 1e-6) / j.spec.each.cpus);
-    if (t.limits.gpus_max > 0 && j.spec.each.gpus > 0)
-        n = std::min(n, (t.limits.gpus_max - t.used.gpus + 1e-6) / j.spec.each.gpus);
+    if (team.limits.cpus_max > 0)
+        n = std::min(n, (team.limits.cpus_max - team.used.cpus + 1e-6) / job.spec.each.cpus);
+    if (team.limits.gpus_max > 0 && job.spec.each.gpus > 0)
+        n = std::min(n, (team.limits.gpus_max - team.used.gpus + 1e-6) / job.spec.each.gpus);
     return static_cast<int>(std::floor(std::max(0.0, n)));
 }
 
-bool ClusterData::allowed_there(const Job& j, const Machine& m) const {
-    const auto& spec = j.spec;
-    if (m.zone < 0 || m.type < 0 || (m.spot && !spec.spot))
+bool ClusterData::allowed_there(const Job& job, const Machine& machine) const {
+    const auto& spec = job.spec;
+    if (machine.zone < 0 || machine.type < 0 || (machine.spot && !spec.spot))
         return false;
-    if (!spec.types.empty() && std::find(spec.types.begin(), spec.types.end(), m.type_name) == spec.types.end())
+    if (!spec.types.empty() && std::find(spec.types.begin(), spec.types.end(), machine.type_name) == spec.types.end())
         return false;
-    if (!spec.zone.empty() && spec.zone != m.zone_name)
+    if (!spec.zone.empty() && spec.zone != machine.zone_name)
         return false;
-    const auto zone = static_cast<std::size_t>(m.zone);
-    if (spec.one_zone && j.live > 0 && j.zone_live[zone] != j.live)
+    const auto zone = static_cast<std::size_t>(machine.zone);
+    if (spec.one_zone && job.live > 0 && job.zone_live[zone] != job.live)
         return false;
     // What is in an unknown zone may be in any.
-    return !spec.spread || j.zone_live[zone] + j.zone_live.back() < (spec.tasks + 1) / 2;
+    return !spec.spread || job.zone_live[zone] + job.zone_live.back() < (spec.tasks + 1) / 2;
 }
 
-const char* ClusterData::refusal(const Job& j, const Machine& m) const {
-    if (j.waits)
+const char* ClusterData::refusal(const Job& job, const Machine& machine) const {
+    if (job.waits)
         return "the jobs that it needs are not done";
-    if (j.final != Final::none)
+    if (job.final != Final::none)
         return "the job is over";
     if (unproven())
         return "a damaged record leaves open what runs";
-    if (m.status != Status::up || m.draining || m.releasing)
+    if (machine.status != Status::up || machine.draining || machine.releasing)
         return "the machine takes no work";
-    if (!allowed_there(j, m))
+    if (!allowed_there(job, machine))
         return "a type, zone or kind that the job does not allow";
-    if (!j.spec.each.fits(m.whole - m.used))
+    if (!job.spec.each.fits(machine.whole - machine.used))
         return "no room";
-    if (quota_room(j) < 1)
+    if (quota_room(job) < 1)
         return "the team's limit";
     return nullptr;
 }
--- a/src/cluster/proposals.cpp
+++ b/src/cluster/proposals.cpp
@@ -49,101 +49,101 @@
         j.pending.pop_front();
 }
 
-void ClusterState::stop(const Entry& e, double drain_s) {
-    stop_entry(own(e), drain_s);
+void ClusterState::stop(const Entry& entry, double drain_s) {
+    stop_entry(own(entry), drain_s);
 }
 
-void ClusterState::preempt(const Entry& e) {
-    stop_entry(own(e), 0);
+void ClusterState::preempt(const Entry& entry) {
+    stop_entry(own(entry), 0);
     ++counters_.preempted;
 }
 
-void ClusterState::move_away(const Entry& e, double drain_s) {
-    stop_entry(own(e), drain_s);
-    own(e).moving = true;
+void ClusterState::move_away(const Entry& entry, double drain_s) {
+    stop_entry(own(entry), drain_s);
+    own(entry).moving = true;
     ++counters_.moved;
 }
 
-void ClusterState::gang_whole(const Job& j) {
-    own(j).gang_breaking = false;
+void ClusterState::gang_whole(const Job& job) {
+    own(job).gang_breaking = false;
 }
 
-void ClusterState::reserve(const Machine& machine, const Job& j, int tasks, double until, Priority against) {
+void ClusterState::reserve(const Machine& machine, const Job& job, int tasks, double until, Priority against) {
     auto& m = own(machine);
-    m.reserved_for = &j;
+    m.reserved_for = &job;
     m.reserved_priority = against;
     m.reserved_until = until;
     m.reserved_tasks = tasks;
 }
 
-void ClusterState::room_asked(const Job& j, double until) {
-    own(j).room_until = until;
+void ClusterState::room_asked(const Job& job, double until) {
+    own(job).room_until = until;
 }
 
-void ClusterState::good_room(const Job& j, bool being_made) {
-    own(j).good_room = being_made;
+void ClusterState::good_room(const Job& job, bool being_made) {
+    own(job).good_room = being_made;
 }
 
 void ClusterState::set_pool(const std::vector<const Machine*>& pool, const Resources& service_shape) {
     data_.service_shape = service_shape;
-    for (auto& [id, m] : data_.machines)
-        m->pool = false;
-    for (const auto* m : pool)
-        own(*m).pool = true;
+    for (auto& [id, machine] : data_.machines)
+        machine->pool = false;
+    for (const auto* machine : pool)
+        own(*machine).pool = true;
 }
 
-void ClusterState::set_common_shape(const Resources& r) {
-    data_.common_shape = r;
+void ClusterState::set_common_shape(const Resources& resources) {
+    data_.common_shape = resources;
 }
 
 // A job is within its team's guarantee if it fits into that with the team's earlier ones.
 void ClusterState::mark_guarantees() {
-    for (auto& t : data_.teams) {
+    for (auto& team : data_.teams) {
         double cpus = 0, gpus = 0;
-        for (auto& j : t.jobs) {
-            if (j->final != Final::none)
+        for (auto& job : team.jobs) {
+            if (job->final != Final::none)
                 continue;
-            cpus += j->spec.each.cpus * j->spec.tasks;
-            gpus += j->spec.each.gpus * j->spec.tasks;
+            cpus += job->spec.each.cpus * job->spec.tasks;
+            gpus += job->spec.each.gpus * job->spec.tasks;
             // What is guaranteed nothing of what a job uses is no guarantee for it.
-            const bool some = t.limits.cpus > 0 || (t.limits.gpus > 0 && j->spec.each.gpus > 0);
-            j->guaranteed = some && (t.limits.cpus <= 0 || cpus <= t.limits.cpus + 1e-6) &&
-                            (t.limits.gpus <= 0 || gpus <= t.limits.gpus + 1e-6);
+            const bool some = team.limits.cpus > 0 || (team.limits.gpus > 0 && job->spec.each.gpus > 0);
+            job->guaranteed = some && (team.limits.cpus <= 0 || cpus <= team.limits.cpus + 1e-6) &&
+                              (team.limits.gpus <= 0 || gpus <= team.limits.gpus + 1e-6);
         }
     }
 }
 
-void ClusterState::blame(const Entry& e) {
-    auto& blamed = own(e).job->tasks[e.index].blamed;
+void ClusterState::blame(const Entry& entry) {
+    auto& blamed = own(entry).job->tasks[entry.index].blamed;
     if (blamed < 4)
         ++blamed;
 }
 
-void ClusterState::slow(const Machine& m, double until) {
-    own(m).slow_until = until;
-    ++own(m).slow_seen;
+void ClusterState::slow(const Machine& machine, double until) {
+    own(machine).slow_until = until;
+    ++own(machine).slow_seen;
 }
 
-void ClusterState::retire(const Machine& m, bool leave) {
-    own(m).retiring = leave;
+void ClusterState::retire(const Machine& machine, bool leave) {
+    own(machine).retiring = leave;
     if (!leave)
         needs_scheduling_ = true;
 }
 
-void ClusterState::rent(const Pending& p) {
+void ClusterState::rent(const Pending& rental) {
     // The term makes the name unique among all leaders there ever were.
     const auto claim = fmt::format("r-{}-{}", data_.term, ++claim_seq_);
-    data_.rentals[claim] = p;
-    effects_.emplace_back(Rent{claim, p.type, p.zone, p.spot, p.count});
+    data_.rentals[claim] = rental;
+    effects_.emplace_back(Rent{claim, rental.type, rental.zone, rental.spot, rental.count});
 }
 
-void ClusterState::ask(const Machine& m) {
-    own(m).asked_at = data_.now;
-    to_ask_.push_back(m.id);
+void ClusterState::ask(const Machine& machine) {
+    own(machine).asked_at = data_.now;
+    to_ask_.push_back(machine.id);
 }
 
-void ClusterState::presume_dead(const Machine& m) {
-    own(m).presumed_dead = true;
+void ClusterState::presume_dead(const Machine& machine) {
+    own(machine).presumed_dead = true;
 }
 
 void ClusterState::give_back(const Machine& machine) {
@@ -162,9 +162,9 @@
     const auto room = departed_.room_for(releases_under_way_ + machines.size(), data_.now);
     const auto may_go = std::min(machines.size(), room - std::min(room, releases_under_way_));
     for (auto i = may_go; i < machines.size(); ++i)
-        if (auto* m = find_machine(machines[i]); m != nullptr) {
-            m->release_asked = false;
-            m->release_retry = data_.now + data_.settings.report_s;
+        if (auto* machine = find_machine(machines[i]); machine != nullptr) {
+            machine->release_asked = false;
+            machine->release_retry = data_.now + data_.settings.report_s;
         }
     if (may_go < machines.size())
         log(2, fmt::format("{} machines stay rented for now: {} departed lately", machines.size() - may_go,
--- a/src/codec/cloud.cpp
+++ b/src/codec/cloud.cpp
@@ -12,31 +12,31 @@
 using fields::text;
 
 std::optional<std::vector<MachineType>> machine_types(std::string_view body) {
-    const auto j = parse(body);
-    if (!j.is_object())
+    const auto json = parse(body);
+    if (!json.is_object())
         return {};
-    const auto* list = field(j, "flavors");
+    const auto* list = field(json, "flavors");
     if (list == nullptr || !list->is_array())
         return {};
     std::vector<MachineType> out;
     for (const auto& e : *list) {
         if (!e.is_object())
             return {};
-        MachineType t;
-        t.name = text(e, "name");
-        t.room = {number(e, "cpus"), number(e, "accelerators"), number(e, "memGb")};
-        t.cache_gb = number(e, "cacheGb");
-        t.fetch_gb_per_s = number(e, "fetchGbPerS", 1);
-        t.price = number(e, "rate");
-        t.spot_price = number(e, "lowPrice", t.price);
-        t.boot_s = number(e, "bootS", 60);
+        MachineType type;
+        type.name = text(e, "name");
+        type.room = {number(e, "cpus"), number(e, "accelerators"), number(e, "memGb")};
+        type.cache_gb = number(e, "cacheGb");
+        type.fetch_gb_per_s = number(e, "fetchGbPerS", 1);
+        type.price = number(e, "rate");
+        type.spot_price = number(e, "lowPrice", type.price);
+        type.boot_s = number(e, "bootS", 60);
         if (const auto* z = field(e, "yards"); z != nullptr && z->is_array())
             for (const auto& zone : *z)
                 if (zone.is_string())
-                    t.zones.push_back(zone.get<std::string>());
-        if (t.name.empty() || !(t.room.cpus > 0) || !(t.fetch_gb_per_s > 0))
+                    type.zones.push_back(zone.get<std::string>());
+        if (type.name.empty() || !(type.room.cpus > 0) || !(type.fetch_gb_per_s > 0))
             return {};
-        out.push_back(std::move(t));
+        out.push_back(std::move(type));
     }
     if (out.empty())
         return {};
@@ -45,17 +45,17 @@
 
 Json types_to_json(const std::vector<MachineType>& types) {
     Json list = Json::array();
-    for (const auto& t : types)
-        list.push_back({{"name", t.name},
-                        {"cpus", t.room.cpus},
-                        {"accelerators", t.room.gpus},
-                        {"memGb", t.room.memory_gb},
-                        {"cacheGb", t.cache_gb},
-                        {"fetchGbPerS", t.fetch_gb_per_s},
-                        {"rate", t.price},
-                        {"lowPrice", t.spot_price},
-                        {"bootS", t.boot_s},
-                        {"yards", t.zones}});
+    for (const auto& type : types)
+        list.push_back({{"name", type.name},
+                        {"cpus", type.room.cpus},
+                        {"accelerators", type.room.gpus},
+                        {"memGb", type.room.memory_gb},
+                        {"cacheGb", type.cache_gb},
+                        {"fetchGbPerS", type.fetch_gb_per_s},
+                        {"rate", type.price},
+                        {"lowPrice", type.spot_price},
+                        {"bootS", type.boot_s},
+                        {"yards", type.zones}});
     return {{"flavors", list}};
 }
 
@@ -64,10 +64,10 @@
 }
 
 std::optional<std::vector<std::string>> rented(std::string_view body) {
-    const auto j = parse(body);
-    if (!j.is_object())
+    const auto json = parse(body);
+    if (!json.is_object())
         return {};
-    const auto* list = field(j, "hosts");
+    const auto* list = field(json, "hosts");
     if (list == nullptr || !list->is_array())
         return {};
     std::vector<std::string> out;
@@ -84,33 +84,33 @@
 }
 
 std::optional<MachinePage> machine_page(std::string_view body) {
-    const auto j = parse(body);
-    if (!j.is_object())
+    const auto json = parse(body);
+    if (!json.is_object())
         return {};
-    const auto* list = field(j, "hosts");
+    const auto* list = field(json, "hosts");
     if (list == nullptr || !list->is_array())
         return {};
     MachinePage p;
-    p.more = flag(j, "more");
+    p.more = flag(json, "more");
     for (const auto& e : *list) {
         if (!e.is_object())
             return {};
-        ListedMachine m{text(e, "id"),     text(e, "addr"),    text(e, "flavor"), text(e, "yard"),
-                        text(e, "status"), flag(e, "standby"), number(e, "ageS")};
-        if (m.id.empty())
+        ListedMachine listed_machine{text(e, "id"),     text(e, "addr"),    text(e, "flavor"), text(e, "yard"),
+                                     text(e, "status"), flag(e, "standby"), number(e, "ageS")};
+        if (listed_machine.id.empty())
             return {};
-        p.machines.push_back(std::move(m));
+        p.machines.push_back(std::move(listed_machine));
     }
     return p;
 }
 
 std::optional<RentalRequest> rental_request(std::string_view body) {
-    const auto j = parse(body);
-    if (!j.is_object())
+    const auto json = parse(body);
+    if (!json.is_object())
         return {};
-    RentalRequest r{text(j, "claim"), text(j, "flavor"), text(j, "yard"), flag(j, "standby"), 0};
+    RentalRequest r{text(json, "claim"), text(json, "flavor"), text(json, "yard"), flag(json, "standby"), 0};
     std::uint64_t n = 0;
-    if (r.claim.empty() || r.type.empty() || r.zone.empty() || !count(j, "number", n) || n < 1 || n > 50)
+    if (r.claim.empty() || r.type.empty() || r.zone.empty() || !count(json, "number", n) || n < 1 || n > 50)
         return {};
     r.count = static_cast<int>(n);
     return r;
@@ -118,14 +118,14 @@
 
 std::string to_body(const MachinePage& p) {
     auto list = Json::array();
-    for (const auto& m : p.machines)
-        list.push_back({{"id", m.id},
-                        {"addr", m.addr},
-                        {"flavor", m.type},
-                        {"yard", m.zone},
-                        {"standby", m.spot},
-                        {"status", m.status},
-                        {"ageS", m.age_s}});
+    for (const auto& listed_machine : p.machines)
+        list.push_back({{"id", listed_machine.id},
+                        {"addr", listed_machine.addr},
+                        {"flavor", listed_machine.type},
+                        {"yard", listed_machine.zone},
+                        {"standby", listed_machine.spot},
+                        {"status", listed_machine.status},
+                        {"ageS", listed_machine.age_s}});
     return Json{{"hosts", std::move(list)}, {"more", p.more}}.dump();
 }
 
--- a/src/codec/jobs.cpp
+++ b/src/codec/jobs.cpp
@@ -26,15 +26,15 @@
             error = fmt::format("{}: {}", name, what);
     }
     std::string text(const char* name, bool required, std::size_t most = 200) {
-        const auto* f = field(j, name);
-        if (f == nullptr) {
+        const auto* json = field(j, name);
+        if (json == nullptr) {
             if (required)
                 complain(name, "is missing");
             return {};
         }
-        if (!f->is_string())
+        if (!json->is_string())
             return complain(name, "must be a string"), std::string();
-        auto s = f->get<std::string>();
+        auto s = json->get<std::string>();
         if (s.size() > most)
             complain(name, "is too long");
         if (required && s.empty())
@@ -42,15 +42,15 @@
         return s;
     }
     double number(const char* name, bool required, double fallback, bool positive = false) {
-        const auto* f = field(j, name);
-        if (f == nullptr) {
+        const auto* json = field(j, name);
+        if (json == nullptr) {
             if (required)
                 complain(name, "is missing");
             return fallback;
         }
-        if (!f->is_number())
+        if (!json->is_number())
             return complain(name, "must be a number"), fallback;
-        const double v = f->get<double>();
+        const double v = json->get<double>();
         if (!std::isfinite(v) || v < 0 || v > 1e12)
             complain(name, "is out of range");
         else if (positive && v <= 0)
@@ -58,12 +58,12 @@
         return v;
     }
     bool flag(const char* name) {
-        const auto* f = field(j, name);
-        if (f == nullptr)
+        const auto* json = field(j, name);
+        if (json == nullptr)
             return false;
-        if (!f->is_boolean())
+        if (!json->is_boolean())
             return complain(name, "must be true or false"), false;
-        return f->get<bool>();
+        return json->get<bool>();
     }
 };
 
@@ -98,8 +98,8 @@
 }
 
 // False if it is no list of job ids. Repeats count once.
-bool read_dependencies(const Json& j, std::vector<std::string>& out) {
-    const auto* f = field(j, "waitsOn");
+bool read_dependencies(const Json& json, std::vector<std::string>& out) {
+    const auto* f = field(json, "waitsOn");
     if (f == nullptr)
         return true;
     if (!f->is_array())
@@ -115,35 +115,35 @@
     return true;
 }
 
-std::variant<JobSpec, Invalid> read_spec(const Json& j) {
-    FieldReader r{j, {}};
-    JobSpec s;
-    s.dependencies_damaged = !read_dependencies(j, s.dependencies);
-    s.id = r.text("id", true);
-    if (r.error.empty() && !valid_job_id(s.id))
+std::variant<JobSpec, Invalid> read_spec(const Json& json) {
+    FieldReader r{json, {}};
+    JobSpec spec;
+    spec.dependencies_damaged = !read_dependencies(json, spec.dependencies);
+    spec.id = r.text("id", true);
+    if (r.error.empty() && !valid_job_id(spec.id))
         r.complain("id", "must have the form wk-000412");
-    s.job_class = r.text("jobclass", true);
-    s.team = r.text("owner", true);
+    spec.job_class = r.text("jobclass", true);
+    spec.team = r.text("owner", true);
     if (const auto shape = shape_of(r.text("shape", true)); shape)
-        s.shape = *shape;
+        spec.shape = *shape;
     else
         r.complain("shape", "must be array, gang or daemon");
     if (const auto priority = priority_of(r.text("rank", true)); priority)
-        s.priority = *priority;
+        spec.priority = *priority;
     else
         r.complain("rank", "must be critical, high, normal or low");
-    if (std::uint64_t n = 0; field(j, "shards") == nullptr)
+    if (std::uint64_t n = 0; field(json, "shards") == nullptr)
         r.complain("shards", "is missing");
-    else if (!count(j, "shards", n) || n < 1 || n > max_tasks)
+    else if (!count(json, "shards", n) || n < 1 || n > max_tasks)
         r.complain("shards", "must be a whole number from 1 to 100000");
     else
-        s.tasks = static_cast<std::uint32_t>(n);
-    s.each.cpus = r.number("cpus", true, 0, true);
-    s.each.gpus = r.number("accelerators", false, 0);
-    s.each.memory_gb = r.number("memGb", true, 0, true);
-    s.image = r.text("bundle", true);
-    s.image_gb = r.number("imageGb", true, 0);
-    if (const auto* f = field(j, "flavors"); f != nullptr) {
+        spec.tasks = static_cast<std::uint32_t>(n);
+    spec.each.cpus = r.number("cpus", true, 0, true);
+    spec.each.gpus = r.number("accelerators", false, 0);
+    spec.each.memory_gb = r.number("memGb", true, 0, true);
+    spec.image = r.text("bundle", true);
+    spec.image_gb = r.number("imageGb", true, 0);
+    if (const auto* f = field(json, "flavors"); f != nullptr) {
         if (!f->is_array())
             r.complain("flavors", "must be an array of strings");
         else
@@ -151,22 +151,22 @@
                 if (!e.is_string())
                     r.complain("flavors", "must be an array of strings");
                 else
-                    s.types.push_back(e.get<std::string>());
+                    spec.types.push_back(e.get<std::string>());
             }
         if (f->is_array() && f->empty())
             r.complain("flavors", "must not be empty");
     }
-    s.zone = r.text("yard", false);
-    s.one_zone = r.flag("together");
-    s.spread = r.flag("scatter");
-    s.spot = r.flag("standby");
-    s.estimate_s = r.number("expectedS", false, 0);
-    s.checkpoint_s = r.number("snapshotEveryS", false, 0);
-    s.save_s = r.number("snapshotS", false, 0);
-    s.deadline_s = r.number("dueS", false, -1);
+    spec.zone = r.text("yard", false);
+    spec.one_zone = r.flag("together");
+    spec.spread = r.flag("scatter");
+    spec.spot = r.flag("standby");
+    spec.estimate_s = r.number("expectedS", false, 0);
+    spec.checkpoint_s = r.number("snapshotEveryS", false, 0);
+    spec.save_s = r.number("snapshotS", false, 0);
+    spec.deadline_s = r.number("dueS", false, -1);
     if (!r.error.empty())
         return Invalid{r.error};
-    return s;
+    return spec;
 }
 
 } // namespace
@@ -185,69 +185,69 @@
 }
 
 std::variant<JobSpec, Invalid> submission(std::string_view body) {
-    const auto j = parse(body);
-    if (j.is_discarded())
+    const auto json = parse(body);
+    if (json.is_discarded())
         return Invalid{"not JSON"};
-    if (!j.is_object())
+    if (!json.is_object())
         return Invalid{"not an object"};
-    auto r = read_spec(j);
-    if (const auto* s = std::get_if<JobSpec>(&r); s != nullptr && s->dependencies_damaged)
+    auto r = read_spec(json);
+    if (const auto* spec = std::get_if<JobSpec>(&r); spec != nullptr && spec->dependencies_damaged)
         return Invalid{"waitsOn: must be a list of job ids"};
     return r;
 }
 
-Json to_json(const JobSpec& s) {
-    Json j{{"id", s.id},
-           {"jobclass", s.job_class},
-           {"owner", s.team},
-           {"shape", name_of(s.shape)},
-           {"rank", name_of(s.priority)},
-           {"shards", s.tasks},
-           {"cpus", s.each.cpus},
-           {"memGb", s.each.memory_gb},
-           {"bundle", s.image},
-           {"imageGb", s.image_gb}};
-    if (s.each.gpus > 0)
-        j["accelerators"] = s.each.gpus;
-    if (!s.types.empty())
-        j["flavors"] = s.types;
-    if (!s.zone.empty())
-        j["yard"] = s.zone;
-    if (s.one_zone)
-        j["together"] = true;
-    if (s.spread)
-        j["scatter"] = true;
-    if (s.spot)
-        j["standby"] = true;
-    if (s.estimate_s > 0)
-        j["expectedS"] = s.estimate_s;
-    if (s.checkpoint_s > 0)
-        j["snapshotEveryS"] = s.checkpoint_s;
-    if (s.save_s > 0)
-        j["snapshotS"] = s.save_s;
-    if (s.deadline_s >= 0)
-        j["dueS"] = s.deadline_s;
-    if (!s.dependencies.empty())
-        j["waitsOn"] = s.dependencies;
-    return j;
+Json to_json(const JobSpec& spec) {
+    Json json{{"id", spec.id},
+              {"jobclass", spec.job_class},
+              {"owner", spec.team},
+              {"shape", name_of(spec.shape)},
+              {"rank", name_of(spec.priority)},
+              {"shards", spec.tasks},
+              {"cpus", spec.each.cpus},
+              {"memGb", spec.each.memory_gb},
+              {"bundle", spec.image},
+              {"imageGb", spec.image_gb}};
+    if (spec.each.gpus > 0)
+        json["accelerators"] = spec.each.gpus;
+    if (!spec.types.empty())
+        json["flavors"] = spec.types;
+    if (!spec.zone.empty())
+        json["yard"] = spec.zone;
+    if (spec.one_zone)
+        json["together"] = true;
+    if (spec.spread)
+        json["scatter"] = true;
+    if (spec.spot)
+        json["standby"] = true;
+    if (spec.estimate_s > 0)
+        json["expectedS"] = spec.estimate_s;
+    if (spec.checkpoint_s > 0)
+        json["snapshotEveryS"] = spec.checkpoint_s;
+    if (spec.save_s > 0)
+        json["snapshotS"] = spec.save_s;
+    if (spec.deadline_s >= 0)
+        json["dueS"] = spec.deadline_s;
+    if (!spec.dependencies.empty())
+        json["waitsOn"] = spec.dependencies;
+    return json;
 }
 
-std::optional<JobSpec> spec_from_store(const Json& j) {
-    if (!j.is_object())
+std::optional<JobSpec> spec_from_store(const Json& json) {
+    if (!json.is_object())
         return {};
-    auto r = read_spec(j);
-    if (auto* s = std::get_if<JobSpec>(&r))
-        return std::move(*s);
+    auto r = read_spec(json);
+    if (auto* spec = std::get_if<JobSpec>(&r))
+        return std::move(*spec);
     return {};
 }
 
-Json to_record(const StoredJob& j) {
-    Json r{{j.waits ? "chain" : "spec", to_json(j.spec)}, {"at", j.at}};
-    if (j.ready >= 0 && !j.waits)
-        r["ready"] = j.ready;
-    if (!j.final.empty())
-        r["final"] = j.final;
-    return r;
+Json to_record(const StoredJob& stored_job) {
+    Json json{{stored_job.waits ? "chain" : "spec", to_json(stored_job.spec)}, {"at", stored_job.at}};
+    if (stored_job.ready >= 0 && !stored_job.waits)
+        json["ready"] = stored_job.ready;
+    if (!stored_job.final.empty())
+        json["final"] = stored_job.final;
+    return json;
 }
 
 std::optional<StoredJob> stored_job(const Json& value, double wall) {
@@ -271,23 +271,23 @@
     return j;
 }
 
-JobSpec remains_of(const JobSpec& s) {
+JobSpec remains_of(const JobSpec& spec) {
     JobSpec r;
-    r.id = s.id;
+    r.id = spec.id;
     r.job_class = r.image = "-";
-    r.team = s.team;
-    r.shape = s.shape;
-    r.priority = s.priority;
-    r.tasks = s.tasks;
-    r.each = s.each;
+    r.team = spec.team;
+    r.shape = spec.shape;
+    r.priority = spec.priority;
+    r.tasks = spec.tasks;
+    r.each = spec.each;
     return r;
 }
 
 Json final_record(std::string_view status, Shape shape) {
-    Json r{{"s", status}};
+    Json json{{"s", status}};
     if (shape == Shape::service)
-        r["shape"] = name_of(shape);
-    return r;
+        json["shape"] = name_of(shape);
+    return json;
 }
 
 std::optional<StoredFinal> stored_final(const Json& value) {
@@ -307,19 +307,19 @@
     return fmt::format(R"({{"id":"{}","status":"{}","done":{},"running":{}}})", id, status, done, running);
 }
 
-std::string to_body(const JobSpec& s) {
-    return to_json(s).dump();
+std::string to_body(const JobSpec& spec) {
+    return to_json(spec).dump();
 }
 
 std::optional<JobAnswer> job_answer_of(std::string_view body) {
-    const auto j = parse(body);
-    if (!j.is_object())
+    const auto json = parse(body);
+    if (!json.is_object())
         return {};
-    JobAnswer a{text(j, "id"), text(j, "status"), 0, 0};
+    JobAnswer a{text(json, "id"), text(json, "status"), 0, 0};
     if (a.id.empty() || a.status.empty())
         return {};
-    count(j, "done", a.done);
-    count(j, "running", a.running);
+    count(json, "done", a.done);
+    count(json, "running", a.running);
     return a;
 }
 
--- a/src/codec/store.cpp
+++ b/src/codec/store.cpp
@@ -12,38 +12,38 @@
 using fields::text;
 
 std::string txn(const std::vector<Guard>& guards, const std::vector<Write>& writes) {
-    Json g = Json::array(), w = Json::array();
-    for (const auto& x : guards)
-        g.push_back({{"k", x.key}, {"stamp", x.mod_revision}});
-    for (const auto& x : writes) {
-        if (!x.value) {
-            w.push_back({{"delete", x.key}});
+    Json json = Json::array(), w = Json::array();
+    for (const auto& guard : guards)
+        json.push_back({{"k", guard.key}, {"stamp", guard.mod_revision}});
+    for (const auto& write : writes) {
+        if (!write.value) {
+            w.push_back({{"delete", write.key}});
             continue;
         }
-        Json e{{"set", x.key}, {"data", *x.value}};
-        if (x.lease != 0)
-            e["lease"] = x.lease;
+        Json e{{"set", write.key}, {"data", *write.value}};
+        if (write.lease != 0)
+            e["lease"] = write.lease;
         w.push_back(std::move(e));
     }
-    Json j{{"guards", std::move(g)}};
+    Json j{{"guards", std::move(json)}};
     if (!writes.empty())
         j["writes"] = std::move(w);
     return j.dump();
 }
 
 std::optional<std::uint64_t> revision_of(std::string_view body) {
-    const auto j = parse(body);
+    const auto json = parse(body);
     std::uint64_t e = 0;
-    if (!j.is_object() || !count(j, "epoch", e))
+    if (!json.is_object() || !count(json, "epoch", e))
         return {};
     return e;
 }
 
 std::optional<std::vector<std::string>> failed_guards(std::string_view body) {
-    const auto j = parse(body);
-    if (!j.is_object())
+    const auto json = parse(body);
+    if (!json.is_object())
         return {};
-    const auto* list = field(j, "failed");
+    const auto* list = field(json, "failed");
     if (list == nullptr || !list->is_array())
         return {};
     std::vector<std::string> out;
@@ -54,16 +54,16 @@
 }
 
 namespace {
-std::optional<Item> read_item(const Json& e, const char* key_name) {
-    if (!e.is_object())
+std::optional<Item> read_item(const Json& json, const char* key_name) {
+    if (!json.is_object())
         return {};
     Item i;
-    i.key = text(e, key_name);
-    if (i.key.empty() || !count(e, "stamp", i.mod_revision))
+    i.key = text(json, key_name);
+    if (i.key.empty() || !count(json, "stamp", i.mod_revision))
         return {};
-    if (const auto* v = field(e, "data"); v != nullptr)
+    if (const auto* v = field(json, "data"); v != nullptr)
         i.value = *v;
-    count(e, "lease", i.lease);
+    count(json, "lease", i.lease);
     return i;
 }
 } // namespace
@@ -73,14 +73,14 @@
 }
 
 std::optional<Page> page(std::string_view body) {
-    const auto j = parse(body);
-    if (!j.is_object())
+    const auto json = parse(body);
+    if (!json.is_object())
         return {};
-    const auto* list = field(j, "entries");
+    const auto* list = field(json, "entries");
     Page p;
-    if (list == nullptr || !list->is_array() || !count(j, "epoch", p.revision))
+    if (list == nullptr || !list->is_array() || !count(json, "epoch", p.revision))
         return {};
-    p.more = flag(j, "more");
+    p.more = flag(json, "more");
     for (const auto& e : *list) {
         auto i = read_item(e, "k");
         if (!i)
@@ -91,12 +91,12 @@
 }
 
 std::optional<Page> events(std::string_view body) {
-    const auto j = parse(body);
-    if (!j.is_object())
+    const auto json = parse(body);
+    if (!json.is_object())
         return {};
-    const auto* list = field(j, "events");
+    const auto* list = field(json, "events");
     Page p;
-    if (!count(j, "epoch", p.revision))
+    if (!count(json, "epoch", p.revision))
         return {};
     if (list == nullptr)
         return p;
@@ -118,19 +118,19 @@
 }
 
 std::optional<std::uint64_t> lease_of(std::string_view body) {
-    const auto j = parse(body);
+    const auto json = parse(body);
     std::uint64_t h = 0;
-    if (!j.is_object() || !count(j, "lease", h))
+    if (!json.is_object() || !count(json, "lease", h))
         return {};
     return h;
 }
 
 namespace {
 Json item_json(const Item& i) {
-    Json j{{"k", i.key}, {"data", i.value}, {"stamp", i.mod_revision}};
+    Json json{{"k", i.key}, {"data", i.value}, {"stamp", i.mod_revision}};
     if (i.lease != 0)
-        j["lease"] = i.lease;
-    return j;
+        json["lease"] = i.lease;
+    return json;
 }
 } // namespace
 
@@ -169,55 +169,55 @@
 }
 
 std::optional<TxnRequest> txn_request(std::string_view body) {
-    const auto j = parse(body);
-    if (!j.is_object())
+    const auto json = parse(body);
+    if (!json.is_object())
         return {};
     TxnRequest t;
-    if (const auto* list = field(j, "guards"); list != nullptr) {
+    if (const auto* list = field(json, "guards"); list != nullptr) {
         if (!list->is_array())
             return {};
         for (const auto& e : *list) {
-            Guard g;
-            if (!e.is_object() || !count(e, "stamp", g.mod_revision))
+            Guard guard;
+            if (!e.is_object() || !count(e, "stamp", guard.mod_revision))
                 return {};
-            g.key = text(e, "k");
-            t.guards.push_back(std::move(g));
+            guard.key = text(e, "k");
+            t.guards.push_back(std::move(guard));
         }
     }
-    if (const auto* list = field(j, "writes"); list != nullptr) {
+    if (const auto* list = field(json, "writes"); list != nullptr) {
         if (!list->is_array())
             return {};
         for (const auto& e : *list) {
             if (!e.is_object())
                 return {};
-            Write w;
+            Write write;
             if (e.contains("delete")) {
-                w.key = text(e, "delete");
+                write.key = text(e, "delete");
             } else {
                 if (!e.contains("data"))
                     return {};
-                w.key = text(e, "set");
-                w.value = e["data"];
-                if (e.contains("lease") && !count(e, "lease", w.lease))
+                write.key = text(e, "set");
+                write.value = e["data"];
+                if (e.contains("lease") && !count(e, "lease", write.lease))
                     return {};
             }
-            t.writes.push_back(std::move(w));
+            t.writes.push_back(std::move(write));
         }
     }
     return t;
 }
 
 std::optional<std::int64_t> ttl_ms_of(std::string_view body) {
-    const auto j = parse(body);
+    const auto json = parse(body);
     std::uint64_t n = 0;
-    if (!j.is_object() || !count(j, "ttlMs", n) || n > 1'000'000'000)
+    if (!json.is_object() || !count(json, "ttlMs", n) || n > 1'000'000'000)
         return {};
     return static_cast<std::int64_t>(n);
 }
 
 std::string store_error(std::string_view body) {
-    const auto j = parse(body);
-    return j.is_object() ? text(j, "error") : std::string();
+    const auto json = parse(body);
+    return json.is_object() ? text(json, "error") : std::string();
 }
 
 } // namespace heronshift::codec
--- a/src/codec/workers.cpp
+++ b/src/codec/workers.cpp
@@ -65,21 +65,21 @@
 }
 
 std::optional<Heartbeat> heartbeat(std::string_view body) {
-    const auto j = parse(body);
-    if (!j.is_object())
+    const auto json = parse(body);
+    if (!json.is_object())
         return {};
     Heartbeat r;
-    r.machine = text(j, "host");
-    r.addr = text(j, "addr");
-    r.type = text(j, "flavor");
-    r.zone = text(j, "yard");
-    r.spot = flag(j, "standby");
-    if (r.machine.empty() || r.machine.size() > 100 || !count(j, "tenure", r.agent_epoch) ||
-        !count(j, "counter", r.counter))
+    r.machine = text(json, "host");
+    r.addr = text(json, "addr");
+    r.type = text(json, "flavor");
+    r.zone = text(json, "yard");
+    r.spot = flag(json, "standby");
+    if (r.machine.empty() || r.machine.size() > 100 || !count(json, "tenure", r.agent_epoch) ||
+        !count(json, "counter", r.counter))
         return {};
-    count(j, "fence", r.fencing_token);
-    r.notice_s = number(j, "evictionInS", -1);
-    const auto* tasks = field(j, "shards");
+    count(json, "fence", r.fencing_token);
+    r.notice_s = number(json, "evictionInS", -1);
+    const auto* tasks = field(json, "shards");
     if (tasks == nullptr)
         return r;
     if (!tasks->is_array())
@@ -87,15 +87,15 @@
     for (const auto& e : *tasks) {
         if (!e.is_object())
             return {};
-        ReportedTask t;
+        ReportedTask task;
         const auto state = state_of(text(e, "status"));
-        if (!split_task(text(e, "shard"), t.job, t.index) || !count(e, "try", t.attempt) || !state)
+        if (!split_task(text(e, "shard"), task.job, task.index) || !count(e, "try", task.attempt) || !state)
             return {};
-        t.state = *state;
-        if (t.state == TaskState::ended)
-            t.cause = cause_of(text(e, "exitCause"));
-        t.saved = flag(e, "stored");
-        r.tasks.push_back(std::move(t));
+        task.state = *state;
+        if (task.state == TaskState::ended)
+            task.cause = cause_of(text(e, "exitCause"));
+        task.saved = flag(e, "stored");
+        r.tasks.push_back(std::move(task));
     }
     return r;
 }
@@ -104,14 +104,14 @@
 void append_orders(std::string& out, const std::vector<Order>& list) {
     out += R"("orders":[)";
     bool first = true;
-    for (const auto& o : list) {
+    for (const auto& order : list) {
         if (!first)
             out += ',';
         first = false;
-        const char* verb = o.verb == Verb::launch ? "launch" : o.verb == Verb::stop ? "stop" : "reap";
-        out += fmt::format(R"({{"verb":"{}","shard":"{}/{}","try":{})", verb, o.job, o.index, o.attempt);
-        if (o.verb == Verb::stop)
-            out += fmt::format(R"(,"drainS":{})", o.drain_s);
+        const char* verb = order.verb == Verb::launch ? "launch" : order.verb == Verb::stop ? "stop" : "reap";
+        out += fmt::format(R"({{"verb":"{}","shard":"{}/{}","try":{})", verb, order.job, order.index, order.attempt);
+        if (order.verb == Verb::stop)
+            out += fmt::format(R"(,"drainS":{})", order.drain_s);
         out += '}';
     }
     out += "]}";
@@ -176,33 +176,34 @@
 }
 } // namespace
 
-std::string to_body(const Heartbeat& r) {
-    Json j{{"host", r.machine},      {"addr", r.addr},          {"flavor", r.type},     {"yard", r.zone},
-           {"standby", r.spot},      {"tenure", r.agent_epoch}, {"counter", r.counter}, {"fence", r.fencing_token},
-           {"evictionInS", nullptr}, {"shards", Json::array()}};
-    if (r.notice_s >= 0)
-        j["evictionInS"] = r.notice_s;
-    for (const auto& t : r.tasks) {
-        Json e{{"shard", task_name(t.job, t.index)}, {"try", t.attempt}, {"status", name_of(t.state)}};
-        if (t.state == TaskState::ended)
-            e["exitCause"] = name_of(t.cause);
-        if (t.saved)
+std::string to_body(const Heartbeat& heartbeat) {
+    Json json{{"host", heartbeat.machine},    {"addr", heartbeat.addr},           {"flavor", heartbeat.type},
+              {"yard", heartbeat.zone},       {"standby", heartbeat.spot},        {"tenure", heartbeat.agent_epoch},
+              {"counter", heartbeat.counter}, {"fence", heartbeat.fencing_token}, {"evictionInS", nullptr},
+              {"shards", Json::array()}};
+    if (heartbeat.notice_s >= 0)
+        json["evictionInS"] = heartbeat.notice_s;
+    for (const auto& task : heartbeat.tasks) {
+        Json e{{"shard", task_name(task.job, task.index)}, {"try", task.attempt}, {"status", name_of(task.state)}};
+        if (task.state == TaskState::ended)
+            e["exitCause"] = name_of(task.cause);
+        if (task.saved)
             e["stored"] = true;
-        j["shards"].push_back(std::move(e));
+        json["shards"].push_back(std::move(e));
     }
-    return j.dump();
+    return json.dump();
 }
 
 std::optional<Orders> read_orders(std::string_view body) {
-    const auto j = parse(body);
-    if (!j.is_object())
+    const auto json = parse(body);
+    if (!json.is_object())
         return {};
     Orders o;
-    if (std::uint64_t n = 0; count(j, "fence", n))
+    if (std::uint64_t n = 0; count(json, "fence", n))
         o.fencing_token = n;
-    if (std::uint64_t n = 0; count(j, "tenure", n))
+    if (std::uint64_t n = 0; count(json, "tenure", n))
         o.agent_epoch = n;
-    const auto* list = field(j, "orders");
+    const auto* list = field(json, "orders");
     if (list == nullptr)
         return o;
     if (!list->is_array())
@@ -210,22 +211,22 @@
     for (const auto& e : *list) {
         if (!e.is_object())
             return {};
-        Order x;
+        Order order;
         const auto verb = text(e, "verb");
         if (verb != "launch" && verb != "stop" && verb != "reap")
             return {};
-        x.verb = verb == "launch" ? Verb::launch : verb == "stop" ? Verb::stop : Verb::reap;
-        if (!split_task(text(e, "shard"), x.job, x.index) || !count(e, "try", x.attempt))
+        order.verb = verb == "launch" ? Verb::launch : verb == "stop" ? Verb::stop : Verb::reap;
+        if (!split_task(text(e, "shard"), order.job, order.index) || !count(e, "try", order.attempt))
             return {};
-        x.drain_s = number(e, "drainS");
-        o.list.push_back(std::move(x));
+        order.drain_s = number(e, "drainS");
+        o.list.push_back(std::move(order));
     }
     return o;
 }
 
 std::string redirected_to(std::string_view body) {
-    const auto j = parse(body);
-    return j.is_object() ? text(j, "reportsTo") : std::string();
+    const auto json = parse(body);
+    return json.is_object() ? text(json, "reportsTo") : std::string();
 }
 
 } // namespace heronshift::codec
--- a/src/config.cpp
+++ b/src/config.cpp
@@ -128,7 +128,7 @@
     return (e != nullptr && e->ty == SEXP_VALUE && e->val != nullptr) ? e->val : "";
 }
 
-void apply(OperatorSettings& o, const std::string& path, const std::string& name, const std::string& value) {
+void apply(OperatorSettings& operators, const std::string& path, const std::string& name, const std::string& value) {
     auto fail = [&](const std::string& what) { throw SettingsError(path + ": " + name + ": " + what); };
     for (const auto& f : operator_fields) {
         if (name != f.name)
@@ -136,7 +136,7 @@
         if (f.flag != nullptr) {
             if (value != "yes" && value != "no")
                 fail("must be yes or no");
-            o.*f.flag = value == "yes";
+            operators.*f.flag = value == "yes";
             return;
         }
         char* end = nullptr;
@@ -148,9 +148,9 @@
         if (f.count != nullptr) {
             if (v != std::floor(v) || v > 1e6)
                 fail("must be a whole number");
-            o.*f.count = static_cast<int>(v);
+            operators.*f.count = static_cast<int>(v);
         } else {
-            o.*f.number = v;
+            operators.*f.number = v;
         }
         return;
     }
@@ -213,39 +213,40 @@
 } // namespace
 
 OperatorSettings load_operator_settings(const std::string& path, double report_s) {
-    OperatorSettings o;
+    OperatorSettings operators;
     for (const auto& [name, value] : operator_file(path))
-        apply(o, path, name, value);
+        apply(operators, path, name, value);
     auto need = [&](bool ok, const char* name, const char* what) {
         if (!ok)
             throw SettingsError(path + ": " + name + ": " + what);
     };
-    need(o.beta < o.alpha, "beta", "must be below alpha");
-    need(o.gamma >= 5 * o.alpha, "gamma", "must be far above alpha (five times at least)");
-    need(o.target_share <= 1, "target-share", "must be at most 1");
-    need(o.round_s >= report_s, "round-s", "must be at least report_s");
-    need(o.batch <= 8, "batch", "must be at most 8");
-    need(o.begin_s >= 10 * report_s && o.begin_s <= 86'400, "begin-s", "must be from ten times report_s to a day");
-    return o;
+    need(operators.beta < operators.alpha, "beta", "must be below alpha");
+    need(operators.gamma >= 5 * operators.alpha, "gamma", "must be far above alpha (five times at least)");
+    need(operators.target_share <= 1, "target-share", "must be at most 1");
+    need(operators.round_s >= report_s, "round-s", "must be at least report_s");
+    need(operators.batch <= 8, "batch", "must be at most 8");
+    need(operators.begin_s >= 10 * report_s && operators.begin_s <= 86'400, "begin-s",
+         "must be from ten times report_s to a day");
+    return operators;
 }
 
 Settings load_settings(const std::string& path) {
     const auto t = toml_file(path);
     const Reader r(path);
-    Settings s;
-    s.name = r.text(t, "", "host_name");
-    s.zone = r.text(t, "", "zone");
-    s.listen = r.endpoint(t, "", "bind");
-    s.peer_listen = r.endpoint(t, "", "back");
-    std::set<std::string> names{s.name};
+    Settings settings;
+    settings.name = r.text(t, "", "host_name");
+    settings.zone = r.text(t, "", "zone");
+    settings.listen = r.endpoint(t, "", "bind");
+    settings.peer_listen = r.endpoint(t, "", "back");
+    std::set<std::string> names{settings.name};
     r.each(t, "", "others", [&](const toml::table& e, const std::string& at) {
-        s.peers.push_back({r.text(e, at, "host_name"), r.text(e, at, "zone"), r.endpoint(e, at, "peer_addr")});
-        if (!names.insert(s.peers.back().name).second)
+        settings.peers.push_back({r.text(e, at, "host_name"), r.text(e, at, "zone"), r.endpoint(e, at, "peer_addr")});
+        if (!names.insert(settings.peers.back().name).second)
             r.fail(at + "host_name", "is given twice");
     });
     const auto& ext = r.table(t, "", "external");
-    s.cloud = r.endpoint(ext, "external.", "cloud");
-    s.state = r.endpoint(ext, "external.", "state");
+    settings.cloud = r.endpoint(ext, "external.", "cloud");
+    settings.state = r.endpoint(ext, "external.", "state");
     const auto& f = r.table(t, "", "facts");
     if (const auto* z = f.get("zones"); z != nullptr) {
         if (!z->is_array())
@@ -253,72 +254,72 @@
         for (const auto& e : *z->as_array()) {
             if (!e.is_string())
                 r.fail("facts.zones", "must hold strings");
-            s.zones.push_back(**e.as_string());
+            settings.zones.push_back(**e.as_string());
         }
     }
-    s.time_bound_s = r.number(f, "facts.", "time_bound_ms", 0) / 1000;
+    settings.time_bound_s = r.number(f, "facts.", "time_bound_ms", 0) / 1000;
     std::set<std::string> teams;
     r.each(f, "facts.", "teams", [&](const toml::table& e, const std::string& at) {
-        TeamLimits l;
-        l.name = r.text(e, at, "name");
-        l.cpus = r.number(e, at, "cpus", 0);
-        l.cpus_max = r.number(e, at, "cpus_max", 0);
-        l.gpus = r.number(e, at, "gpus", 0);
-        l.gpus_max = r.number(e, at, "gpus_max", 0);
-        if (!teams.insert(l.name).second)
+        TeamLimits limits;
+        limits.name = r.text(e, at, "name");
+        limits.cpus = r.number(e, at, "cpus", 0);
+        limits.cpus_max = r.number(e, at, "cpus_max", 0);
+        limits.gpus = r.number(e, at, "gpus", 0);
+        limits.gpus_max = r.number(e, at, "gpus_max", 0);
+        if (!teams.insert(limits.name).second)
             r.fail(at + "name", "is given twice");
-        if (l.cpus_max > 0 && l.cpus > l.cpus_max)
+        if (limits.cpus_max > 0 && limits.cpus > limits.cpus_max)
             r.fail(at + "cpus", "is above cpus_max");
-        if (l.gpus_max > 0 && l.gpus > l.gpus_max)
+        if (limits.gpus_max > 0 && limits.gpus > limits.gpus_max)
             r.fail(at + "gpus", "is above gpus_max");
-        s.teams.push_back(l);
+        settings.teams.push_back(limits);
     });
     r.each(f, "facts.", "objectives", [&](const toml::table& e, const std::string& at) {
-        Objective o;
-        o.kind = r.text(e, at, "kind");
-        o.job_class = e["class"].value_or(std::string());
-        o.within_s = e["within_s"].value_or(0.0);
-        o.share = e["share"].value_or(0.0);
-        o.times = e["times"].value_or(0.0);
-        s.objectives.push_back(o);
+        Objective objective;
+        objective.kind = r.text(e, at, "kind");
+        objective.job_class = e["class"].value_or(std::string());
+        objective.within_s = e["within_s"].value_or(0.0);
+        objective.share = e["share"].value_or(0.0);
+        objective.times = e["times"].value_or(0.0);
+        settings.objectives.push_back(objective);
     });
     const auto& w = r.table(f, "facts.", "workers");
     const std::string at = "facts.workers.";
-    s.report_s = r.number(w, at, "report_s", 0, true);
-    s.lease_s = r.number(w, at, "lease_s", 0, true);
-    s.gang_wait_s = r.number(w, at, "gang_wait_s", 0, true);
-    s.gang_peer_s = r.number(w, at, "gang_peer_s", 0, true);
-    s.cancel_s = r.number(w, at, "cancel_s", 0, true);
-    if (s.lease_s < 2 * s.report_s)
+    settings.report_s = r.number(w, at, "report_s", 0, true);
+    settings.lease_s = r.number(w, at, "lease_s", 0, true);
+    settings.gang_wait_s = r.number(w, at, "gang_wait_s", 0, true);
+    settings.gang_peer_s = r.number(w, at, "gang_peer_s", 0, true);
+    settings.cancel_s = r.number(w, at, "cancel_s", 0, true);
+    if (settings.lease_s < 2 * settings.report_s)
         r.fail(at + "lease_s", "must be at least twice report_s");
     // A machine that no stop reaches keeps a cancelled task until its lease has run out, by its own clock.
-    if (s.cancel_s < s.lease_s * (1 + lease_clock_drift))
+    if (settings.cancel_s < settings.lease_s * (1 + lease_clock_drift))
         r.fail(at + "cancel_s",
                "must be longer than lease_s, which is how long a machine that cannot be reached goes on");
     const auto& st = r.table(f, "facts.", "state");
-    s.state_rps = r.number(st, "facts.state.", "rps", 0, true);
-    s.state_write_rps = r.number(st, "facts.state.", "write_rps", 0, true);
-    s.value_kb = r.number(st, "facts.state.", "value_kb", 1);
-    s.txn_ops = static_cast<int>(r.number(st, "facts.state.", "txn_ops", 4));
+    settings.state_rps = r.number(st, "facts.state.", "rps", 0, true);
+    settings.state_write_rps = r.number(st, "facts.state.", "write_rps", 0, true);
+    settings.value_kb = r.number(st, "facts.state.", "value_kb", 1);
+    settings.txn_ops = static_cast<int>(r.number(st, "facts.state.", "txn_ops", 4));
     // Lowered some time after an upgrade, without notice: what is written fits the smaller from the start.
     if (st.contains("next")) {
         const auto& next = r.table(st, "facts.state.", "next");
         const std::string in = "facts.state.next.";
         if (next.contains("write_rps"))
-            s.state_write_rps = std::min(s.state_write_rps, r.number(next, in, "write_rps", 0, true));
+            settings.state_write_rps = std::min(settings.state_write_rps, r.number(next, in, "write_rps", 0, true));
         if (next.contains("value_kb"))
-            s.value_kb = std::min(s.value_kb, r.number(next, in, "value_kb", 1));
+            settings.value_kb = std::min(settings.value_kb, r.number(next, in, "value_kb", 1));
         if (next.contains("txn_ops"))
-            s.txn_ops = std::min(s.txn_ops, static_cast<int>(r.number(next, in, "txn_ops", 4)));
+            settings.txn_ops = std::min(settings.txn_ops, static_cast<int>(r.number(next, in, "txn_ops", 4)));
     }
     const auto& c = r.table(f, "facts.", "cloud");
-    s.cloud_rps = r.number(c, "facts.cloud.", "rps", 0, true);
-    s.list_lag_s = r.number(c, "facts.cloud.", "list_lag_s", 0);
+    settings.cloud_rps = r.number(c, "facts.cloud.", "rps", 0, true);
+    settings.list_lag_s = r.number(c, "facts.cloud.", "list_lag_s", 0);
     const auto& l = r.table(f, "facts.", "resources");
-    s.cores = r.number(l, "facts.resources.", "cores", 0, true);
-    s.memory_mb = r.number(l, "facts.resources.", "mem_mb", 16);
-    s.fd_limit = static_cast<int>(r.number(l, "facts.resources.", "fd_limit", 64));
-    return s;
+    settings.cores = r.number(l, "facts.resources.", "cores", 0, true);
+    settings.memory_mb = r.number(l, "facts.resources.", "mem_mb", 16);
+    settings.fd_limit = static_cast<int>(r.number(l, "facts.resources.", "fd_limit", 64));
+    return settings;
 }
 
 std::string settings_as_json(const std::string& path) {
@@ -336,33 +337,33 @@
     return out.dump();
 }
 
-std::string describe(const Settings& s) {
+std::string describe(const Settings& settings) {
     std::string out;
     auto line = [&](const std::string& k, const auto& v) { out += fmt::format("{} = {}\n", k, v); };
-    line("host_name", s.name);
-    line("zone", s.zone);
-    line("bind", s.listen.str());
-    line("back", s.peer_listen.str());
-    for (const auto& p : s.peers)
-        line("others." + p.name, p.addr.str());
-    line("external.cloud", s.cloud.str());
-    line("external.state", s.state.str());
-    line("facts.teams", s.teams.size());
-    line("facts.workers.report_s", s.report_s);
-    line("facts.workers.lease_s", s.lease_s);
-    line("facts.workers.cancel_s", s.cancel_s);
-    line("facts.state.rps", s.state_rps);
-    line("facts.state.write_rps", s.state_write_rps);
-    line("facts.state.value_kb", s.value_kb);
-    line("facts.state.txn_ops", s.txn_ops);
-    line("facts.cloud.rps", s.cloud_rps);
+    line("host_name", settings.name);
+    line("zone", settings.zone);
+    line("bind", settings.listen.str());
+    line("back", settings.peer_listen.str());
+    for (const auto& peer : settings.peers)
+        line("others." + peer.name, peer.addr.str());
+    line("external.cloud", settings.cloud.str());
+    line("external.state", settings.state.str());
+    line("facts.teams", settings.teams.size());
+    line("facts.workers.report_s", settings.report_s);
+    line("facts.workers.lease_s", settings.lease_s);
+    line("facts.workers.cancel_s", settings.cancel_s);
+    line("facts.state.rps", settings.state_rps);
+    line("facts.state.write_rps", settings.state_write_rps);
+    line("facts.state.value_kb", settings.value_kb);
+    line("facts.state.txn_ops", settings.txn_ops);
+    line("facts.cloud.rps", settings.cloud_rps);
     for (const auto& f : operator_fields) {
         if (f.number != nullptr)
-            line(f.name, s.ops.*f.number);
+            line(f.name, settings.ops.*f.number);
         else if (f.count != nullptr)
-            line(f.name, s.ops.*f.count);
+            line(f.name, settings.ops.*f.count);
         else
-            line(f.name, s.ops.*f.flag ? "yes" : "no");
+            line(f.name, settings.ops.*f.flag ? "yes" : "no");
     }
     return out;
 }
--- a/src/core/core.cpp
+++ b/src/core/core.cpp
@@ -40,8 +40,8 @@
     if (!may_act) {
         // From a day on which a cut-off leader took the machines outside its zone for lost and gave
         // them back the moment the cut ended, with all that ran there under its successor.
-        std::erase_if(commands, [this](const Command& c) {
-            const auto* b = std::get_if<HeartbeatReceived>(&c);
+        std::erase_if(commands, [this](const Command& command) {
+            const auto* b = std::get_if<HeartbeatReceived>(&command);
             if (b != nullptr)
                 effects_.emplace_back(AnswerHeartbeat{b->handle, 503, 0, {}});
             return b != nullptr;
@@ -96,10 +96,10 @@
 }
 
 std::optional<Shape> Core::shape_of(const std::string& id) const {
-    const auto* j = cluster_.view().find_job(id);
-    if (j == nullptr || cluster_.resigned())
+    const auto* job = cluster_.view().find_job(id);
+    if (job == nullptr || cluster_.resigned())
         return {};
-    return j->spec.shape;
+    return job->spec.shape;
 }
 
 std::size_t Core::machines_up() const {
@@ -114,26 +114,26 @@
 }
 
 std::vector<metrics::Value> Core::metrics() const {
-    const auto& v = cluster_.view();
+    const auto& cluster = cluster_.view();
     const auto& n = cluster_.counters();
     std::size_t up = 0, live = 0, inbound_unreachable = 0;
-    for (const auto& [id, m] : v.machines) {
-        up += m->status == cluster::Status::up;
-        live += m->entries.size();
-        inbound_unreachable += m->inbound_unreachable();
+    for (const auto& [id, machine] : cluster.machines) {
+        up += machine->status == cluster::Status::up;
+        live += machine->entries.size();
+        inbound_unreachable += machine->inbound_unreachable();
     }
     std::map<std::string, double> by_class, by_team; // the oldest that waits
-    for (const auto& [id, j] : v.jobs) {
-        if (j->final != cluster::Final::none || j->waits || j->live > 0)
+    for (const auto& [id, job] : cluster.jobs) {
+        if (job->final != cluster::Final::none || job->waits || job->live > 0)
             continue;
-        for (auto* wait : {&by_class[j->spec.job_class], &by_team[j->spec.team]})
-            *wait = std::max(*wait, v.now - j->ready);
+        for (auto* wait : {&by_class[job->spec.job_class], &by_team[job->spec.team]})
+            *wait = std::max(*wait, cluster.now - job->ready);
     }
     const auto of = [](auto x) { return static_cast<double>(x); };
     std::vector<metrics::Value> out{
-        {"heronshift_term", "of office", of(v.term)},
-        {"heronshift_jobs", "known to the holder", of(v.jobs.size())},
-        {"heronshift_machines", "rented, as far as known", of(v.machines.size())},
+        {"heronshift_term", "of office", of(cluster.term)},
+        {"heronshift_jobs", "known to the holder", of(cluster.jobs.size())},
+        {"heronshift_machines", "rented, as far as known", of(cluster.machines.size())},
         {"heronshift_machines_up", "that report", of(up)},
         {"heronshift_tasks_live", "on machines, or not surely off them", of(live)},
         {"heronshift_launches_total", "tasks sent to machines in this term", of(n.launched)},
--- a/src/embed/c_api.cpp
+++ b/src/embed/c_api.cpp
@@ -68,23 +68,23 @@
     if (settings_path == nullptr)
         return HS_INVALID;
     try {
-        heronshift::SchedulerOptions o;
-        o.settings = heronshift::load_settings(settings_path);
+        heronshift::SchedulerOptions options;
+        options.settings = heronshift::load_settings(settings_path);
         if (state_file != nullptr)
-            o.state_file = state_file;
-        auto* s = new hs_scheduler{heronshift::Scheduler(std::move(o))};
+            options.state_file = state_file;
+        auto* s = new hs_scheduler{heronshift::Scheduler(std::move(options))};
         const std::lock_guard l(lock);
         alive().insert(s);
         *out = s;
         return HS_OK;
-    } catch (const heronshift::SettingsError& e) {
-        say(message, message_size, e.what());
+    } catch (const heronshift::SettingsError& error) {
+        say(message, message_size, error.what());
         return HS_SETTINGS;
-    } catch (const heronshift::store::StoreError& e) {
-        say(message, message_size, e.what());
+    } catch (const heronshift::store::StoreError& error) {
+        say(message, message_size, error.what());
         return HS_STORE;
-    } catch (const std::exception& e) {
-        say(message, message_size, e.what());
+    } catch (const std::exception& error) {
+        say(message, message_size, error.what());
         return HS_SYSTEM;
     }
 }
--- a/src/embed/scheduler.cpp
+++ b/src/embed/scheduler.cpp
@@ -17,7 +17,7 @@
 // be let go inside one of its own callbacks.
 class Scheduler::Inner : public std::enable_shared_from_this<Inner> {
 public:
-    Inner(uv_loop_t* loop, SchedulerOptions o) : loop_(loop), options_(std::move(o)) {
+    Inner(uv_loop_t* loop, SchedulerOptions options) : loop_(loop), options_(std::move(options)) {
         if (!options_.clock)
             options_.clock = std::make_shared<Clock>();
     }
@@ -53,11 +53,11 @@
     }
 
     // From any thread; f runs on the loop's.
-    void post(std::function<void(Inner&)> f) {
+    void post(std::function<void(Inner&)> callback) {
         const std::lock_guard l(lock_);
         if (ended_)
             return;
-        queue_.push_back(std::move(f));
+        queue_.push_back(std::move(callback));
         uv_async_send(async_);
     }
 
@@ -72,9 +72,9 @@
         });
     }
 
-    void subscribe(Watch w) {
-        post([w = std::move(w)](Inner& in) mutable {
-            in.watches_.push_back(std::move(w));
+    void subscribe(Watch callback) {
+        post([callback = std::move(callback)](Inner& in) mutable {
+            in.watches_.push_back(std::move(callback));
             if (in.watches_.size() == 1)
                 in.watch_from_now();
         });
@@ -113,18 +113,18 @@
     void answer(const Done& done, int status, std::string_view body, int after) {
         if (silent_ || !done)
             return;
-        Reply r;
-        r.status = status;
-        r.retry_after_s = after;
-        if (const auto a = codec::job_answer_of(body); r.ok() && a) {
-            r.id = a->id;
-            r.state = a->status;
-            r.done = a->done;
-            r.running = a->running;
+        Reply reply;
+        reply.status = status;
+        reply.retry_after_s = after;
+        if (const auto a = codec::job_answer_of(body); reply.ok() && a) {
+            reply.id = a->id;
+            reply.state = a->status;
+            reply.done = a->done;
+            reply.running = a->running;
         } else {
-            r.error = codec::store_error(body);
+            reply.error = codec::store_error(body);
         }
-        done(r);
+        done(reply);
     }
 
     void run() {
@@ -134,8 +134,8 @@
             const std::lock_guard l(lock_);
             list.swap(queue_);
         }
-        for (auto& f : list)
-            f(*this);
+        for (auto& callback : list)
+            callback(*this);
         if (!stopping_ || (!node_ && !end_now_))
             return;
         // No call of the node's is on the stack here.
@@ -158,10 +158,10 @@
     void watch_from_now() {
         if (!node_)
             return;
-        node_->state().list("f/", "", 1, options_.settings.report_s, [this](store::Answer&& a) {
-            if (a.status != 200)
+        node_->state().list("f/", "", 1, options_.settings.report_s, [this](store::Answer&& answer) {
+            if (answer.status != 200)
                 return again();
-            follow(a.revision);
+            follow(answer.revision);
         });
     }
 
@@ -169,9 +169,9 @@
         if (!node_)
             return;
         node_->after(options_.settings.report_s, [this] {
-            for (const auto& w : watches_)
+            for (const auto& callback : watches_)
                 if (!silent_)
-                    w({{}, {}, true});
+                    callback({{}, {}, true});
             watch_from_now();
         });
     }
@@ -179,18 +179,18 @@
     void follow(std::uint64_t since) {
         if (!node_)
             return;
-        node_->state().follow("f/", since, options_.settings.lease_s, [this, since](store::Answer&& a) {
-            if (a.status != 200)
+        node_->state().follow("f/", since, options_.settings.lease_s, [this, since](store::Answer&& answer) {
+            if (answer.status != 200)
                 return again();
-            for (const auto& i : a.items) {
+            for (const auto& i : answer.items) {
                 const auto final = i.deleted ? std::nullopt : codec::stored_final(i.value);
                 if (!final)
                     continue;
-                for (const auto& w : watches_)
+                for (const auto& callback : watches_)
                     if (!silent_)
-                        w({i.key.substr(2), final->status, false});
+                        callback({i.key.substr(2), final->status, false});
             }
-            follow(std::max(since, a.revision));
+            follow(std::max(since, answer.revision));
         });
     }
 
--- a/src/http.cpp
+++ b/src/http.cpp
@@ -196,14 +196,14 @@
         const auto q = url_.find('?');
         request_.path = url_.substr(0, q);
         request_.query = q == std::string::npos ? "" : url_.substr(q + 1);
-        auto r = std::move(request_);
+        auto request = std::move(request_);
         request_ = {};
         url_.clear();
         if (server_ == nullptr)
             return;
-        if (!server_->admit(*this, r))
+        if (!server_->admit(*this, request))
             return refuse();
-        server_->handler_(std::move(r), Responder(shared_from_this()));
+        server_->handler_(std::move(request), Responder(shared_from_this()));
     }
 
     static http_parser_settings make_callbacks() {
@@ -311,10 +311,10 @@
 }
 
 // Whether a request may be served: beyond the share of its kind an idle connection of that kind has to make room.
-bool HttpServer::admit(ServerConnection& c, const HttpRequest& r) {
+bool HttpServer::admit(ServerConnection& c, const HttpRequest& request) {
     if (!classifier_)
         return true;
-    const auto kind = classifier_(r);
+    const auto kind = classifier_(request);
     if (kind != c.share_.kind())
         shares_.classify(c.share_, kind);
     if (!shares_.over_share(kind))
@@ -393,9 +393,9 @@
         http_parser_settings s;
         http_parser_settings_init(&s);
         s.on_body = [](http_parser* p, const char* at, std::size_t n) {
-            auto* c = static_cast<Connection*>(p->data);
-            c->body.append(at, n);
-            return c->body.size() > max_reply ? 1 : 0;
+            auto* connection = static_cast<Connection*>(p->data);
+            connection->body.append(at, n);
+            return connection->body.size() > max_reply ? 1 : 0;
         };
         s.on_message_complete = [](http_parser* p) {
             static_cast<Connection*>(p->data)->complete = true;
@@ -411,9 +411,9 @@
 
 HttpClient::~HttpClient() {
     for (auto& [addr, pool] : pools_)
-        for (auto* c : pool.conns) {
-            c->close();
-            delete c;
+        for (auto* connection : pool.conns) {
+            connection->close();
+            delete connection;
         }
 }
 
@@ -433,9 +433,9 @@
     auto& pool = pools_[addr];
     while (!pool.waiting.empty()) {
         Connection* free = nullptr;
-        for (auto* c : pool.conns)
-            if (!c->busy)
-                free = c;
+        for (auto* connection : pool.conns)
+            if (!connection->busy)
+                free = connection;
         if (free == nullptr && pool.conns.size() >= most_)
             return;
         if (free == nullptr && connections_ >= max_connections_ && !make_room())
@@ -456,20 +456,20 @@
             job.done({});
             continue;
         }
-        auto* c = new Connection;
-        c->client = this;
-        c->addr = addr;
-        c->busy = true;
-        c->job = std::move(job);
-        c->tcp = new uv_tcp_t;
-        uv_tcp_init(loop_, c->tcp);
-        uv_tcp_nodelay(c->tcp, 1);
-        c->tcp->data = c;
-        pool.conns.push_back(c);
+        auto* connection = new Connection;
+        connection->client = this;
+        connection->addr = addr;
+        connection->busy = true;
+        connection->job = std::move(job);
+        connection->tcp = new uv_tcp_t;
+        uv_tcp_init(loop_, connection->tcp);
+        uv_tcp_nodelay(connection->tcp, 1);
+        connection->tcp->data = connection;
+        pool.conns.push_back(connection);
         ++connections_;
         auto* req = new uv_connect_t;
-        const int e =
-            uv_tcp_connect(req, c->tcp, reinterpret_cast<const sockaddr*>(&to), [](uv_connect_t* r, int status) {
+        const int e = uv_tcp_connect(
+            req, connection->tcp, reinterpret_cast<const sockaddr*>(&to), [](uv_connect_t* r, int status) {
                 auto* conn = static_cast<Connection*>(r->handle->data);
                 delete r;
                 if (conn == nullptr)
@@ -486,7 +486,7 @@
             });
         if (e != 0) {
             delete req;
-            finish(c, {}, false);
+            finish(connection, {}, false);
             return;
         }
     }
@@ -510,26 +510,26 @@
     return true;
 }
 
-void HttpClient::remove(Connection* c) {
-    auto& conns = pools_[c->addr].conns;
-    conns.erase(std::find(conns.begin(), conns.end(), c));
+void HttpClient::remove(Connection* connection) {
+    auto& conns = pools_[connection->addr].conns;
+    conns.erase(std::find(conns.begin(), conns.end(), connection));
     --connections_;
-    c->close();
-    delete c;
+    connection->close();
+    delete connection;
 }
 
-void HttpClient::finish(Connection* c, HttpReply reply, bool keep) {
-    const auto addr = c->addr;
-    const bool was_busy = c->busy;
-    auto done = std::move(c->job.done);
+void HttpClient::finish(Connection* connection, HttpReply reply, bool keep) {
+    const auto addr = connection->addr;
+    const bool was_busy = connection->busy;
+    auto done = std::move(connection->job.done);
     if (!was_busy)
-        idle_.erase(c->idle_at);
+        idle_.erase(connection->idle_at);
     if (keep) {
-        c->busy = false;
-        c->idle_since = steady_now(loop_);
-        c->idle_at = idle_.insert(idle_.end(), c);
+        connection->busy = false;
+        connection->idle_since = steady_now(loop_);
+        connection->idle_at = idle_.insert(idle_.end(), connection);
     } else {
-        remove(c);
+        remove(connection);
     }
     if (was_busy && done)
         done(std::move(reply));
@@ -557,22 +557,22 @@
     std::vector<Waiting> unsent;
     for (auto it = pools_.begin(); it != pools_.end();) {
         auto& pool = it->second;
-        for (auto* c : pool.conns)
-            if (c->busy ? c->job.overdue(precise) : now - c->idle_since > 30)
-                late.push_back(c);
+        for (auto* connection : pool.conns)
+            if (connection->busy ? connection->job.overdue(precise) : now - connection->idle_since > 30)
+                late.push_back(connection);
         while (!pool.waiting.empty() && pool.waiting.front().overdue(precise)) {
             unsent.push_back(std::move(pool.waiting.front()));
             pool.waiting.pop_front();
         }
         it = pool.conns.empty() && pool.waiting.empty() ? pools_.erase(it) : std::next(it);
     }
-    for (auto* c : late) {
+    for (auto* connection : late) {
         // An earlier callback may have ended this connection already.
         bool alive = false;
         for (const auto& [addr, pool] : pools_)
-            alive = alive || std::find(pool.conns.begin(), pool.conns.end(), c) != pool.conns.end();
+            alive = alive || std::find(pool.conns.begin(), pool.conns.end(), connection) != pool.conns.end();
         if (alive)
-            finish(c, {0, {}, c->used}, false);
+            finish(connection, {0, {}, connection->used}, false);
     }
     for (auto& w : unsent)
         w.done({});
