--- a/src/leadership/leader_election.cpp
+++ b/src/leadership/leader_election.cpp
@@ -25,12 +25,13 @@
 
 } // namespace
 
-LeaderElection::LeaderElection(const Settings& s, TimerQueue& timers, store::StateStore& store, Peers& peers,
+LeaderElection::LeaderElection(const Settings& settings, TimerQueue& timers, store::StateStore& store, Peers& peers,
                                const membership::Membership& members, metrics::Timings& became_leader, Host& host)
-    : settings_(s), timers_(timers), store_(store), peers_(peers), members_(members), host_(host),
+    : settings_(settings), timers_(timers), store_(store), peers_(peers), members_(members), host_(host),
       // Short, so that others take over soon: outages of the store are bridged by extension votes.
-      leader_lease_(std::min(s.report_s, s.lease_s / 5), s.peers.size(), timers.now()), state_loader_(s, timers, store),
-      transactions_(s, timers, store, became_leader,
+      leader_lease_(std::min(settings.report_s, settings.lease_s / 5), settings.peers.size(), timers.now()),
+      state_loader_(settings, timers, store),
+      transactions_(settings, timers, store, became_leader,
                     {[this](TxnOutcome o) { host_.committed(o); }, [this](const std::string& why) { resign(why); },
                      [this] { return valid(); }}) {}
 
@@ -44,12 +45,12 @@
 }
 
 void LeaderElection::tick() {
-    const double t = timers_.now();
-    if ((role_ == Role::is_leader || role_ == Role::loading) && t >= next_renew_)
+    const double now = timers_.now();
+    if ((role_ == Role::is_leader || role_ == Role::loading) && now >= next_renew_)
         renew();
-    if (t < next_look_)
+    if (now < next_look_)
         return;
-    next_look_ = t + look_heartbeats * settings_.report_s;
+    next_look_ = now + look_heartbeats * settings_.report_s;
     if (valid())
         return consider_better_candidates();
     learn_leader_from_peers();
@@ -61,7 +62,7 @@
 // before those reached through others. At most one change a lease for the sake of more; a leader that the
 // store does not serve, or that hears from no worker at all, is as good as dead.
 void LeaderElection::consider_better_candidates() {
-    const double t = timers_.now();
+    const double now = timers_.now();
     // Nobody else can become leader without the store. (In outages the leader gave it up to one that reached
     // one zone more; it stood empty until the store was back, and all leases ran out.)
     const bool served = members_.store() != membership::Reachability::unreachable;
@@ -69,10 +70,10 @@
     if (!better_candidate)
         better_candidate_since_ = -1;
     else if (better_candidate_since_ < 0)
-        better_candidate_since_ = t;
-    const bool no_worker = hears_no_worker(t);
-    if (better_candidate && t - better_candidate_since_ > steady_heartbeats * settings_.report_s &&
-        (no_worker || t - acquired_at_ > settings_.lease_s))
+        better_candidate_since_ = now;
+    const bool no_worker = hears_no_worker(now);
+    if (better_candidate && now - better_candidate_since_ > steady_heartbeats * settings_.report_s &&
+        (no_worker || now - acquired_at_ > settings_.lease_s))
         return resign(fmt::format("{} is fitter ({}; here {})", *better_candidate,
                                   describe(members_.eligibility(*better_candidate)),
                                   describe(members_.own_eligibility())),
@@ -111,9 +112,9 @@
     if (role_ != Role::follower)
         return;
     const auto gen = generation_;
-    store_.get(leader_key, settings_.report_s / 2, [this, gen](store::Answer&& r) {
+    store_.get(leader_key, settings_.report_s / 2, [this, gen](store::Answer&& answer) {
         if (gen == generation_ && role_ == Role::follower)
-            handle_leader_read(r);
+            handle_leader_read(answer);
     });
 }
 
@@ -125,27 +126,27 @@
     });
 }
 
-void LeaderElection::handle_leader_read(const store::Answer& r) {
-    const double t = timers_.now();
-    leader_lease_.record_store_answer(r.status == 200 || r.status == 404, t);
-    if (r.status == 404) {
+void LeaderElection::handle_leader_read(const store::Answer& answer) {
+    const double now = timers_.now();
+    leader_lease_.record_store_answer(answer.status == 200 || answer.status == 404, now);
+    if (answer.status == 404) {
         leader_.clear();
-        seen_at_ = t;
+        seen_at_ = now;
         if (free_since_ < 0)
-            free_since_ = t;
-        spdlog::debug("the office is free{}", leader_lease_.may_acquire(t) ? "" : ", but we promised to wait");
-        if (!leader_lease_.may_acquire(t))
-            return watch_leader_key_after(std::max(0.01, leader_lease_.not_before() - t));
+            free_since_ = now;
+        spdlog::debug("the office is free{}", leader_lease_.may_acquire(now) ? "" : ", but we promised to wait");
+        if (!leader_lease_.may_acquire(now))
+            return watch_leader_key_after(std::max(0.01, leader_lease_.not_before() - now));
         // A a better candidate one goes first; but views may be wrong, so nobody waits for ever.
-        const double wait = free_since_ + members_.candidacy_delay_s() - t;
+        const double wait = free_since_ + members_.candidacy_delay_s() - now;
         if (wait > 0)
             return watch_leader_key_after(std::min(wait, settings_.report_s / 8));
         return acquire();
     }
-    const auto& item = r.item;
+    const auto& item = answer.item;
     if (!item || !item->value.is_object())
         return watch_leader_key_after(settings_.report_s / 6);
-    seen_at_ = t;
+    seen_at_ = now;
     free_since_ = -1;
     const auto name = item->value.value("node", std::string());
     if (name == settings_.name) {
@@ -174,12 +175,12 @@
 // While the store does not answer this node, the others may know who is the leader. It is only a
 // hint, for passing on requests and sending workers to the right place.
 void LeaderElection::learn_leader_from_peers() {
-    const double t = timers_.now();
+    const double now = timers_.now();
     const auto said = members_.reported_leader();
     if (sees_leader() || (said && said->leader == leader_ && said->term == leader_term_))
-        known_at_ = t;
+        known_at_ = now;
     // What was known long ago is worse than nothing: others would be sent to a leader that is none.
-    if (role_ == Role::follower && !leader_.empty() && t - known_at_ > forget_heartbeats * settings_.report_s) {
+    if (role_ == Role::follower && !leader_.empty() && now - known_at_ > forget_heartbeats * settings_.report_s) {
         spdlog::info("who holds the office is not known here any more");
         leader_.clear();
     }
@@ -193,7 +194,7 @@
         return;
     if (said->term < leader_term_ || (said->term == leader_term_ && sees_leader()))
         return;
-    known_at_ = t;
+    known_at_ = now;
     if (!said->leader.empty())
         spdlog::info("the office is held by {}, says a peer", said->leader);
     leader_ = said->leader;
@@ -214,12 +215,12 @@
     const auto gen = ++generation_;
     store_lease_ = 0;
     store_lease_requested_at_ = timers_.now();
-    store_.create_lease(leader_lease_.ttl_s(), attempt_s, [this, gen](store::Answer&& r) {
+    store_.create_lease(leader_lease_.ttl_s(), attempt_s, [this, gen](store::Answer&& answer) {
         if (gen != generation_)
             return;
-        if (r.status != 200)
+        if (answer.status != 200)
             return acquire_failed();
-        store_lease_ = r.lease;
+        store_lease_ = answer.lease;
         store_.get(term_counter_key, attempt_s, [this, gen](store::Answer&& q) {
             if (gen != generation_)
                 return;
@@ -239,15 +240,15 @@
         {{leader_key, 0}, {term_counter_key, term_counter_revision}},
         {{leader_key, Json{{"node", settings_.name}, {"hold", store_lease_}, {"term", term_}}, store_lease_},
          {term_counter_key, Json{{"term", term_}, {"n", 0}}, 0}},
-        attempt_s, [this, gen](store::Answer&& t) {
+        attempt_s, [this, gen](store::Answer&& answer) {
             // An answer that cannot be read settles nothing either.
-            if ((t.status == 0 && t.sent) || t.status == 502)
+            if ((answer.status == 0 && answer.sent) || answer.status == 502)
                 leader_lease_.acquisition_in_doubt();
             if (gen != generation_)
                 return;
-            if (t.status != 200)
+            if (answer.status != 200)
                 return acquire_failed();
-            transactions_.begin(term_, t.revision);
+            transactions_.begin(term_, answer.revision);
             became_leader();
         });
 }
@@ -279,28 +280,28 @@
     const auto gen = generation_;
     const double sent = timers_.now(), ttl = leader_lease_.ttl_s();
     next_renew_ = sent + ttl / 6;
-    store_.renew_lease(store_lease_, ttl / 5, [this, gen, sent](store::Answer&& r) {
+    store_.renew_lease(store_lease_, ttl / 5, [this, gen, sent](store::Answer&& answer) {
         if (gen != generation_)
             return;
-        if (r.status == 200 || r.status == 503 || r.status == 0)
-            leader_lease_.record_store_answer(r.status == 200, timers_.now());
-        if (r.status == 200)
+        if (answer.status == 200 || answer.status == 503 || answer.status == 0)
+            leader_lease_.record_store_answer(answer.status == 200, timers_.now());
+        if (answer.status == 200)
             return leader_lease_.store_lease_renewed(sent);
         failed_renewal_sent_ = std::max(failed_renewal_sent_, sent);
-        if (r.status == 404)
+        if (answer.status == 404)
             resign("the hold has ended");
     });
     if (!is_leader() || !leader_lease_.wants_extension_votes(sent))
         return;
     const auto body = Json{{"node", settings_.name}, {"term", term_}, {"forS", leader_lease_.extension_s()}}.dump();
-    for (const auto& p : settings_.peers)
-        peers_.request(Lane::control, p.name, "POST", peer_extension_vote, body, ttl / 5,
-                       [this, gen, sent, name = p.name](HttpReply&& r) {
+    for (const auto& peer : settings_.peers)
+        peers_.request(Lane::control, peer.name, "POST", peer_extension_vote, body, ttl / 5,
+                       [this, gen, sent, name = peer.name](HttpReply&& reply) {
                            if (gen != generation_)
                                return;
-                           if (r.status == 409)
-                               return extension_vote_refused(name, sent, r.body);
-                           if (r.status != 200)
+                           if (reply.status == 409)
+                               return extension_vote_refused(name, sent, reply.body);
+                           if (reply.status != 200)
                                return;
                            if (!leader_lease_.extension_granted(name, sent, timers_.now()) || extended_by_votes_)
                                return;
@@ -311,8 +312,8 @@
 
 // The store has just served that peer. Some more may say so before one of them is chosen.
 void LeaderElection::extension_vote_refused(const std::string& peer, double sent, const std::string& answer) {
-    const auto j = codec::parse(answer);
-    if (!j.is_object() || !j.contains(served_field) || j[served_field] != true)
+    const auto json = codec::parse(answer);
+    if (!json.is_object() || !json.contains(served_field) || json[served_field] != true)
         return;
     served_peers_[peer] = sent;
     timers_.after(leader_lease_.ttl_s() / 40, [this, gen = generation_] {
@@ -332,13 +333,13 @@
 // store lease and end within a fifth of it. Staying on is no risk: whether this node acts is decided by the store
 // lease's end alone (Tenancy::valid).
 void LeaderElection::resign_to_served_peer() {
-    const double t = timers_.now();
+    const double now = timers_.now();
     const double renewed_at = leader_lease_.renewed_at();
-    if (t - renewed_at <= unserved_lease_share * leader_lease_.ttl_s() || failed_renewal_sent_ <= renewed_at)
+    if (now - renewed_at <= unserved_lease_share * leader_lease_.ttl_s() || failed_renewal_sent_ <= renewed_at)
         return;
     std::vector<std::string> to;
     for (const auto& [name, at] : served_peers_)
-        if (t - at < leader_lease_.ttl_s() / 4)
+        if (now - at < leader_lease_.ttl_s() / 4)
             to.push_back(name);
     if (to.empty())
         return;
@@ -350,13 +351,14 @@
 
 // A peer that is the leader cannot renew its store lease and asks us to leave it alone for a while. A
 // read of our own tells whether it is the store or only that peer.
-void LeaderElection::handle_extension_vote_request(const HttpRequest& r, const Responder& res) {
-    const auto j = codec::parse(r.body);
-    const auto length = j.is_object() && j.contains("forS") && j["forS"].is_number() ? j["forS"].get<double>() : -1;
+void LeaderElection::handle_extension_vote_request(const HttpRequest& request, const Responder& res) {
+    const auto json = codec::parse(request.body);
+    const auto length =
+        json.is_object() && json.contains("forS") && json["forS"].is_number() ? json["forS"].get<double>() : -1;
     if (!(length > 0))
         return res.send(400, R"({"error":"forS is needed"})");
-    store_.get(leader_key, leader_lease_.ttl_s() / 10, [this, res, length](store::Answer&& a) {
-        const bool failed = a.status == 503 || a.status == 0;
+    store_.get(leader_key, leader_lease_.ttl_s() / 10, [this, res, length](store::Answer&& answer) {
+        const bool failed = answer.status == 503 || answer.status == 0;
         leader_lease_.record_store_answer(!failed, timers_.now());
         if (leader_lease_.grant_extension(length, timers_.now(), role_ == Role::follower, failed))
             return res.send(200, "{}");
@@ -395,8 +397,8 @@
     const auto first = to.front();
     to.erase(to.begin());
     peers_.request(Lane::control, first, "POST", peer_takeover, body, attempt_s,
-                   [this, body, to = std::move(to)](HttpReply&& r) mutable {
-                       if (r.status != 200)
+                   [this, body, to = std::move(to)](HttpReply&& reply) mutable {
+                       if (reply.status != 200)
                            offer_leadership(body, std::move(to));
                    });
 }
@@ -404,18 +406,21 @@
 // A leader that has stopped acting asks us to take its place, and to end its store lease if it still stands. Such
 // a request may come minutes late or twice: what it names is ended only if the leadership still names all of
 // it, and a store lease that is ended once never comes back.
-void LeaderElection::handle_takeover_request(const HttpRequest& r, const Responder& res) {
-    const auto j = codec::parse(r.body);
+void LeaderElection::handle_takeover_request(const HttpRequest& request, const Responder& res) {
+    const auto json = codec::parse(request.body);
     const auto number = [&](const char* field) {
-        return j.is_object() && j.contains(field) && j[field].is_number_unsigned() ? j[field].get<std::uint64_t>() : 0;
+        return json.is_object() && json.contains(field) && json[field].is_number_unsigned()
+                   ? json[field].get<std::uint64_t>()
+                   : 0;
     };
     const auto term = number("term"), hold = number("hold");
-    const auto node = j.is_object() && j.contains("node") && j["node"].is_string() ? j["node"].get<std::string>() : "";
+    const auto node =
+        json.is_object() && json.contains("node") && json["node"].is_string() ? json["node"].get<std::string>() : "";
     if (node.empty() || term == 0 || hold == 0)
         return res.send(400, codec::error_answer("node, term and hold are needed"));
     if (role_ != Role::follower)
         return res.send(409, codec::error_answer("not a standby"));
-    store_.get(leader_key, settings_.report_s / 4, [this, node, term, hold, res](store::Answer&& a) {
+    store_.get(leader_key, settings_.report_s / 4, [this, node, term, hold, res](store::Answer&& answer) {
         const auto take = [this, res] {
             res.send(200, "{}");
             if (role_ != Role::follower)
@@ -423,11 +428,12 @@
             ++generation_; // instead of the watch under way
             watch_leader_key();
         };
-        if (a.status == 404)
+        if (answer.status == 404)
             return take();
-        const bool same = a.item && a.item->value.is_object() && a.item->value.value("node", std::string()) == node &&
-                          a.item->value.value("term", std::uint64_t{0}) == term &&
-                          a.item->value.value("hold", std::uint64_t{0}) == hold;
+        const bool same = answer.item && answer.item->value.is_object() &&
+                          answer.item->value.value("node", std::string()) == node &&
+                          answer.item->value.value("term", std::uint64_t{0}) == term &&
+                          answer.item->value.value("hold", std::uint64_t{0}) == hold;
         if (!same)
             return res.send(409, codec::error_answer("the office does not name this hold"));
         store_.revoke_lease(hold, settings_.report_s / 4, [take](store::Answer&&) { take(); });
--- a/src/leadership/state_loader.cpp
+++ b/src/leadership/state_loader.cpp
@@ -71,7 +71,7 @@
 // Other nodes accept jobs too; the leader learns of them here.
 void StateLoader::follow() {
     const auto gen = generation_;
-    store_.follow("j/", revision_, settings_.lease_s / 2, [this, gen](store::Answer&& r) {
+    store_.follow("j/", revision_, settings_.lease_s / 2, [this, gen](store::Answer&& answer) {
         if (gen != generation_)
             return;
         auto again = [this, gen](double delay_s) {
@@ -80,17 +80,17 @@
                     follow();
             });
         };
-        if (r.status == 410) { // too far behind: everything is read again
+        if (answer.status == 410) { // too far behind: everything is read again
             stored_ = {};
             return load("j/", "", &stored_.jobs, [this, again] {
                 tell(std::exchange(stored_, {}).jobs);
                 again(0);
             });
         }
-        if (r.status != 200)
+        if (answer.status != 200)
             return again(settings_.report_s / 10);
-        revision_ = std::max(revision_, r.revision);
-        tell(r.items);
+        revision_ = std::max(revision_, answer.revision);
+        tell(answer.items);
         again(0);
     });
 }
--- a/src/local/cloud.cpp
+++ b/src/local/cloud.cpp
@@ -22,7 +22,8 @@
                                double up_at)
     : platform_(p), id_(std::move(id)), zone_(std::move(zone)), type_(type), spot_(spot), rented_at_(p.now()),
       up_at_(up_at), lease_from_(up_at), next_heartbeat_(up_at), speed_(p.between(0.95, 1.05)),
-      server_(p.loop_, 64, 600, [this](HttpRequest&& r, const Responder& res) { handle(std::move(r), res); }) {}
+      server_(p.loop_, 64, 600,
+              [this](HttpRequest&& request, const Responder& res) { handle(std::move(request), res); }) {}
 
 int EmulatedWorker::start() {
     if (platform_.direct_) {
@@ -67,30 +68,30 @@
     runs_.clear();
 }
 
-void EmulatedWorker::launch(const Order& o, double now) {
-    if (!platform_.jobs_.contains(o.job) && platform_.ask)
-        if (const auto s = platform_.ask(o.job); s) {
+void EmulatedWorker::launch(const Order& order, double now) {
+    if (!platform_.jobs_.contains(order.job) && platform_.ask)
+        if (const auto s = platform_.ask(order.job); s) {
             platform_.know(*s);
             platform_.history_.submitted(*s);
         }
     const auto& specs = platform_.jobs_;
     Run r;
-    r.t = {o.job, o.index, o.attempt, TaskState::fetching, ExitCause::none, false};
+    r.t = {order.job, order.index, order.attempt, TaskState::fetching, ExitCause::none, false};
     if (platform_.on_launch)
-        platform_.on_launch(o, type_, zone_, spot_);
-    const auto spec = specs.find(o.job);
+        platform_.on_launch(order, type_, zone_, spot_);
+    const auto spec = specs.find(order.job);
     Resources used;
     bool here = false;
     for (const auto& x : runs_) {
-        if (x.t.job == o.job && x.t.index == o.index) {
-            if (x.t.attempt == o.attempt)
+        if (x.t.job == order.job && x.t.index == order.index) {
+            if (x.t.attempt == order.attempt)
                 return;
             here = here || x.t.state != TaskState::ended;
         }
         if (const auto s = specs.find(x.t.job); s != specs.end() && x.t.state != TaskState::ended)
             used += s->second.each;
     }
-    if (spec == specs.end() || o.index >= spec->second.tasks)
+    if (spec == specs.end() || order.index >= spec->second.tasks)
         end(r, ExitCause::unknown);
     else if (here)
         end(r, ExitCause::busy);
@@ -103,29 +104,29 @@
 }
 
 void EmulatedWorker::execute(const std::vector<Order>& list, double now) {
-    for (const auto& o : list) {
-        if (o.verb == Verb::launch) {
-            launch(o, now);
+    for (const auto& order : list) {
+        if (order.verb == Verb::launch) {
+            launch(order, now);
             continue;
         }
         const auto it = std::find_if(runs_.begin(), runs_.end(), [&](const Run& r) {
-            return r.t.job == o.job && r.t.index == o.index && r.t.attempt == o.attempt;
+            return r.t.job == order.job && r.t.index == order.index && r.t.attempt == order.attempt;
         });
         if (it == runs_.end())
             continue;
-        if (o.verb == Verb::reap) {
+        if (order.verb == Verb::reap) {
             if (it->t.state == TaskState::ended)
                 runs_.erase(it);
             continue;
         }
         if (it->t.state == TaskState::ended)
             continue;
-        const auto& s = platform_.jobs_[o.job];
-        if (it->t.state == TaskState::running && s.checkpoint_s > 0 && o.drain_s >= s.save_s) {
+        const auto& spec = platform_.jobs_[order.job];
+        if (it->t.state == TaskState::running && spec.checkpoint_s > 0 && order.drain_s >= spec.save_s) {
             it->t.state = TaskState::saving;
-            it->until = now + s.save_s;
+            it->until = now + spec.save_s;
             changed_ = true;
-        } else if (it->t.state != TaskState::saving || o.drain_s <= 0) {
+        } else if (it->t.state != TaskState::saving || order.drain_s <= 0) {
             end(*it, ExitCause::stopped);
         }
     }
@@ -145,15 +146,15 @@
     return {200, heartbeat()};
 }
 
-void EmulatedWorker::handle(HttpRequest&& r, const Responder& res) {
+void EmulatedWorker::handle(HttpRequest&& request, const Responder& res) {
     const double now = platform_.now();
     if (now < hung_until || now < cut_until || !up(now))
         return; // silence: the caller gives up
-    if (r.method == "GET" && r.path == codec::path_status)
+    if (request.method == "GET" && request.path == codec::path_status)
         return res.send(200, codec::to_body(heartbeat()));
-    if (r.method != "POST" || r.path != codec::path_commands)
+    if (request.method != "POST" || request.path != codec::path_commands)
         return res.send(404, error_body("no such path"));
-    const auto o = codec::read_orders(r.body);
+    const auto o = codec::read_orders(request.body);
     if (!o || !o->fencing_token || !o->agent_epoch)
         return res.send(400, error_body("fence and tenure are needed"));
     const auto take = [this, o = *o, res] {
@@ -225,12 +226,12 @@
                    });
 }
 
-void Platform::send(EmulatedWorker& w, Heartbeat r, std::function<void(const HeartbeatResponse&)> done) {
+void Platform::send(EmulatedWorker& w, Heartbeat heartbeat, std::function<void(const HeartbeatResponse&)> done) {
     ++messages_;
     if (direct_)
-        return reports_ ? reports_(std::move(r), std::move(done)) : done({});
-    client_.request(plan_.workers.nodes[w.node_].second, "POST", std::string(codec::path_heartbeat), codec::to_body(r),
-                    answer_s, [done = std::move(done)](HttpReply&& reply) {
+        return reports_ ? reports_(std::move(heartbeat), std::move(done)) : done({});
+    client_.request(plan_.workers.nodes[w.node_].second, "POST", std::string(codec::path_heartbeat),
+                    codec::to_body(heartbeat), answer_s, [done = std::move(done)](HttpReply&& reply) {
                         HeartbeatResponse a;
                         auto o = reply.status == 200 ? codec::read_orders(reply.body) : std::nullopt;
                         if (reply.status == 421) {
@@ -259,28 +260,28 @@
     if (now < hung_until)
         return;
     if (now >= late_until && now >= cut_until)
-        for (const auto& f : std::exchange(held_, {}))
-            f();
+        for (const auto& callback : std::exchange(held_, {}))
+            callback();
     for (auto& r : runs_) {
-        const auto& s = platform_.jobs_[r.t.job];
+        const auto& spec = platform_.jobs_[r.t.job];
         if (r.t.state == TaskState::fetching && now >= r.until) {
-            images_.insert(s.image);
+            images_.insert(spec.image);
             if (sick) {
                 end(r, ExitCause::error);
                 continue;
             }
             platform_.history_.on_machine(r.t.job, r.t.index, {id_, type_.name, zone_, spot_}, now);
             r.counted = true;
-            r.t.state = s.shape == Shape::gang && s.tasks > 1 ? TaskState::waiting : TaskState::running;
-            const double run = platform_.run_s(s, r.t) / speed_;
+            r.t.state = spec.shape == Shape::gang && spec.tasks > 1 ? TaskState::waiting : TaskState::running;
+            const double run = platform_.run_s(spec, r.t) / speed_;
             r.until = now + (r.t.state == TaskState::waiting ? w.gang_wait_s : run);
             changed_ = true;
         } else if (r.t.state == TaskState::waiting) {
             const auto all = platform_.mates(r.t.job, r.t.attempt);
-            const bool ready = all.size() == s.tasks && std::all_of(all.begin(), all.end(), [](const auto& x) {
+            const bool ready = all.size() == spec.tasks && std::all_of(all.begin(), all.end(), [](const auto& x) {
                                    return x.run->t.state == TaskState::waiting;
                                });
-            const double run = platform_.run_s(s, all.empty() ? r.t : all.front().run->t);
+            const double run = platform_.run_s(spec, all.empty() ? r.t : all.front().run->t);
             for (const auto& x : all) {
                 if (!ready)
                     break;
@@ -291,9 +292,9 @@
             changed_ = changed_ || ready;
             if (!ready && now >= r.until)
                 end(r, ExitCause::alone);
-        } else if (r.t.state == TaskState::running && s.shape == Shape::gang && s.tasks > 1) {
+        } else if (r.t.state == TaskState::running && spec.shape == Shape::gang && spec.tasks > 1) {
             const auto all = platform_.mates(r.t.job, r.t.attempt);
-            if (all.size() < s.tasks) {
+            if (all.size() < spec.tasks) {
                 if (r.mate_lost < 0)
                     r.mate_lost = now;
                 if (now > r.mate_lost + w.gang_peer_s)
@@ -303,7 +304,7 @@
                     if (x.run->t.state == TaskState::running)
                         x.on->end(*x.run, ExitCause::done);
             }
-        } else if (r.t.state == TaskState::running && s.shape != Shape::service && now >= r.until) {
+        } else if (r.t.state == TaskState::running && spec.shape != Shape::service && now >= r.until) {
             end(r, ExitCause::done);
         } else if (r.t.state == TaskState::saving && now >= r.until) {
             end(r, ExitCause::stopped, true);
@@ -314,7 +315,7 @@
 
 Platform::Platform(uv_loop_t* loop, PlatformPlan plan, History& history)
     : loop_(loop), plan_(std::move(plan)), history_(history), rng_(plan_.seed),
-      server_(loop, 64, 600, [this](HttpRequest&& r, const Responder& res) { handle(std::move(r), res); }),
+      server_(loop, 64, 600, [this](HttpRequest&& request, const Responder& res) { handle(std::move(request), res); }),
       client_(loop, 128, 4096) {
     if (!plan_.clock)
         plan_.clock = std::make_shared<Clock>();
@@ -334,14 +335,14 @@
     ~Direct() override {
         platform_.reports_ = nullptr;
     }
-    void set_heartbeat_handler(Heartbeats r) override {
-        platform_.reports_ = std::move(r);
+    void set_heartbeat_handler(Heartbeats callback) override {
+        platform_.reports_ = std::move(callback);
     }
-    void command(const SendOrders& o, double, std::function<void(OrdersAnswered&&)> done) override {
-        const auto it = platform_.machines_.find(o.machine);
-        OrdersAnswered a{o.machine, o.batch, 0, it != platform_.machines_.end(), std::nullopt};
+    void command(const SendOrders& effect, double, std::function<void(OrdersAnswered&&)> done) override {
+        const auto it = platform_.machines_.find(effect.machine);
+        OrdersAnswered a{effect.machine, effect.batch, 0, it != platform_.machines_.end(), std::nullopt};
         if (it != platform_.machines_.end())
-            std::tie(a.status, a.heartbeat) = it->second->obey(o.fencing_token, o.agent_epoch, o.orders);
+            std::tie(a.status, a.heartbeat) = it->second->obey(effect.fencing_token, effect.agent_epoch, effect.orders);
         timers(std::move(done), std::move(a));
     }
     void rent(const Rent& ask, double, std::function<void(Rented&&)> done) override {
@@ -399,11 +400,11 @@
     return out;
 }
 
-double Platform::run_s(const JobSpec& s, const ReportedTask& t) const {
-    std::string name = fmt::format("{} {}/{} {}", plan_.seed, t.job, t.index, t.attempt);
+double Platform::run_s(const JobSpec& spec, const ReportedTask& task) const {
+    std::string name = fmt::format("{} {}/{} {}", plan_.seed, task.job, task.index, task.attempt);
     std::seed_seq from(name.begin(), name.end());
     std::minstd_rand rng(from);
-    return std::max(0.05, s.estimate_s * plan_.run_share * std::uniform_real_distribution<double>(0.67, 1.33)(rng));
+    return std::max(0.05, spec.estimate_s * plan_.run_share * std::uniform_real_distribution<double>(0.67, 1.33)(rng));
 }
 
 EmulatedWorker* Platform::any() {
@@ -435,36 +436,37 @@
     return s;
 }
 
-void Platform::handle(HttpRequest&& r, const Responder& res) {
+void Platform::handle(HttpRequest&& request, const Responder& res) {
     if (out)
         return res.send(503, error_body("trouble"));
-    const bool get = r.method == "GET", post = r.method == "POST";
-    if (get && r.path == codec::path_types)
+    const bool get = request.method == "GET", post = request.method == "POST";
+    if (get && request.path == codec::path_types)
         return res.send(200, codec::types_to_json(plan_.types).dump());
-    if (get && r.path == codec::path_rentals) {
-        const auto at = r.query.find("since=");
-        return res.send(
-            200, codec::to_body(
-                     page(at == std::string::npos ? "" : r.query.substr(at + 6, r.query.find('&', at) - at - 6))));
+    if (get && request.path == codec::path_rentals) {
+        const auto at = request.query.find("since=");
+        return res.send(200,
+                        codec::to_body(page(at == std::string::npos
+                                                ? ""
+                                                : request.query.substr(at + 6, request.query.find('&', at) - at - 6))));
     }
-    if (post && r.path == codec::path_release) {
-        const auto list = codec::rented(r.body);
+    if (post && request.path == codec::path_release) {
+        const auto list = codec::rented(request.body);
         if (!list || list->size() > 100)
             return res.send(400, error_body("hosts"));
         release(*list);
         return res.send(200, "{}");
     }
-    if (!post || r.path != codec::path_rentals)
+    if (!post || request.path != codec::path_rentals)
         return res.send(404, error_body("no such path"));
-    const auto ask = codec::rental_request(r.body);
+    const auto ask = codec::rental_request(request.body);
     if (!ask)
         return res.send(400, error_body("malformed"));
-    const auto a = rent({ask->claim, ask->type, ask->zone, ask->spot, ask->count});
-    if (a.outcome == RentOutcome::failed)
+    const auto command = rent({ask->claim, ask->type, ask->zone, ask->spot, ask->count});
+    if (command.outcome == RentOutcome::failed)
         return res.send(400, error_body("malformed"));
-    if (a.outcome == RentOutcome::no_capacity)
+    if (command.outcome == RentOutcome::no_capacity)
         return res.send(503, error_body("no capacity"));
-    res.send(200, codec::release(a.machines));
+    res.send(200, codec::release(command.machines));
 }
 
 codec::MachinePage Platform::page(const std::string& since) {
--- a/src/local/history.cpp
+++ b/src/local/history.cpp
@@ -28,62 +28,62 @@
             breaks("invented", id);
         return;
     }
-    auto& j = it->second;
-    if (j.accepted && (status == 404 || status == 400 || status == 422))
+    auto& job = it->second;
+    if (job.accepted && (status == 404 || status == 400 || status == 422))
         breaks("forgotten", fmt::format("{} was answered {}", id, status));
     if (status != 200 && status != 201)
         return;
-    j.accepted = true;
-    if (!j.final.empty() && state != j.final)
-        breaks("went_back", fmt::format("{} was {}, now {}", id, j.final, state));
+    job.accepted = true;
+    if (!job.final.empty() && state != job.final)
+        breaks("went_back", fmt::format("{} was {}, now {}", id, job.final, state));
     if (state == codec::status_done) {
-        if (!over(j))
-            breaks("not_done", fmt::format("{} with {} of {} tasks", id, j.done.size(), j.spec.tasks));
-        j.final = state;
+        if (!over(job))
+            breaks("not_done", fmt::format("{} with {} of {} tasks", id, job.done.size(), job.spec.tasks));
+        job.final = state;
     } else if (state == codec::status_cancelled) {
         if (!cancelled_with_dependency(id))
             breaks("went_back", id + " was cancelled by nobody");
-        if (j.cancelled_at < 0)
-            j.cancelled_at = now;
-        j.final = state;
+        if (job.cancelled_at < 0)
+            job.cancelled_at = now;
+        job.final = state;
     }
 }
 
 void History::on_machine(const std::string& id, std::uint32_t index, const Place& at, double now) {
-    auto& j = jobs_[id];
-    const auto& s = j.spec;
+    auto& job = jobs_[id];
+    const auto& spec = job.spec;
     const auto name = fmt::format("{}/{}", id, index);
     ++starts_;
-    if (j.on.contains(index))
-        breaks("ran_twice", fmt::format("{} on {} and {}", name, j.on.find(index)->second.machine, at.machine));
-    if (at.spot && !s.spot)
+    if (job.on.contains(index))
+        breaks("ran_twice", fmt::format("{} on {} and {}", name, job.on.find(index)->second.machine, at.machine));
+    if (at.spot && !spec.spot)
         breaks("wrong_place", name + " on a spot machine");
-    if (!s.zone.empty() && s.zone != at.zone)
+    if (!spec.zone.empty() && spec.zone != at.zone)
         breaks("wrong_place", name + " in " + at.zone);
-    if (!s.types.empty() && std::find(s.types.begin(), s.types.end(), at.type) == s.types.end())
+    if (!spec.types.empty() && std::find(spec.types.begin(), spec.types.end(), at.type) == spec.types.end())
         breaks("wrong_place", name + " on a " + at.type);
     std::size_t here = 1;
-    for (const auto& [i, p] : j.on) {
+    for (const auto& [i, p] : job.on) {
         here += p.zone == at.zone;
-        if (s.one_zone && p.zone != at.zone)
+        if (spec.one_zone && p.zone != at.zone)
             breaks("wrong_place", name + " apart from the others");
     }
-    if (s.spread && here > (s.tasks + 1) / 2)
+    if (spec.spread && here > (spec.tasks + 1) / 2)
         breaks("wrong_place", name + " with too many others in " + at.zone);
-    if (j.cancelled_at >= 0 && now > j.cancelled_at + cancel_s_)
+    if (job.cancelled_at >= 0 && now > job.cancelled_at + cancel_s_)
         breaks("ran_cancelled", name);
-    for (const auto& n : s.dependencies)
+    for (const auto& n : spec.dependencies)
         if (!over(jobs_[n]))
             breaks("too_early", fmt::format("{} before {} is done", name, n));
-    j.on.emplace(index, at);
+    job.on.emplace(index, at);
     Resources used;
     for (const auto& [other, o] : jobs_)
-        if (o.spec.team == s.team)
+        if (o.spec.team == spec.team)
             used += o.spec.each * static_cast<double>(o.on.size());
-    for (const auto& t : teams_)
-        if (t.name == s.team &&
-            ((t.cpus_max > 0 && used.cpus > t.cpus_max + 1e-6) || (t.gpus_max > 0 && used.gpus > t.gpus_max + 1e-6)))
-            breaks("quota", fmt::format("team {} uses {} CPUs with {}", s.team, used.cpus, name));
+    for (const auto& limits : teams_)
+        if (limits.name == spec.team && ((limits.cpus_max > 0 && used.cpus > limits.cpus_max + 1e-6) ||
+                                         (limits.gpus_max > 0 && used.gpus > limits.gpus_max + 1e-6)))
+            breaks("quota", fmt::format("team {} uses {} CPUs with {}", spec.team, used.cpus, name));
 }
 
 void History::off_machine(const std::string& id, std::uint32_t index, const std::string& machine) {
@@ -95,26 +95,26 @@
 }
 
 void History::task_done(const std::string& id, std::uint32_t index) {
-    auto& j = jobs_[id];
-    if (j.spec.shape != Shape::gang) {
-        j.done.insert(index);
+    auto& job = jobs_[id];
+    if (job.spec.shape != Shape::gang) {
+        job.done.insert(index);
         return;
     }
-    for (std::uint32_t i = 0; i < j.spec.tasks; ++i)
-        j.done.insert(i); // they complete together
+    for (std::uint32_t i = 0; i < job.spec.tasks; ++i)
+        job.done.insert(i); // they complete together
 }
 
 void History::check(double now) {
-    for (const auto& [id, j] : jobs_)
-        if (j.cancelled_at >= 0 && !j.on.empty() && now > j.cancelled_at + cancel_s_)
+    for (const auto& [id, job] : jobs_)
+        if (job.cancelled_at >= 0 && !job.on.empty() && now > job.cancelled_at + cancel_s_)
             breaks("ran_cancelled",
-                   fmt::format("{}/{} is still on {}", id, j.on.begin()->first, j.on.begin()->second.machine));
+                   fmt::format("{}/{} is still on {}", id, job.on.begin()->first, job.on.begin()->second.machine));
 }
 
 std::vector<std::string> History::unfinished() const {
     std::vector<std::string> out;
-    for (const auto& [id, j] : jobs_)
-        if (j.accepted && j.final.empty())
+    for (const auto& [id, job] : jobs_)
+        if (job.accepted && job.final.empty())
             out.push_back(id);
     return out;
 }
--- a/src/local/local.cpp
+++ b/src/local/local.cpp
@@ -33,21 +33,21 @@
 }
 
 JobSpec job(int n, Shape shape, std::uint32_t tasks, double cpus, const std::string& team, double run_s) {
-    JobSpec s;
-    s.id = fmt::format("wk-{:06}", n);
-    s.job_class = shape == Shape::array ? "batch" : shape == Shape::gang ? "solve" : "serve";
-    s.team = team;
-    s.shape = shape;
-    s.priority = shape == Shape::service ? Priority::critical
-                 : shape == Shape::gang  ? Priority::high
-                                         : Priority::normal;
-    s.tasks = tasks;
-    s.each = {cpus, 0, cpus * 2};
-    s.image = "img-" + team;
-    s.image_gb = 0.4;
-    s.spot = shape == Shape::array;
-    s.estimate_s = run_s;
-    return s;
+    JobSpec spec;
+    spec.id = fmt::format("wk-{:06}", n);
+    spec.job_class = shape == Shape::array ? "batch" : shape == Shape::gang ? "solve" : "serve";
+    spec.team = team;
+    spec.shape = shape;
+    spec.priority = shape == Shape::service ? Priority::critical
+                    : shape == Shape::gang  ? Priority::high
+                                            : Priority::normal;
+    spec.tasks = tasks;
+    spec.each = {cpus, 0, cpus * 2};
+    spec.image = "img-" + team;
+    spec.image_gb = 0.4;
+    spec.spot = shape == Shape::array;
+    spec.estimate_s = run_s;
+    return spec;
 }
 
 class Local {
@@ -190,10 +190,10 @@
         f << fmt::format("\n[external]\ncloud = \"127.0.0.1:{}\"\nstate = \"127.0.0.1:{}\"\n", platform_->port(),
                          store_->port());
         f << "\n[facts]\ninitial_size = 0\nzones = [\"a\", \"b\"]\ntime_bound_ms = 100.0\n";
-        for (const auto& t : teams())
+        for (const auto& limits : teams())
             f << fmt::format("\n[[facts.teams]]\nname = \"{}\"\ncpus = {:.1f}\ncpus_max = {:.1f}\ngpus = 0.0\n"
                              "gpus_max = 0.0\n",
-                             t.name, t.cpus, t.cpus_max);
+                             limits.name, limits.cpus, limits.cpus_max);
         f << fmt::format("\n[facts.workers]\nreport_s = {:.1f}\nlease_s = {:.1f}\ngang_wait_s = 10.0\n"
                          "gang_peer_s = 2.0\ncancel_s = {:.1f}\n",
                          report_s, lease_s, cancel_s);
@@ -245,11 +245,11 @@
 
     void plan_load() {
         int n = 0;
-        auto add = [&](JobSpec s, double at, double cancel_at = -1) {
+        auto add = [&](JobSpec spec, double at, double cancel_at = -1) {
             User u;
             u.at = at;
             u.cancel_at = cancel_at;
-            u.spec = std::move(s);
+            u.spec = std::move(spec);
             users_wanted_.push_back(std::move(u));
         };
         const double last = options_.seconds;
@@ -257,26 +257,26 @@
             const double at = 2 + (last - 2) * i / std::max(1, options_.jobs);
             const auto team = i % 3 == 0 ? "blue" : "red";
             if (i % 4 == 1) {
-                auto s = job(++n, Shape::gang, 2 + static_cast<std::uint32_t>(rng_() % 3), 4, team, 2);
-                s.one_zone = i % 8 == 1;
-                add(std::move(s), at);
+                auto spec = job(++n, Shape::gang, 2 + static_cast<std::uint32_t>(rng_() % 3), 4, team, 2);
+                spec.one_zone = i % 8 == 1;
+                add(std::move(spec), at);
             } else if (i % 4 == 2) {
-                auto s = job(++n, Shape::service, 2 + static_cast<std::uint32_t>(rng_() % 2), 1, team, 0);
-                s.spread = true;
-                add(std::move(s), at, last + 2); // its user ends it after the last submission
+                auto spec = job(++n, Shape::service, 2 + static_cast<std::uint32_t>(rng_() % 2), 1, team, 0);
+                spec.spread = true;
+                add(std::move(spec), at, last + 2); // its user ends it after the last submission
             } else {
-                auto s = job(++n, Shape::array, 3 + static_cast<std::uint32_t>(rng_() % 12), 2, team, 1.5);
-                add(std::move(s), at, i % 8 == 7 ? at + between(0, 3) : -1);
+                auto spec = job(++n, Shape::array, 3 + static_cast<std::uint32_t>(rng_() % 12), 2, team, 1.5);
+                add(std::move(spec), at, i % 8 == 7 ? at + between(0, 3) : -1);
             }
         }
         // A pipeline: each step needs the one before.
         std::vector<std::string> before;
         for (const auto* step : {"gather", "clean", "publish"}) {
-            auto s = job(++n, Shape::array, 4, 1, "red", 1);
-            s.job_class = step;
-            s.dependencies = before;
-            before = {s.id};
-            add(std::move(s), 3 + 0.3 * static_cast<double>(n % 3));
+            auto spec = job(++n, Shape::array, 4, 1, "red", 1);
+            spec.job_class = step;
+            spec.dependencies = before;
+            before = {spec.id};
+            add(std::move(spec), 3 + 0.3 * static_cast<double>(n % 3));
         }
     }
 
@@ -311,7 +311,7 @@
         const auto path = std::string(codec::path_jobs);
         const auto one = path + "/" + u.spec.id;
         u.asking = true;
-        auto done = [this, i](HttpReply&& r) { answered(i, r); };
+        auto done = [this, i](HttpReply&& reply) { answered(i, reply); };
         if (u.state == S::submits)
             users_->request(some_node(), "POST", path, codec::to_body(u.spec), user_timeout_s, done);
         else if (u.state == S::cancels)
@@ -321,19 +321,19 @@
             users_->request(some_node(), "GET", one, "", poll_timeout_s, done);
     }
 
-    void answered(std::size_t i, const HttpReply& r) {
+    void answered(std::size_t i, const HttpReply& reply) {
         auto& u = users_wanted_[i];
         using S = User::State;
         u.asking = false;
         const double t = now();
         u.next = t + (u.state == S::polls ? poll_every_s : 1);
-        const auto a = r.status == 200 || r.status == 201 ? codec::job_answer_of(r.body) : std::nullopt;
-        if (r.status != 0)
-            history_.told(u.spec.id, r.status, a ? a->status : "", platform_->now());
+        const auto a = reply.status == 200 || reply.status == 201 ? codec::job_answer_of(reply.body) : std::nullopt;
+        if (reply.status != 0)
+            history_.told(u.spec.id, reply.status, a ? a->status : "", platform_->now());
         if (!a) {
-            const bool never = u.state == S::submits && (r.status == 400 || r.status == 422);
+            const bool never = u.state == S::submits && (reply.status == 400 || reply.status == 422);
             if (never || (u.state == S::submits && t - u.first_try > give_up_s)) {
-                u.last = never ? fmt::format("refused with {}", r.status) : "not accepted in time";
+                u.last = never ? fmt::format("refused with {}", reply.status) : "not accepted in time";
                 u.state = S::over;
             }
             return;
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -22,41 +22,44 @@
 constexpr std::size_t min_machines_to_judge = 4;
 constexpr int probes_a_round = 2;
 
-FailureThresholds store_patience(const Settings& s) {
-    return {s.report_s / 4, 2, s.report_s / 4};
+FailureThresholds store_patience(const Settings& settings) {
+    return {settings.report_s / 4, 2, settings.report_s / 4};
 }
-FailureThresholds peer_patience(const Settings& s) {
-    return {s.report_s / 2, 2, s.report_s / 4};
+FailureThresholds peer_patience(const Settings& settings) {
+    return {settings.report_s / 2, 2, settings.report_s / 4};
 }
-FailureThresholds zone_patience(const Settings& s) {
-    return {s.report_s, 2, s.report_s};
+FailureThresholds zone_patience(const Settings& settings) {
+    return {settings.report_s, 2, settings.report_s};
 }
 
-FailureThresholds silence_patience(const Settings& s) {
-    return {0, 1, s.report_s / 2}; // the silence itself is what lasted
+FailureThresholds silence_patience(const Settings& settings) {
+    return {0, 1, settings.report_s / 2}; // the silence itself is what lasted
 }
 
-const char* to_text(Reachability r) {
-    return r == Reachability::reachable ? "works" : r == Reachability::unreachable ? "lost" : "not known";
+const char* to_text(Reachability reachability) {
+    return reachability == Reachability::reachable     ? "works"
+           : reachability == Reachability::unreachable ? "lost"
+                                                       : "not known";
 }
 
 } // namespace
 
-std::string describe(const Eligibility& s) {
-    return fmt::format("store {}, zones {}, through others {}", s.store, s.zones, s.zones_by_others);
+std::string describe(const Eligibility& eligibility) {
+    return fmt::format("store {}, zones {}, through others {}", eligibility.store, eligibility.zones,
+                       eligibility.zones_by_others);
 }
 
-Membership::Zone::Zone(const Settings& s) : in(silence_patience(s)), out(zone_patience(s)) {}
-Membership::PeerState::PeerState(const Settings& s) : link(peer_patience(s)) {}
+Membership::Zone::Zone(const Settings& settings) : in(silence_patience(settings)), out(zone_patience(settings)) {}
+Membership::PeerState::PeerState(const Settings& settings) : link(peer_patience(settings)) {}
 
-Membership::Membership(const Settings& s, TimerQueue& timers, store::StateStore& store, Executor& executor,
+Membership::Membership(const Settings& settings, TimerQueue& timers, store::StateStore& store, Executor& executor,
                        Peers& peers, Host& host)
-    : settings_(s), timers_(timers), state_(store), executor_(executor), peers_(peers), host_(host),
-      store_(store_patience(s)), cloud_(store_patience(s)) {
-    for (const auto& z : s.zones)
-        zones_.emplace(z, s);
-    for (const auto& p : s.peers)
-        peer_states_.emplace(p.name, s);
+    : settings_(settings), timers_(timers), state_(store), executor_(executor), peers_(peers), host_(host),
+      store_(store_patience(settings)), cloud_(store_patience(settings)) {
+    for (const auto& z : settings.zones)
+        zones_.emplace(z, settings);
+    for (const auto& peer : settings.peers)
+        peer_states_.emplace(peer.name, settings);
 }
 
 Membership::Zone* Membership::find_zone(const std::string& name) {
@@ -73,15 +76,15 @@
 }
 
 void Membership::store_answered(bool ok) {
-    const double t = timers_.now();
-    store_asked_at_ = t;
-    if (ok ? store_.worked(t) : store_.failed(t))
+    const double now = timers_.now();
+    store_asked_at_ = now;
+    if (ok ? store_.worked(now) : store_.failed(now))
         changed("the state service", store_.reach());
 }
 
 void Membership::cloud_answered(bool ok) {
-    const double t = timers_.now();
-    if (ok ? cloud_.worked(t) : cloud_.failed(t))
+    const double now = timers_.now();
+    if (ok ? cloud_.worked(now) : cloud_.failed(now))
         changed("the cloud", cloud_.reach());
 }
 
@@ -89,19 +92,19 @@
     const auto it = peer_states_.find(name);
     if (it == peer_states_.end())
         return;
-    auto& l = it->second.link;
-    if (ok ? l.worked(timers_.now()) : l.failed(timers_.now()))
-        changed("controller " + name, l.reach());
+    auto& link = it->second.link;
+    if (ok ? link.worked(timers_.now()) : link.failed(timers_.now()))
+        changed("controller " + name, link.reach());
 }
 
 void Membership::heartbeat_received(const std::string& zone, const std::string& addr) {
-    const double t = timers_.now();
-    last_worker_heartbeat_at_ = t;
+    const double now = timers_.now();
+    last_worker_heartbeat_at_ = now;
     auto* z = find_zone(zone);
     if (z == nullptr)
         return;
-    z->last_heartbeat_at = t;
-    if (z->in.worked(t))
+    z->last_heartbeat_at = now;
+    if (z->in.worked(now))
         changed(fmt::format("workers in {}", zone), reach(*z));
     remember(*z, addr);
 }
@@ -117,18 +120,18 @@
 
 // The same few for as long as they report: connections to them are kept. (Where relayed heartbeats did not
 // count, the machines that were asked had long been given back, and their zone was taken for lost.)
-void Membership::remember(Zone& z, const std::string& addr) {
-    const double t = timers_.now();
-    for (auto& x : z.samples)
+void Membership::remember(Zone& zone, const std::string& addr) {
+    const double now = timers_.now();
+    for (auto& x : zone.samples)
         if (x.addr == addr) {
-            x.at = t;
+            x.at = now;
             return;
         }
-    if (z.samples.size() < max_samples)
-        return z.samples.push_back({addr, t});
-    for (auto& x : z.samples)
-        if (t - x.at > silence_heartbeats * settings_.report_s) {
-            x = {addr, t};
+    if (zone.samples.size() < max_samples)
+        return zone.samples.push_back({addr, now});
+    for (auto& x : zone.samples)
+        if (now - x.at > silence_heartbeats * settings_.report_s) {
+            x = {addr, now};
             return;
         }
 }
@@ -136,13 +139,13 @@
 // --- what goes out ---
 
 void Membership::tick() {
-    const double t = timers_.now();
-    if (t >= next_silence_) {
-        next_silence_ = t + settings_.report_s / 10;
+    const double now = timers_.now();
+    if (now >= next_silence_) {
+        next_silence_ = now + settings_.report_s / 10;
         watch_silence();
     }
-    if (t >= next_probe_ && !settings_.peers.empty()) {
-        next_probe_ = t + probe_heartbeats * settings_.report_s;
+    if (now >= next_probe_ && !settings_.peers.empty()) {
+        next_probe_ = now + probe_heartbeats * settings_.report_s;
         probe();
     }
     // Those that the store does not serve learn only from this who is the leader now.
@@ -150,9 +153,9 @@
         was_active_leader_ = is_active_leader;
         exchange_soon_ = true;
     }
-    if (t >= next_exchange_ ||
-        (exchange_soon_ && t >= next_exchange_ - (exchange_heartbeats - soon) * settings_.report_s)) {
-        next_exchange_ = t + exchange_heartbeats * settings_.report_s;
+    if (now >= next_exchange_ ||
+        (exchange_soon_ && now >= next_exchange_ - (exchange_heartbeats - soon) * settings_.report_s)) {
+        next_exchange_ = now + exchange_heartbeats * settings_.report_s;
         exchange_soon_ = false;
         exchange();
     }
@@ -164,67 +167,67 @@
 void Membership::watch_silence() {
     if (!host_.is_active_leader())
         return;
-    const double t = timers_.now();
+    const double now = timers_.now();
     const auto by_zone = host_.machines_by_zone();
-    for (auto& [name, z] : zones_) {
+    for (auto& [name, zone] : zones_) {
         const auto there = by_zone.find(name);
         const auto machines = there == by_zone.end() ? 0 : there->second;
         if (machines == 0) {
-            z.samples.clear(); // given back: that they are silent says nothing
+            zone.samples.clear(); // given back: that they are silent says nothing
             continue;
         }
-        if (z.in.lost() && t - z.in.failed_at() > settings_.lease_s)
-            reset_inbound_health(z);
+        if (zone.in.lost() && now - zone.in.failed_at() > settings_.lease_s)
+            reset_inbound_health(zone);
         const double patience = machines < min_machines_to_judge ? silence_small_fleet_heartbeats : silence_heartbeats;
-        const double since = std::max({z.last_heartbeat_at, z.relayed_at, z.trusted_at, host_.active_since()});
-        if (t - since < patience * settings_.report_s)
+        const double since = std::max({zone.last_heartbeat_at, zone.relayed_at, zone.trusted_at, host_.active_since()});
+        if (now - since < patience * settings_.report_s)
             continue;
-        if (z.in.failed(t))
+        if (zone.in.failed(now))
             changed(fmt::format("workers in {}", name), Reachability::unreachable);
     }
 }
 
-void Membership::reset_inbound_health(Zone& z) {
-    z.in = LinkHealth(silence_patience(settings_));
-    z.trusted_at = timers_.now();
+void Membership::reset_inbound_health(Zone& zone) {
+    zone.in = LinkHealth(silence_patience(settings_));
+    zone.trusted_at = timers_.now();
     exchange_soon_ = true;
 }
 
 void Membership::probe() {
-    const double t = timers_.now();
-    if (!asking_store_ && t - store_asked_at_ >= store_heartbeats * settings_.report_s) {
+    const double now = timers_.now();
+    if (!asking_store_ && now - store_asked_at_ >= store_heartbeats * settings_.report_s) {
         asking_store_ = true;
         state_.get("office", settings_.report_s / 4, [this](store::Answer&&) { asking_store_ = false; });
     }
-    for (auto& [name, z] : zones_)
-        probe_zone(name, z);
+    for (auto& [name, zone] : zones_)
+        probe_zone(name, zone);
     // The cloud's calls are few: the others look only when it is the leader that cannot.
     const auto h = peer_states_.find(host_.leader());
     if (h == peer_states_.end() || !fresh(h->second) || h->second.view.cloud != Reachability::unreachable ||
-        t < next_cloud_)
+        now < next_cloud_)
         return;
-    next_cloud_ = t + settings_.lease_s / 2;
+    next_cloud_ = now + settings_.lease_s / 2;
     executor_.types(settings_.report_s,
                     [this](std::optional<std::vector<MachineType>>&& types) { cloud_answered(types.has_value()); });
 }
 
-void Membership::probe_zone(const std::string& name, Zone& z) {
-    const double t = timers_.now();
-    std::erase_if(z.samples, [&](const auto& x) { return t - x.at > samples_leases * settings_.lease_s; });
+void Membership::probe_zone(const std::string& name, Zone& zone) {
+    const double now = timers_.now();
+    std::erase_if(zone.samples, [&](const auto& x) { return now - x.at > samples_leases * settings_.lease_s; });
     // Machines that were given back answer nobody: where others report, those that do not are not asked. (The
     // leadership was handed on, its zone of two machines taken for lost.)
-    const auto silent = [&](const auto& x) { return t - x.at > silence_heartbeats * settings_.report_s; };
-    if (!std::all_of(z.samples.begin(), z.samples.end(), silent))
-        std::erase_if(z.samples, silent);
-    if (z.probes > z.answered || z.samples.empty())
+    const auto silent = [&](const auto& x) { return now - x.at > silence_heartbeats * settings_.report_s; };
+    if (!std::all_of(zone.samples.begin(), zone.samples.end(), silent))
+        std::erase_if(zone.samples, silent);
+    if (zone.probes > zone.answered || zone.samples.empty())
         return;
-    z.probes = z.answered = 0;
-    const auto n = std::min<std::size_t>(probes_a_round, z.samples.size());
+    zone.probes = zone.answered = 0;
+    const auto n = std::min<std::size_t>(probes_a_round, zone.samples.size());
     auto any = std::make_shared<bool>(false);
-    z.probes = static_cast<int>(n);
+    zone.probes = static_cast<int>(n);
     for (std::size_t i = 0; i < n; ++i) {
         ++probes_;
-        executor_.probe(z.samples[z.next_sample++ % z.samples.size()].addr, probe_wait * settings_.report_s,
+        executor_.probe(zone.samples[zone.next_sample++ % zone.samples.size()].addr, probe_wait * settings_.report_s,
                         [this, name, any](std::optional<bool> ok) { probed(name, *any, ok); });
     }
 }
@@ -232,58 +235,60 @@
 // A round in which nobody answers has failed.
 void Membership::probed(const std::string& zone, bool& any, std::optional<bool> ok) {
     auto* z = find_zone(zone);
-    const double t = timers_.now();
+    const double now = timers_.now();
     any = any || ok.value_or(false);
     bool turned = false;
     if (ok.value_or(false)) {
-        turned = z->out.worked(t);
+        turned = z->out.worked(now);
         if (turned)
             reset_inbound_health(*z);
     }
     if (++z->answered == z->probes && !any && ok.has_value())
-        turned = z->out.failed(t);
+        turned = z->out.failed(now);
     if (turned)
         changed(fmt::format("workers in {}", zone), reach(*z));
 }
 
 PeerView Membership::own_view() const {
-    PeerView v;
-    v.node = settings_.name;
-    v.sent = timers_.wall();
-    v.store = store_.reach();
-    v.cloud = cloud_.reach();
-    const auto since = [t = timers_.now()](const LinkHealth& l) { return l.worked_at() < 0 ? -1 : t - l.worked_at(); };
-    v.store_s = since(store_);
-    v.cloud_s = since(cloud_);
-    for (const auto& [name, z] : zones_)
-        v.zones[name] = reach(z);
-    for (const auto& [name, o] : peer_states_)
-        v.peers[name] = o.link.reach();
-    v.leader = host_.leader();
-    v.term = host_.leader_term();
-    v.sees_leader = host_.sees_leader();
-    v.is_active_leader = host_.is_active_leader();
-    for (const auto& [name, z] : zones_)
-        for (const auto& x : z.samples)
+    PeerView view;
+    view.node = settings_.name;
+    view.sent = timers_.wall();
+    view.store = store_.reach();
+    view.cloud = cloud_.reach();
+    const auto since = [now = timers_.now()](const LinkHealth& link) {
+        return link.worked_at() < 0 ? -1 : now - link.worked_at();
+    };
+    view.store_s = since(store_);
+    view.cloud_s = since(cloud_);
+    for (const auto& [name, zone] : zones_)
+        view.zones[name] = reach(zone);
+    for (const auto& [name, peer] : peer_states_)
+        view.peers[name] = peer.link.reach();
+    view.leader = host_.leader();
+    view.term = host_.leader_term();
+    view.sees_leader = host_.sees_leader();
+    view.is_active_leader = host_.is_active_leader();
+    for (const auto& [name, zone] : zones_)
+        for (const auto& x : zone.samples)
             if (timers_.now() - x.at < settings_.lease_s)
-                v.machines[name].push_back(x.addr);
-    return v;
+                view.machines[name].push_back(x.addr);
+    return view;
 }
 
 void Membership::exchange() {
     const auto body = to_body(own_view());
-    for (auto& [name, o] : peer_states_) {
-        if (o.asking)
+    for (auto& [name, peer] : peer_states_) {
+        if (peer.asking)
             continue;
-        o.asking = true;
+        peer.asking = true;
         ++exchanges_;
         peers_.request(Lane::control, name, "POST", peer_view, body, exchange_wait * settings_.report_s,
-                       [this, name = name, sent = timers_.now()](HttpReply&& r) {
+                       [this, name = name, sent = timers_.now()](HttpReply&& reply) {
                            auto& to = peer_states_.at(name);
                            to.asking = false;
-                           if (r.status != 200)
+                           if (reply.status != 200)
                                return;
-                           auto v = view(r.body);
+                           auto v = view(reply.body);
                            if (!v || v->node != name)
                                return;
                            // An answer was made after its question was sent, however long it took to come.
@@ -296,44 +301,45 @@
     }
 }
 
-void Membership::handle_view(const HttpRequest& r, const Responder& res) {
-    auto v = view(r.body);
+void Membership::handle_view(const HttpRequest& request, const Responder& res) {
+    auto v = view(request.body);
     if (!v)
         return res.send(400, codec::error_answer("not a view"));
     receive_view(std::move(*v));
     res.send(200, to_body(own_view()));
 }
 
-void Membership::receive_view(PeerView&& v) {
-    const auto it = peer_states_.find(v.node);
+void Membership::receive_view(PeerView&& view) {
+    const auto it = peer_states_.find(view.node);
     if (it == peer_states_.end())
         return;
     // One that was held up on the way is as old as it is; clocks differ by the bound of the settings.
-    const double late = std::max(0.0, timers_.wall() - v.sent - 2 * settings_.time_bound_s);
-    const double t = timers_.now();
-    if (t - late < it->second.at)
+    const double late = std::max(0.0, timers_.wall() - view.sent - 2 * settings_.time_bound_s);
+    const double now = timers_.now();
+    if (now - late < it->second.at)
         return;
-    for (const auto& [name, list] : v.machines) {
-        auto* z = find_zone(name);
-        if (z == nullptr || list.empty() || host_.is_active_leader() || !(v.is_active_leader || z->samples.empty()))
+    for (const auto& [name, list] : view.machines) {
+        auto* zone = find_zone(name);
+        if (zone == nullptr || list.empty() || host_.is_active_leader() ||
+            !(view.is_active_leader || zone->samples.empty()))
             continue;
         // What others only remember is used, but not handed on: it would never grow old.
-        const double at = v.is_active_leader ? t : t - settings_.lease_s;
-        z->samples.clear();
+        const double at = view.is_active_leader ? now : now - settings_.lease_s;
+        zone->samples.clear();
         for (const auto& addr : list)
-            z->samples.push_back({addr, at});
+            zone->samples.push_back({addr, at});
     }
-    it->second.view = std::move(v);
-    it->second.at = t - late;
+    it->second.view = std::move(view);
+    it->second.at = now - late;
 }
 
 // --- what is thought ---
 
-Reachability Membership::reach(const Zone& z) const {
-    if (z.out.lost() || (host_.is_active_leader() && z.in.lost()))
+Reachability Membership::reach(const Zone& zone) const {
+    if (zone.out.lost() || (host_.is_active_leader() && zone.in.lost()))
         return Reachability::unreachable;
-    const bool any = z.out.reach() == Reachability::reachable ||
-                     (host_.is_active_leader() && z.in.reach() == Reachability::reachable);
+    const bool any = zone.out.reach() == Reachability::reachable ||
+                     (host_.is_active_leader() && zone.in.reach() == Reachability::reachable);
     return any ? Reachability::reachable : Reachability::unknown;
 }
 
@@ -357,8 +363,8 @@
     return it == peer_states_.end() ? Reachability::unknown : it->second.link.reach();
 }
 
-bool Membership::fresh(const PeerState& o) const {
-    return o.at >= 0 && timers_.now() - o.at < fresh_heartbeats * settings_.report_s;
+bool Membership::fresh(const PeerState& peer) const {
+    return peer.at >= 0 && timers_.now() - peer.at < fresh_heartbeats * settings_.report_s;
 }
 
 bool Membership::alive(const std::string& name) const {
@@ -381,30 +387,30 @@
 }
 
 // With doubt, what is not known counts as reached.
-Eligibility Membership::eligibility(const PeerView& v, bool doubt) const {
-    const auto counts = [doubt](Reachability r) {
-        return r == Reachability::reachable || (doubt && r == Reachability::unknown);
+Eligibility Membership::eligibility(const PeerView& view, bool doubt) const {
+    const auto counts = [doubt](Reachability reachability) {
+        return reachability == Reachability::reachable || (doubt && reachability == Reachability::unknown);
     };
     Eligibility out;
-    out.store = counts(v.store);
-    out.cloud = v.cloud != Reachability::unreachable; // asked for only when the leader cannot reach it
+    out.store = counts(view.store);
+    out.cloud = view.cloud != Reachability::unreachable; // asked for only when the leader cannot reach it
     for (const auto& z : settings_.zones) {
         const auto of = [&z](const PeerView& x) {
             const auto r = x.zones.find(z);
             return r == x.zones.end() ? Reachability::unknown : r->second;
         };
-        if (counts(of(v))) {
+        if (counts(of(view))) {
             ++out.zones;
             continue;
         }
         const auto by = [&](const std::string& name, const PeerView& x) {
-            const auto link = v.peers.find(name);
-            return name != v.node && of(x) == Reachability::reachable && link != v.peers.end() &&
+            const auto link = view.peers.find(name);
+            return name != view.node && of(x) == Reachability::reachable && link != view.peers.end() &&
                    link->second == Reachability::reachable;
         };
-        bool any = v.node != settings_.name && by(settings_.name, own_view());
-        for (const auto& [name, o] : peer_states_)
-            any = any || (fresh(o) && by(name, o.view));
+        bool any = view.node != settings_.name && by(settings_.name, own_view());
+        for (const auto& [name, peer] : peer_states_)
+            any = any || (fresh(peer) && by(name, peer.view));
         out.zones_by_others += any;
     }
     return out;
@@ -417,11 +423,11 @@
 }
 
 // Surely so: what others reach counts only if that is newer than the failure here.
-Eligibility Membership::eligibility(const PeerState& o) const {
-    auto out = eligibility(o.view, false);
-    if (!since_lost(o.store_at, store_))
+Eligibility Membership::eligibility(const PeerState& peer) const {
+    auto out = eligibility(peer.view, false);
+    if (!since_lost(peer.store_at, store_))
         out.store = 0;
-    if (!since_lost(o.cloud_at, cloud_))
+    if (!since_lost(peer.cloud_at, cloud_))
         out.cloud = 0;
     return out;
 }
@@ -438,10 +444,10 @@
 std::optional<std::string> Membership::better_candidate() const {
     std::optional<std::string> best;
     auto most = own_eligibility();
-    for (const auto& [name, o] : peer_states_) {
-        if (!fresh(o))
+    for (const auto& [name, peer] : peer_states_) {
+        if (!fresh(peer))
             continue;
-        if (const auto x = eligibility(o); x > most) {
+        if (const auto x = eligibility(peer); x > most) {
             most = x;
             best = name;
         }
@@ -453,10 +459,10 @@
     const auto mine = own_eligibility();
     const double yield = candidacy_delay_leases * settings_.lease_s;
     int before = 0; // as fit as this node, and earlier by name
-    for (const auto& [name, o] : peer_states_) {
-        if (!fresh(o))
+    for (const auto& [name, peer] : peer_states_) {
+        if (!fresh(peer))
             continue;
-        const auto x = eligibility(o.view, true);
+        const auto x = eligibility(peer.view, true);
         if (x > mine)
             return yield;
         before += x == mine && name < settings_.name;
@@ -469,8 +475,8 @@
 
 std::optional<std::string> Membership::with_store(const std::string& rather) const {
     std::optional<std::string> out;
-    for (const auto& [name, o] : peer_states_) {
-        if (!fresh(o) || o.link.lost() || o.view.store != Reachability::reachable)
+    for (const auto& [name, peer] : peer_states_) {
+        if (!fresh(peer) || peer.link.lost() || peer.view.store != Reachability::reachable)
             continue;
         if (!out || name == rather)
             out = name;
@@ -479,18 +485,20 @@
 }
 
 std::optional<std::string> Membership::served_instead() const {
-    for (const auto& [name, o] : peer_states_)
-        if (fresh(o) && o.view.store == Reachability::reachable && store_.lost() && since_lost(o.store_at, store_))
+    for (const auto& [name, peer] : peer_states_)
+        if (fresh(peer) && peer.view.store == Reachability::reachable && store_.lost() &&
+            since_lost(peer.store_at, store_))
             return name;
     return {};
 }
 
 std::optional<std::string> Membership::relay_to(const std::string& zone) {
     std::vector<const std::string*> ways;
-    for (const auto& [name, o] : peer_states_) {
-        if (!fresh(o) || o.link.lost())
+    for (const auto& [name, peer] : peer_states_) {
+        if (!fresh(peer) || peer.link.lost())
             continue;
-        if (const auto r = o.view.zones.find(zone); r != o.view.zones.end() && r->second == Reachability::reachable)
+        if (const auto r = peer.view.zones.find(zone);
+            r != peer.view.zones.end() && r->second == Reachability::reachable)
             ways.push_back(&name);
     }
     if (ways.empty())
@@ -514,23 +522,24 @@
 
 std::optional<Membership::ReportedLeader> Membership::reported_leader() const {
     std::optional<ReportedLeader> out;
-    for (const auto& [name, o] : peer_states_)
-        if (fresh(o) && (o.view.sees_leader || o.view.is_active_leader) && (!out || o.view.term > out->term))
-            out = ReportedLeader{o.view.leader, o.view.term};
+    for (const auto& [name, peer] : peer_states_)
+        if (fresh(peer) && (peer.view.sees_leader || peer.view.is_active_leader) &&
+            (!out || peer.view.term > out->term))
+            out = ReportedLeader{peer.view.leader, peer.view.term};
     return out;
 }
 
 std::vector<metrics::Value> Membership::metrics() const {
-    const auto of = [](Reachability r) {
-        return r == Reachability::reachable ? 1.0 : r == Reachability::unreachable ? 0.0 : 0.5;
+    const auto of = [](Reachability reachability) {
+        return reachability == Reachability::reachable ? 1.0 : reachability == Reachability::unreachable ? 0.0 : 0.5;
     };
     constexpr const char* help = "whether this controller reaches it: 1 yes, 0 no, 0.5 not known";
     std::vector<metrics::Value> out{{"heronshift_link", help, of(store_.reach()), {{"to", "state"}}},
                                     {"heronshift_link", help, of(cloud_.reach()), {{"to", "cloud"}}}};
-    for (const auto& [name, o] : peer_states_)
-        out.push_back({"heronshift_link", help, of(o.link.reach()), {{"to", "controller " + name}}});
-    for (const auto& [name, z] : zones_)
-        out.push_back({"heronshift_link", help, of(reach(z)), {{"to", "workers " + name}}});
+    for (const auto& [name, peer] : peer_states_)
+        out.push_back({"heronshift_link", help, of(peer.link.reach()), {{"to", "controller " + name}}});
+    for (const auto& [name, zone] : zones_)
+        out.push_back({"heronshift_link", help, of(reach(zone)), {{"to", "workers " + name}}});
     out.push_back({"heronshift_link_changes_total", "links lost or found", static_cast<double>(changes_)});
     out.push_back({"heronshift_views_sent_total", "to other controllers", static_cast<double>(exchanges_)});
     out.push_back({"heronshift_probes_total", "of machines", static_cast<double>(probes_)});
--- a/src/node/controller.cpp
+++ b/src/node/controller.cpp
@@ -58,10 +58,10 @@
     return queue_.empty() || !election_.valid() ? std::min(at, core_->wake_at()) : 0;
 }
 
-void Controller::push(Command c) {
+void Controller::push(Command command) {
     if (!core_)
         return;
-    queue_.push_back(std::move(c));
+    queue_.push_back(std::move(command));
     if (on_wake_at)
         on_wake_at();
 }
@@ -91,26 +91,26 @@
 }
 
 void Controller::jobs_stored_by_others(std::vector<codec::StoredJob>&& jobs) {
-    for (auto& j : jobs)
-        push(job_stored(std::move(j), timers_.wall()));
+    for (auto& stored_job : jobs)
+        push(job_stored(std::move(stored_job), timers_.wall()));
 }
 
 void Controller::committed(TxnOutcome outcome) {
     push(Committed{outcome});
 }
 
-void Controller::stored(JobStored&& j) {
+void Controller::stored(JobStored&& command) {
     if (!core_)
         return;
-    took_.first_launches.known(j.spec.id, timers_.now());
-    push(std::move(j));
+    took_.first_launches.known(command.spec.id, timers_.now());
+    push(std::move(command));
 }
 
 void Controller::run_core() {
     if (!core_ || running_core_)
         return;
-    const double t = timers_.now();
-    if ((queue_.empty() || !election_.valid()) && t < core_->wake_at())
+    const double now = timers_.now();
+    if ((queue_.empty() || !election_.valid()) && now < core_->wake_at())
         return;
     running_core_ = true;
     std::vector<Command> batch;
@@ -119,8 +119,8 @@
     const double wall_now = timers_.wall();
     const bool may_act = election_.valid();
     if (log_)
-        log_->commands(batch, t, wall_now, may_act);
-    auto effects = core_->step(batch, t, wall_now, may_act);
+        log_->commands(batch, now, wall_now, may_act);
+    auto effects = core_->step(batch, now, wall_now, may_act);
     if (log_) {
         log_->effects(effects);
         if (!log_->open()) {
@@ -128,7 +128,7 @@
             log_.reset();
         }
     }
-    const double took = timers_.now() - t;
+    const double took = timers_.now() - now;
     took_.step.add(took);
     if (took > settings_.report_s / 100)
         spdlog::debug("a step took {:.0f} ms for {} commands and {} effects", took * 1000, commands, effects.size());
@@ -168,34 +168,34 @@
                effect);
 }
 
-void Controller::serve_peer(HttpRequest&& r, Responder res) {
-    if (!r.path.starts_with(peer_prefix))
+void Controller::serve_peer(HttpRequest&& request, Responder res) {
+    if (!request.path.starts_with(peer_prefix))
         return res.send(404, codec::error_answer("no such path"));
-    r.path.erase(0, std::string_view(peer_prefix).size());
-    if (r.path == "/view")
-        return members_.handle_view(r, res);
-    if (r.path == "/promise")
-        return election_.handle_extension_vote_request(r, res);
-    if (r.path == "/take")
-        return election_.handle_takeover_request(r, res);
-    if (r.path == "/relay")
-        return heartbeat_handler_.forward(std::move(r), res);
-    if (r.path == "/office") // for versions without views
+    request.path.erase(0, std::string_view(peer_prefix).size());
+    if (request.path == "/view")
+        return members_.handle_view(request, res);
+    if (request.path == "/promise")
+        return election_.handle_extension_vote_request(request, res);
+    if (request.path == "/take")
+        return election_.handle_takeover_request(request, res);
+    if (request.path == "/relay")
+        return heartbeat_handler_.forward(std::move(request), res);
+    if (request.path == "/office") // for versions without views
         return res.send(200, codec::Json{{"holder", election_.leader()}, {"term", election_.leader_term()}}.dump());
-    serve(std::move(r), std::move(res), true);
+    serve(std::move(request), std::move(res), true);
 }
 
-void Controller::serve(HttpRequest&& r, Responder res) {
+void Controller::serve(HttpRequest&& request, Responder res) {
     ++took_.requests;
-    serve(std::move(r), std::move(res), false);
+    serve(std::move(request), std::move(res), false);
 }
 
-void Controller::serve(HttpRequest&& r, Responder res, bool forwarded) {
-    const std::string_view path = r.path;
-    const bool get = r.method == "GET", post = r.method == "POST";
+void Controller::serve(HttpRequest&& request, Responder res, bool forwarded) {
+    const std::string_view path = request.path;
+    const bool get = request.method == "GET", post = request.method == "POST";
     auto wrong_method = [&] { res.send(405, codec::error_answer("wrong method")); };
     if (path == codec::path_heartbeat)
-        return post ? heartbeat_handler_.handle_heartbeat(std::move(r), res, forwarded) : wrong_method();
+        return post ? heartbeat_handler_.handle_heartbeat(std::move(request), res, forwarded) : wrong_method();
     if (path == codec::path_health) {
         if (!get)
             return wrong_method();
@@ -205,7 +205,7 @@
     if (path == "/metrics")
         return get ? res.send(200, metrics()) : wrong_method();
     if (path.starts_with(codec::path_jobs))
-        return gateway_.serve(std::move(r), std::move(res), forwarded);
+        return gateway_.serve(std::move(request), std::move(res), forwarded);
     res.send(404, codec::error_answer("no such path"));
 }
 
@@ -220,9 +220,9 @@
 std::map<std::string, std::size_t> Controller::machines_by_zone() const {
     std::map<std::string, std::size_t> out;
     if (core_)
-        for (const auto& [id, m] : core_->state().machines)
-            if (m->status == cluster::Status::up && !m->releasing)
-                ++out[m->zone_name];
+        for (const auto& [id, machine] : core_->state().machines)
+            if (machine->status == cluster::Status::up && !machine->releasing)
+                ++out[machine->zone_name];
     return out;
 }
 
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -19,32 +19,33 @@
 // Of the first: neither workers nor users ever have all of it.
 constexpr double workers_share = 0.9, users_share = 0.3;
 
-std::size_t sockets(const Settings& s, double share) {
-    return std::max<std::size_t>(1, static_cast<std::size_t>(s.fd_limit * share));
+std::size_t sockets(const Settings& settings, double share) {
+    return std::max<std::size_t>(1, static_cast<std::size_t>(settings.fd_limit * share));
 }
 
-ConnectionLimits listen_limits(const Settings& s) {
-    return {sockets(s, listen_share), sockets(s, listen_share * workers_share), sockets(s, listen_share * users_share)};
+ConnectionLimits listen_limits(const Settings& settings) {
+    return {sockets(settings, listen_share), sockets(settings, listen_share * workers_share),
+            sockets(settings, listen_share * users_share)};
 }
 
 // Health checks count for nobody: refused, they would take this controller away from all users.
-ClientKind kind_of(const HttpRequest& r) {
-    if (r.path == codec::path_health)
+ClientKind kind_of(const HttpRequest& request) {
+    if (request.path == codec::path_health)
         return ClientKind::unknown;
-    return r.path == codec::path_heartbeat ? ClientKind::worker : ClientKind::user;
+    return request.path == codec::path_heartbeat ? ClientKind::worker : ClientKind::user;
 }
 
 } // namespace
 
-Node::Parts Node::whole(uv_loop_t* loop, const Settings& s, Parts parts) {
+Node::Parts Node::whole(uv_loop_t* loop, const Settings& settings, Parts parts) {
     if (!parts.clock)
         parts.clock = std::make_shared<Clock>();
     if (!parts.state)
-        parts.state = std::make_unique<store::RemoteStore>(loop, s.state);
+        parts.state = std::make_unique<store::RemoteStore>(loop, settings.state);
     if (!parts.executor)
-        parts.executor = std::make_unique<HttpExecutor>(loop, s.cloud, sockets(s, agents_share));
+        parts.executor = std::make_unique<HttpExecutor>(loop, settings.cloud, sockets(settings, agents_share));
     if (!parts.peers)
-        parts.peers = std::make_unique<HttpPeers>(loop, s.peers);
+        parts.peers = std::make_unique<HttpPeers>(loop, settings.peers);
     return parts;
 }
 
@@ -69,17 +70,16 @@
 }
 
 int Node::start() {
-    const auto& s = controller_.settings();
-    const double idle_s = 2 * s.lease_s + 30;
-    users_ =
-        std::make_unique<HttpServer>(loop_, listen_limits(s), idle_s, kind_of, [this](HttpRequest&& r, Responder res) {
-            controller_.serve(std::move(r), std::move(res));
-        });
-    peers_ =
-        std::make_unique<HttpServer>(loop_, sockets(s, peers_share), idle_s, [this](HttpRequest&& r, Responder res) {
-            controller_.serve_peer(std::move(r), std::move(res));
-        });
-    for (const auto& [server, at] : {std::pair{users_.get(), &s.listen}, std::pair{peers_.get(), &s.peer_listen}})
+    const auto& settings = controller_.settings();
+    const double idle_s = 2 * settings.lease_s + 30;
+    users_ = std::make_unique<HttpServer>(
+        loop_, listen_limits(settings), idle_s, kind_of,
+        [this](HttpRequest&& request, Responder res) { controller_.serve(std::move(request), std::move(res)); });
+    peers_ = std::make_unique<HttpServer>(
+        loop_, sockets(settings, peers_share), idle_s,
+        [this](HttpRequest&& request, Responder res) { controller_.serve_peer(std::move(request), std::move(res)); });
+    for (const auto& [server, at] :
+         {std::pair{users_.get(), &settings.listen}, std::pair{peers_.get(), &settings.peer_listen}})
         if (!at->host.empty())
             if (const int e = server->listen(*at); e != 0)
                 return e;
--- a/src/peers/peers.cpp
+++ b/src/peers/peers.cpp
@@ -14,8 +14,8 @@
 HttpPeers::HttpPeers(uv_loop_t* loop, const std::vector<Peer>& all)
     : control_(loop, control_connections, control_waiting), users_(loop, connections, waiting),
       relays_(loop, connections, waiting) {
-    for (const auto& p : all)
-        addr_[p.name] = p.addr.str();
+    for (const auto& peer : all)
+        addr_[peer.name] = peer.addr.str();
 }
 
 void HttpPeers::request(Lane lane, const std::string& name, const char* method, const std::string& path,
--- a/src/persistence/cluster_records.cpp
+++ b/src/persistence/cluster_records.cpp
@@ -71,120 +71,121 @@
     load(stored, wall);
 }
 
-void ClusterRecords::added(Job& j) {
-    j.bucket = bucket_of(j.spec.id);
+void ClusterRecords::added(Job& job) {
+    job.bucket = bucket_of(job.spec.id);
 }
 
-void ClusterRecords::added(Entry& e) {
-    put_in_slot(e, -1);
+void ClusterRecords::added(Entry& entry) {
+    put_in_slot(entry, -1);
 }
 
-void ClusterRecords::removed(Entry& e) {
-    leave_slot(e);
-    if (e.slot >= 0)
-        ++ring_[static_cast<std::size_t>(e.slot)].stale;
-    if (e.carried_from >= 0)
-        ++ring_[static_cast<std::size_t>(e.carried_from)].stale;
+void ClusterRecords::removed(Entry& entry) {
+    leave_slot(entry);
+    if (entry.slot >= 0)
+        ++ring_[static_cast<std::size_t>(entry.slot)].stale;
+    if (entry.carried_from >= 0)
+        ++ring_[static_cast<std::size_t>(entry.carried_from)].stale;
 }
 
-void ClusterRecords::final_due(Job& j, Urgency u) {
-    if (j.final_queued)
+void ClusterRecords::final_due(Job& job, Urgency urgency) {
+    if (job.final_queued)
         return;
-    j.final_queued = true;
-    if (u == Urgency::cancelled_with_dependency)
-        cancelled_with_dependency_.push_back(&j);
-    else if (u == Urgency::cancelled)
-        finals_.push_front(&j);
+    job.final_queued = true;
+    if (urgency == Urgency::cancelled_with_dependency)
+        cancelled_with_dependency_.push_back(&job);
+    else if (urgency == Urgency::cancelled)
+        finals_.push_front(&job);
     else
-        finals_.push_back(&j);
+        finals_.push_back(&job);
 }
 
-void ClusterRecords::progressed(Job& j) {
-    auto& b = buckets_[j.bucket];
+void ClusterRecords::progressed(Job& job) {
+    auto& b = buckets_[job.bucket];
     if (b.dirty)
         return;
     b.dirty = true;
     b.since = cluster_.view().now;
 }
 
-void ClusterRecords::became_ready(Job& j) {
-    readies_.push_back(&j);
+void ClusterRecords::became_ready(Job& job) {
+    readies_.push_back(&job);
 }
 
-void ClusterRecords::put_in_slot(Entry& e, int slot) {
+void ClusterRecords::put_in_slot(Entry& entry, int slot) {
     auto& list = slot < 0 ? unrecorded_ : ring_[static_cast<std::size_t>(slot)].entries;
-    e.slot = slot;
-    e.at_slot = list.size();
-    list.push_back(&e);
+    entry.slot = slot;
+    entry.at_slot = list.size();
+    list.push_back(&entry);
 }
 
-void ClusterRecords::leave_slot(Entry& e) {
-    auto& list = e.slot < 0 ? unrecorded_ : ring_[static_cast<std::size_t>(e.slot)].entries;
-    list[e.at_slot] = list.back();
-    list[e.at_slot]->at_slot = e.at_slot;
+void ClusterRecords::leave_slot(Entry& entry) {
+    auto& list = entry.slot < 0 ? unrecorded_ : ring_[static_cast<std::size_t>(entry.slot)].entries;
+    list[entry.at_slot] = list.back();
+    list[entry.at_slot]->at_slot = entry.at_slot;
     list.pop_back();
 }
 
-JobStored job_stored(codec::StoredJob&& r, double wall) {
-    return {std::move(r.spec), std::max(0.0, wall - r.at), r.ready < 0 ? -1 : std::max(0.0, wall - r.ready), r.waits};
+JobStored job_stored(codec::StoredJob&& stored_job, double wall) {
+    return {std::move(stored_job.spec), std::max(0.0, wall - stored_job.at),
+            stored_job.ready < 0 ? -1 : std::max(0.0, wall - stored_job.ready), stored_job.waits};
 }
 
 // A final state is told only once it is stored. The job's record goes when none of its tasks is
 // left on any machine; until then it names the final state, so that no later leader starts any.
-void ClusterRecords::draft_finals(Draft& d) {
+void ClusterRecords::draft_finals(Draft& draft) {
     auto& f = in_flight_;
     // Placements must not starve: where a transaction takes few changes, they get some of every other.
     const std::size_t set_persistence =
         unrecorded_.empty() || (!finals_only_ && finals_.size() + cancelled_with_dependency_.size() > many_finals) ? 0
                                                                                                                    : 1;
     finals_only_ = set_persistence == 0;
-    while (!(finals_.empty() && cancelled_with_dependency_.empty()) && !d.full(2 + set_persistence)) {
+    while (!(finals_.empty() && cancelled_with_dependency_.empty()) && !draft.full(2 + set_persistence)) {
         auto& from = finals_.empty() ? cancelled_with_dependency_ : finals_;
-        auto* j = from.front();
+        auto* job = from.front();
         from.pop_front();
-        j->final_queued = false;
-        const auto* status = word_of(j->final == Final::done);
-        j->final_sent = true;
-        if (!j->final_stored)
-            d.add("f/" + j->spec.id, codec::final_record(status, j->spec.shape), 40);
-        if (j->live == 0) {
-            d.add("j/" + j->spec.id, std::nullopt, 0);
-            f.moves.emplace_back(j, j->final);
-        } else if (!j->final_stored) {
-            d.add(
-                "j/" + j->spec.id,
-                codec::to_record({codec::remains_of(j->spec), cluster_.data_.wall - (cluster_.data_.now - j->submitted),
-                                  -1, false, std::string(status)}),
-                300);
-            f.finals.emplace_back(j, j->final);
+        job->final_queued = false;
+        const auto* status = word_of(job->final == Final::done);
+        job->final_sent = true;
+        if (!job->final_stored)
+            draft.add("f/" + job->spec.id, codec::final_record(status, job->spec.shape), 40);
+        if (job->live == 0) {
+            draft.add("j/" + job->spec.id, std::nullopt, 0);
+            f.moves.emplace_back(job, job->final);
+        } else if (!job->final_stored) {
+            draft.add("j/" + job->spec.id,
+                      codec::to_record({codec::remains_of(job->spec),
+                                        cluster_.data_.wall - (cluster_.data_.now - job->submitted), -1, false,
+                                        std::string(status)}),
+                      300);
+            f.finals.emplace_back(job, job->final);
         }
     }
 }
 
 // The record of a job that has become ready loses its chain: from then on any leader, of whatever
 // version, may run it. It goes before the job's first placements, or with them.
-void ClusterRecords::draft_ready(Draft& d) {
-    while (!readies_.empty() && !d.full(1)) {
-        auto* j = readies_.front();
+void ClusterRecords::draft_ready(Draft& draft) {
+    while (!readies_.empty() && !draft.full(1)) {
+        auto* job = readies_.front();
         readies_.pop_front();
-        if (j->final != Final::none)
+        if (job->final != Final::none)
             continue;
-        auto spec = j->spec;
+        auto spec = job->spec;
         spec.dependencies.clear();
-        d.add("j/" + spec.id,
-              codec::to_record({spec,
-                                cluster_.data_.wall - (cluster_.data_.now - j->submitted),
-                                cluster_.data_.wall - (cluster_.data_.now - j->ready),
-                                false,
-                                {}}),
-              600);
-        j->ready_recorded = true;
-        in_flight_.readies.push_back(j);
+        draft.add("j/" + spec.id,
+                  codec::to_record({spec,
+                                    cluster_.data_.wall - (cluster_.data_.now - job->submitted),
+                                    cluster_.data_.wall - (cluster_.data_.now - job->ready),
+                                    false,
+                                    {}}),
+                  600);
+        job->ready_recorded = true;
+        in_flight_.readies.push_back(job);
     }
 }
 
 std::string ClusterRecords::slot_text(std::vector<Entry*> list) {
-    const auto zone_matters = [](const Entry* e) { return e->job->spec.spread || e->job->spec.one_zone; };
+    const auto zone_matters = [](const Entry* entry) { return entry->job->spec.spread || entry->job->spec.one_zone; };
     std::sort(list.begin(), list.end(), [&](const Entry* a, const Entry* b) {
         if (a->machine != b->machine)
             return a->machine->id < b->machine->id;
@@ -200,21 +201,21 @@
     });
     intents::Writer w;
     // The zone is a third of a line, and what has no rules about zones may be in an unknown one.
-    for (const auto* e : list)
-        w.add(e->machine->id, zone_matters(e) ? e->machine->zone_name : "", e->agent_epoch, e->job->spec.id, e->index,
-              e->attempt);
+    for (const auto* entry : list)
+        w.add(entry->machine->id, zone_matters(entry) ? entry->machine->zone_name : "", entry->agent_epoch,
+              entry->job->spec.id, entry->index, entry->attempt);
     return w.take();
 }
 
 // A placement is not stored before its job's record says that the job no longer waits.
-bool ClusterRecords::may_record(const Entry& e) {
-    return e.job->ready_recorded || e.job->final != Final::none;
+bool ClusterRecords::may_record(const Entry& entry) {
+    return entry.job->ready_recorded || entry.job->final != Final::none;
 }
 
 // Writes one record of the ring: what is still live of it and, room permitting, new placements and
 // what is carried on from a record that was written when the store took longer values. Until that
 // has succeeded the long record names it too, so that nothing live is ever missing from the store.
-bool ClusterRecords::draft_slot(Draft& d, std::size_t slot) {
+bool ClusterRecords::draft_slot(Draft& draft, std::size_t slot) {
     auto& list = ring_[slot].entries;
     auto text = slot_text(list);
     if (text.size() > max_value_) {
@@ -225,31 +226,31 @@
         too_long_ = -1;
     auto size = text.size();
     // At most a line of its own.
-    auto take = [&](Entry& e) {
-        size += slot_text({&e}).size() + 2;
+    auto take = [&](Entry& entry) {
+        size += slot_text({&entry}).size() + 2;
         if (size > max_value_)
             return false;
-        leave_slot(e);
-        put_in_slot(e, static_cast<int>(slot));
+        leave_slot(entry);
+        put_in_slot(entry, static_cast<int>(slot));
         return true;
     };
     const auto before = list.size();
     for (std::size_t i = unrecorded_.size(); i-- > 0;) {
-        auto* e = unrecorded_[i];
-        if (!may_record(*e))
+        auto* entry = unrecorded_[i];
+        if (!may_record(*entry))
             continue;
-        if (!take(*e))
+        if (!take(*entry))
             break;
-        if (e->phase == Phase::intent)
-            e->phase = Phase::storing;
+        if (entry->phase == Phase::intent)
+            entry->phase = Phase::storing;
     }
     if (too_long_ >= 0) {
         auto& from = ring_[static_cast<std::size_t>(too_long_)].entries;
         while (!from.empty()) {
-            auto* e = from.back();
-            if (!take(*e))
+            auto* entry = from.back();
+            if (!take(*entry))
                 break;
-            e->carried_from = too_long_;
+            entry->carried_from = too_long_;
         }
         if (from.empty())
             too_long_ = -1;
@@ -257,7 +258,7 @@
     if (list.size() != before)
         text = slot_text(list);
     size = text.size();
-    d.add(slot_key(slot), codec::Json{{"t", std::move(text)}}, size);
+    draft.add(slot_key(slot), codec::Json{{"t", std::move(text)}}, size);
     ring_[slot].stale = 0;
     ring_[slot].size = size;
     ring_[slot].written = list.size();
@@ -265,10 +266,11 @@
     return true;
 }
 
-void ClusterRecords::draft_intents(Draft& d) {
+void ClusterRecords::draft_intents(Draft& draft) {
     auto advance = [&] { next_slot_ = (next_slot_ + 1) % ring_.size(); };
     auto more = [&] {
-        return std::any_of(unrecorded_.begin(), unrecorded_.end(), [](const Entry* e) { return may_record(*e); });
+        return std::any_of(unrecorded_.begin(), unrecorded_.end(),
+                           [](const Entry* entry) { return may_record(*entry); });
     };
     if (unrecorded_.size() > few_placements) {
         // Where the store takes fewer than are placed: the most urgent and the oldest first, from the end.
@@ -280,7 +282,7 @@
         for (std::size_t i = 0; i < unrecorded_.size(); ++i)
             unrecorded_[i]->at_slot = i;
     }
-    while (!d.full(1) && more()) {
+    while (!draft.full(1) && more()) {
         // The emptiest record takes the most. In turn, each would carry the replicas on, which stay for
         // good, and half of every write would be what the store holds already.
         std::size_t best = ring_.size();
@@ -299,18 +301,18 @@
         }
         if (best == ring_.size())
             ring_.emplace_back();
-        if (!draft_slot(d, best))
+        if (!draft_slot(draft, best))
             break;
     }
     // Records that name what is long gone would keep its place after a failover.
-    if (cluster_.data_.now < next_idle_write_ || d.full(max_ops_ / 2) || more())
+    if (cluster_.data_.now < next_idle_write_ || draft.full(max_ops_ / 2) || more())
         return;
     for (std::size_t n = 0; n < ring_.size(); ++n, advance()) {
         if (ring_[next_slot_].stale == 0 && too_long_ < 0)
             continue;
         if (std::find(in_flight_.slots.begin(), in_flight_.slots.end(), next_slot_) != in_flight_.slots.end())
             continue;
-        if (!draft_slot(d, next_slot_))
+        if (!draft_slot(draft, next_slot_))
             continue;
         next_idle_write_ = cluster_.data_.now + settings_.report_s / 10;
         advance();
@@ -320,32 +322,32 @@
 
 // Progress gathers for a while: losing it costs only an image fetch, since a finished task that is
 // started again ends at once.
-void ClusterRecords::draft_progress(Draft& d) {
+void ClusterRecords::draft_progress(Draft& draft) {
     const double gather = std::max(settings_.report_s, static_cast<double>(progress_records) /
                                                            (progress_share * settings_.state_write_rps));
-    for (std::size_t b = 0; b < buckets_.size() && !d.full(1); ++b) {
+    for (std::size_t b = 0; b < buckets_.size() && !draft.full(1); ++b) {
         if (!buckets_[b].dirty || cluster_.data_.now - buckets_[b].since < gather)
             continue;
         std::vector<Job*> jobs;
-        for (auto& [id, j] : cluster_.data_.jobs)
-            if (j->bucket == b && j->final == Final::none && j->done > 0)
-                jobs.push_back(j.get());
+        for (auto& [id, job] : cluster_.data_.jobs)
+            if (job->bucket == b && job->final == Final::none && job->done > 0)
+                jobs.push_back(job.get());
         const auto most = max_value_ / std::max<std::size_t>(1, jobs.size());
         auto value = codec::Json::object();
         std::size_t size = 0;
-        for (auto* j : jobs) {
-            std::vector<bool> bits(j->tasks.size());
+        for (auto* job : jobs) {
+            std::vector<bool> bits(job->tasks.size());
             for (std::size_t i = 0; i < bits.size(); ++i)
-                bits[i] = j->tasks[i].done;
-            auto text = intents::ranges_of(bits, most > j->spec.id.size() + 6 ? most - j->spec.id.size() - 6 : 0);
-            size += text.size() + j->spec.id.size() + 6;
-            value[j->spec.id] = std::move(text);
-            if (j->unstored.empty())
+                bits[i] = job->tasks[i].done;
+            auto text = intents::ranges_of(bits, most > job->spec.id.size() + 6 ? most - job->spec.id.size() - 6 : 0);
+            size += text.size() + job->spec.id.size() + 6;
+            value[job->spec.id] = std::move(text);
+            if (job->unstored.empty())
                 continue;
-            in_flight_.progress.emplace_back(j, std::move(j->unstored));
-            j->unstored.clear();
+            in_flight_.progress.emplace_back(job, std::move(job->unstored));
+            job->unstored.clear();
         }
-        d.add(bucket_key(b), std::move(value), size);
+        draft.add(bucket_key(b), std::move(value), size);
         in_flight_.buckets.push_back(b);
         buckets_[b].dirty = false;
     }
@@ -353,8 +355,8 @@
 
 // Which machine has which image is a hint that spares the next leader fetches; it is written now and
 // then, a part of the machines at a time, each with the names it needs.
-void ClusterRecords::draft_images(Draft& d) {
-    if (cluster_.data_.now < next_images_ || cluster_.data_.machines.empty() || d.full(max_ops_ / 2))
+void ClusterRecords::draft_images(Draft& draft) {
+    if (cluster_.data_.now < next_images_ || cluster_.data_.machines.empty() || draft.full(max_ops_ / 2))
         return;
     next_images_ = cluster_.data_.now + 2 * settings_.report_s;
     std::vector<const std::string*> by_id(cluster_.data_.image_gb.size());
@@ -366,27 +368,28 @@
     std::size_t size = 40;
     auto it = image_part_ == 0 ? cluster_.data_.machines.begin() : cluster_.data_.machines.upper_bound(images_after_);
     for (; it != cluster_.data_.machines.end(); ++it) {
-        const auto& m = *it->second;
-        std::size_t more = m.id.size() + 8;
-        for (const auto& c : m.images)
-            if (c.ready)
-                more += 4 + (place.contains(c.image) ? 0 : by_id[static_cast<std::size_t>(c.image)]->size() + 28);
+        const auto& machine = *it->second;
+        std::size_t more = machine.id.size() + 8;
+        for (const auto& cached : machine.images)
+            if (cached.ready)
+                more +=
+                    4 + (place.contains(cached.image) ? 0 : by_id[static_cast<std::size_t>(cached.image)]->size() + 28);
         if (size + more > max_value_)
             break;
         size += more;
         auto list = codec::Json::array();
-        for (const auto& c : m.images) {
-            if (!c.ready)
+        for (const auto& cached : machine.images) {
+            if (!cached.ready)
                 continue;
-            const auto [at, fresh] = place.emplace(c.image, names.size());
-            const auto i = static_cast<std::size_t>(c.image);
+            const auto [at, fresh] = place.emplace(cached.image, names.size());
+            const auto i = static_cast<std::size_t>(cached.image);
             if (fresh)
                 names.push_back({*by_id[i], cluster_.data_.image_gb[i]});
             list.push_back(at->second);
         }
         if (!list.empty())
-            held[m.id] = std::move(list);
-        images_after_ = m.id;
+            held[machine.id] = std::move(list);
+        images_after_ = machine.id;
     }
     // What the cluster was larger for goes when the parts begin anew.
     const auto part = image_part_++;
@@ -396,18 +399,18 @@
         image_parts_ = image_part_;
         image_part_ = 0;
     }
-    d.add(fmt::format("c/{}", part), codec::Json{{"names", std::move(names)}, {"held", std::move(held)}}, size);
+    draft.add(fmt::format("c/{}", part), codec::Json{{"names", std::move(names)}, {"held", std::move(held)}}, size);
 }
 
 // What a leader has learned of this day: how much work comes, how far estimates are off, how many spot
 // machines are lost. Without it the next one gives back machines that it needs a moment later.
-void ClusterRecords::draft_learned(Draft& d) {
-    if (cluster_.data_.now < next_learned_ || d.full(max_ops_ / 2))
+void ClusterRecords::draft_learned(Draft& draft) {
+    if (cluster_.data_.now < next_learned_ || draft.full(max_ops_ / 2))
         return;
     next_learned_ = cluster_.data_.now + 2 * settings_.report_s;
     const double over = cluster_.data_.average_s();
     const double left = std::exp(-(cluster_.data_.now - cluster_.data_.learned.offered_at) / over);
-    d.add(
+    draft.add(
         learned_key,
         codec::Json{{"at", cluster_.data_.wall},
                     {"offered", cluster_.data_.learned.offered * left},
@@ -432,98 +435,98 @@
     // states would never find the two or three they need together.
     if (write_tokens_ < std::min(fewest_writes, max_saved))
         return;
-    Draft d;
-    d.most = std::min(max_ops_, static_cast<std::size_t>(write_tokens_)) - 1;
+    Draft draft;
+    draft.most = std::min(max_ops_, static_cast<std::size_t>(write_tokens_)) - 1;
     in_flight_ = {};
-    draft_finals(d);
-    draft_ready(d);
-    draft_intents(d);
-    while (!gone_records_.empty() && !d.full(1)) {
-        d.add(gone_records_.front(), std::nullopt, 0);
+    draft_finals(draft);
+    draft_ready(draft);
+    draft_intents(draft);
+    while (!gone_records_.empty() && !draft.full(1)) {
+        draft.add(gone_records_.front(), std::nullopt, 0);
         in_flight_.gone.push_back(std::move(gone_records_.front()));
         gone_records_.pop_front();
     }
-    draft_progress(d);
-    draft_images(d);
-    draft_learned(d);
-    if (d.commit.writes.empty())
+    draft_progress(draft);
+    draft_images(draft);
+    draft_learned(draft);
+    if (draft.commit.writes.empty())
         return;
     txn_open_ = true;
     sent_at_ = cluster_.data_.now;
-    write_tokens_ -= static_cast<double>(d.commit.writes.size()) + 1;
-    effects_.push_back(std::move(d.commit));
+    write_tokens_ -= static_cast<double>(draft.commit.writes.size()) + 1;
+    effects_.push_back(std::move(draft.commit));
 }
 
-void ClusterRecords::committed(const Committed& c) {
+void ClusterRecords::committed(const Committed& command) {
     txn_open_ = false;
     auto f = std::move(in_flight_);
     in_flight_ = {};
-    if (c.outcome == TxnOutcome::leadership_lost) {
+    if (command.outcome == TxnOutcome::leadership_lost) {
         cluster_.resign();
         return;
     }
-    const bool ok = c.outcome == TxnOutcome::applied;
+    const bool ok = command.outcome == TxnOutcome::applied;
     if (ok)
         ++committed_;
-    if (c.outcome == TxnOutcome::too_large) {
+    if (command.outcome == TxnOutcome::too_large) {
         // The store takes less than the settings say: never the same again.
         max_value_ = std::max(max_value_ / 2, min_value);
         max_ops_ = std::max(max_ops_ / 2, min_ops);
         log(2, fmt::format("the store takes no such transaction, from now on {} bytes a record and {} changes",
                            max_value_, max_ops_));
     }
-    auto stored = [&](Job& j) {
-        j.final_stored = true;
-        for (const auto h : j.cancels)
-            effects_.push_back(AnswerCancellation{h, word_of(j.final == Final::done)});
-        j.cancels.clear();
-        cluster_.dependency_settled(j.spec.id, j.final);
+    auto stored = [&](Job& job) {
+        job.final_stored = true;
+        for (const auto h : job.cancels)
+            effects_.push_back(AnswerCancellation{h, word_of(job.final == Final::done)});
+        job.cancels.clear();
+        cluster_.dependency_settled(job.spec.id, job.final);
     };
-    auto again = [&](Job& j) { final_due(j, Urgency::done); };
-    for (auto& [j, final] : f.finals) {
+    auto again = [&](Job& job) { final_due(job, Urgency::done); };
+    for (auto& [job, final] : f.finals) {
         if (!ok) {
-            j->final_sent = false; // surely not carried out
-            again(*j);
+            job->final_sent = false; // surely not carried out
+            again(*job);
             continue;
         }
-        stored(*j);
-        if (j->live == 0)
-            again(*j);
+        stored(*job);
+        if (job->live == 0)
+            again(*job);
     }
     if (!ok)
-        for (auto* j : f.readies) {
-            j->ready_recorded = false;
-            readies_.push_back(j);
+        for (auto* job : f.readies) {
+            job->ready_recorded = false;
+            readies_.push_back(job);
         }
-    for (auto& [j, list] : f.progress) {
+    for (auto& [job, list] : f.progress) {
         if (ok)
             for (const auto i : list)
-                j->tasks[i].stored = true;
+                job->tasks[i].stored = true;
         else
-            j->unstored.insert(j->unstored.end(), list.begin(), list.end());
+            job->unstored.insert(job->unstored.end(), list.begin(), list.end());
     }
     if (!ok)
         for (const auto b : f.buckets)
             buckets_[b].dirty = true;
     for (const auto s : f.slots) {
         const auto list = ring_[s].entries;
-        for (auto* e : list) {
-            if (const int from = std::exchange(e->carried_from, -1); from >= 0) {
+        for (auto* entry : list) {
+            if (const int from = std::exchange(entry->carried_from, -1); from >= 0) {
                 if (ok)
                     ++ring_[static_cast<std::size_t>(from)].stale;
                 if (!ok)
-                    leave_slot(*e), put_in_slot(*e, from);
+                    leave_slot(*entry), put_in_slot(*entry, from);
             } else if (ok) {
-                e->recorded = true;
-            } else if (!e->recorded) {
-                leave_slot(*e);
-                put_in_slot(*e, -1);
+                entry->recorded = true;
+            } else if (!entry->recorded) {
+                leave_slot(*entry);
+                put_in_slot(*entry, -1);
             }
-            if (e->phase != Phase::storing)
+            if (entry->phase != Phase::storing)
                 continue;
-            e->phase = ok ? Phase::stored : Phase::intent;
+            entry->phase = ok ? Phase::stored : Phase::intent;
             if (ok)
-                cluster_.want_orders(*e->machine);
+                cluster_.want_orders(*entry->machine);
         }
         if (!ok)
             ++ring_[s].stale;
@@ -531,26 +534,26 @@
     if (!ok)
         for (auto& key : f.gone)
             gone_records_.push_back(std::move(key));
-    for (auto& [j, final] : f.moves) {
+    for (auto& [job, final] : f.moves) {
         if (!ok) {
-            j->final_sent = false;
-            again(*j);
+            job->final_sent = false;
+            again(*job);
             continue;
         }
-        stored(*j);
-        drop_job(*j);
+        stored(*job);
+        drop_job(*job);
     }
 }
 
 // The store keeps the final state; memory only holds what is alive.
-void ClusterRecords::drop_job(Job& j) {
-    cluster_.remember_final(j);
-    if (j.live > 0)
+void ClusterRecords::drop_job(Job& job) {
+    cluster_.remember_final(job);
+    if (job.live > 0)
         return; // something showed up meanwhile: it is stopped first
-    std::erase(finals_, &j);
-    std::erase(cancelled_with_dependency_, &j);
-    std::erase(readies_, &j);
-    cluster_.forget_job(j);
+    std::erase(finals_, &job);
+    std::erase(cancelled_with_dependency_, &job);
+    std::erase(readies_, &job);
+    cluster_.forget_job(job);
 }
 
 } // namespace heronshift
--- a/src/persistence/load.cpp
+++ b/src/persistence/load.cpp
@@ -44,8 +44,8 @@
         if (!r)
             continue;
         const auto id = r->spec.id;
-        auto c = job_stored(std::move(*r), wall);
-        cluster_.add_job(c);
+        auto command = job_stored(std::move(*r), wall);
+        cluster_.add_job(command);
         if (auto* j = cluster_.find_job(id); j != nullptr && !r->final.empty()) {
             j->final = r->final == codec::status_done ? Final::done : Final::cancelled;
             j->final_stored = true;
@@ -72,8 +72,8 @@
             r.damaged = true;
         if (n && *n >= ring_.size())
             ring_.resize(*n + 1);
-        for (const auto& x : r.intents)
-            load_intent(x, n ? static_cast<int>(*n) : -1);
+        for (const auto& intent : r.intents)
+            load_intent(intent, n ? static_cast<int>(*n) : -1);
         for (const auto& m : r.unproven)
             hold_unproven(m);
         if (r.damaged)
@@ -93,15 +93,15 @@
         auto& j = job;
         // What runs or is done does not wait: on a day with many failovers machines were rented for it.
         std::erase_if(j->pending, [&](std::uint32_t i) {
-            auto& t = j->tasks[i];
-            if (!t.done && t.live == 0)
+            auto& task = j->tasks[i];
+            if (!task.done && task.live == 0)
                 return false;
-            t.queued = false;
+            task.queued = false;
             return true;
         });
         if (j->spec.shape == Shape::gang && j->live > 0) {
-            for (const auto& e : j->entries)
-                j->gang_attempt = std::max(j->gang_attempt, e->attempt);
+            for (const auto& entry : j->entries)
+                j->gang_attempt = std::max(j->gang_attempt, entry->attempt);
             if (j->live < j->spec.tasks - j->done)
                 cluster_.break_gang(*j);
         }
@@ -109,47 +109,47 @@
             cluster_.finalize(*j, Final::done);
         if (j->final == Final::none)
             continue;
-        for (auto& e : j->entries)
-            cluster_.stop_entry(*e, 0);
+        for (auto& entry : j->entries)
+            cluster_.stop_entry(*entry, 0);
         if (j->live == 0)
             final_due(*j, Urgency::done);
     }
     cluster_.needs_scheduling_ = true;
 }
 
-void ClusterRecords::load_done(Job& j, std::string_view ranges) {
+void ClusterRecords::load_done(Job& job, std::string_view ranges) {
     intents::each_in_ranges(ranges, [&](std::uint32_t k) {
-        if (k >= j.tasks.size() || j.tasks[k].done)
+        if (k >= job.tasks.size() || job.tasks[k].done)
             return;
-        j.tasks[k].done = j.tasks[k].stored = true;
-        ++j.done;
-        j.had_success = true; // else a faulty machine is told from a bad job too late
+        job.tasks[k].done = job.tasks[k].stored = true;
+        ++job.done;
+        job.had_success = true; // else a faulty machine is told from a bad job too late
     });
 }
 
 void ClusterRecords::load_intent(const intents::Intent& i, int slot) {
-    auto* j = cluster_.find_job(i.job);
+    auto* job = cluster_.find_job(i.job);
     // The record of a job goes only when none of its tasks is left anywhere.
-    if (j == nullptr || i.index >= j->tasks.size())
+    if (job == nullptr || i.index >= job->tasks.size())
         return;
-    auto& m = cluster_.learn_machine(i.machine, "", "", i.zone, false);
-    m.agent_epoch = std::max(m.agent_epoch, i.agent_epoch);
+    auto& machine = cluster_.learn_machine(i.machine, "", "", i.zone, false);
+    machine.agent_epoch = std::max(machine.agent_epoch, i.agent_epoch);
     // Whoever was entitled before us may have answered this machine until the moment we took
     // leadership, so its lease counts from there.
-    m.lease_started_at = cluster_.data_.now;
-    m.status = Status::up;
-    for (const auto& e : m.entries)
-        if (e->job == j && e->index == i.index && e->attempt == i.attempt)
+    machine.lease_started_at = cluster_.data_.now;
+    machine.status = Status::up;
+    for (const auto& entry : machine.entries)
+        if (entry->job == job && entry->index == i.index && entry->attempt == i.attempt)
             return;
-    auto& e = cluster_.add_entry(m, *j, i.index, i.attempt);
-    e.phase = Phase::sent;
-    e.recorded = slot >= 0;
+    auto& entry = cluster_.add_entry(machine, *job, i.index, i.attempt);
+    entry.phase = Phase::sent;
+    entry.recorded = slot >= 0;
     // Only a heartbeat that has seen our own term proves anything: one from before the launch
     // may arrive late, and we have no count of this machine's to tell.
-    e.fencing_token = (cluster_.data_.term << token_counter_bits) - 1;
-    e.agent_epoch = i.agent_epoch;
-    leave_slot(e);
-    put_in_slot(e, slot);
+    entry.fencing_token = (cluster_.data_.term << token_counter_bits) - 1;
+    entry.agent_epoch = i.agent_epoch;
+    leave_slot(entry);
+    put_in_slot(entry, slot);
 }
 
 // A record that cannot be read may have named any task there was. The machine's own word under our
@@ -170,35 +170,36 @@
     for (const auto& i : stored.earlier) {
         gone_records_.push_back(i.key);
         const auto id = i.key.substr(2);
-        const auto& v = i.value;
+        const auto& json = i.value;
         if (i.key.starts_with("d/")) {
-            auto* j = cluster_.find_job(id);
-            if (j == nullptr || !v.is_object())
+            auto* job = cluster_.find_job(id);
+            if (job == nullptr || !json.is_object())
                 continue;
-            load_done(*j, v.value("done", std::string()));
-            const auto f = v.value("final", std::string());
+            load_done(*job, json.value("done", std::string()));
+            const auto f = json.value("final", std::string());
             if (f.empty())
                 continue;
-            j->final = f == codec::status_done ? Final::done : Final::cancelled;
-            j->final_stored = true;
+            job->final = f == codec::status_done ? Final::done : Final::cancelled;
+            job->final_stored = true;
             continue;
         }
-        bool good = v.is_object() && v.contains("tasks") && v["tasks"].is_array();
+        bool good = json.is_object() && json.contains("tasks") && json["tasks"].is_array();
         const auto text = [&](const char* name) {
-            return good && v.contains(name) && v[name].is_string() ? v[name].get<std::string>() : std::string();
+            return good && json.contains(name) && json[name].is_string() ? json[name].get<std::string>()
+                                                                         : std::string();
         };
         const auto number = [&](const char* name) {
-            return good && v.contains(name) && v[name].is_number_integer() ? v[name].get<std::uint64_t>() : 0;
+            return good && json.contains(name) && json[name].is_number_integer() ? json[name].get<std::uint64_t>() : 0;
         };
         if (good)
-            for (const auto& e : v["tasks"]) {
+            for (const auto& e : json["tasks"]) {
                 const auto line =
                     e.is_string() ? fmt::format("{} {} {} {}", id, text("yard"), number("tenure"), e.get<std::string>())
                                   : std::string();
                 const auto r = intents::read(line);
                 good = good && r.intents.size() == 1;
-                for (const auto& x : r.intents)
-                    load_intent(x, -1);
+                for (const auto& intent : r.intents)
+                    load_intent(intent, -1);
             }
         if (!good)
             hold_unproven(id);
--- a/src/replay/command_log.cpp
+++ b/src/replay/command_log.cpp
@@ -238,8 +238,8 @@
 constexpr std::size_t part_bytes = 4000;
 constexpr std::uint64_t flush_bytes = 64UL * 1024; // before compression: the most that a kill loses
 
-std::string dump(const Json& j) {
-    return j.dump(-1, ' ', false, Json::error_handler_t::replace);
+std::string dump(const Json& json) {
+    return json.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
 // A variant as [which, value].
@@ -247,13 +247,13 @@
     return std::visit([&](const auto& x) { return Json::array({v.index(), x}); }, v);
 }
 
-template <class V, std::size_t I = 0> V variant_from(std::size_t which, const Json& j) {
+template <class V, std::size_t I = 0> V variant_from(std::size_t which, const Json& json) {
     if constexpr (I == std::variant_size_v<V>) {
         throw std::invalid_argument("a command of an unknown kind");
     } else {
         if (which == I)
-            return j.get<std::variant_alternative_t<I, V>>();
-        return variant_from<V, I + 1>(which, j);
+            return json.get<std::variant_alternative_t<I, V>>();
+        return variant_from<V, I + 1>(which, json);
     }
 }
 
@@ -275,8 +275,8 @@
 
 } // namespace
 
-std::string text_of(const Effect& e) {
-    return dump(to_json_of(e));
+std::string text_of(const Effect& effect) {
+    return dump(to_json_of(effect));
 }
 
 struct CommandLog::Out {
@@ -358,10 +358,10 @@
     out_.reset();
 }
 
-void CommandLog::begin(const Settings& s, std::uint64_t term, const Snapshot& stored, double now, double wall) {
+void CommandLog::begin(const Settings& settings, std::uint64_t term, const Snapshot& stored, double now, double wall) {
     if (!out_)
         return;
-    line(dump({{"begin", term}, {"now", now}, {"wall", wall}, {"settings", s}, {"stored", stored}}));
+    line(dump({{"begin", term}, {"now", now}, {"wall", wall}, {"settings", settings}, {"stored", stored}}));
 }
 
 void CommandLog::commands(const std::vector<Command>& batch, double now, double wall, bool may_act) {
@@ -477,15 +477,15 @@
     std::string effects;
 };
 
-Batch read_batch(const Json& j) {
+Batch read_batch(const Json& json) {
     Batch b;
-    b.now = j.at("now").get<double>();
-    b.wall = j.at("wall").get<double>();
-    b.may_act = j.at("entitled").get<bool>();
-    b.effects = j.at("effects").get<std::string>();
+    b.now = json.at("now").get<double>();
+    b.wall = json.at("wall").get<double>();
+    b.may_act = json.at("entitled").get<bool>();
+    b.effects = json.at("effects").get<std::string>();
     if (b.effects.size() % 8 != 0)
         throw std::invalid_argument("effects: not a list of digests");
-    for (const auto& c : j.at("commands")) {
+    for (const auto& c : json.at("commands")) {
         if (!c.is_array() || c.size() != 2)
             throw std::invalid_argument("commands: not a kind and a value");
         b.commands.push_back(variant_from<Command>(c[0].get<std::size_t>(), c[1]));
@@ -535,22 +535,22 @@
     if (head.value("version", Json()) != log_version)
         in.fail(fmt::format("its version is not {}, which this program reads", log_version));
     while (next()) {
-        const auto j = Json::parse(line, nullptr, false);
-        if (!j.is_object())
+        const auto json = Json::parse(line, nullptr, false);
+        if (!json.is_object())
             in.fail("not a JSON object");
         try {
-            if (j.contains("begin")) {
-                auto s = j.at("settings").get<Settings>();
-                const auto stored = j.at("stored").get<Snapshot>();
-                const auto now = j.at("now").get<double>(), wall = j.at("wall").get<double>();
-                term = j.at("begin").get<std::uint64_t>();
+            if (json.contains("begin")) {
+                auto s = json.at("settings").get<Settings>();
+                const auto stored = json.at("stored").get<Snapshot>();
+                const auto now = json.at("now").get<double>(), wall = json.at("wall").get<double>();
+                term = json.at("begin").get<std::uint64_t>();
                 core.reset(); // it refers to the settings
                 settings = std::move(s);
                 core = std::make_unique<Core>(settings, term, stored, now, wall);
                 ++out.terms;
                 continue;
             }
-            auto b = read_batch(j);
+            auto b = read_batch(json);
             if (!core)
                 in.fail("a batch before any term began");
             ++out.batches;
@@ -565,8 +565,8 @@
             return out;
         } catch (const LogError&) {
             throw;
-        } catch (const std::exception& e) { // of the JSON library: a missing field, a wrong type
-            in.fail(e.what());
+        } catch (const std::exception& error) { // of the JSON library: a missing field, a wrong type
+            in.fail(error.what());
         }
     }
     return out;
--- a/src/scheduling/autoscaler.cpp
+++ b/src/scheduling/autoscaler.cpp
@@ -39,19 +39,19 @@
         bool spot;
     };
     std::vector<Due> list;
-    for (const auto& [id, j] : cluster_.jobs) {
-        if (j->spec.shape != Shape::array || j->final != Final::none || j->waits)
+    for (const auto& [id, job] : cluster_.jobs) {
+        if (job->spec.shape != Shape::array || job->final != Final::none || job->waits)
             continue;
-        const double each = j->spec.each.cpus, run = std::max(1.0, j->spec.estimate_s) * cluster_.learned.bias();
-        const double waiting = static_cast<double>(j->pending.size());
-        const double due = cluster_.due_at(*j);
+        const double each = job->spec.each.cpus, run = std::max(1.0, job->spec.estimate_s) * cluster_.learned.bias();
+        const double waiting = static_cast<double>(job->pending.size());
+        const double due = cluster_.due_at(*job);
         double window = due < 0 ? 10 * run : (due - cluster_.now - run) * window_used;
-        if (j->guaranteed)
-            for (const auto& o : settings_.objectives)
-                if (o.kind == "guarantee")
-                    window = std::min(window, j->ready + o.within_s - cluster_.now);
-        list.push_back(
-            {std::max(window, 1e-3), each * run * (waiting + 0.5 * j->live), each * (waiting + j->live), j->spec.spot});
+        if (job->guaranteed)
+            for (const auto& objective : settings_.objectives)
+                if (objective.kind == "guarantee")
+                    window = std::min(window, job->ready + objective.within_s - cluster_.now);
+        list.push_back({std::max(window, 1e-3), each * run * (waiting + 0.5 * job->live), each * (waiting + job->live),
+                        job->spec.spot});
     }
     std::sort(list.begin(), list.end(), [](const Due& a, const Due& b) { return a.window < b.window; });
     const auto need = [&list](bool ordinary) {
@@ -79,27 +79,27 @@
     return {l.offered * left, l.offered_ordinary * left};
 }
 
-double Autoscaler::price_per_cpu(const MachineType& t, bool spot) {
-    return (spot ? t.spot_price : t.price) / t.room.cpus;
+double Autoscaler::price_per_cpu(const MachineType& type, bool spot) {
+    return (spot ? type.spot_price : type.price) / type.room.cpus;
 }
 
 // All kinds of machines that may be had at all, in the order of types, zones and spot first.
 void Autoscaler::list_sources(std::map<std::string, int>& in_zone) {
     sources_.clear();
-    for (const auto& t : cluster_.types)
-        for (const auto& z : t.zones)
+    for (const auto& type : cluster_.types)
+        for (const auto& z : type.zones)
             for (const bool spot : {true, false}) {
                 if (std::find(settings_.zones.begin(), settings_.zones.end(), z) == settings_.zones.end())
                     continue;
-                auto key = fmt::format("{}/{}/{}", t.name, z, spot);
+                auto key = fmt::format("{}/{}/{}", type.name, z, spot);
                 const auto blocked = cluster_.no_capacity.find(key);
                 const bool refused = blocked != cluster_.no_capacity.end() && cluster_.now < blocked->second;
-                sources_.push_back({std::move(key), &t, &z, spot, refused, &in_zone[z]});
+                sources_.push_back({std::move(key), &type, &z, spot, refused, &in_zone[z]});
             }
 }
 
 // The cheapest kind of machine that a job's task may use and that may be had.
-const Autoscaler::Source* Autoscaler::cheapest_source(const Job& j, bool dear) const {
+const Autoscaler::Source* Autoscaler::cheapest_source(const Job& job, bool dear) const {
     double best = 1e18, lowest = 1e18;
     const Source* cheapest = nullptr;
     const MachineType* type = nullptr;
@@ -108,10 +108,10 @@
     for (const auto& s : sources_) {
         if (s.type != type) {
             type = s.type;
-            suitable = allows(j.spec.types, type->name) && j.spec.each.fits(type->room);
-            fit = suitable ? fit_of(j.spec.each, type->room) : 0;
+            suitable = allows(job.spec.types, type->name) && job.spec.each.fits(type->room);
+            fit = suitable ? fit_of(job.spec.each, type->room) : 0;
         }
-        if (!suitable || (s.spot && !j.spec.spot) || (!j.spec.zone.empty() && j.spec.zone != *s.zone))
+        if (!suitable || (s.spot && !job.spec.spot) || (!job.spec.zone.empty() && job.spec.zone != *s.zone))
             continue;
         const double each = (s.spot ? type->spot_price : type->price) / fit;
         lowest = std::min(lowest, each);
@@ -145,27 +145,27 @@
     double have = 0, have_ordinary = 0; // CPUs that arrays have or will have
     int ready = 0;                      // machines that a gang may have, if need be by taking the place of arrays
     leaving_.clear();
-    for (const auto& [id, m] : cluster_.machines) {
-        if (m->retiring && !m->releasing)
-            leaving_.push_back(m.get());
-        if (m->status != Status::lost)
-            ++in_zone[m->zone_name];
-        const auto* t = cluster_.type_of(m->type_name);
-        if (m->status == Status::booting && t != nullptr && !m->releasing &&
-            cluster_.now - m->known_since < 3 * t->boot_s)
-            coming.push_back({t->room, t, m->zone_name, m->spot});
-        if (!serves(cluster_, *m) || m->retiring)
+    for (const auto& [id, machine] : cluster_.machines) {
+        if (machine->retiring && !machine->releasing)
+            leaving_.push_back(machine.get());
+        if (machine->status != Status::lost)
+            ++in_zone[machine->zone_name];
+        const auto* t = cluster_.type_of(machine->type_name);
+        if (machine->status == Status::booting && t != nullptr && !machine->releasing &&
+            cluster_.now - machine->known_since < 3 * t->boot_s)
+            coming.push_back({t->room, t, machine->zone_name, machine->spot});
+        if (!serves(cluster_, *machine) || machine->retiring)
             continue;
-        have += m->whole.cpus - m->firm.cpus;
-        if (plain(*m))
-            have_ordinary += m->whole.cpus - m->firm.cpus;
-        ready += is_ready(*m);
+        have += machine->whole.cpus - machine->firm.cpus;
+        if (plain(*machine))
+            have_ordinary += machine->whole.cpus - machine->firm.cpus;
+        ready += is_ready(*machine);
     }
-    for (const auto& [claim, p] : cluster_.rentals) {
-        in_zone[p.zone] += p.count;
-        if (const auto* t = cluster_.type_of(p.type); t != nullptr)
-            for (int i = 0; i < p.count; ++i)
-                coming.push_back({t->room, t, p.zone, p.spot});
+    for (const auto& [claim, rental] : cluster_.rentals) {
+        in_zone[rental.zone] += rental.count;
+        if (const auto* t = cluster_.type_of(rental.type); t != nullptr)
+            for (int i = 0; i < rental.count; ++i)
+                coming.push_back({t->room, t, rental.zone, rental.spot});
     }
     for (const auto& c : coming) {
         have += c.free.cpus;
@@ -173,39 +173,39 @@
             have_ordinary += c.free.cpus;
     }
     const auto need = array_need();
-    const auto short_of = [&](const Job& j) {
-        return have < need.all * spare || (!j.spec.spot && have_ordinary < need.ordinary * spare);
+    const auto short_of = [&](const Job& job) {
+        return have < need.all * spare || (!job.spec.spot && have_ordinary < need.ordinary * spare);
     };
 
     list_sources(in_zone);
     std::map<std::string, Pending> wanted;
-    auto source_for = [&](const Job& j, int left) {
-        const bool array = j.spec.shape == Shape::array;
+    auto source_for = [&](const Job& job, int left) {
+        const bool array = job.spec.shape == Shape::array;
         for (int guard = 0; left > 0 && guard < 200; ++guard) {
             for (auto& c : coming) {
                 if (left <= 0)
                     break;
-                if ((c.spot && !j.spec.spot) || !allows(j.spec.types, c.type->name))
+                if ((c.spot && !job.spec.spot) || !allows(job.spec.types, c.type->name))
                     continue;
-                if (!j.spec.zone.empty() && j.spec.zone != c.zone)
+                if (!job.spec.zone.empty() && job.spec.zone != c.zone)
                     continue;
-                const int n = std::min(left, static_cast<int>(std::max(0.0, fit_of(j.spec.each, c.free))));
-                c.free -= j.spec.each * n;
+                const int n = std::min(left, static_cast<int>(std::max(0.0, fit_of(job.spec.each, c.free))));
+                c.free -= job.spec.each * n;
                 left -= n;
             }
             // A machine on its way out is up already and costs no boot.
-            while (left > 0 && (!array || short_of(j))) {
-                auto* m = keep_again(j);
-                if (m == nullptr)
+            while (left > 0 && (!array || short_of(job))) {
+                auto* machine = keep_again(job);
+                if (machine == nullptr)
                     break;
-                have += m->whole.cpus;
-                if (plain(*m))
-                    have_ordinary += m->whole.cpus;
-                left -= static_cast<int>(fit_of(j.spec.each, m->whole - m->firm));
+                have += machine->whole.cpus;
+                if (plain(*machine))
+                    have_ordinary += machine->whole.cpus;
+                left -= static_cast<int>(fit_of(job.spec.each, machine->whole - machine->firm));
             }
             if (left <= 0)
                 break;
-            const auto* source = cheapest_source(j, !array || short_of(j));
+            const auto* source = cheapest_source(job, !array || short_of(job));
             if (source == nullptr)
                 break;
             auto& w = wanted[source->key];
@@ -226,37 +226,38 @@
     const auto jobs = waiting_jobs(cluster_, shape);
     proposals_.set_common_shape(shape);
     const Job* gang = nullptr;
-    for (const auto* j : jobs) {
-        int left = std::min(static_cast<int>(j->pending.size()), cluster_.quota_room(*j));
-        if (j->spec.shape == Shape::gang && j->spec.each.gpus > 0) {
+    for (const auto* job : jobs) {
+        int left = std::min(static_cast<int>(job->pending.size()), cluster_.quota_room(*job));
+        if (job->spec.shape == Shape::gang && job->spec.each.gpus > 0) {
             const int n = std::min(left, ready);
             left -= n;
             ready -= n;
         }
-        source_for(*j, left);
+        source_for(*job, left);
     }
     // Machines that boot for longer than a gang may wait must be there before it comes.
-    for (const auto& [id, j] : cluster_.jobs)
-        if (j->spec.shape == Shape::gang && j->spec.each.gpus > 0 && j->final == Final::none && !j->waits)
-            gang = j.get();
+    for (const auto& [id, job] : cluster_.jobs)
+        if (job->spec.shape == Shape::gang && job->spec.each.gpus > 0 && job->final == Final::none && !job->waits)
+            gang = job.get();
     if (gang != nullptr)
         source_for(*gang, static_cast<int>(keep_ready_) - ready);
     queue_rentals(wanted);
 }
 
 // A machine that a gang may have: without a gang, whatever else runs there.
-bool Autoscaler::is_ready(const Machine& m) {
-    return m.whole.gpus > 0 && !m.spot && m.firm.gpus <= 0;
+bool Autoscaler::is_ready(const Machine& machine) {
+    return machine.whole.gpus > 0 && !machine.spot && machine.firm.gpus <= 0;
 }
 
 // The fullest machine on its way out that can take a task of the job is kept after all.
-const Machine* Autoscaler::keep_again(const Job& j) {
+const Machine* Autoscaler::keep_again(const Job& job) {
     const Machine* best = nullptr;
-    const bool gang = j.spec.shape == Shape::gang;
-    for (const auto* m : leaving_) {
-        const bool good = j.spec.each.fits(m->whole - (gang ? m->firm : m->used)) && usable(cluster_, *m, j, true);
-        if (good && (best == nullptr || m->used.cpus > best->used.cpus))
-            best = m;
+    const bool gang = job.spec.shape == Shape::gang;
+    for (const auto* machine : leaving_) {
+        const bool good = job.spec.each.fits(machine->whole - (gang ? machine->firm : machine->used)) &&
+                          usable(cluster_, *machine, job, true);
+        if (good && (best == nullptr || machine->used.cpus > best->used.cpus))
+            best = machine;
     }
     if (best == nullptr)
         return nullptr;
@@ -267,13 +268,13 @@
 
 void Autoscaler::queue_rentals(std::map<std::string, Pending>& wanted) {
     for (auto& [key, pending] : wanted) {
-        auto& w = pending;
+        auto& rental = pending;
         const bool busy = std::any_of(cluster_.rentals.begin(), cluster_.rentals.end(), [&](const auto& r) {
-            return r.second.type == w.type && r.second.zone == w.zone && r.second.spot == w.spot;
+            return r.second.type == rental.type && r.second.zone == rental.zone && r.second.spot == rental.spot;
         });
         if (busy)
             continue;
-        proposals_.rent(w);
+        proposals_.rent(rental);
     }
 }
 
@@ -287,40 +288,41 @@
     double have_ordinary = 0, need_ordinary = 0; // of these: on ordinary machines without accelerators
     std::vector<const Machine*> list;
     std::unordered_map<const Machine*, double> lasting;
-    for (const auto& [id, m] : cluster_.machines) {
-        if (!serves(cluster_, *m) || m->retiring)
+    for (const auto& [id, machine] : cluster_.machines) {
+        if (!serves(cluster_, *machine) || machine->retiring)
             continue;
         double services = 0, gangs = 0;
-        for (const auto& e : m->entries) {
-            if (e->job->spec.shape == Shape::service)
-                services += e->job->spec.each.cpus;
-            if (e->job->spec.shape == Shape::gang) {
-                gangs += e->job->spec.each.cpus;
-                largest_gang = std::max(largest_gang, static_cast<double>(e->job->spec.tasks));
+        for (const auto& entry : machine->entries) {
+            if (entry->job->spec.shape == Shape::service)
+                services += entry->job->spec.each.cpus;
+            if (entry->job->spec.shape == Shape::gang) {
+                gangs += entry->job->spec.each.cpus;
+                largest_gang = std::max(largest_gang, static_cast<double>(entry->job->spec.tasks));
             }
         }
-        have += m->whole.cpus;
+        have += machine->whole.cpus;
         const double lasts =
-            services + gangs + (m->pool ? cluster_.service_shape.cpus * 2 : 0); // usable() leaves those
+            services + gangs + (machine->pool ? cluster_.service_shape.cpus * 2 : 0); // usable() leaves those
         need += lasts;
-        if (plain(*m)) {
-            have_ordinary += m->whole.cpus;
+        if (plain(*machine)) {
+            have_ordinary += machine->whole.cpus;
             need_ordinary += lasts;
         }
         gang_machines += gangs > 0;
-        ready += is_ready(*m);
-        lasting[m.get()] = services;
-        const bool paid = cluster_.now - m->known_since < min_charged_s;
-        if (!m->pool && gangs <= 0 && !paid && (m->reserved_for == nullptr || cluster_.now >= m->reserved_until))
-            list.push_back(m.get());
+        ready += is_ready(*machine);
+        lasting[machine.get()] = services;
+        const bool paid = cluster_.now - machine->known_since < min_charged_s;
+        if (!machine->pool && gangs <= 0 && !paid &&
+            (machine->reserved_for == nullptr || cluster_.now >= machine->reserved_until))
+            list.push_back(machine.get());
     }
-    for (const auto& [id, j] : cluster_.jobs) {
-        if (j->final != Final::none || j->pending.empty())
+    for (const auto& [id, job] : cluster_.jobs) {
+        if (job->final != Final::none || job->pending.empty())
             continue;
-        if (j->spec.shape != Shape::array)
-            need += j->spec.each.cpus * static_cast<double>(j->pending.size());
-        if (j->spec.shape == Shape::gang)
-            largest_gang = std::max(largest_gang, static_cast<double>(j->spec.tasks));
+        if (job->spec.shape != Shape::array)
+            need += job->spec.each.cpus * static_cast<double>(job->pending.size());
+        if (job->spec.shape == Shape::gang)
+            largest_gang = std::max(largest_gang, static_cast<double>(job->spec.tasks));
     }
     const auto due = array_need(), brought = offered();
     proposals_.log(
@@ -341,22 +343,23 @@
         return a->id > b->id;
     });
     keep_ready_ = gang_machines * spare_gangs + largest_gang;
-    for (auto* m : list) {
-        if (have - m->whole.cpus < need)
+    for (auto* machine : list) {
+        if (have - machine->whole.cpus < need)
             return;
-        if (plain(*m)) {
-            if (have_ordinary - m->whole.cpus < need_ordinary)
+        if (plain(*machine)) {
+            if (have_ordinary - machine->whole.cpus < need_ordinary)
                 continue;
-            have_ordinary -= m->whole.cpus;
+            have_ordinary -= machine->whole.cpus;
         }
-        if (m->whole.gpus > 0 && !m->spot) {
+        if (machine->whole.gpus > 0 && !machine->spot) {
             if (ready - 1 < keep_ready_)
                 continue;
             --ready;
         }
-        have -= m->whole.cpus;
-        proposals_.retire(*m, true);
-        proposals_.log(0, fmt::format("machine {} is to become empty, {:.0f} of its CPUs in use", m->id, m->used.cpus));
+        have -= machine->whole.cpus;
+        proposals_.retire(*machine, true);
+        proposals_.log(0, fmt::format("machine {} is to become empty, {:.0f} of its CPUs in use", machine->id,
+                                      machine->used.cpus));
     }
 }
 
@@ -373,90 +376,91 @@
     std::map<std::pair<int, bool>, Zone> zones;
     std::size_t spot_up = 0;
     std::vector<const Machine*> silent;
-    for (const auto& [id, m] : cluster_.machines) {
-        if (m->status != Status::up || m->releasing)
+    for (const auto& [id, machine] : cluster_.machines) {
+        if (machine->status != Status::up || machine->releasing)
             continue;
-        spot_up += m->spot;
-        const double since = cluster_.now - std::max({m->last_heartbeat_at, cluster_.started, m->known_since});
-        const bool unlisted = m->type < 0; // known from records only: mostly gone before we became leader
-        auto& z = zones[{m->zone, m->spot}];
+        spot_up += machine->spot;
+        const double since =
+            cluster_.now - std::max({machine->last_heartbeat_at, cluster_.started, machine->known_since});
+        const bool unlisted = machine->type < 0; // known from records only: mostly gone before we became leader
+        auto& z = zones[{machine->zone, machine->spot}];
         if (!unlisted)
             ++z.up;
         if (since < silent_heartbeats * settings_.report_s)
             continue;
         if (!unlisted)
             ++z.silent;
-        silent.push_back(m.get());
-        if (cluster_.now - m->asked_at < settings_.report_s || m->batch != 0)
+        silent.push_back(machine.get());
+        if (cluster_.now - machine->asked_at < settings_.report_s || machine->batch != 0)
             continue;
-        proposals_.ask(*m);
+        proposals_.ask(*machine);
     }
     proposals_.count_spot(spot_up);
-    for (const auto* m : silent) {
-        if (m->type < 0 && !cluster_.asked_all)
+    for (const auto* machine : silent) {
+        if (machine->type < 0 && !cluster_.asked_all)
             continue;
-        if ((!m->spot && m->type >= 0) ||
-            cluster_.now - std::max({m->last_heartbeat_at, cluster_.started, m->known_since}) <
+        if ((!machine->spot && machine->type >= 0) ||
+            cluster_.now - std::max({machine->last_heartbeat_at, cluster_.started, machine->known_since}) <
                 dead_heartbeats * settings_.report_s)
             continue;
-        const auto& ordinary = zones[{m->zone, false}];
-        const auto& spot = zones[{m->zone, true}];
-        const bool taken = m->draining && cluster_.now > m->notice_until;
+        const auto& ordinary = zones[{machine->zone, false}];
+        const auto& spot = zones[{machine->zone, true}];
+        const bool taken = machine->draining && cluster_.now > machine->notice_until;
         if (!taken && (ordinary.silent > 1 + max_silent * ordinary.up || spot.silent > 1 + spot.up / 2))
             continue;
-        proposals_.presume_dead(*m);
+        proposals_.presume_dead(*machine);
     }
 }
 
 // One that does not hear us keeps nothing for longer than a lease and can be given nothing. Alone it is given
 // back; with many others of its zone it is cut off, and worth waiting for a while.
 bool Autoscaler::inbound_unreachable_for_long(
-    const Machine& m, const std::map<int, std::pair<int, int>>& inbound_unreachable_by_zone) const {
-    if (!m.inbound_unreachable())
+    const Machine& machine, const std::map<int, std::pair<int, int>>& inbound_unreachable_by_zone) const {
+    if (!machine.inbound_unreachable())
         return false;
-    const auto& [inbound_unreachable, up] = inbound_unreachable_by_zone.at(m.zone);
+    const auto& [inbound_unreachable, up] = inbound_unreachable_by_zone.at(machine.zone);
     const bool cut = inbound_unreachable > 1 + max_silent * up;
-    return cluster_.now - m.inbound_unreachable_since > (cut ? cut_leases : no_worker_leases) * settings_.lease_s;
+    return cluster_.now - machine.inbound_unreachable_since > (cut ? cut_leases : no_worker_leases) * settings_.lease_s;
 }
 
 void Autoscaler::return_machines() {
     std::vector<std::string> out;
     std::map<int, std::pair<int, int>> inbound_unreachable_by_zone; // by zone, and those that are up
-    for (const auto& [id, m] : cluster_.machines) {
-        auto& z = inbound_unreachable_by_zone[m->zone];
-        z.first += m->inbound_unreachable();
-        z.second += m->status == Status::up;
+    for (const auto& [id, machine] : cluster_.machines) {
+        auto& z = inbound_unreachable_by_zone[machine->zone];
+        z.first += machine->inbound_unreachable();
+        z.second += machine->status == Status::up;
     }
     for (const auto& [id, mp] : cluster_.machines) {
-        const auto& m = *mp;
+        const auto& machine = *mp;
         if (out.size() >= max_returned)
             break;
-        if (m.release_asked || cluster_.now < m.release_retry)
+        if (machine.release_asked || cluster_.now < machine.release_retry)
             continue;
-        const auto* t = m.type >= 0 ? &cluster_.types[static_cast<std::size_t>(m.type)] : nullptr;
-        const double boot = t != nullptr ? t->boot_s : settings_.lease_s;
-        bool give_back = m.releasing;
-        if (m.status == Status::booting && cluster_.now - m.known_since > 5 * boot + settings_.lease_s)
+        const auto* type = machine.type >= 0 ? &cluster_.types[static_cast<std::size_t>(machine.type)] : nullptr;
+        const double boot = type != nullptr ? type->boot_s : settings_.lease_s;
+        bool give_back = machine.releasing;
+        if (machine.status == Status::booting && cluster_.now - machine.known_since > 5 * boot + settings_.lease_s)
             give_back = true;
-        if (m.status == Status::lost && m.entries.empty() &&
-            (m.bad || cluster_.now - m.lease_started_at > 2 * settings_.lease_s))
+        if (machine.status == Status::lost && machine.entries.empty() &&
+            (machine.bad || cluster_.now - machine.lease_started_at > 2 * settings_.lease_s))
             give_back = true;
-        if (m.bad && m.status == Status::up) {
-            for (auto& e : m.entries)
-                proposals_.stop(*e, e->job->spec.checkpoint_s > 0 ? e->job->spec.save_s + 1 : 0);
-            if (m.entries.empty())
+        if (machine.bad && machine.status == Status::up) {
+            for (auto& entry : machine.entries)
+                proposals_.stop(*entry, entry->job->spec.checkpoint_s > 0 ? entry->job->spec.save_s + 1 : 0);
+            if (machine.entries.empty())
                 give_back = true;
         }
-        const bool unwanted =
-            m.retiring || (settings_.ops.empty_s > 0 && cluster_.now - m.empty_since > settings_.ops.empty_s);
-        if (m.status == Status::up && m.entries.empty() && !m.draining && m.empty_since >= 0 && unwanted &&
-            cluster_.now - cluster_.started > settings_.report_s && m.batch == 0)
+        const bool unwanted = machine.retiring ||
+                              (settings_.ops.empty_s > 0 && cluster_.now - machine.empty_since > settings_.ops.empty_s);
+        if (machine.status == Status::up && machine.entries.empty() && !machine.draining && machine.empty_since >= 0 &&
+            unwanted && cluster_.now - cluster_.started > settings_.report_s && machine.batch == 0)
             give_back = true;
-        if (m.presumed_dead || inbound_unreachable_for_long(m, inbound_unreachable_by_zone))
+        if (machine.presumed_dead || inbound_unreachable_for_long(machine, inbound_unreachable_by_zone))
             give_back = true;
-        if (!give_back || (!m.entries.empty() && !m.presumed_dead))
+        if (!give_back || (!machine.entries.empty() && !machine.presumed_dead))
             continue;
-        proposals_.give_back(m);
+        proposals_.give_back(machine);
         out.push_back(id);
     }
     if (out.empty())
@@ -472,19 +476,19 @@
         double room = 0, services = 0, gangs = 0, arrays = 0;
     };
     std::map<std::string, Sum> kinds;
-    for (const auto& [id, m] : cluster_.machines) {
-        auto& s = kinds[m->type_name + (m->spot ? " (spot)" : "")];
-        s.booting += m->status == Status::booting;
-        if (m->status != Status::up)
+    for (const auto& [id, machine] : cluster_.machines) {
+        auto& s = kinds[machine->type_name + (machine->spot ? " (spot)" : "")];
+        s.booting += machine->status == Status::booting;
+        if (machine->status != Status::up)
             continue;
         ++s.up;
-        s.pool += m->pool;
-        s.empty += m->entries.empty();
-        s.room += m->whole.cpus;
-        for (const auto& e : m->entries)
-            (e->job->spec.shape == Shape::service ? s.services
-             : e->job->spec.shape == Shape::gang  ? s.gangs
-                                                  : s.arrays) += e->job->spec.each.cpus;
+        s.pool += machine->pool;
+        s.empty += machine->entries.empty();
+        s.room += machine->whole.cpus;
+        for (const auto& entry : machine->entries)
+            (entry->job->spec.shape == Shape::service ? s.services
+             : entry->job->spec.shape == Shape::gang  ? s.gangs
+                                                      : s.arrays) += entry->job->spec.each.cpus;
     }
     for (const auto& [kind, s] : kinds)
         proposals_.log(
@@ -493,17 +497,17 @@
                         "in gangs, {:.0f} in arrays",
                         kind, s.up, s.pool, s.empty, s.booting, s.room, s.services, s.gangs, s.arrays));
     std::map<Phase, std::size_t> phases;
-    for (const auto& [id, m] : cluster_.machines)
-        for (const auto& e : m->entries)
-            ++phases[e->phase];
+    for (const auto& [id, machine] : cluster_.machines)
+        for (const auto& entry : machine->entries)
+            ++phases[entry->phase];
     proposals_.log(
         0, fmt::format("tasks: {} placed, {} being stored, {} to be sent, {} sent, {} fetching, {} waiting, {} running",
                        phases[Phase::intent], phases[Phase::storing], phases[Phase::stored], phases[Phase::sent],
                        phases[Phase::fetching], phases[Phase::waiting], phases[Phase::running]));
     std::map<Priority, std::size_t> waiting;
-    for (const auto& [id, j] : cluster_.jobs)
-        if (j->final == Final::none)
-            waiting[j->priority] += j->pending.size();
+    for (const auto& [id, job] : cluster_.jobs)
+        if (job->final == Final::none)
+            waiting[job->priority] += job->pending.size();
     for (const auto& [priority, n] : waiting)
         proposals_.log(0, fmt::format("waiting: {} tasks of rank {}", n, static_cast<int>(priority)));
 }
--- a/src/scheduling/batch_assignment.cpp
+++ b/src/scheduling/batch_assignment.cpp
@@ -8,10 +8,10 @@
 
 namespace heronshift::placement {
 
-double pool_gain(const Payoff& f, double on_pool, double tasks, double target) {
+double pool_gain(const Payoff& payoff, double on_pool, double tasks, double target) {
     if (tasks <= 0)
         return 0;
-    return f((on_pool + 1) / tasks - target) - f(on_pool / tasks - target);
+    return payoff((on_pool + 1) / tasks - target) - payoff(on_pool / tasks - target);
 }
 
 double task_size(const Resources& each, const Resources& pool) {
@@ -67,8 +67,8 @@
 
     void list_digits() {
         width_ = groups_.size();
-        for (const auto& g : groups_)
-            states_ *= static_cast<std::size_t>(g.count) + 1;
+        for (const auto& group : groups_)
+            states_ *= static_cast<std::size_t>(group.count) + 1;
         digits_.resize(states_ * width_);
         std::size_t step = 1;
         for (std::size_t g = 0; g < width_; ++g) {
@@ -106,8 +106,8 @@
     Alike& alike(std::size_t b) {
         const auto& [free, whole] = bins_[b];
         key_.assign({free.cpus, free.gpus, free.memory_gb, whole.cpus, whole.gpus, whole.memory_gb});
-        for (const auto& g : groups_)
-            key_.push_back(g.cost[b]);
+        for (const auto& group : groups_)
+            key_.push_back(group.cost[b]);
         const auto [it, fresh] = alike_.try_emplace(key_);
         if (fresh)
             it->second.choices = list_choices(b);
--- a/src/scheduling/making_room.cpp
+++ b/src/scheduling/making_room.cpp
@@ -19,82 +19,83 @@
 } // namespace
 
 // What is lost when a task is stopped now, in CPU seconds.
-double Placement::loss_of(const Entry& e) const {
-    const auto& s = e.job->spec;
-    double run = e.running_at >= 0 ? cluster_.now - e.running_at : 0;
-    if (s.checkpoint_s > 0)
-        run = std::min(run, s.save_s);
-    return (run + 1) * s.each.cpus;
+double Placement::loss_of(const Entry& entry) const {
+    const auto& spec = entry.job->spec;
+    double run = entry.running_at >= 0 ? cluster_.now - entry.running_at : 0;
+    if (spec.checkpoint_s > 0)
+        run = std::min(run, spec.save_s);
+    return (run + 1) * spec.each.cpus;
 }
 
 // Room for some tasks on one machine: what is free, else what stopping work of lower rank would make,
 // lowest loss first. Each CPU second lost counts as so many seconds of delay.
-Placement::Room Placement::room_on(const Machine& m, const Job& j, int most, double loss_weight) const {
-    Room r;
-    r.machine = &m;
-    if (!j.spec.each.fits(m.whole - m.firm) || !usable(cluster_, m, j) || left_to_others(m, j))
-        return r;
-    if (m.reserved_for != nullptr && m.reserved_for != &j && cluster_.now < m.reserved_until)
-        return r;
+Placement::Room Placement::room_on(const Machine& machine, const Job& job, int most, double loss_weight) const {
+    Room room;
+    room.machine = &machine;
+    if (!job.spec.each.fits(machine.whole - machine.firm) || !usable(cluster_, machine, job) ||
+        left_to_others(machine, job))
+        return room;
+    if (machine.reserved_for != nullptr && machine.reserved_for != &job && cluster_.now < machine.reserved_until)
+        return room;
     const auto fits = [&](Resources left) {
         int n = 0;
-        for (; n < most && j.spec.each.fits(left); ++n)
-            left -= j.spec.each;
+        for (; n < most && job.spec.each.fits(left); ++n)
+            left -= job.spec.each;
         return n;
     };
-    auto free = m.whole - m.used;
+    auto free = machine.whole - machine.used;
     double loss = 0;
-    r.tasks = fits(free);
-    r.ready = r.tasks > 0;
-    if (!r.ready) {
+    room.tasks = fits(free);
+    room.ready = room.tasks > 0;
+    if (!room.ready) {
         std::vector<std::pair<double, const Entry*>> order;
-        for (const auto& e : m.entries) {
-            const auto& v = e->job->spec;
-            if (e->stop)
-                free += v.each;
-            else if (e->job->priority > j.priority && v.shape == Shape::array)
-                order.emplace_back(loss_of(*e), e.get());
+        for (const auto& entry : machine.entries) {
+            const auto& spec = entry->job->spec;
+            if (entry->stop)
+                free += spec.each;
+            else if (entry->job->priority > job.priority && spec.shape == Shape::array)
+                order.emplace_back(loss_of(*entry), entry.get());
         }
         std::sort(order.begin(), order.end(), [](const auto& a, const auto& b) { return a.first < b.first; });
-        r.tasks = fits(free);
+        room.tasks = fits(free);
         for (const auto& [l, e] : order) {
-            if (r.tasks >= most)
+            if (room.tasks >= most)
                 break;
             free += e->job->spec.each;
             loss += l;
-            r.victims.push_back(e);
-            r.tasks = fits(free);
+            room.victims.push_back(e);
+            room.tasks = fits(free);
         }
     }
-    if (r.tasks > 0)
-        r.cost = placement_cost(cluster_, m, j) + loss_weight * loss / r.tasks +
-                 placement::fragmentation(free - j.spec.each, m.whole, cluster_.common_shape);
+    if (room.tasks > 0)
+        room.cost = placement_cost(cluster_, machine, job) + loss_weight * loss / room.tasks +
+                    placement::fragmentation(free - job.spec.each, machine.whole, cluster_.common_shape);
     // Room that is being made stays the choice, or work would be stopped on ever more machines.
-    if (m.reserved_for == &j && cluster_.now < m.reserved_until)
-        r.cost -= chosen_already;
-    return r;
+    if (machine.reserved_for == &job && cluster_.now < machine.reserved_until)
+        room.cost -= chosen_already;
+    return room;
 }
 
-void Placement::take_room(const Room& r, const Job& j) {
-    for (const auto* e : r.victims)
-        proposals_.preempt(*e);
-    if (!r.victims.empty())
-        proposals_.log(
-            0, fmt::format("job {} takes the place of {} tasks on {}", j.spec.id, r.victims.size(), r.machine->id));
-    proposals_.reserve(*r.machine, j, r.tasks, cluster_.now + settings_.report_s, j.priority);
-    room_changed(*r.machine);
+void Placement::take_room(const Room& room, const Job& job) {
+    for (const auto* entry : room.victims)
+        proposals_.preempt(*entry);
+    if (!room.victims.empty())
+        proposals_.log(0, fmt::format("job {} takes the place of {} tasks on {}", job.spec.id, room.victims.size(),
+                                      room.machine->id));
+    proposals_.reserve(*room.machine, job, room.tasks, cluster_.now + settings_.report_s, job.priority);
+    room_changed(*room.machine);
 }
 
 // How long a task will go on, as far as its siblings tell.
-double Placement::rest_of(const Entry& e) const {
-    const auto& j = *e.job;
-    if (e.stop)
+double Placement::rest_of(const Entry& entry) const {
+    const auto& job = *entry.job;
+    if (entry.stop)
         return 0;
-    if (j.spec.shape != Shape::array)
+    if (job.spec.shape != Shape::array)
         return 1e18;
     const double whole =
-        j.runs >= few_runs ? j.run_sum / j.runs : std::max(1.0, j.spec.estimate_s) * cluster_.learned.bias();
-    const double ran = e.running_at >= 0 ? cluster_.now - e.running_at : 0;
+        job.runs >= few_runs ? job.run_sum / job.runs : std::max(1.0, job.spec.estimate_s) * cluster_.learned.bias();
+    const double ran = entry.running_at >= 0 ? cluster_.now - entry.running_at : 0;
     return std::max(whole - ran, whole * min_rest);
 }
 
@@ -105,8 +106,8 @@
         return list;
     releases_known_[position] = 1;
     std::vector<std::pair<double, const Entry*>> order;
-    for (const auto& e : index_.machines()[position]->entries)
-        order.emplace_back(rest_of(*e), e.get());
+    for (const auto& entry : index_.machines()[position]->entries)
+        order.emplace_back(rest_of(*entry), entry.get());
     // Neither addresses nor the order in which reports came may decide: processes differ in both.
     std::sort(order.begin(), order.end(), [](const auto& a, const auto& b) {
         const auto key = [](const auto& x) { return std::tie(x.first, x.second->job->spec.id, x.second->index); };
@@ -118,110 +119,114 @@
     return list;
 }
 
-bool Placement::may_await(const Machine& m, const Job& j) const {
-    if (!j.spec.each.fits(m.whole - m.firm) || !usable(cluster_, m, j) || left_to_others(m, j))
+bool Placement::may_await(const Machine& machine, const Job& job) const {
+    if (!job.spec.each.fits(machine.whole - machine.firm) || !usable(cluster_, machine, job) ||
+        left_to_others(machine, job))
         return false;
-    return m.reserved_for == nullptr || m.reserved_for == &j || cluster_.now >= m.reserved_until;
+    return machine.reserved_for == nullptr || machine.reserved_for == &job || cluster_.now >= machine.reserved_until;
 }
 
 // Where tasks end all the time, room comes by itself: the machines where it comes first are kept for the job,
 // or smaller tasks would fill each hole before it is large enough. Stopping work costs what it has done: on
 // the ferries' days half of the largest arrays' tasks were begun twice, a fifth of all.
-void Placement::await_room(const Job& j, int most, double within_s, Priority against) {
-    const auto wanted = static_cast<std::size_t>(std::min({most, static_cast<int>(j.pending.size()), quota_left(j)}));
+void Placement::await_room(const Job& job, int most, double within_s, Priority against) {
+    const auto wanted =
+        static_cast<std::size_t>(std::min({most, static_cast<int>(job.pending.size()), quota_left(job)}));
     if (wanted == 0)
         return;
     if (wanted == 1)
-        return await_first(j, within_s, against);
+        return await_first(job, within_s, against);
     struct Slot {
         double at;
         const Machine* machine;
     };
     std::vector<Slot> slots;
-    const PlacementCost cost_of(cluster_, j);
+    const PlacementCost cost_of(cluster_, job);
     for (std::size_t p = 0; p < index_.machines().size(); ++p) {
         const auto* m = index_.machines()[p];
-        if (!may_await(*m, j))
+        if (!may_await(*m, job))
             continue;
         auto free = m->whole - m->used;
         const double cost = cost_of(*m);
-        for (const auto& r : releases_on(p)) {
-            if (r.rest_s > within_s)
+        for (const auto& effect : releases_on(p)) {
+            if (effect.rest_s > within_s)
                 break;
-            free += r.each;
-            for (; j.spec.each.fits(free); free -= j.spec.each)
-                slots.push_back({r.rest_s + cost, m});
+            free += effect.each;
+            for (; job.spec.each.fits(free); free -= job.spec.each)
+                slots.push_back({effect.rest_s + cost, m});
         }
     }
-    std::stable_sort(slots.begin(), slots.end(), [](const Slot& a, const Slot& b) { return a.at < b.at; });
+    std::stable_sort(slots.begin(), slots.end(), [](const Slot& slot, const Slot& b) { return slot.at < b.at; });
     if (slots.size() > wanted)
         slots.resize(wanted);
     std::map<const Machine*, int> tasks;
     for (const auto& s : slots)
         ++tasks[s.machine];
     for (const auto& [m, n] : tasks) {
-        proposals_.reserve(*m, j, n, cluster_.now + settings_.report_s, against);
+        proposals_.reserve(*m, job, n, cluster_.now + settings_.report_s, against);
         room_changed(*m);
     }
 }
 
 // The same for one task: machines where nothing ends before the best so far are passed over at once.
-void Placement::await_first(const Job& j, double within_s, Priority against) {
+void Placement::await_first(const Job& job, double within_s, Priority against) {
     const Machine* best = nullptr;
     double best_at = std::numeric_limits<double>::infinity();
-    const PlacementCost cost_of(cluster_, j);
+    const PlacementCost cost_of(cluster_, job);
     for (std::size_t p = 0; p < index_.machines().size(); ++p) {
         const auto& releases = releases_on(p);
         if (releases.empty() || releases.front().rest_s >= best_at)
             continue;
-        const auto* m = index_.machines()[p];
-        if (!may_await(*m, j))
+        const auto* machine = index_.machines()[p];
+        if (!may_await(*machine, job))
             continue;
-        auto free = m->whole - m->used;
-        for (const auto& r : releases) {
-            if (r.rest_s > within_s || r.rest_s >= best_at)
+        auto free = machine->whole - machine->used;
+        for (const auto& effect : releases) {
+            if (effect.rest_s > within_s || effect.rest_s >= best_at)
                 break;
-            free += r.each;
-            if (!j.spec.each.fits(free))
+            free += effect.each;
+            if (!job.spec.each.fits(free))
                 continue;
-            const double at = r.rest_s + cost_of(*m);
+            const double at = effect.rest_s + cost_of(*machine);
             if (at < best_at) {
                 best_at = at;
-                best = m;
+                best = machine;
             }
             break;
         }
     }
     if (best == nullptr)
         return;
-    proposals_.reserve(*best, j, 1, cluster_.now + settings_.report_s, against);
+    proposals_.reserve(*best, job, 1, cluster_.now + settings_.report_s, against);
     room_changed(*best);
 }
 
 // Stops work of lower rank where that costs least, below the given cost a task. Returns for how
 // many tasks there will be room.
-int Placement::make_room(const Job& j, double cap) {
-    int left = std::min(static_cast<int>(j.pending.size()), quota_left(j)), made = 0;
+int Placement::make_room(const Job& job, double cap) {
+    int left = std::min(static_cast<int>(job.pending.size()), quota_left(job)), made = 0;
     std::vector<Room> rooms;
-    const PlacementCost cost_of(cluster_, j);
-    for (const auto* m : index_.machines()) {
-        if (j.spec.each.fits(m->whole - m->used) || (m->reserved_for != &j && cost_of(*m) >= cap))
+    const PlacementCost cost_of(cluster_, job);
+    for (const auto* machine : index_.machines()) {
+        if (job.spec.each.fits(machine->whole - machine->used) ||
+            (machine->reserved_for != &job && cost_of(*machine) >= cap))
             continue; // nothing has to be stopped there, or it costs too much as it is
-        if (auto r = room_on(*m, j, left, replica_loss_weight); r.tasks > 0 && !r.victims.empty() && r.cost < cap)
-            rooms.push_back(std::move(r));
+        if (auto room = room_on(*machine, job, left, replica_loss_weight);
+            room.tasks > 0 && !room.victims.empty() && room.cost < cap)
+            rooms.push_back(std::move(room));
     }
     std::sort(rooms.begin(), rooms.end(), [](const Room& a, const Room& b) { return a.cost < b.cost; });
-    for (const auto& r : rooms) {
+    for (const auto& room : rooms) {
         if (left <= 0)
             break;
-        if (j.spec.spread) {
+        if (job.spec.spread) {
             // Each zone takes a part only; which, the placement decides.
-            if (made >= static_cast<int>(half_up(j.spec.tasks)))
+            if (made >= static_cast<int>(half_up(job.spec.tasks)))
                 break;
         }
-        take_room(r, j);
-        left -= r.tasks;
-        made += r.tasks;
+        take_room(room, job);
+        left -= room.tasks;
+        made += room.tasks;
     }
     return made;
 }
@@ -229,36 +234,37 @@
 // A gang goes whole or waits; with one_zone, into the zone that takes all of it at least cost. Where
 // work of lower rank is in the way, all its room is made or none: half of it would help nobody and
 // keep it from others.
-bool Placement::place_gang(const Job& j) {
-    const int tasks = static_cast<int>(j.spec.tasks);
-    if (j.live > 0 || cluster_.now < j.room_until || quota_left(j) < tasks)
+bool Placement::place_gang(const Job& job) {
+    const int tasks = static_cast<int>(job.spec.tasks);
+    if (job.live > 0 || cluster_.now < job.room_until || quota_left(job) < tasks)
         return false;
-    proposals_.room_asked(j, cluster_.now + settings_.report_s / 10); // looking at all machines takes time
+    proposals_.room_asked(job, cluster_.now + settings_.report_s / 10); // looking at all machines takes time
     std::vector<Room> best;
     double best_cost = 1e18;
-    const bool may_stop = j.priority <= Priority::high;
-    const int tries = j.spec.one_zone ? static_cast<int>(settings_.zones.size()) : 1;
+    const bool may_stop = job.priority <= Priority::high;
+    const int tries = job.spec.one_zone ? static_cast<int>(settings_.zones.size()) : 1;
     for (int z = 0; z < tries; ++z) {
         std::vector<Room> rooms;
-        for (const auto* m : index_.machines())
-            if (!j.spec.one_zone || m->zone == z)
-                if (auto r = room_on(*m, j, tasks, gang_loss_weight); r.tasks > 0 && (r.ready || may_stop))
-                    rooms.push_back(std::move(r));
+        for (const auto* machine : index_.machines())
+            if (!job.spec.one_zone || machine->zone == z)
+                if (auto room = room_on(*machine, job, tasks, gang_loss_weight);
+                    room.tasks > 0 && (room.ready || may_stop))
+                    rooms.push_back(std::move(room));
         std::sort(rooms.begin(), rooms.end(), [](const Room& a, const Room& b) { return a.cost < b.cost; });
         std::vector<std::uint32_t> zone(settings_.zones.size());
         std::vector<Room> chosen;
         int left = tasks;
         double cost = 0;
-        for (auto& r : rooms) {
-            auto& in_zone = zone[static_cast<std::size_t>(r.machine->zone)];
-            const int most = j.spec.spread ? static_cast<int>(half_up(j.spec.tasks) - in_zone) : left;
-            r.tasks = std::min({r.tasks, left, most});
-            if (r.tasks <= 0)
+        for (auto& room : rooms) {
+            auto& in_zone = zone[static_cast<std::size_t>(room.machine->zone)];
+            const int most = job.spec.spread ? static_cast<int>(half_up(job.spec.tasks) - in_zone) : left;
+            room.tasks = std::min({room.tasks, left, most});
+            if (room.tasks <= 0)
                 continue;
-            in_zone += static_cast<std::uint32_t>(r.tasks);
-            left -= r.tasks;
-            cost += r.cost * r.tasks;
-            chosen.push_back(std::move(r));
+            in_zone += static_cast<std::uint32_t>(room.tasks);
+            left -= room.tasks;
+            cost += room.cost * room.tasks;
+            chosen.push_back(std::move(room));
             if (left == 0)
                 break;
         }
@@ -269,16 +275,16 @@
     }
     if (best.empty())
         return false;
-    const bool ready = std::all_of(best.begin(), best.end(), [](const Room& r) { return r.ready; });
+    const bool ready = std::all_of(best.begin(), best.end(), [](const Room& room) { return room.ready; });
     if (!ready) {
-        for (const auto& r : best)
-            take_room(r, j);
+        for (const auto& room : best)
+            take_room(room, job);
         return false;
     }
-    proposals_.gang_whole(j);
-    for (const auto& r : best)
-        for (int n = 0; n < r.tasks; ++n)
-            place(j, *r.machine);
+    proposals_.gang_whole(job);
+    for (const auto& room : best)
+        for (int n = 0; n < room.tasks; ++n)
+            place(job, *room.machine);
     return true;
 }
 
--- a/src/scheduling/placement.cpp
+++ b/src/scheduling/placement.cpp
@@ -20,22 +20,23 @@
 // become empty and go back.
 void Placement::choose_pool() {
     Resources need, largest;
-    for (const auto& [id, j] : cluster_.jobs)
-        if (j->spec.shape == Shape::service && j->final == Final::none && !j->waits) {
-            need += j->spec.each * j->spec.tasks;
-            largest.cpus = std::max(largest.cpus, j->spec.each.cpus);
-            largest.memory_gb = std::max(largest.memory_gb, j->spec.each.memory_gb);
+    for (const auto& [id, job] : cluster_.jobs)
+        if (job->spec.shape == Shape::service && job->final == Final::none && !job->waits) {
+            need += job->spec.each * job->spec.tasks;
+            largest.cpus = std::max(largest.cpus, job->spec.each.cpus);
+            largest.memory_gb = std::max(largest.memory_gb, job->spec.each.memory_gb);
         }
     need = need * (1 + settings_.ops.headroom) + largest * static_cast<double>(settings_.zones.size());
     std::map<int, std::vector<const Machine*>> by_zone;
     std::vector<const Machine*> pool;
     std::size_t total = 0;
-    for (const auto& [id, m] : cluster_.machines) {
-        if (m->spot || m->status != Status::up || m->bad || m->releasing || m->type < 0 || m->zone < 0)
+    for (const auto& [id, machine] : cluster_.machines) {
+        if (machine->spot || machine->status != Status::up || machine->bad || machine->releasing || machine->type < 0 ||
+            machine->zone < 0)
             continue;
-        if (cluster_.types[static_cast<std::size_t>(m->type)].room.gpus > 0)
+        if (cluster_.types[static_cast<std::size_t>(machine->type)].room.gpus > 0)
             continue;
-        by_zone[m->zone].push_back(m.get());
+        by_zone[machine->zone].push_back(machine.get());
         ++total;
     }
     for (auto& [z, list] : by_zone)
@@ -57,34 +58,34 @@
 
 // On ordinary machines what may use nothing else goes first, whatever its rank, until the others' aims are in
 // danger: with most room on spot machines, those would fill the few ordinary ones as well.
-bool Placement::left_to_others(const Machine& m, const Job& j) const {
-    return ordinary_waits_ && j.spec.spot && plain(m);
+bool Placement::left_to_others(const Machine& machine, const Job& job) const {
+    return ordinary_waits_ && job.spec.spot && plain(machine);
 }
 
 // The machines with room for a task where it is wise to place it now.
-std::vector<std::uint32_t> Placement::find_room(const Job& j) const {
-    const bool leave_plain = ordinary_waits_ && j.spec.spot;
-    return index_.find(j, leave_plain ? RoomIndex::PlainMachines::left_out : RoomIndex::PlainMachines::included);
+std::vector<std::uint32_t> Placement::find_room(const Job& job) const {
+    const bool leave_plain = ordinary_waits_ && job.spec.spot;
+    return index_.find(job, leave_plain ? RoomIndex::PlainMachines::left_out : RoomIndex::PlainMachines::included);
 }
 
-void Placement::place(const Job& j, const Machine& m) {
-    proposals_.place(j, m);
-    room_changed(m);
+void Placement::place(const Job& job, const Machine& machine) {
+    proposals_.place(job, machine);
+    room_changed(machine);
 }
 
 // A task came, one was stopped or a reservation made: what this pass knows of the machine is outdated.
-void Placement::room_changed(const Machine& m) {
-    index_.update(m);
-    if (const auto at = index_.position(m); at != RoomIndex::none)
+void Placement::room_changed(const Machine& machine) {
+    index_.update(machine);
+    if (const auto at = index_.position(machine); at != RoomIndex::none)
         releases_known_[at] = 0;
 }
 
 // How many more tasks the team's limit allows, unless it is kept for another of its jobs.
-int Placement::quota_left(const Job& j) const {
-    if (j.team < 0)
+int Placement::quota_left(const Job& job) const {
+    if (job.team < 0)
         return 0;
-    const auto* first = first_of_team_[static_cast<std::size_t>(j.team)];
-    return first != nullptr && first != &j ? 0 : cluster_.quota_room(j);
+    const auto* first = first_of_team_[static_cast<std::size_t>(job.team)];
+    return first != nullptr && first != &job ? 0 : cluster_.quota_room(job);
 }
 
 // Small work goes first, so that most jobs are home in time; a large one might wait for ever. From a day on which
@@ -93,35 +94,35 @@
 void Placement::begin_waiting(const std::vector<const Job*>& jobs) {
     first_of_team_.assign(cluster_.teams.size(), nullptr);
     std::vector<const Job*> late;
-    for (const auto* j : jobs)
-        if (j->spec.shape == Shape::array && j->live == 0 && j->done == 0 && j->team >= 0 &&
-            cluster_.now - j->ready > begin_share * settings_.ops.begin_s)
-            late.push_back(j);
+    for (const auto* job : jobs)
+        if (job->spec.shape == Shape::array && job->live == 0 && job->done == 0 && job->team >= 0 &&
+            cluster_.now - job->ready > begin_share * settings_.ops.begin_s)
+            late.push_back(job);
     std::sort(late.begin(), late.end(), [](const Job* a, const Job* b) {
         return std::tie(a->ready, a->spec.id) < std::tie(b->ready, b->spec.id);
     });
-    for (const auto* j : late) {
-        auto& first = first_of_team_[static_cast<std::size_t>(j->team)];
+    for (const auto* job : late) {
+        auto& first = first_of_team_[static_cast<std::size_t>(job->team)];
         if (first != nullptr)
             continue;
-        if (cluster_.quota_room(*j) < 1) {
-            first = j;
+        if (cluster_.quota_room(*job) < 1) {
+            first = job;
             continue;
         }
-        if (place_batch({j}, 1, 1e18) > 0 || cluster_.now < j->room_until)
+        if (place_batch({job}, 1, 1e18) > 0 || cluster_.now < job->room_until)
             continue;
-        proposals_.room_asked(*j, cluster_.now + settings_.report_s / 2);
-        await_room(*j, 1, 1e18, Priority::critical);
+        proposals_.room_asked(*job, cluster_.now + settings_.report_s / 2);
+        await_room(*job, 1, 1e18, Priority::critical);
     }
 }
 
 // The payoff of one more task on the pool counts before everything but the number.
-double Placement::batch_cost(const PlacementCost& cost_of, const Machine& m, const Job& j) const {
-    const double cost = cost_of(m);
-    if (!m.pool || j.spec.shape != Shape::service)
+double Placement::batch_cost(const PlacementCost& cost_of, const Machine& machine, const Job& job) const {
+    const double cost = cost_of(machine);
+    if (!machine.pool || job.spec.shape != Shape::service)
         return cost;
-    const placement::Payoff f{settings_.ops.alpha, settings_.ops.beta, settings_.ops.gamma};
-    const double gain = placement::pool_gain(f, j.on_pool, j.spec.tasks, settings_.ops.target_share);
+    const placement::Payoff payoff{settings_.ops.alpha, settings_.ops.beta, settings_.ops.gamma};
+    const double gain = placement::pool_gain(payoff, job.on_pool, job.spec.tasks, settings_.ops.target_share);
     return std::max(0.0, cost + 1 - gain / settings_.ops.gamma);
 }
 
@@ -131,19 +132,19 @@
     std::map<int, int> team_left;
     int left = most;
     std::vector<const Job*> jobs;
-    for (auto* j : batch) {
-        proposals_.drop_settled(*j, true);
+    for (auto* job : batch) {
+        proposals_.drop_settled(*job, true);
         // Of one team only the first may use up its limit.
-        if (team_left.contains(j->team))
+        if (team_left.contains(job->team))
             continue;
-        const int n = std::min({left, static_cast<int>(j->pending.size()), quota_left(*j)});
+        const int n = std::min({left, static_cast<int>(job->pending.size()), quota_left(*job)});
         if (n <= 0)
             continue;
-        const auto& l = cluster_.teams[static_cast<std::size_t>(j->team)].limits;
-        if (l.cpus_max > 0 || l.gpus_max > 0)
-            team_left[j->team] = 0;
-        groups.push_back({j->spec.each, n, {}});
-        jobs.push_back(j);
+        const auto& limits = cluster_.teams[static_cast<std::size_t>(job->team)].limits;
+        if (limits.cpus_max > 0 || limits.gpus_max > 0)
+            team_left[job->team] = 0;
+        groups.push_back({job->spec.each, n, {}});
+        jobs.push_back(job);
         left -= n;
         if (left == 0)
             break;
@@ -152,8 +153,8 @@
         return 0;
     std::vector<std::vector<std::uint32_t>> rooms;
     std::vector<std::uint32_t> positions; // of all of them
-    for (const auto* j : jobs) {
-        rooms.push_back(find_room(*j));
+    for (const auto* job : jobs) {
+        rooms.push_back(find_room(*job));
         positions.insert(positions.end(), rooms.back().begin(), rooms.back().end());
     }
     if (positions.empty())
@@ -163,9 +164,9 @@
     std::vector<placement::Bin> bins;
     std::vector<const Machine*> machines;
     for (const auto p : positions) {
-        const auto* m = index_.machines()[p];
-        machines.push_back(m);
-        bins.push_back({m->whole - m->used, m->whole});
+        const auto* machine = index_.machines()[p];
+        machines.push_back(machine);
+        bins.push_back({machine->whole - machine->used, machine->whole});
     }
     for (std::size_t g = 0; g < groups.size(); ++g) {
         groups[g].cost.assign(bins.size(), -1);
@@ -190,30 +191,30 @@
 }
 
 // Jobs with zone rules: task by task, since each placement changes where the next may go.
-int Placement::place_single(const Job& j, double cap) {
+int Placement::place_single(const Job& job, double cap) {
     int placed = 0;
-    while (!j.pending.empty() && quota_left(j) > 0) {
-        proposals_.drop_settled(j, false);
-        if (j.pending.empty())
+    while (!job.pending.empty() && quota_left(job) > 0) {
+        proposals_.drop_settled(job, false);
+        if (job.pending.empty())
             break;
         const Machine* best = nullptr;
         double best_cost = cap;
-        const PlacementCost cost_of(cluster_, j);
-        for (const auto p : find_room(j)) {
-            const auto* m = index_.machines()[p];
-            const auto free = m->whole - m->used;
-            double cost = cost_of(*m);
-            if (j.spec.spread)
-                cost += j.zone_live[static_cast<std::size_t>(m->zone)];
-            cost += placement::fragmentation(free - j.spec.each, m->whole, cluster_.common_shape);
+        const PlacementCost cost_of(cluster_, job);
+        for (const auto p : find_room(job)) {
+            const auto* machine = index_.machines()[p];
+            const auto free = machine->whole - machine->used;
+            double cost = cost_of(*machine);
+            if (job.spec.spread)
+                cost += job.zone_live[static_cast<std::size_t>(machine->zone)];
+            cost += placement::fragmentation(free - job.spec.each, machine->whole, cluster_.common_shape);
             if (cost < best_cost) {
                 best_cost = cost;
-                best = m;
+                best = machine;
             }
         }
         if (best == nullptr)
             break;
-        place(j, *best);
+        place(job, *best);
         ++placed;
     }
     return placed;
@@ -221,27 +222,27 @@
 
 // Replicas last: a good place, on the pool and with the image at hand, is worth stopping a little
 // work of lower rank for, where what is free would make them wait longer.
-int Placement::place_service(const Job& j) {
+int Placement::place_service(const Job& job) {
     auto place = [&](double cap) {
-        if (j.spec.spread || j.spec.one_zone)
-            return place_single(j, cap);
+        if (job.spec.spread || job.spec.one_zone)
+            return place_single(job, cap);
         int placed = 0, n = 0;
-        while ((n = place_batch({&j}, settings_.ops.batch, cap)) > 0)
+        while ((n = place_batch({&job}, settings_.ops.batch, cap)) > 0)
             placed += n;
         return placed;
     };
     int placed = place(good_place_s);
-    if (j.pending.empty() || quota_left(j) <= 0)
+    if (job.pending.empty() || quota_left(job) <= 0)
         return placed;
-    if (cluster_.now < j.room_until && j.good_room)
+    if (cluster_.now < job.room_until && job.good_room)
         return placed; // being made
     double free_cost = 1e18;
-    const PlacementCost cost_of(cluster_, j);
-    for (const auto p : index_.find(j, RoomIndex::PlainMachines::included))
+    const PlacementCost cost_of(cluster_, job);
+    for (const auto p : index_.find(job, RoomIndex::PlainMachines::included))
         free_cost = std::min(free_cost, cost_of(*index_.machines()[p]));
-    proposals_.good_room(j, cluster_.now >= j.room_until && make_room(j, free_cost) > 0);
-    if (j.good_room)
-        proposals_.room_asked(j, cluster_.now + settings_.report_s / 6);
+    proposals_.good_room(job, cluster_.now >= job.room_until && make_room(job, free_cost) > 0);
+    if (job.good_room)
+        proposals_.room_asked(job, cluster_.now + settings_.report_s / 6);
     else
         placed += place(1e18);
     return placed;
@@ -263,40 +264,41 @@
     const auto jobs = waiting_jobs(cluster_, shape);
     waiting_ = jobs.size();
     begin_waiting(jobs);
-    ordinary_waits_ = std::any_of(jobs.begin(), jobs.end(), [this](const Job* j) {
-        return j->spec.shape == Shape::array && !j->spec.spot && quota_left(*j) > 0;
+    ordinary_waits_ = std::any_of(jobs.begin(), jobs.end(), [this](const Job* job) {
+        return job->spec.shape == Shape::array && !job->spec.spot && quota_left(*job) > 0;
     });
     proposals_.set_common_shape(shape);
     std::vector<NoRoom> failed;
     int budget = 64; // placements a pass, so that beats and users are not kept waiting
     for (std::size_t k = 0; k < jobs.size() && budget > 0; ++k) {
-        const auto& j = *jobs[k];
-        const bool hopeless = j.priority > Priority::high && // room may have been made for those
-                              std::any_of(failed.begin(), failed.end(), [&](const NoRoom& f) { return covers(f, j); });
+        const auto& job = *jobs[k];
+        const bool hopeless =
+            job.priority > Priority::high && // room may have been made for those
+            std::any_of(failed.begin(), failed.end(), [&](const NoRoom& f) { return covers(f, job); });
         if (!hopeless)
             budget -= place_waiting(jobs, k, budget);
-        if (j.pending.empty() || j.live == j.spec.tasks)
+        if (job.pending.empty() || job.live == job.spec.tasks)
             continue;
         if (budget <= 0)
             break;
-        note_no_room(failed, j);
-        ask_for_room(j);
+        note_no_room(failed, job);
+        ask_for_room(job);
     }
     if (budget <= 0)
         proposals_.request_pass();
 }
 
 // If a smaller task found no place, a larger one won't.
-bool Placement::covers(const NoRoom& f, const Job& j) const {
-    const bool no_less = f.spot ? j.spec.spot || !ordinary_waits_ : !j.spec.spot;
-    return f.each.fits(j.spec.each) && no_less;
+bool Placement::covers(const NoRoom& f, const Job& job) const {
+    const bool no_less = f.spot ? job.spec.spot || !ordinary_waits_ : !job.spec.spot;
+    return f.each.fits(job.spec.each) && no_less;
 }
 
 // What is covered already adds nothing: only the smallest are kept.
-void Placement::note_no_room(std::vector<NoRoom>& list, const Job& j) const {
-    const auto& spec = j.spec;
+void Placement::note_no_room(std::vector<NoRoom>& list, const Job& job) const {
+    const auto& spec = job.spec;
     const bool anywhere = spec.types.empty() && spec.zone.empty() && !spec.spread && !spec.one_zone;
-    if (!anywhere || spec.shape == Shape::gang || quota_left(j) <= 0)
+    if (!anywhere || spec.shape == Shape::gang || quota_left(job) <= 0)
         return;
     const auto known = [&](const NoRoom& f) {
         return f.spot == spec.spot && f.each.cpus <= spec.each.cpus && f.each.gpus <= spec.each.gpus &&
@@ -308,18 +310,18 @@
 
 // Places what it can of the job at that place of the list, and of those that share a batch with it.
 int Placement::place_waiting(const std::vector<const Job*>& jobs, std::size_t at, int budget) {
-    const auto& j = *jobs[at];
-    if (j.spec.shape == Shape::gang)
-        return place_gang(j) ? static_cast<int>(j.spec.tasks) : 0;
-    if (j.spec.shape == Shape::service)
-        return place_service(j);
-    if (j.spec.spread || j.spec.one_zone)
-        return place_single(j, 1e18);
-    std::vector<const Job*> batch{&j};
-    std::size_t total = j.pending.size();
+    const auto& job = *jobs[at];
+    if (job.spec.shape == Shape::gang)
+        return place_gang(job) ? static_cast<int>(job.spec.tasks) : 0;
+    if (job.spec.shape == Shape::service)
+        return place_service(job);
+    if (job.spec.spread || job.spec.one_zone)
+        return place_single(job, 1e18);
+    std::vector<const Job*> batch{&job};
+    std::size_t total = job.pending.size();
     for (std::size_t i = at + 1; i < jobs.size() && total < static_cast<std::size_t>(settings_.ops.batch); ++i) {
-        const auto& o = jobs[i]->spec;
-        if (o.shape == Shape::gang || o.spread || o.one_zone || jobs[i]->priority != j.priority)
+        const auto& spec = jobs[i]->spec;
+        if (spec.shape == Shape::gang || spec.spread || spec.one_zone || jobs[i]->priority != job.priority)
             break;
         batch.push_back(jobs[i]);
         total += jobs[i]->pending.size();
@@ -331,15 +333,15 @@
 }
 
 // Urgent work keeps the machines where room comes first, or once it has waited for too long takes it.
-void Placement::ask_for_room(const Job& j) {
-    if (j.spec.shape == Shape::gang || j.priority > Priority::high || cluster_.now < j.room_until)
+void Placement::ask_for_room(const Job& job) {
+    if (job.spec.shape == Shape::gang || job.priority > Priority::high || cluster_.now < job.room_until)
         return;
-    proposals_.room_asked(j, cluster_.now + settings_.report_s / 2);
-    const double left = j.ready + patience_s(cluster_, j) - cluster_.now;
+    proposals_.room_asked(job, cluster_.now + settings_.report_s / 2);
+    const double left = job.ready + patience_s(cluster_, job) - cluster_.now;
     if (left > 0)
-        await_room(j, static_cast<int>(j.spec.tasks), left, j.priority);
+        await_room(job, static_cast<int>(job.spec.tasks), left, job.priority);
     else
-        make_room(j, 1e18);
+        make_room(job, 1e18);
 }
 
 } // namespace heronshift::scheduling
--- a/src/scheduling/room_index.cpp
+++ b/src/scheduling/room_index.cpp
@@ -10,8 +10,9 @@
 constexpr double rounding = 1e-9; // sums in another order than usable() has them; find() asks that again
 const Resources no_room{-1e18, -1e18, -1e18};
 
-Resources larger_of_each(const Resources& a, const Resources& b) {
-    return {std::max(a.cpus, b.cpus), std::max(a.gpus, b.gpus), std::max(a.memory_gb, b.memory_gb)};
+Resources larger_of_each(const Resources& resources, const Resources& b) {
+    return {std::max(resources.cpus, b.cpus), std::max(resources.gpus, b.gpus),
+            std::max(resources.memory_gb, b.memory_gb)};
 }
 
 } // namespace
@@ -48,112 +49,113 @@
 }
 
 // The part of usable() that is the same for all jobs.
-bool RoomIndex::takes_work(const Machine& m) const {
-    if (m.status != Status::up || m.draining || m.bad || m.releasing || m.retiring || m.type < 0 || m.zone < 0 ||
-        !m.proven || m.inbound_unreachable())
+bool RoomIndex::takes_work(const Machine& machine) const {
+    if (machine.status != Status::up || machine.draining || machine.bad || machine.releasing || machine.retiring ||
+        machine.type < 0 || machine.zone < 0 || !machine.proven || machine.inbound_unreachable())
         return false;
-    return cluster_.now >= m.avoid_until && cluster_.now <= m.last_heartbeat_at + 1.5 * cluster_.settings.report_s;
+    return cluster_.now >= machine.avoid_until &&
+           cluster_.now <= machine.last_heartbeat_at + 1.5 * cluster_.settings.report_s;
 }
 
-bool RoomIndex::is_reserved(const Machine& m) const {
-    return m.reserved_for != nullptr && cluster_.now < m.reserved_until;
+bool RoomIndex::is_reserved(const Machine& machine) const {
+    return machine.reserved_for != nullptr && cluster_.now < machine.reserved_until;
 }
 
-Resources RoomIndex::service_room(const Machine& m) const {
-    return is_reserved(m) ? no_room : m.whole - m.used;
+Resources RoomIndex::service_room(const Machine& machine) const {
+    return is_reserved(machine) ? no_room : machine.whole - machine.used;
 }
 
-Resources RoomIndex::task_room(const Machine& m) const {
-    if (is_reserved(m) || cluster_.now < m.slow_until)
+Resources RoomIndex::task_room(const Machine& machine) const {
+    if (is_reserved(machine) || cluster_.now < machine.slow_until)
         return no_room;
-    const auto free = m.whole - m.used;
-    return m.pool ? free - cluster_.service_shape * 2 + Resources{rounding, rounding, rounding} : free;
+    const auto free = machine.whole - machine.used;
+    return machine.pool ? free - cluster_.service_shape * 2 + Resources{rounding, rounding, rounding} : free;
 }
 
 void RoomIndex::rebuild() {
     machines_.clear();
     places_.clear();
     reserved_.clear();
-    for (auto& [key, g] : groups_) {
-        g.members.clear();
-        g.service_rooms.clear();
-        g.task_rooms.clear();
+    for (auto& [key, group] : groups_) {
+        group.members.clear();
+        group.service_rooms.clear();
+        group.task_rooms.clear();
     }
-    for (const auto& [id, m] : cluster_.machines) {
-        if (!takes_work(*m))
+    for (const auto& [id, machine] : cluster_.machines) {
+        if (!takes_work(*machine))
             continue;
         const auto at = static_cast<std::uint32_t>(machines_.size());
-        machines_.push_back(m.get());
-        auto& g = groups_[{m->type, m->zone, m->spot}];
-        places_.push_back({&g, static_cast<std::uint32_t>(g.members.size())});
-        g.members.push_back(at);
-        g.service_rooms.push_back(service_room(*m));
-        g.task_rooms.push_back(task_room(*m));
-        note_reservation(*m, at);
+        machines_.push_back(machine.get());
+        auto& group = groups_[{machine->type, machine->zone, machine->spot}];
+        places_.push_back({&group, static_cast<std::uint32_t>(group.members.size())});
+        group.members.push_back(at);
+        group.service_rooms.push_back(service_room(*machine));
+        group.task_rooms.push_back(task_room(*machine));
+        note_reservation(*machine, at);
     }
-    for (auto& [key, g] : groups_) {
-        g.for_services.assign(g.service_rooms);
-        g.for_tasks.assign(g.task_rooms);
+    for (auto& [key, group] : groups_) {
+        group.for_services.assign(group.service_rooms);
+        group.for_tasks.assign(group.task_rooms);
     }
 }
 
-void RoomIndex::note_reservation(const Machine& m, std::uint32_t at) {
-    if (is_reserved(m))
-        reserved_.push_back({at, m.reserved_for, m.reserved_priority});
+void RoomIndex::note_reservation(const Machine& machine, std::uint32_t at) {
+    if (is_reserved(machine))
+        reserved_.push_back({at, machine.reserved_for, machine.reserved_priority});
 }
 
-std::size_t RoomIndex::position(const Machine& m) const {
-    const auto it = std::lower_bound(machines_.begin(), machines_.end(), &m,
+std::size_t RoomIndex::position(const Machine& machine) const {
+    const auto it = std::lower_bound(machines_.begin(), machines_.end(), &machine,
                                      [](const Machine* a, const Machine* b) { return a->id < b->id; });
-    return it != machines_.end() && *it == &m ? static_cast<std::size_t>(it - machines_.begin()) : none;
+    return it != machines_.end() && *it == &machine ? static_cast<std::size_t>(it - machines_.begin()) : none;
 }
 
-void RoomIndex::update(const Machine& m) {
-    const auto found = position(m);
+void RoomIndex::update(const Machine& machine) {
+    const auto found = position(machine);
     if (found == none)
         return;
     const auto at = static_cast<std::uint32_t>(found);
     std::erase_if(reserved_, [at](const Reservation& r) { return r.machine == at; });
-    note_reservation(m, at);
+    note_reservation(machine, at);
     const auto& place = places_[found];
-    place.group->for_services.set(place.member, service_room(m));
-    place.group->for_tasks.set(place.member, task_room(m));
+    place.group->for_services.set(place.member, service_room(machine));
+    place.group->for_tasks.set(place.member, task_room(machine));
 }
 
-bool RoomIndex::may_hold(const Group& g, const Job& j, PlainMachines which) const {
-    if (g.members.empty())
+bool RoomIndex::may_hold(const Group& group, const Job& job, PlainMachines which) const {
+    if (group.members.empty())
         return false;
-    const auto& any = *machines_[g.members.front()];
+    const auto& any = *machines_[group.members.front()];
     if (which == PlainMachines::left_out && plain(any))
         return false;
-    return cluster_.allowed_there(j, any);
+    return cluster_.allowed_there(job, any);
 }
 
-void RoomIndex::find_reserved(const Job& j, PlainMachines which, std::vector<std::uint32_t>& found) const {
+void RoomIndex::find_reserved(const Job& job, PlainMachines which, std::vector<std::uint32_t>& found) const {
     for (const auto& r : reserved_) {
-        if (r.job != &j && j.priority >= r.priority)
+        if (r.job != &job && job.priority >= r.priority)
             continue;
-        const auto& m = *machines_[r.machine];
-        if (which == PlainMachines::left_out && plain(m))
+        const auto& machine = *machines_[r.machine];
+        if (which == PlainMachines::left_out && plain(machine))
             continue;
-        if (j.spec.each.fits(m.whole - m.used))
+        if (job.spec.each.fits(machine.whole - machine.used))
             found.push_back(r.machine);
     }
 }
 
-std::vector<std::uint32_t> RoomIndex::find(const Job& j, PlainMachines which) const {
+std::vector<std::uint32_t> RoomIndex::find(const Job& job, PlainMachines which) const {
     std::vector<std::uint32_t> positions, members;
-    for (const auto& [key, g] : groups_) {
-        if (!may_hold(g, j, which))
+    for (const auto& [key, group] : groups_) {
+        if (!may_hold(group, job, which))
             continue;
         members.clear();
-        (j.spec.shape == Shape::service ? g.for_services : g.for_tasks).find(j.spec.each, members);
+        (job.spec.shape == Shape::service ? group.for_services : group.for_tasks).find(job.spec.each, members);
         for (const auto i : members)
-            positions.push_back(g.members[i]);
+            positions.push_back(group.members[i]);
     }
-    find_reserved(j, which, positions);
+    find_reserved(job, which, positions);
     std::sort(positions.begin(), positions.end());
-    std::erase_if(positions, [&](std::uint32_t p) { return !usable(cluster_, *machines_[p], j); });
+    std::erase_if(positions, [&](std::uint32_t p) { return !usable(cluster_, *machines_[p], job); });
     return positions;
 }
 
--- a/src/store/direct.cpp
+++ b/src/store/direct.cpp
@@ -28,11 +28,11 @@
         engine_->expire(now);
         a = engine_->run(c, now);
         engine_->data().commit();
-    } catch (const StoreError& e) {
+    } catch (const StoreError& error) {
         engine_->data().abandon();
         a = {};
         a.status = 503;
-        a.error = e.what();
+        a.error = error.what();
     }
     answer(std::move(done), std::move(a));
     sweep();
