--- a/src/store/engine.cpp
+++ b/src/store/engine.cpp
@@ -12,19 +12,19 @@
 using codec::Json;
 
 Answer refused(int status, std::string why) {
-    Answer a;
-    a.status = status;
-    a.sent = true;
-    a.error = std::move(why);
-    return a;
+    Answer answer;
+    answer.status = status;
+    answer.sent = true;
+    answer.error = std::move(why);
+    return answer;
 }
 
 Answer good(std::uint64_t revision) {
-    Answer a;
-    a.status = 200;
-    a.sent = true;
-    a.revision = revision;
-    return a;
+    Answer answer;
+    answer.status = 200;
+    answer.sent = true;
+    answer.revision = revision;
+    return answer;
 }
 
 bool valid_key(const std::string& key) {
@@ -56,14 +56,14 @@
         return refused(400, "the key");
     if (!take(1, 0, now_ms))
         return refused(429, "too many requests");
-    auto a = good(data_->revision());
+    auto answer = good(data_->revision());
     const auto row = data_->get(key);
     if (!row) {
-        a.status = 404;
-        return a;
+        answer.status = 404;
+        return answer;
     }
-    a.item = codec::Item{key, Json::parse(row->data, nullptr, false), row->mod_revision, false, row->lease};
-    return a;
+    answer.item = codec::Item{key, Json::parse(row->data, nullptr, false), row->mod_revision, false, row->lease};
+    return answer;
 }
 
 Answer Engine::list(const std::string& under, const std::string& since, int most, std::int64_t now_ms) {
@@ -71,19 +71,19 @@
         return refused(400, "most");
     if (!take(1, 0, now_ms))
         return refused(429, "too many requests");
-    auto a = good(data_->revision());
+    auto answer = good(data_->revision());
     const auto limit = std::min(static_cast<std::size_t>(most), max_items);
     std::size_t size = 0;
     data_->each(under, since, [&](const std::string& key, const Data::Row& row) {
         size += key.size() + row.data.size() + 60;
-        if (a.items.size() >= limit || (size > max_page && !a.items.empty())) {
-            a.more = true;
+        if (answer.items.size() >= limit || (size > max_page && !answer.items.empty())) {
+            answer.more = true;
             return false;
         }
-        a.items.push_back({key, Json::parse(row.data, nullptr, false), row.mod_revision, false, row.lease});
+        answer.items.push_back({key, Json::parse(row.data, nullptr, false), row.mod_revision, false, row.lease});
         return true;
     });
-    return a;
+    return answer;
 }
 
 Answer Engine::transact(const std::vector<codec::Guard>& guards, const std::vector<codec::Write>& writes,
@@ -95,50 +95,50 @@
         return refused(400, fmt::format("{} guards, {} are allowed", guards.size(), 4 * ops));
     std::vector<std::string> texts;
     std::size_t total = 0;
-    for (const auto& g : guards) {
-        if (!valid_key(g.key))
+    for (const auto& guard : guards) {
+        if (!valid_key(guard.key))
             return refused(400, "a guard's key");
-        total += g.key.size() + 30;
+        total += guard.key.size() + 30;
     }
-    for (const auto& w : writes) {
-        if (!valid_key(w.key))
+    for (const auto& write : writes) {
+        if (!valid_key(write.key))
             return refused(400, "a change's key");
-        texts.push_back(w.value ? w.value->dump() : std::string());
+        texts.push_back(write.value ? write.value->dump() : std::string());
         if (static_cast<double>(texts.back().size()) > limits_.value_kb * 1024)
-            return refused(400, fmt::format("{}: a value longer than {} KiB", w.key, limits_.value_kb));
-        total += w.key.size() + texts.back().size() + 30;
+            return refused(400, fmt::format("{}: a value longer than {} KiB", write.key, limits_.value_kb));
+        total += write.key.size() + texts.back().size() + 30;
     }
     if (total > max_txn)
         return refused(400, "longer than 64 KiB");
     if (!take(1, static_cast<double>(writes.size()), now_ms))
         return refused(429, "too many requests or changes");
-    for (const auto& w : writes)
-        if (w.value && w.lease != 0 && !data_->get_lease(w.lease))
+    for (const auto& write : writes)
+        if (write.value && write.lease != 0 && !data_->get_lease(write.lease))
             return refused(400, "no such lease");
-    auto a = good(data_->revision());
-    for (const auto& g : guards) {
-        const auto row = data_->get(g.key);
-        if ((row ? row->mod_revision : 0) != g.mod_revision)
-            a.failed.push_back(g.key);
+    auto answer = good(data_->revision());
+    for (const auto& guard : guards) {
+        const auto row = data_->get(guard.key);
+        if ((row ? row->mod_revision : 0) != guard.mod_revision)
+            answer.failed.push_back(guard.key);
     }
-    if (!a.failed.empty()) {
-        a.status = 409;
-        return a;
+    if (!answer.failed.empty()) {
+        answer.status = 409;
+        return answer;
     }
     if (writes.empty())
-        return a;
-    a.revision = data_->next_revision();
+        return answer;
+    answer.revision = data_->next_revision();
     for (std::size_t i = 0; i < writes.size(); ++i) {
-        const auto& w = writes[i];
-        if (w.value) {
-            data_->put(w.key, {texts[i], a.revision, w.lease});
-            data_->add_change({w.key, texts[i], a.revision});
-        } else if (data_->get(w.key)) {
-            data_->erase(w.key);
-            data_->add_change({w.key, std::nullopt, a.revision});
+        const auto& write = writes[i];
+        if (write.value) {
+            data_->put(write.key, {texts[i], answer.revision, write.lease});
+            data_->add_change({write.key, texts[i], answer.revision});
+        } else if (data_->get(write.key)) {
+            data_->erase(write.key);
+            data_->add_change({write.key, std::nullopt, answer.revision});
         }
     }
-    return a;
+    return answer;
 }
 
 Answer Engine::create_lease(std::int64_t ttl_ms, std::int64_t now_ms) {
@@ -146,9 +146,9 @@
         return refused(400, "ttlMs");
     if (!take(1, 0, now_ms))
         return refused(429, "too many requests");
-    auto a = good(data_->revision());
-    a.lease = data_->add_lease({ttl_ms, now_ms + ttl_ms});
-    return a;
+    auto answer = good(data_->revision());
+    answer.lease = data_->add_lease({ttl_ms, now_ms + ttl_ms});
+    return answer;
 }
 
 Answer Engine::renew_lease(std::uint64_t lease, std::int64_t now_ms) {
@@ -159,9 +159,9 @@
         return refused(404, "no such lease");
     h->ends_ms = now_ms + h->ttl_ms;
     data_->set_lease(lease, *h);
-    auto a = good(data_->revision());
-    a.lease = lease;
-    return a;
+    auto answer = good(data_->revision());
+    answer.lease = lease;
+    return answer;
 }
 
 void Engine::drop_lease(std::uint64_t id) {
@@ -195,7 +195,7 @@
     const auto list = data_->changes(under, since);
     if (!list)
         return refused(410, "no longer kept: read the keys again");
-    auto a = good(data_->revision());
+    auto answer = good(data_->revision());
     for (const auto& c : *list) {
         codec::Item i;
         i.key = c.key;
@@ -203,12 +203,12 @@
         i.deleted = !c.data;
         if (c.data)
             i.value = Json::parse(*c.data, nullptr, false);
-        a.items.push_back(std::move(i));
+        answer.items.push_back(std::move(i));
     }
-    return a;
+    return answer;
 }
 
-Answer Engine::run(const Call& c, std::int64_t now_ms) {
+Answer Engine::run(const Call& call, std::int64_t now_ms) {
     return std::visit(Overloaded{
                           [&](const Get& x) { return get(x.key, now_ms); },
                           [&](const List& x) { return list(x.under, x.since, x.most, now_ms); },
@@ -218,24 +218,25 @@
                           [&](const RevokeLease& x) { return revoke_lease(x.lease, now_ms); },
                           [&](const Follow&) { return refused(400, "a follow waits"); },
                       },
-                      c);
+                      call);
 }
 
 std::optional<Answer> Engine::look(Waiting& w, bool changed, std::int64_t now_ms) {
     if (!changed && w.opened && now_ms < w.until_ms)
         return {};
-    Answer a;
+    Answer answer;
     try {
-        a = w.opened ? follow(w.follow.under, w.follow.since) : follow_opened(w.follow.under, w.follow.since, now_ms);
-    } catch (const std::exception& e) {
-        a = refused(503, e.what());
+        answer =
+            w.opened ? follow(w.follow.under, w.follow.since) : follow_opened(w.follow.under, w.follow.since, now_ms);
+    } catch (const std::exception& error) {
+        answer = refused(503, error.what());
     }
     data_->abandon();
     w.opened = true;
     // During fault open watches stay open, as with the state service.
-    if ((a.status == 503 || (a.status == 200 && a.items.empty())) && now_ms < w.until_ms)
+    if ((answer.status == 503 || (answer.status == 200 && answer.items.empty())) && now_ms < w.until_ms)
         return {};
-    return a;
+    return answer;
 }
 
 bool Engine::expire(std::int64_t now_ms) {
@@ -275,10 +276,10 @@
         return it->second;
     }
     void each(const std::string& under, const std::string& since,
-              const std::function<bool(const std::string&, const Row&)>& f) override {
+              const std::function<bool(const std::string&, const Row&)>& callback) override {
         auto it = since < under ? rows_.lower_bound(under) : rows_.upper_bound(since);
         for (; it != rows_.end() && it->first.starts_with(under); ++it)
-            if (!f(it->first, it->second))
+            if (!callback(it->first, it->second))
                 return;
     }
     void put(const std::string& key, const Row& row) override {
@@ -305,17 +306,17 @@
                 out.push_back(*it);
         return out;
     }
-    std::uint64_t add_lease(const CreateLease& h) override {
+    std::uint64_t add_lease(const Lease& h) override {
         leases_[++last_hold_] = h;
         return last_hold_;
     }
-    std::optional<CreateLease> get_lease(std::uint64_t id) override {
+    std::optional<Lease> get_lease(std::uint64_t id) override {
         const auto it = leases_.find(id);
         if (it == leases_.end())
             return {};
         return it->second;
     }
-    void set_lease(std::uint64_t id, const CreateLease& h) override {
+    void set_lease(std::uint64_t id, const Lease& h) override {
         leases_[id] = h;
     }
     void erase_lease(std::uint64_t id) override {
@@ -342,7 +343,7 @@
 private:
     std::map<std::string, Row> rows_;
     std::deque<Change> changes_;
-    std::map<std::uint64_t, CreateLease> leases_;
+    std::map<std::uint64_t, Lease> leases_;
     std::uint64_t revision_ = 0, last_hold_ = 0, forgotten_ = 0;
 };
 
--- a/src/store/file_data.cpp
+++ b/src/store/file_data.cpp
@@ -79,28 +79,30 @@
     }
 
     std::uint64_t revision() override {
-        auto& q = prepared("SELECT v FROM meta WHERE k='epoch'");
-        q.row();
-        return q.number(0);
+        auto& statement = prepared("SELECT v FROM meta WHERE k='epoch'");
+        statement.row();
+        return statement.number(0);
     }
     std::uint64_t next_revision() override {
         prepared("UPDATE meta SET v=v+1 WHERE k='epoch'").run();
         return revision();
     }
     std::optional<Row> get(const std::string& key) override {
-        auto& q = prepared("SELECT data, stamp, lease FROM kv WHERE k=?1").bind(1, key);
-        if (!q.row())
+        auto& statement = prepared("SELECT data, stamp, lease FROM kv WHERE k=?1").bind(1, key);
+        if (!statement.row())
             return {};
-        return Row{q.text(0), q.number(1), q.number(2)};
+        return Row{statement.text(0), statement.number(1), statement.number(2)};
     }
     void each(const std::string& under, const std::string& since,
-              const std::function<bool(const std::string&, const Row&)>& f) override {
+              const std::function<bool(const std::string&, const Row&)>& callback) override {
         const bool from_start = since < under;
-        auto& q = from_start ? prepared("SELECT k, data, stamp, lease FROM kv WHERE k>=?1 ORDER BY k").bind(1, under)
-                             : prepared("SELECT k, data, stamp, lease FROM kv WHERE k>?1 ORDER BY k").bind(1, since);
-        while (q.row()) {
-            const auto key = q.text(0);
-            if (!key.starts_with(under) || !f(key, {q.text(1), q.number(2), q.number(3)}))
+        auto& statement = from_start
+                              ? prepared("SELECT k, data, stamp, lease FROM kv WHERE k>=?1 ORDER BY k").bind(1, under)
+                              : prepared("SELECT k, data, stamp, lease FROM kv WHERE k>?1 ORDER BY k").bind(1, since);
+        while (statement.row()) {
+            const auto key = statement.text(0);
+            if (!key.starts_with(under) ||
+                !callback(key, {statement.text(1), statement.number(2), statement.number(3)}))
                 return;
         }
     }
@@ -116,13 +118,13 @@
         prepared("DELETE FROM kv WHERE k=?1").bind(1, key).run();
     }
     void add_change(const Change& c) override {
-        auto& q =
+        auto& statement =
             prepared("INSERT INTO changes(stamp, k, data) VALUES(?1,?2,?3)").bind(1, c.mod_revision).bind(2, c.key);
         if (c.data)
-            q.bind(3, *c.data);
+            statement.bind(3, *c.data);
         else
-            q.bind_null(3);
-        q.run();
+            statement.bind_null(3);
+        statement.run();
         if (++added_ % trim_every != 0)
             return;
         const std::string old = fmt::format("(SELECT max(n)-{} FROM changes)", kept_changes);
@@ -136,32 +138,33 @@
         old.row();
         if (since < old.number(0))
             return {};
-        auto& q = prepared("SELECT k, data, stamp FROM changes WHERE stamp>?1 ORDER BY n").bind(1, since);
+        auto& statement = prepared("SELECT k, data, stamp FROM changes WHERE stamp>?1 ORDER BY n").bind(1, since);
         std::vector<Change> out;
-        while (q.row()) {
-            Change c{q.text(0), std::nullopt, q.number(2)};
+        while (statement.row()) {
+            Change c{statement.text(0), std::nullopt, statement.number(2)};
             if (!c.key.starts_with(under))
                 continue;
-            if (!q.null(1))
-                c.data = q.text(1);
+            if (!statement.null(1))
+                c.data = statement.text(1);
             out.push_back(std::move(c));
         }
         return out;
     }
-    std::uint64_t add_lease(const CreateLease& h) override {
+    std::uint64_t add_lease(const Lease& h) override {
         prepared("INSERT INTO holds(ttl, ends) VALUES(?1,?2)")
             .bind(1, number(h.ttl_ms))
             .bind(2, number(h.ends_ms))
             .run();
         return static_cast<std::uint64_t>(sqlite3_last_insert_rowid(db_));
     }
-    std::optional<CreateLease> get_lease(std::uint64_t id) override {
-        auto& q = prepared("SELECT ttl, ends FROM holds WHERE id=?1").bind(1, id);
-        if (!q.row())
+    std::optional<Lease> get_lease(std::uint64_t id) override {
+        auto& statement = prepared("SELECT ttl, ends FROM holds WHERE id=?1").bind(1, id);
+        if (!statement.row())
             return {};
-        return CreateLease{static_cast<std::int64_t>(q.number(0)), static_cast<std::int64_t>(q.number(1))};
+        return Lease{static_cast<std::int64_t>(statement.number(0)),
+                           static_cast<std::int64_t>(statement.number(1))};
     }
-    void set_lease(std::uint64_t id, const CreateLease& h) override {
+    void set_lease(std::uint64_t id, const Lease& h) override {
         prepared("UPDATE holds SET ttl=?2, ends=?3 WHERE id=?1")
             .bind(1, id)
             .bind(2, number(h.ttl_ms))
@@ -172,24 +175,24 @@
         prepared("DELETE FROM holds WHERE id=?1").bind(1, id).run();
     }
     std::vector<std::uint64_t> expired_leases(std::int64_t now_ms) override {
-        auto& q = prepared("SELECT id FROM holds WHERE ends<?1").bind(1, number(now_ms));
+        auto& statement = prepared("SELECT id FROM holds WHERE ends<?1").bind(1, number(now_ms));
         std::vector<std::uint64_t> out;
-        while (q.row())
-            out.push_back(q.number(0));
+        while (statement.row())
+            out.push_back(statement.number(0));
         return out;
     }
     std::vector<std::string> keys_of(std::uint64_t lease) override {
-        auto& q = prepared("SELECT k FROM kv WHERE lease=?1 AND lease<>0").bind(1, lease);
+        auto& statement = prepared("SELECT k FROM kv WHERE lease=?1 AND lease<>0").bind(1, lease);
         std::vector<std::string> out;
-        while (q.row())
-            out.push_back(q.text(0));
+        while (statement.row())
+            out.push_back(statement.text(0));
         return out;
     }
     bool changed_by_others() override {
-        auto& q = prepared("PRAGMA data_version");
-        q.row();
-        const auto v = q.number(0);
-        q.reset();
+        auto& statement = prepared("PRAGMA data_version");
+        statement.row();
+        const auto v = statement.number(0);
+        statement.reset();
         return std::exchange(version_, v) != v;
     }
 
@@ -259,24 +262,24 @@
         return static_cast<std::uint64_t>(n);
     }
     Statement& prepared(const std::string& sql) {
-        auto& s = statements_[sql];
-        if (!s)
-            s = std::make_unique<Statement>(db_, path_, sql);
-        return s->reset();
+        auto& statement = statements_[sql];
+        if (!statement)
+            statement = std::make_unique<Statement>(db_, path_, sql);
+        return statement->reset();
     }
     // A statement that was not read to its end holds on to an old view of the file, and the next
     // transaction could not begin on top of it.
     void reset_all() {
-        for (auto& [sql, s] : statements_)
-            s->reset();
+        for (auto& [sql, statement] : statements_)
+            statement->reset();
     }
     void run(const char* sql) {
         if (sqlite3_exec(db_, sql, nullptr, nullptr, nullptr) != SQLITE_OK)
             fail();
     }
     std::uint64_t ask(const char* sql) {
-        Statement q(db_, path_, sql);
-        return q.row() ? q.number(0) : 0;
+        Statement statement(db_, path_, sql);
+        return statement.row() ? statement.number(0) : 0;
     }
     [[noreturn]] void fail() const {
         throw StoreError(fmt::format("{}: {}", path_, sqlite3_errmsg(db_)));
@@ -306,9 +309,9 @@
             throw StoreError(fmt::format("{}: written by a newer version (schema {}, this one knows {})", path_, schema,
                                          file_schema));
         if (tables != 0) {
-            Statement q(db_, path_, "PRAGMA quick_check(1)");
-            if (!q.row() || q.text(0) != "ok")
-                throw StoreError(fmt::format("{}: damaged: {}", path_, q.text(0)));
+            Statement statement(db_, path_, "PRAGMA quick_check(1)");
+            if (!statement.row() || statement.text(0) != "ok")
+                throw StoreError(fmt::format("{}: damaged: {}", path_, statement.text(0)));
         }
         to_wal(options.busy_wait_s);
         run(options.fsync ? "PRAGMA synchronous=FULL" : "PRAGMA synchronous=OFF");
@@ -350,10 +353,10 @@
     // The clock that leases end by began anew.
     void renew_after_boot() {
         const auto boot = boot_id();
-        Statement q(db_, path_, "SELECT v FROM meta WHERE k='boot'");
-        if (q.row() && q.text(0) == boot)
+        Statement statement(db_, path_, "SELECT v FROM meta WHERE k='boot'");
+        if (statement.row() && statement.text(0) == boot)
             return;
-        q.reset();
+        statement.reset();
         using namespace std::chrono;
         const auto now = duration_cast<milliseconds>(steady_clock::now().time_since_epoch()).count();
         Statement(db_, path_, "UPDATE holds SET ends=?1+ttl").bind(1, number(now)).run();
--- a/src/store/local.cpp
+++ b/src/store/local.cpp
@@ -20,19 +20,19 @@
 }
 
 Answer failed(int status, std::string why) {
-    Answer a;
-    a.status = status;
-    a.sent = true;
-    a.error = std::move(why);
-    return a;
+    Answer answer;
+    answer.status = status;
+    answer.sent = true;
+    answer.error = std::move(why);
+    return answer;
 }
 
-bool is_follow(const Call& c) {
-    return std::holds_alternative<Follow>(c);
+bool is_follow(const Call& call) {
+    return std::holds_alternative<Follow>(call);
 }
 
-bool writes(const Call& c) {
-    return !is_follow(c) && !std::holds_alternative<Get>(c) && !std::holds_alternative<List>(c);
+bool writes(const Call& call) {
+    return !is_follow(call) && !std::holds_alternative<Get>(call) && !std::holds_alternative<List>(call);
 }
 
 // Calls of one controller, beyond which the next is answered 503 at once. Machines do not call the store: the leader
@@ -110,8 +110,8 @@
                 if (open_outcome)
                     wrong = "the disk failed, the outcome is open";
             }
-        } catch (const std::exception& e) {
-            wrong = e.what();
+        } catch (const std::exception& error) {
+            wrong = error.what();
             engine->data().abandon();
         }
         if (!wrong.empty()) {
@@ -125,10 +125,10 @@
             if (auto* f = std::get_if<Follow>(&c.call); f != nullptr)
                 follows.push_back({c.id, {std::move(*f), c.until_ms}});
         std::erase_if(follows, [&](Waiting& f) {
-            auto a = engine->look(f.w, changed, now);
-            if (a)
-                out.emplace_back(f.id, std::move(*a));
-            return a.has_value();
+            auto answer = engine->look(f.w, changed, now);
+            if (answer)
+                out.emplace_back(f.id, std::move(*answer));
+            return answer.has_value();
         });
         return out;
     }
--- a/src/store/remote.cpp
+++ b/src/store/remote.cpp
@@ -12,55 +12,55 @@
 constexpr double max_block_s = 60; // the state service refuses a longer one
 
 // An answer that cannot be read is none: what was asked for may have been done.
-void unreadable(Answer& a) {
-    a.status = 502;
-    a.error = "an answer that cannot be read";
+void unreadable(Answer& answer) {
+    answer.status = 502;
+    answer.error = "an answer that cannot be read";
 }
 
-void read_item(const std::string& body, Answer& a) {
-    if (a.status != 200)
+void read_item(const std::string& body, Answer& answer) {
+    if (answer.status != 200)
         return;
-    a.item = codec::item(body);
-    if (!a.item)
-        unreadable(a);
+    answer.item = codec::item(body);
+    if (!answer.item)
+        unreadable(answer);
 }
 
-void read_items(std::optional<codec::Page>&& page, Answer& a) {
+void read_items(std::optional<codec::Page>&& page, Answer& answer) {
     if (!page)
-        return unreadable(a);
-    a.items = std::move(page->items);
-    a.more = page->more;
-    a.revision = page->revision;
+        return unreadable(answer);
+    answer.items = std::move(page->items);
+    answer.more = page->more;
+    answer.revision = page->revision;
 }
 
-void read_page(const std::string& body, Answer& a) {
-    if (a.status == 200)
-        read_items(codec::page(body), a);
+void read_page(const std::string& body, Answer& answer) {
+    if (answer.status == 200)
+        read_items(codec::page(body), answer);
 }
 
-void read_events(const std::string& body, Answer& a) {
-    if (a.status == 200)
-        read_items(codec::events(body), a);
+void read_events(const std::string& body, Answer& answer) {
+    if (answer.status == 200)
+        read_items(codec::events(body), answer);
 }
 
-void read_outcome(const std::string& body, Answer& a) {
-    if (a.status == 409)
-        a.failed = codec::failed_guards(body).value_or(std::vector<std::string>());
-    if (a.status != 200)
+void read_outcome(const std::string& body, Answer& answer) {
+    if (answer.status == 409)
+        answer.failed = codec::failed_guards(body).value_or(std::vector<std::string>());
+    if (answer.status != 200)
         return;
     const auto revision = codec::revision_of(body);
     if (!revision)
-        return unreadable(a);
-    a.revision = *revision;
+        return unreadable(answer);
+    answer.revision = *revision;
 }
 
-void read_lease(const std::string& body, Answer& a) {
-    if (a.status != 200)
+void read_lease(const std::string& body, Answer& answer) {
+    if (answer.status != 200)
         return;
     const auto lease = codec::lease_of(body);
     if (!lease)
-        return unreadable(a);
-    a.lease = *lease;
+        return unreadable(answer);
+    answer.lease = *lease;
 }
 
 } // namespace
@@ -69,17 +69,17 @@
     : at_(at.str()), calls_(loop, connections, waiting), follows_(loop, follow_connections, follow_waiting) {}
 
 void RemoteStore::call(Call&& call, double timeout_s, Callback done) {
-    using Read = void (*)(const std::string& body, Answer& a);
+    using Read = void (*)(const std::string& body, Answer& answer);
     const auto ask = [&](HttpClient& by, const char* method, const std::string& path, std::string body, Read read) {
-        by.request(at_, method, path, std::move(body), timeout_s, [read, done = std::move(done)](HttpReply&& r) {
-            Answer a;
-            a.status = r.status;
-            a.sent = r.sent;
-            if (r.status >= 400)
-                a.error = codec::store_error(r.body);
+        by.request(at_, method, path, std::move(body), timeout_s, [read, done = std::move(done)](HttpReply&& reply) {
+            Answer answer;
+            answer.status = reply.status;
+            answer.sent = reply.sent;
+            if (reply.status >= 400)
+                answer.error = codec::store_error(reply.body);
             if (read != nullptr)
-                read(r.body, a);
-            done(std::move(a));
+                read(reply.body, answer);
+            done(std::move(answer));
         });
     };
     const auto lease_path = [](std::uint64_t lease) { return fmt::format("{}/{}", codec::path_leases, lease); };
--- a/src/store/server.cpp
+++ b/src/store/server.cpp
@@ -33,7 +33,8 @@
 
 StoreServer::StoreServer(uv_loop_t* loop, std::unique_ptr<Engine> engine)
     : loop_(loop), store_(loop, std::move(engine)),
-      server_(loop, 10'000, 600, [this](HttpRequest&& r, const Responder& res) { handle(std::move(r), res); }) {}
+      server_(loop, 10'000, 600,
+              [this](HttpRequest&& request, const Responder& res) { handle(std::move(request), res); }) {}
 
 int StoreServer::start(const Endpoint& at) {
     if (const int e = server_.listen(at); e != 0)
@@ -56,7 +57,7 @@
         store_.sweep(); // else open watches stay open
 }
 
-void StoreServer::handle(HttpRequest&& r, const Responder& res) {
+void StoreServer::handle(HttpRequest&& request, const Responder& res) {
     ++requests_;
     if (fault_mode_ == FaultMode::silent) {
         unanswered_.push_back(res);
@@ -68,69 +69,71 @@
         return res.send(429, R"({"error":"too many requests"})", 1);
     const auto bad = [&](const char* what) { res.send(400, codec::Json{{"error", what}}.dump()); };
     // The text of a good answer; others say what is wrong.
-    const auto ask = [&](Call&& c, std::string (*text)(Answer &&)) {
-        store_.call(std::move(c), 0, [res, text](Answer&& a) {
-            const int status = a.status;
+    const auto ask = [&](Call&& call, std::string (*text)(Answer &&)) {
+        store_.call(std::move(call), 0, [res, text](Answer&& answer) {
+            const int status = answer.status;
             if (status == 200)
-                return res.send(status, text(std::move(a)));
-            if (status == 404 && a.error.empty())
-                return res.send(status, codec::revision_answer(a.revision));
+                return res.send(status, text(std::move(answer)));
+            if (status == 404 && answer.error.empty())
+                return res.send(status, codec::revision_answer(answer.revision));
             if (status == 409)
-                return res.send(status, codec::failed_answer(a.failed, a.revision));
-            res.send(status, codec::Json{{"error", a.error}}.dump());
+                return res.send(status, codec::failed_answer(answer.failed, answer.revision));
+            res.send(status, codec::Json{{"error", answer.error}}.dump());
         });
     };
-    const bool get = r.method == "GET", post = r.method == "POST";
+    const bool get = request.method == "GET", post = request.method == "POST";
     const std::string store(codec::path_store), leases(codec::path_leases);
-    if (get && r.path.starts_with(store + "/"))
-        return ask(Get{r.path.substr(store.size() + 1)}, [](Answer&& a) { return codec::item_answer(*a.item); });
-    if (get && r.path == store) {
+    if (get && request.path.starts_with(store + "/"))
+        return ask(Get{request.path.substr(store.size() + 1)},
+                   [](Answer&& answer) { return codec::item_answer(*answer.item); });
+    if (get && request.path == store) {
         int most = static_cast<int>(max_items);
-        if (const auto text = field_of(r.query, "most"); !text.empty() && !number(text, most))
+        if (const auto text = field_of(request.query, "most"); !text.empty() && !number(text, most))
             return bad("most");
-        return ask(List{field_of(r.query, "under"), field_of(r.query, "since"), most}, [](Answer&& a) {
-            return codec::page_answer({std::move(a.items), a.more, a.revision});
+        return ask(List{field_of(request.query, "under"), field_of(request.query, "since"), most}, [](Answer&& answer) {
+            return codec::page_answer({std::move(answer.items), answer.more, answer.revision});
         });
     }
-    if (post && r.path == codec::path_txn) {
-        auto t = codec::txn_request(r.body);
+    if (post && request.path == codec::path_txn) {
+        auto t = codec::txn_request(request.body);
         if (!t)
             return bad("not a transaction");
         return ask(Transact{std::move(t->guards), std::move(t->writes)},
-                   [](Answer&& a) { return codec::revision_answer(a.revision); });
+                   [](Answer&& answer) { return codec::revision_answer(answer.revision); });
     }
-    if (post && r.path == leases) {
-        const auto ttl = codec::ttl_ms_of(r.body);
+    if (post && request.path == leases) {
+        const auto ttl = codec::ttl_ms_of(request.body);
         if (!ttl)
             return bad("ttlMs");
         return ask(CreateLease{static_cast<double>(*ttl) / 1000},
-                   [](Answer&& a) { return codec::lease_answer(a.lease); });
+                   [](Answer&& answer) { return codec::lease_answer(answer.lease); });
     }
-    if (r.path.starts_with(leases + "/")) {
-        auto rest = r.path.substr(leases.size() + 1);
+    if (request.path.starts_with(leases + "/")) {
+        auto rest = request.path.substr(leases.size() + 1);
         const std::string renew_lease = "/" + std::string(codec::suffix_renew);
         const bool renews = post && rest.ends_with(renew_lease);
         if (renews)
             rest.resize(rest.size() - renew_lease.size());
         std::uint64_t id = 0;
-        if (!number(rest, id) || (!renews && r.method != "DELETE"))
+        if (!number(rest, id) || (!renews && request.method != "DELETE"))
             return res.send(404, no_such_path);
         if (renews)
-            return ask(RenewLease{id}, [](Answer&& a) { return codec::lease_answer(a.lease); });
+            return ask(RenewLease{id}, [](Answer&& answer) { return codec::lease_answer(answer.lease); });
         return ask(RevokeLease{id}, [](Answer&&) { return std::string("{}"); });
     }
-    if (get && r.path == codec::path_follow) {
+    if (get && request.path == codec::path_follow) {
         std::uint64_t since = 0;
         std::int64_t block = 0;
-        if (!number(field_of(r.query, "since"), since))
+        if (!number(field_of(request.query, "since"), since))
             return bad("since");
-        if (const auto text = field_of(r.query, "blockMs"); !text.empty() && !number(text, block))
+        if (const auto text = field_of(request.query, "blockMs"); !text.empty() && !number(text, block))
             return bad("blockMs");
         if (block < 0 || block > max_block_ms)
             return bad("blockMs");
-        return ask(Follow{field_of(r.query, "under"), since, static_cast<double>(block) / 1000}, [](Answer&& a) {
-            return codec::events_answer({std::move(a.items), a.more, a.revision});
-        });
+        return ask(Follow{field_of(request.query, "under"), since, static_cast<double>(block) / 1000},
+                   [](Answer&& answer) {
+                       return codec::events_answer({std::move(answer.items), answer.more, answer.revision});
+                   });
     }
     res.send(404, no_such_path);
 }
