--- a/include/heronshift/cloud/cloud_desk.hpp
+++ b/include/heronshift/cloud/cloud_client.hpp
@@ -5,11 +5,11 @@
 // executor and, for the copy of the types, the store.
 #pragma once
 
-#include "heronshift/budget.hpp"
 #include "heronshift/config.hpp"
 #include "heronshift/executor/executor.hpp"
-#include "heronshift/later.hpp"
 #include "heronshift/store/store.hpp"
+#include "heronshift/timer_queue.hpp"
+#include "heronshift/token_bucket.hpp"
 
 #include <deque>
 #include <functional>
@@ -19,26 +19,26 @@
 
 namespace heronshift::cloud {
 
-class CloudDesk {
+class CloudClient {
 public:
     class Host {
     public:
         virtual ~Host() = default;
-        [[nodiscard]] virtual bool acts() const = 0; // at this moment
-        [[nodiscard]] virtual bool held() const = 0; // the office is ours
-        virtual void push(Command c) = 0;            // to the core, if there is one
+        [[nodiscard]] virtual bool is_active_leader() const = 0; // at this moment
+        [[nodiscard]] virtual bool is_leader() const = 0;        // this node is the leader
+        virtual void push(Command command) = 0;                  // to the core, if there is one
         virtual void cloud_answered(bool ok) = 0;
     };
-    CloudDesk(const Settings& s, Later& later, store::StateStore& store, Executor& executor, Host& host)
-        : s_(s), later_(later), store_(store), executor_(executor), host_(host),
-          budget_(s.cloud_rps * 0.8, std::max(1.0, s.cloud_rps)) {}
+    CloudClient(const Settings& settings, TimerQueue& timers, store::StateStore& store, Executor& executor, Host& host)
+        : settings_(settings), timers_(timers), store_(store), executor_(executor), host_(host),
+          budget_(settings.cloud_rps * 0.8, std::max(1.0, settings.cloud_rps)) {}
 
     void start() {
         learn_types();
     }
     void tick();
-    void entered_office();
-    void left_office() {
+    void on_leadership_acquired();
+    void on_leadership_lost() {
         ++generation_;
         queue_.clear();
     }
@@ -58,13 +58,13 @@
     void from_cloud();
     void learned(std::vector<MachineType>&& types);
 
-    const Settings& s_;
-    Later& later_;
+    const Settings& settings_;
+    TimerQueue& timers_;
     store::StateStore& store_;
     Executor& executor_;
     Host& host_;
-    RateBudget budget_;
-    std::uint64_t generation_ = 0; // of the time in office
+    TokenBucket budget_;
+    std::uint64_t generation_ = 0; // of the time as leader
     std::deque<std::function<void(bool)>> queue_;
     std::vector<ListedMachine> listing_;
     double listing_at_ = 0, next_list_ = 0, next_types_ = 0, types_at_ = -1e9;
--- a/include/heronshift/ledger/state.hpp
+++ b/include/heronshift/cluster/cluster_data.hpp
@@ -1,4 +1,4 @@
-// The state of the cluster as the holder of the office sees it: jobs, tasks, machines, teams. Plain
+// The state of the cluster as the leader sees it: jobs, tasks, machines, teams. Plain
 // data. Policies get it const, and const reaches through every pointer in it; only the Ledger
 // changes it. Times are seconds of the steady clock unless they are called wall.
 #pragma once
@@ -17,17 +17,17 @@
 #include <unordered_map>
 #include <vector>
 
-namespace heronshift::ledger {
+namespace heronshift::cluster {
 
 // A pointer that is as const as what holds it, so that a const view cannot be written through.
-template <class T> using Deep = std::experimental::propagate_const<T>;
+template <class T> using PropagateConst = std::experimental::propagate_const<T>;
 
-// fence = term << fence_bits | raises within the term. Each machine's are its own, whatever their number: one for each
-// launch whose outcome is open or lease that ran out, so one in report_s / 2 at most. 2^24 of them take nine months of
-// one term with report_s 3; terms have 40 bits.
-inline constexpr int fence_bits = 24;
+// fencing token = term << fence_bits | raises within the term. Each machine's are its own, whatever their number: one
+// for each launch whose outcome is open or lease that ran out, so one in report_s / 2 at most. 2^24 of them take nine
+// months of one term with report_s 3; terms have 40 bits.
+inline constexpr int token_counter_bits = 24;
 // attempt = term << try_bits | passes within the term, one in report_s / 60 at most: seven years of a term.
-inline constexpr int try_bits = 32;
+inline constexpr int attempt_counter_bits = 32;
 
 enum class Phase : std::uint8_t { intent, storing, stored, sent, fetching, waiting, running, saving };
 enum class Final : std::uint8_t { none, done, cancelled };
@@ -44,17 +44,17 @@
 };
 
 struct Entry { // one task on one machine, as far as anyone can tell
-    Deep<Machine*> machine = nullptr;
-    Deep<Job*> job = nullptr;
+    PropagateConst<Machine*> machine = nullptr;
+    PropagateConst<Job*> job = nullptr;
     std::uint32_t index = 0;
-    std::uint64_t try_no = 0, tenure = 0, fence = 0;
+    std::uint64_t attempt = 0, agent_epoch = 0, fencing_token = 0;
     Phase phase = Phase::intent;
     bool recorded = false; // its record is in the store
-    bool seen = false;     // in a report of this machine
+    bool seen = false;     // in a heartbeat of this machine
     bool stop = false;     // must end
     bool moving = false;   // stopped to be started elsewhere
     double drain_s = 0, stop_at = -1, placed_at = 0, running_at = -1;
-    std::uint64_t listed = 0;                            // the last report that listed it
+    std::uint64_t listed = 0;                            // the last heartbeat that listed it
     int slot = -1;                                       // of the ring; -1: not in a record yet
     int carried_from = -1;                               // the record that still names it while it moves to another
     std::size_t at_machine = 0, at_job = 0, at_slot = 0; // its places in those lists
@@ -67,13 +67,13 @@
     double submitted = 0, start_within_s = -1; // the aim of its class, below zero: none
     double ready = 0;                          // since when: all but the deadline counts from there
     bool waits = false;                        // for jobs it needs; nothing of it may start
-    bool dated = true;                         // its record no longer says that it waits
+    bool ready_recorded = true;                // its record no longer says that it waits
     std::vector<std::string> unmet;            // needed, and not known to be done in the store
-    Rank rank = Rank::normal;                  // the most urgent of its own and those that need it
+    Priority priority = Priority::normal;      // the most urgent of its own and those that need it
     double latest = -1;                        // when those that need it want it done; below zero: never
     std::vector<Task> tasks;
     std::deque<std::uint32_t> pending;
-    std::vector<Deep<Entry*>> entries;
+    std::vector<PropagateConst<Entry*>> entries;
     std::uint32_t done = 0, live = 0, running = 0;
     Final final = Final::none;
     bool final_stored = false, final_queued = false, guaranteed = false;
@@ -82,7 +82,7 @@
     std::vector<std::uint32_t> unstored; // done, not yet in the store
     std::vector<std::uint32_t> zone_live;
     std::uint32_t on_pool = 0;
-    std::uint64_t gang_try = 0;
+    std::uint64_t gang_attempt = 0;
     bool gang_breaking = false;
     double not_before = 0;
     int error_streak = 0;
@@ -107,22 +107,22 @@
     std::string type_name, zone_name;
     bool spot = false;
     Status status = Status::booting;
-    std::uint64_t tenure = 0, counter = 0, fence = 0;
-    std::uint64_t beat_counter = 0; // of its newest report that was no answer to orders
-    double last_seen = -1;          // the last report answered: its lease counts from there
-    double heard = -1;              // the last sign of life
-    // Whether it hears us. That its reports come proves nothing: what they show does.
-    bool proven = false;      // has shown this term's fence
-    std::uint64_t told = 0;   // the highest fence that one of its reports was answered with
-    double told_at = -1;      // and when first
-    int unheard = 0;          // reports in a row that still show a lower one
-    double answered_at = -1;  // its last report by us
-    double anew_at = -1;      // its lease had run out
-    double deaf_since = -1;   // below zero: it hears
-    double deaf_until = -1;   // its lease ran out again though we answered: trusted only after that
-    double around_until = -1; // orders do not reach it directly: by way of others until then
+    std::uint64_t agent_epoch = 0, counter = 0, fencing_token = 0;
+    std::uint64_t heartbeat_counter = 0; // of its newest heartbeat that was no answer to orders
+    double lease_started_at = -1;        // the last heartbeat answered: its lease counts from there
+    double last_heartbeat_at = -1;       // the last sign of life
+    // Whether it hears us. That its heartbeats come proves nothing: what they show does.
+    bool proven = false;                   // has shown this term's fencing token
+    std::uint64_t acknowledged_token = 0;  // the highest fencing token that one of its heartbeats was answered with
+    double token_acknowledged_at = -1;     // and when first
+    int heartbeats_without_token = 0;      // reports in a row that still show a lower one
+    double last_answered_at = -1;          // its last heartbeat by us
+    double lease_expired_at = -1;          // its lease had run out
+    double inbound_unreachable_since = -1; // below zero: it hears
+    double inbound_unreachable_until = -1; // its lease ran out again though we answered: trusted only after that
+    double relay_orders_until = -1;        // orders do not reach it directly: by way of others until then
     double known_since = 0, up_since = -1;
-    std::vector<Deep<std::unique_ptr<Entry>>> entries;
+    std::vector<PropagateConst<std::unique_ptr<Entry>>> entries;
     Resources used, whole;
     Resources firm;             // used by what nothing takes the place of
     bool retiring = false;      // to become empty and go back
@@ -137,27 +137,27 @@
     std::uint64_t batch = 0; // in flight, 0: none
     bool asked = false;      // it is a question, without orders
     bool wants_orders = false;
-    bool to_be_asked = false;           // waits to be asked for a report
+    bool to_be_asked = false;           // waits to be asked for a heartbeat
     const void* reserved_for = nullptr; // room is being made for this job; only compared
-    Rank reserved_rank = Rank::low;
+    Priority reserved_priority = Priority::low;
     double reserved_until = -1;
     int reserved_tasks = 0;
     double slow_until = -1; // its tasks take far longer than their siblings elsewhere
     int slow_seen = 0;
 
-    [[nodiscard]] bool deaf() const {
-        return deaf_since >= 0;
+    [[nodiscard]] bool inbound_unreachable() const {
+        return inbound_unreachable_since >= 0;
     }
     [[nodiscard]] bool has_image(int image) const {
         return std::any_of(images.begin(), images.end(),
-                           [&](const CachedImage& c) { return c.image == image && c.ready; });
+                           [&](const CachedImage& cached) { return cached.image == image && cached.ready; });
     }
 };
 
 struct Team {
     TeamLimits limits;
     Resources used;
-    std::vector<Deep<Job*>> jobs;
+    std::vector<PropagateConst<Job*>> jobs;
 };
 
 struct Pending { // rentals asked for, not answered
@@ -168,11 +168,11 @@
     bool in_flight = true;
 };
 
-// What the day has taught; goes from holder to holder through the store.
+// What the day has taught; goes from leader to leader through the store.
 struct Learned {
     double offered = 0, offered_at = 0;         // work that arrays bring, in CPUs, averaged
     double offered_ordinary = 0;                // of that: may not use spot machines
-    double gap_s = 0, gaps = 0;                 // between arrays, averaged over so many; this holder's own
+    double gap_s = 0, gaps = 0;                 // between arrays, averaged over so many; this leader's own
     double spot_losses = 0, spot_losses_at = 0; // of machines, averaged
     double ran_s = 1, estimated_s = 1;          // of tasks done lately
     [[nodiscard]] double bias() const {
@@ -180,16 +180,16 @@
     }
 };
 
-struct State {
-    explicit State(const Settings& s) : settings(s) {}
+struct ClusterData {
+    explicit ClusterData(const Settings& s) : settings(s) {}
     const Settings& settings;
     std::uint64_t term = 0;
     double now = 0, wall = 0, started = 0;
     double unserved_at = -1e18; // when the store last was late or refused: then jobs may come and not be stored
     std::vector<MachineType> types;
     std::vector<Team> teams;
-    std::unordered_map<std::string, Deep<std::unique_ptr<Job>>> jobs;
-    std::map<std::string, Deep<std::unique_ptr<Machine>>> machines;
+    std::unordered_map<std::string, PropagateConst<std::unique_ptr<Job>>> jobs;
+    std::map<std::string, PropagateConst<std::unique_ptr<Machine>>> machines;
     std::vector<double> image_gb; // by image
     std::map<std::string, Pending> rentals;
     std::map<std::string, double> no_capacity; // "type/zone/kind" -> not before
@@ -198,7 +198,7 @@
     std::size_t spot_machines = 0; // up, when last counted
     bool asked_all = false;        // the list has told once which machines there are
     // Machines whose records were damaged: until they have reported to us or their leases have
-    // surely lapsed, any task read at the takeover may be on them.
+    // surely expired, any task read at the failover may be on them.
     std::set<std::string> unproven_machines;
     double unproven_until = 0;
 
@@ -207,9 +207,9 @@
         return it == jobs.end() ? nullptr : it->second.get();
     }
     [[nodiscard]] const MachineType* type_of(const std::string& name) const {
-        for (const auto& t : types)
-            if (t.name == name)
-                return &t;
+        for (const auto& type : types)
+            if (type.name == name)
+                return &type;
         return nullptr;
     }
     [[nodiscard]] bool unproven() const {
@@ -218,17 +218,17 @@
     // Over which work and losses are averaged.
     [[nodiscard]] double average_s() const;
     // CPU seconds that the tasks not done yet take by their owner's estimate.
-    [[nodiscard]] double work_left(const Job& j) const;
+    [[nodiscard]] double work_left(const Job& job) const;
     // When a job should be complete, by its owner's deadline, by those that need it or by the aim of
     // its class; below zero: none.
-    [[nodiscard]] double due_at(const Job& j) const;
+    [[nodiscard]] double due_at(const Job& job) const;
     // How many more tasks the team's limit allows.
-    [[nodiscard]] int quota_room(const Job& j) const;
+    [[nodiscard]] int quota_room(const Job& job) const;
     // The rules of where a task of this job may run, given all that may be on machines now: nothing
     // before its needs are done, type, zone, kind, room, quota. Empty: it may. Every placement passes.
-    [[nodiscard]] const char* refusal(const Job& j, const Machine& m) const;
+    [[nodiscard]] const char* refusal(const Job& job, const Machine& machine) const;
     // The part of it that is about the place: type, zone and kind.
-    [[nodiscard]] bool allowed_there(const Job& j, const Machine& m) const;
+    [[nodiscard]] bool allowed_there(const Job& job, const Machine& machine) const;
 };
 
-} // namespace heronshift::ledger
+} // namespace heronshift::cluster
--- a/include/heronshift/ledger/departed.hpp
+++ b/include/heronshift/cluster/departed_machines.hpp
@@ -11,7 +11,7 @@
 #include <string>
 #include <unordered_map>
 
-namespace heronshift::ledger {
+namespace heronshift::cluster {
 
 // How old a heartbeat, list or watch event can be when it arrives. A heartbeat's sender closes its connection
 // after 4 s, a fifth of the usual lease, and reports anew; what is left of it lives in buffers on the way, where
@@ -19,8 +19,8 @@
 [[nodiscard]] double max_message_age_s(const Settings& settings);
 
 struct DepartedMachine {
-    std::uint64_t tenure = 0, counter = 0; // of the newest heartbeat
-    bool released = false;                 // surely gone: nothing that it seems to say is news
+    std::uint64_t agent_epoch = 0, counter = 0; // of the newest heartbeat
+    bool released = false;                      // surely gone: nothing that it seems to say is news
     double since = 0;
 };
 
@@ -41,7 +41,7 @@
         return records_.size();
     }
     [[nodiscard]] std::size_t capacity() const {
-        return capacity_;
+        return autoscaler_;
     }
 
 private:
@@ -50,9 +50,9 @@
         std::list<std::string>::iterator place;
     };
     double keep_s_;
-    std::size_t capacity_;
+    std::size_t autoscaler_;
     std::unordered_map<std::string, Record> records_;
     std::list<std::string> order_; // the first to depart first
 };
 
-} // namespace heronshift::ledger
+} // namespace heronshift::cluster
--- a/include/heronshift/core/core.hpp
+++ b/include/heronshift/core/core.hpp
@@ -1,17 +1,17 @@
-// One holder's term: commands in, effects out. step(commands, now) -> effects is the only way in; no
+// One leader's term: commands in, effects out. step(commands, now) -> effects is the only way in; no
 // I/O, clock or randomness of its own, so that whatever happened can be run again (replay/).
 //
-// Owns the ledger (state and rules), the policies (which read a const view and propose) and the
+// Owns the cluster state (state and rules), the policies (which read a const view and propose) and the
 // records (what the store holds); decides only in which order they have their turn.
 #pragma once
 
-#include "heronshift/ledger/ledger.hpp"
+#include "heronshift/cluster/cluster_state.hpp"
 #include "heronshift/messages.hpp"
 #include "heronshift/metrics/metrics.hpp"
-#include "heronshift/policies/capacity.hpp"
-#include "heronshift/policies/placement.hpp"
-#include "heronshift/policies/rounds.hpp"
-#include "heronshift/records/records.hpp"
+#include "heronshift/persistence/cluster_records.hpp"
+#include "heronshift/scheduling/autoscaler.hpp"
+#include "heronshift/scheduling/placement.hpp"
+#include "heronshift/scheduling/rebalancer.hpp"
 
 #include <optional>
 #include <string>
@@ -19,9 +19,9 @@
 
 namespace heronshift {
 
-using ledger::fence_bits;
-using ledger::JobView;
-using ledger::try_bits;
+using cluster::attempt_counter_bits;
+using cluster::JobView;
+using cluster::token_counter_bits;
 
 class Core {
 public:
@@ -29,9 +29,9 @@
     Core(const Core&) = delete;
     Core& operator=(const Core&) = delete;
 
-    // entitled: this node may act as holder at this moment. While it may not, it refuses its workers
+    // entitled: this node may act as leader at this moment. While it may not, it refuses its workers
     // and leaves all else among the commands until it may again.
-    std::vector<Effect> step(std::vector<Command>& commands, double now, double wall, bool entitled = true);
+    std::vector<Effect> step(std::vector<Command>& commands, double now, double wall, bool may_act = true);
     // When step() wants to be called even if no command comes.
     [[nodiscard]] double wake_at() const {
         return wake_at_;
@@ -39,7 +39,7 @@
 
     // None: not known here, ask the store. An answer is never older than what was told before.
     [[nodiscard]] std::optional<JobView> view(const std::string& id) const {
-        return ledger_.job(id);
+        return cluster_.job(id);
     }
     [[nodiscard]] std::vector<metrics::Value> metrics() const;
 
@@ -50,22 +50,22 @@
     [[nodiscard]] std::size_t live_tasks(const std::string& job) const;
     [[nodiscard]] std::size_t machines_up() const;
     [[nodiscard]] std::size_t machine_count() const {
-        return ledger_.view().machines.size();
+        return cluster_.view().machines.size();
     }
-    [[nodiscard]] const ledger::State& state() const {
-        return ledger_.view();
+    [[nodiscard]] const cluster::ClusterData& state() const {
+        return cluster_.view();
     }
 
 private:
-    void take(Command& c);
+    void take(Command& command);
 
-    const Settings& s_;
+    const Settings& settings_;
     std::vector<Effect> effects_;
-    ledger::Ledger ledger_;
-    Records records_;
-    policies::Placement placement_;
-    policies::Rounds rounds_;
-    policies::Capacity capacity_;
+    cluster::ClusterState cluster_;
+    ClusterRecords records_;
+    scheduling::Placement placement_;
+    scheduling::Rebalancer rebalancer_;
+    scheduling::Autoscaler autoscaler_;
     double wake_at_ = 0, next_tick_ = 0, next_round_ = 0, next_rent_ = 0, next_schedule_ = 0;
 };
 
--- a/include/heronshift/gateway/gateway.hpp
+++ b/include/heronshift/gateway/gateway.hpp
@@ -1,17 +1,17 @@
-// What users ask: accept, look up, cancel, and pass on what only the holder can answer.
+// What users ask: accept, look up, cancel, and pass on what only the leader can answer.
 //
 // Owns: the answers still owed to users, what it remembers of accepted jobs, the budgets of reads and
 // submissions. May call the store, the peers, membership and, where this node acts, the core's view through
-// its Host; never the office or a machine. Knows nothing of holds: its Host says whether this node acts.
+// its Host; never the leadership or a machine. Knows nothing of leases: its Host says whether this node acts.
 #pragma once
 
 #include "heronshift/core/core.hpp"
-#include "heronshift/gateway/turns.hpp"
-#include "heronshift/later.hpp"
+#include "heronshift/gateway/fair_token_bucket.hpp"
 #include "heronshift/membership/membership.hpp"
 #include "heronshift/metrics/timings.hpp"
 #include "heronshift/peers/peers.hpp"
 #include "heronshift/store/store.hpp"
+#include "heronshift/timer_queue.hpp"
 
 #include <functional>
 #include <map>
@@ -29,33 +29,33 @@
     public:
         virtual ~Host() = default;
         // The core, while this node may answer from its memory and decide; else none.
-        [[nodiscard]] virtual const Core* acting() const = 0;
-        [[nodiscard]] virtual const std::string& holder() const = 0; // a hint, may be empty
+        [[nodiscard]] virtual const Core* active_core() const = 0;
+        [[nodiscard]] virtual const std::string& leader() const = 0; // a hint, may be empty
         [[nodiscard]] virtual const std::vector<MachineType>& types() const = 0;
-        virtual void push(Command c) = 0;       // to the core
-        virtual void stored(JobStored&& j) = 0; // a job was accepted here
+        virtual void push(Command command) = 0;       // to the core
+        virtual void stored(JobStored&& command) = 0; // a job was accepted here
     };
-    Gateway(const Settings& s, Later& later, store::StateStore& store, Peers& peers,
+    Gateway(const Settings& settings, TimerQueue& timers, store::StateStore& store, Peers& peers,
             const membership::Membership& members, metrics::Timings& took, Host& host);
 
     // A path of /v2/runs. passed_on: by another controller, so it is not passed on again.
-    void serve(HttpRequest&& r, Responder res, bool passed_on);
+    void serve(HttpRequest&& request, Responder res, bool forwarded);
     void tick();
-    void left_office(); // nothing that was asked of the core is answered by it any more
+    void on_leadership_lost(); // nothing that was asked of the core is answered by it any more
 
     // From the core.
-    void answered(const CancelAnswer& a);
+    void answered(const AnswerCancellation& effect);
     void find(const std::string& id, std::function<void(JobFound&&)> done);
 
 private:
-    void submit(HttpRequest&& r, Responder res, bool passed_on);
+    void submit(HttpRequest&& request, Responder res, bool forwarded);
     void poll(const std::string& id, const Responder& res);
     [[nodiscard]] std::optional<JobView> known_here(const std::string& id) const;
-    void cancel(const std::string& id, HttpRequest&& r, Responder res, bool passed_on);
+    void cancel(const std::string& id, HttpRequest&& request, Responder res, bool forwarded);
     void ask_core_to_cancel(const std::string& id, Responder res);
     using Otherwise = std::function<void(Responder)>;
-    [[nodiscard]] std::vector<std::string> ways(bool to_holder, bool to_store) const;
-    void pass_on(std::shared_ptr<const HttpRequest> r, Responder res, std::vector<std::string> to, double wait_s,
+    [[nodiscard]] std::vector<std::string> ways(bool to_leader, bool to_store) const;
+    void forward(std::shared_ptr<const HttpRequest> request, Responder res, std::vector<std::string> to, double wait_s,
                  Otherwise otherwise);
     // Fresh reads: the final state if there is one, else whether the job was accepted.
     struct Found {
@@ -70,29 +70,29 @@
         JobSpec spec;
         std::shared_ptr<const HttpRequest> request;
         Responder res;
-        bool passed_on = false;
+        bool forwarded = false;
         double since = 0;
-        std::size_t next_need = 0;
+        std::size_t next_dependency = 0;
         int tries = 0;
     };
     using Open = std::shared_ptr<Submission>;
-    void check_needs(const Open& s);
-    void accept(const Open& s);
-    void store_job(const Open& s);
-    void stored(const Open& s, store::Answer&& r, double at, double began);
+    void check_dependencies(const Open& submission);
+    void accept(const Open& submission);
+    void store_job(const Open& submission);
+    void stored(const Open& submission, store::Answer&& answer, double at, double began);
     void refuse_unless_known(const std::string& id, int status, const std::string& why, const Responder& res);
     void remember_final(const std::string& id, const std::string& status);
     bool tell_final(const std::string& id, const Responder& res) const; // false: none is known here
-    [[nodiscard]] std::string impossible(const JobSpec& s) const;
+    [[nodiscard]] std::string impossible(const JobSpec& spec) const;
 
-    const Settings& s_;
-    Later& later_;
+    const Settings& settings_;
+    TimerQueue& timers_;
     store::StateStore& store_;
     Peers& peers_;
     const membership::Membership& members_;
     metrics::Timings& took_;
     Host& host_;
-    Turns reads_, submissions_;
+    FairTokenBucket reads_, submissions_;
     std::size_t max_lookups_, lookups_ = 0; // under way
     std::uint64_t handle_seq_ = 0, generation_ = 0;
     struct Cancel {
@@ -101,8 +101,8 @@
         double since = 0;
     };
     std::map<std::uint64_t, Cancel> cancels_;
-    Remembered<bool> accepted_;
-    Remembered<std::string> finals_; // never taken back, so whoever heard of one may tell it
+    BoundedCache<bool> accepted_;
+    BoundedCache<std::string> finals_; // never taken back, so whoever heard of one may tell it
 };
 
 } // namespace heronshift::gateway
--- a/include/heronshift/office/reader.hpp
+++ b/include/heronshift/leadership/state_loader.hpp
@@ -1,24 +1,25 @@
-// Reads what the store holds of the cluster, whole at a takeover, and from then on the jobs that other
+// Reads what the store holds of the cluster, whole at a failover, and from then on the jobs that other
 // nodes store.
 //
 // Owns: the pages read so far and the revision followed to. May call the store only. Says nothing of
 // who may act: it reads on until it is stopped.
 #pragma once
 
-#include "heronshift/later.hpp"
-#include "heronshift/records/records.hpp"
+#include "heronshift/persistence/cluster_records.hpp"
 #include "heronshift/store/store.hpp"
+#include "heronshift/timer_queue.hpp"
 
 #include <functional>
 
-namespace heronshift::office {
+namespace heronshift::leadership {
 
-class Reader {
+class StateLoader {
 public:
-    Reader(const Settings& s, Later& later, store::StateStore& store) : s_(s), later_(later), store_(store) {}
+    StateLoader(const Settings& settings, TimerQueue& timers, store::StateStore& store)
+        : settings_(settings), timers_(timers), store_(store) {}
 
     void read_all(const std::function<void(Snapshot&&)>& done);
-    void follow_jobs(std::function<void(std::vector<codec::StoredJob>&&)> seen); // after read_all
+    void follow_jobs(std::function<void(std::vector<codec::StoredJob>&&)> handle_leader_read); // after read_all
     void stop() {
         ++generation_;
         stored_ = {};
@@ -30,13 +31,13 @@
     void follow();
     void tell(const std::vector<codec::Item>& items);
 
-    const Settings& s_;
-    Later& later_;
+    const Settings& settings_;
+    TimerQueue& timers_;
     store::StateStore& store_;
-    std::uint64_t generation_ = 0, epoch_ = 0;
+    std::uint64_t generation_ = 0, revision_ = 0;
     Snapshot stored_;
     int left_ = 0;
     std::function<void(std::vector<codec::StoredJob>&&)> seen_;
 };
 
-} // namespace heronshift::office
+} // namespace heronshift::leadership
--- a/include/heronshift/local/cloud.hpp
+++ b/include/heronshift/local/cloud.hpp
@@ -38,15 +38,15 @@
 class Platform;
 
 // A machine and its worker.
-class StandInWorker {
+class EmulatedWorker {
 public:
-    StandInWorker(Platform& p, std::string id, const MachineType& type, std::string zone, bool spot, double up_at);
+    EmulatedWorker(Platform& p, std::string id, const MachineType& type, std::string zone, bool spot, double up_at);
     int start();
     void tick(double now);
     void lose_all(); // the machine is gone
-    // Status 200 or 409 with a report; 0: silence, the caller gives up.
-    std::pair<int, std::optional<Report>> obey(std::uint64_t fence, std::uint64_t tenure,
-                                               const std::vector<Order>& list);
+    // Status 200 or 409 with a heartbeat; 0: silence, the caller gives up.
+    std::pair<int, std::optional<Heartbeat>> obey(std::uint64_t fencing_token, std::uint64_t agent_epoch,
+                                                  const std::vector<Order>& list);
 
     [[nodiscard]] ListedMachine listed(double now) const;
     [[nodiscard]] bool up(double now) const {
@@ -65,24 +65,24 @@
         bool counted = false;  // told to the history as on the machine
         double mate_lost = -1; // since when
     };
-    void handle(HttpRequest&& r, const Responder& res);
+    void handle(HttpRequest&& request, const Responder& res);
     void execute(const std::vector<Order>& list, double now);
-    void launch(const Order& o, double now);
+    void launch(const Order& order, double now);
     void end(Run& r, ExitCause cause, bool saved = false);
-    void beat(double now);
-    void answered(const ReportAnswer& a, double sent, std::uint64_t tenure);
+    void heartbeat(double now);
+    void answered(const HeartbeatResponse& a, double sent, std::uint64_t agent_epoch);
     void next_node(double now);
-    Report report();
+    Heartbeat heartbeat();
 
-    Platform& p_;
+    Platform& platform_;
     std::string id_, zone_, addr_;
     const MachineType& type_;
     bool spot_;
-    double rented_at_, up_at_, lease_from_, next_beat_ = 0, speed_ = 1;
-    std::uint64_t tenure_ = 1, counter_ = 0, fence_ = 0;
+    double rented_at_, up_at_, lease_from_, next_heartbeat_ = 0, speed_ = 1;
+    std::uint64_t agent_epoch_ = 1, counter_ = 0, fencing_token_ = 0;
     std::size_t node_ = 0;
     bool in_flight_ = false, changed_ = false;
-    double last_beat_ = -1;
+    double last_heartbeat_at_ = -1;
     std::set<std::string> images_;
     std::vector<Run> runs_;
     std::vector<std::function<void()>> held_;
@@ -101,22 +101,22 @@
     [[nodiscard]] int port() const {
         return server_.port();
     }
-    void report_to(std::vector<std::pair<std::string, std::string>> nodes) {
+    void heartbeat_to(std::vector<std::pair<std::string, std::string>> nodes) {
         plan_.workers.nodes = std::move(nodes);
     }
-    void know(const JobSpec& s) { // its user has uploaded it
-        jobs_[s.id] = s;
+    void know(const JobSpec& spec) { // its user has uploaded it
+        jobs_[spec.id] = spec;
     }
     // For jobs of users from outside: their description, if there is one.
     std::function<std::optional<JobSpec>(const std::string& id)> ask;
     bool out = false; // an outage of the cloud
     // A random machine that is up, or none.
-    StandInWorker* any();
-    void kill(StandInWorker& w); // stops with all that is on it
+    EmulatedWorker* any();
+    void kill(EmulatedWorker& w); // stops with all that is on it
 
     struct Sum {
         std::size_t machines = 0, up = 0, running = 0;
-        std::uint64_t rented = 0, returned = 0, fence = 0; // the highest any machine has seen
+        std::uint64_t rented = 0, returned = 0, fencing_token = 0; // the highest any machine has seen
     };
     [[nodiscard]] Sum sum() const;
     [[nodiscard]] double now() const {
@@ -130,24 +130,24 @@
     std::function<void(const Order&, const MachineType&, const std::string& zone, bool spot)> on_launch;
 
 private:
-    friend class StandInWorker;
+    friend class EmulatedWorker;
     class Direct;
-    void handle(HttpRequest&& r, const Responder& res);
+    void handle(HttpRequest&& request, const Responder& res);
     Rented rent(const Rent& ask);
     void release(const std::vector<std::string>& machines);
     codec::MachinePage page(const std::string& since);
-    void send(StandInWorker& w, Report r, std::function<void(const ReportAnswer&)> done);
+    void send(EmulatedWorker& w, Heartbeat heartbeat, std::function<void(const HeartbeatResponse&)> done);
     double between(double a, double b) {
         return std::uniform_real_distribution<double>(a, b)(rng_);
     }
     // Drawn from what the attempt is called, so that it does not hang on the order of other draws.
-    [[nodiscard]] double run_s(const JobSpec& s, const ReportedTask& t) const;
+    [[nodiscard]] double run_s(const JobSpec& spec, const ReportedTask& task) const;
     // The tasks of one attempt of a gang that are on machines.
     struct Mate {
-        StandInWorker* on;
-        StandInWorker::Run* run;
+        EmulatedWorker* on;
+        EmulatedWorker::Run* run;
     };
-    std::vector<Mate> mates(const std::string& job, std::uint64_t try_no);
+    std::vector<Mate> mates(const std::string& job, std::uint64_t attempt);
 
     uv_loop_t* loop_;
     PlatformPlan plan_;
@@ -155,12 +155,12 @@
     std::mt19937 rng_;
     HttpServer server_;
     HttpClient client_;
-    std::map<std::string, std::unique_ptr<StandInWorker>> machines_;
-    std::vector<std::unique_ptr<StandInWorker>> gone_; // their servers close after the callbacks at hand
+    std::map<std::string, std::unique_ptr<EmulatedWorker>> machines_;
+    std::vector<std::unique_ptr<EmulatedWorker>> gone_; // their servers close after the callbacks at hand
     std::map<std::string, std::vector<std::string>> claims_;
     std::map<std::string, JobSpec> jobs_;
     std::uint64_t ticks_ = 0, named_ = 0, returned_ = 0, messages_ = 0;
-    Executor::Reports reports_; // of a scheduler in this process
+    Executor::Heartbeats reports_; // of a scheduler in this process
     bool direct_ = false;
     LoopTimer timer_;
 };
--- a/include/heronshift/local/history.hpp
+++ b/include/heronshift/local/history.hpp
@@ -1,4 +1,4 @@
-// What happened on a stand-in platform, held against the rules of the protocol as it happens. Knows
+// What happened on an emulator platform, held against the rules of the protocol as it happens. Knows
 // the users' side (what was told) and the machines' side (what ran where); times in seconds of one clock.
 #pragma once
 
@@ -15,8 +15,8 @@
 public:
     History(std::vector<TeamLimits> teams, double cancel_s) : teams_(std::move(teams)), cancel_s_(cancel_s) {}
 
-    void submitted(const JobSpec& s) {
-        jobs_[s.id].spec = s;
+    void submitted(const JobSpec& spec) {
+        jobs_[spec.id].spec = spec;
     }
     void cancel_asked(const std::string& id) {
         jobs_[id].asked = true;
@@ -53,10 +53,10 @@
         std::multimap<std::uint32_t, Place> on;
     };
     void breaks(const std::string& rule, const std::string& what);
-    [[nodiscard]] bool over(const Job& j) const {
-        return j.done.size() >= j.spec.tasks;
+    [[nodiscard]] bool over(const Job& job) const {
+        return job.done.size() >= job.spec.tasks;
     }
-    [[nodiscard]] bool taken_along(const std::string& id) const; // a cancellation reaches it
+    [[nodiscard]] bool cancelled_with_dependency(const std::string& id) const; // a cancellation reaches it
     std::vector<TeamLimits> teams_;
     double cancel_s_;
     std::map<std::string, Job> jobs_;
--- a/include/heronshift/node/controller.hpp
+++ b/include/heronshift/node/controller.hpp
@@ -2,18 +2,18 @@
 // commands come from and effects go to. Whoever drives it (Node on libuv; the tests' world) calls tick()
 // some thirty times in report_s, and wake() when wake_at() has come and after anything was handed in.
 //
-// Owns: the queue, the core while this node holds the office, the parts and their wiring. Decides nothing:
-// who may act is the office's, what may be done the ledger's.
+// Owns: the queue, the core while this node is the leader, the parts and their wiring. Decides nothing:
+// who may act is the leadership's, what may be done the cluster state's.
 #pragma once
 
-#include "heronshift/agents/desk.hpp"
-#include "heronshift/cloud/cloud_desk.hpp"
+#include "heronshift/cloud/cloud_client.hpp"
 #include "heronshift/core/core.hpp"
 #include "heronshift/gateway/gateway.hpp"
+#include "heronshift/leadership/leader_election.hpp"
 #include "heronshift/membership/membership.hpp"
-#include "heronshift/membership/watched.hpp"
-#include "heronshift/office/office.hpp"
+#include "heronshift/membership/observed_clients.hpp"
 #include "heronshift/replay/command_log.hpp"
+#include "heronshift/workers/heartbeat_handler.hpp"
 
 #include <functional>
 #include <memory>
@@ -22,10 +22,10 @@
 
 namespace heronshift {
 
-class Controller final : office::Office::Host,
+class Controller final : leadership::LeaderElection::Host,
                          gateway::Gateway::Host,
-                         agents::Desk::Host,
-                         cloud::CloudDesk::Host,
+                         workers::HeartbeatHandler::Host,
+                         cloud::CloudClient::Host,
                          membership::Membership::Host {
 public:
     struct Parts { // all are needed
@@ -41,7 +41,7 @@
         log_ = std::move(log);
     }
     void start();
-    void stop(); // gives the office up
+    void stop(); // resigns
     void tick();
     void wake(); // what has become due; then the core takes what has gathered
     [[nodiscard]] double wake_at() const;
@@ -49,89 +49,89 @@
     void run_core();
 
     // A request of a user or a worker; one that a peer sends, its path with /peer.
-    void serve(HttpRequest&& r, Responder res);
-    void serve_peer(HttpRequest&& r, Responder res);
+    void serve(HttpRequest&& request, Responder res);
+    void serve_peer(HttpRequest&& request, Responder res);
 
     [[nodiscard]] const Settings& settings() const {
-        return s_;
+        return settings_;
     }
-    [[nodiscard]] Later& later() {
-        return later_;
+    [[nodiscard]] TimerQueue& timers() {
+        return timers_;
     }
     [[nodiscard]] store::StateStore& state() {
         return store_;
     }
     // Until when, by its clock, this node may act if it hears nothing more; 0: it may not.
-    [[nodiscard]] double acts_until() const {
-        return office_.acts_until();
+    [[nodiscard]] double active_until() const {
+        return election_.active_until();
     }
-    [[nodiscard]] const Core* core() const { // while it holds the office
+    [[nodiscard]] const Core* core() const { // while it is the leader
         return core_.get();
     }
 
 private:
     // What the parts ask of each other goes through here.
-    void entered(std::uint64_t term, Snapshot&& stored) override;
-    void left() override;
-    void jobs_seen(std::vector<codec::StoredJob>&& jobs) override;
+    void leadership_acquired(std::uint64_t term, Snapshot&& stored) override;
+    void leadership_lost() override;
+    void jobs_stored_by_others(std::vector<codec::StoredJob>&& jobs) override;
     void committed(TxnOutcome outcome) override;
     [[nodiscard]] std::size_t machines_up() const override {
         return core_ ? core_->machines_up() : 0;
     }
-    [[nodiscard]] const Core* acting() const override {
-        return office_.valid() ? core_.get() : nullptr;
+    [[nodiscard]] const Core* active_core() const override {
+        return election_.valid() ? core_.get() : nullptr;
     }
-    [[nodiscard]] bool acts() const override {
-        return acting() != nullptr;
+    [[nodiscard]] bool is_active_leader() const override {
+        return active_core() != nullptr;
     }
-    [[nodiscard]] bool taking() const override {
-        return office_.taking();
+    [[nodiscard]] bool is_acquiring() const override {
+        return election_.is_acquiring();
     }
-    [[nodiscard]] bool held() const override {
-        return office_.held();
+    [[nodiscard]] bool is_leader() const override {
+        return election_.is_leader();
     }
-    [[nodiscard]] const std::string& holder() const override {
-        return office_.holder();
+    [[nodiscard]] const std::string& leader() const override {
+        return election_.leader();
     }
     [[nodiscard]] const std::vector<MachineType>& types() const override {
         return cloud_.types();
     }
-    [[nodiscard]] bool of_its_term(std::uint64_t fence) const override {
-        return fence >> fence_bits == office_.holder_term();
+    [[nodiscard]] bool is_of_leader_term(std::uint64_t fencing_token) const override {
+        return fencing_token >> token_counter_bits == election_.leader_term();
     }
-    [[nodiscard]] std::uint64_t holder_term() const override {
-        return office_.holder_term();
+    [[nodiscard]] std::uint64_t leader_term() const override {
+        return election_.leader_term();
     }
-    [[nodiscard]] bool sees_office() const override {
-        return office_.sees_office();
+    [[nodiscard]] bool sees_leader() const override {
+        return election_.sees_leader();
     }
-    [[nodiscard]] double acts_since() const override {
-        return office_.taken_at();
+    [[nodiscard]] double active_since() const override {
+        return election_.acquired_at();
     }
     [[nodiscard]] std::string zone_of(const std::string& machine) const override;
     [[nodiscard]] std::map<std::string, std::size_t> machines_by_zone() const override;
     void cloud_answered(bool ok) override {
         members_.cloud_answered(ok);
     }
-    void stored(JobStored&& j) override;
-    void push(Command c) override;
+    void stored(JobStored&& command) override;
+    void push(Command command) override;
 
-    void serve(HttpRequest&& r, Responder res, bool passed_on);
-    void perform(Effect& e);
+    void serve(HttpRequest&& request, Responder res, bool forwarded);
+    void perform(Effect& effect);
     [[nodiscard]] std::string metrics() const;
 
-    const Settings s_;
+    const Settings settings_;
     std::shared_ptr<const Clock> clock_;
-    Later later_;
+    TimerQueue timers_;
     metrics::Timings took_;
-    membership::WatchedStore store_;
+    membership::ObservedStore store_;
     std::unique_ptr<Executor> executor_;
-    membership::WatchedPeers peers_;
+    membership::ObservedPeers peers_;
     membership::Membership members_;
-    office::Office office_;
+    leadership::LeaderElection election_;
     gateway::Gateway gateway_;
-    agents::Desk desk_;
-    cloud::CloudDesk cloud_;
+    workers::HeartbeatHandler heartbeat_handler_;
+    cloud::CloudClient cloud_;
 
     std::unique_ptr<Core> core_;
     std::uint64_t life_ = 0; // of the core: answers for an earlier one are dropped
--- a/include/heronshift/node/node.hpp
+++ b/include/heronshift/node/node.hpp
@@ -31,21 +31,21 @@
         wake();
     }
     // A user's request from inside this process, answered as one that came over the network.
-    void call(HttpRequest&& r, Responder res) {
-        controller_.serve(std::move(r), std::move(res));
+    void call(HttpRequest&& request, Responder res) {
+        controller_.serve(std::move(request), std::move(res));
     }
-    void after(double delay_s, std::function<void()> f) { // on the loop, while the node lives
-        controller_.later().after(delay_s, std::move(f));
+    void after(double delay_s, std::function<void()> callback) { // on the loop, while the node lives
+        controller_.timers().after(delay_s, std::move(callback));
     }
-    void each_tick(std::function<void()> f) { // some thirty times in report_s
-        on_tick_ = std::move(f);
+    void each_tick(std::function<void()> callback) { // some thirty times in report_s
+        on_tick_ = std::move(callback);
     }
     [[nodiscard]] store::StateStore& state() {
         return controller_.state();
     }
     // Until when, by its clock, this node may act if it hears nothing more; 0: it may not.
-    [[nodiscard]] double acts_until() const {
-        return controller_.acts_until();
+    [[nodiscard]] double active_until() const {
+        return controller_.active_until();
     }
     // The port that workers and users reach, once started: the system's choice where 0 was asked for.
     [[nodiscard]] int port() const {
@@ -53,7 +53,7 @@
     }
 
 private:
-    static Parts whole(uv_loop_t* loop, const Settings& s, Parts parts);
+    static Parts whole(uv_loop_t* loop, const Settings& settings, Parts parts);
     void start_timers();
     void look_at_sockets_first();
     void after_sockets();
--- a/include/heronshift/records/intents.hpp
+++ b/include/heronshift/persistence/intents.hpp
@@ -13,19 +13,19 @@
 // One task that may be on a machine from the moment its record is stored.
 struct Intent {
     std::string machine, zone;
-    std::uint64_t tenure = 0;
+    std::uint64_t agent_epoch = 0;
     std::string job;
     std::uint32_t index = 0;
-    std::uint64_t try_no = 0;
+    std::uint64_t attempt = 0;
     friend bool operator==(const Intent&, const Intent&) = default;
 };
 
-// Writes one record line by line: a machine, its zone and tenure, then its tasks, neighbours of one
+// Writes one record line by line: a machine, its zone and agent epoch, then its tasks, neighbours of one
 // attempt as a range. Give the tasks of a machine one after the other.
 class Writer {
 public:
-    void add(std::string_view machine, std::string_view zone, std::uint64_t tenure, std::string_view job,
-             std::uint32_t index, std::uint64_t try_no);
+    void add(std::string_view machine, std::string_view zone, std::uint64_t agent_epoch, std::string_view job,
+             std::uint32_t index, std::uint64_t attempt);
     [[nodiscard]] std::size_t size() const {
         return text_.size() + 64;
     }
@@ -34,7 +34,7 @@
 private:
     void end_range();
     std::string text_, machine_, zone_, job_;
-    std::uint64_t tenure_ = 0, try_no_ = 0;
+    std::uint64_t agent_epoch_ = 0, attempt_ = 0;
     std::uint32_t first_ = 0, last_ = 0;
     bool open_ = false;
 };
@@ -47,7 +47,7 @@
 Read read(std::string_view text);
 
 // Done tasks as ranges, "0-3,7"; what does not fit into the given length is left out.
-std::string ranges_of(const std::vector<bool>& bits, std::size_t most_bytes);
+std::string ranges_of(const std::vector<bool>& bits, std::size_t max_bytes);
 template <class F> void each_in_ranges(std::string_view text, F f);
 bool parse_range(std::string_view& text, std::uint32_t& first, std::uint32_t& last);
 
--- a/include/heronshift/policies/capacity.hpp
+++ b/include/heronshift/scheduling/autoscaler.hpp
@@ -1,19 +1,20 @@
 // Capacity: what to rent, keep, empty and give back. Owns how many machines gangs should find ready.
 #pragma once
 
-#include "heronshift/ledger/proposals.hpp"
-#include "heronshift/policies/common.hpp"
+#include "heronshift/cluster/proposals.hpp"
+#include "heronshift/scheduling/placement_cost.hpp"
 
-namespace heronshift::policies {
+namespace heronshift::scheduling {
 
-class Capacity {
+class Autoscaler {
 public:
-    Capacity(const State& view, ledger::Proposals& out) : v_(view), s_(view.settings), out_(out) {}
+    Autoscaler(const ClusterData& view, cluster::Proposals& out)
+        : cluster_(view), settings_(view.settings), proposals_(out) {}
     void plan_capacity();
     void plan_shrink();
     void return_machines();
     void watch_silent();
-    void note_fleet(); // one line a kind of machine, for operators
+    void log_fleet(); // one line a kind of machine, for operators
 
 private:
     struct Cpus {
@@ -21,7 +22,7 @@
     };
     [[nodiscard]] Cpus array_need() const;
     [[nodiscard]] Cpus offered() const;
-    static double price_per_cpu(const MachineType& t, bool spot);
+    static double price_per_cpu(const MachineType& type, bool spot);
     struct Source { // a kind of machine to rent
         std::string key;
         const MachineType* type;
@@ -31,19 +32,21 @@
         int* in_zone; // how many machines there are in its zone
     };
     void list_sources(std::map<std::string, int>& in_zone);
-    [[nodiscard]] const Source* cheapest_source(const Job& j, bool dear) const;
-    const Machine* keep_again(const Job& j);
-    static bool is_ready(const Machine& m);
-    [[nodiscard]] bool deaf_for_long(const Machine& m, const std::map<int, std::pair<int, int>>& deaf_of) const;
+    [[nodiscard]] const Source* cheapest_source(const Job& job, bool dear) const;
+    const Machine* keep_again(const Job& job);
+    static bool is_ready(const Machine& machine);
+    [[nodiscard]] bool
+    inbound_unreachable_for_long(const Machine& machine,
+                                 const std::map<int, std::pair<int, int>>& inbound_unreachable_by_zone) const;
     void queue_rentals(std::map<std::string, Pending>& wanted);
 
-    const State& v_;
-    const Settings& s_;
-    ledger::Proposals& out_;
+    const ClusterData& cluster_;
+    const Settings& settings_;
+    cluster::Proposals& proposals_;
     double keep_ready_ = 0, next_silent_ = 0;
     // Of one plan:
     std::vector<Source> sources_;
     std::vector<const Machine*> leaving_; // to become empty, and not given back yet
 };
 
-} // namespace heronshift::policies
+} // namespace heronshift::scheduling
--- a/include/heronshift/policies/placement.hpp
+++ b/include/heronshift/scheduling/placement.hpp
@@ -2,15 +2,16 @@
 // it last looked for slow machines; reads a const view and proposes.
 #pragma once
 
-#include "heronshift/ledger/proposals.hpp"
-#include "heronshift/policies/common.hpp"
-#include "heronshift/policies/room_index.hpp"
+#include "heronshift/cluster/proposals.hpp"
+#include "heronshift/scheduling/placement_cost.hpp"
+#include "heronshift/scheduling/room_index.hpp"
 
-namespace heronshift::policies {
+namespace heronshift::scheduling {
 
 class Placement {
 public:
-    Placement(const State& view, ledger::Proposals& out) : v_(view), s_(view.settings), out_(out), index_(view) {}
+    Placement(const ClusterData& view, cluster::Proposals& out)
+        : cluster_(view), settings_(view.settings), proposals_(out), index_(view) {}
     void schedule();
     [[nodiscard]] std::size_t waiting() const { // jobs, at the last pass
         return waiting_;
@@ -38,35 +39,35 @@
     };
     void choose_pool();
     void begin_pass();
-    void place(const Job& j, const Machine& m);
-    void room_changed(const Machine& m);
+    void place(const Job& job, const Machine& machine);
+    void room_changed(const Machine& machine);
     int place_waiting(const std::vector<const Job*>& jobs, std::size_t at, int budget);
-    [[nodiscard]] bool covers(const NoRoom& f, const Job& j) const;
-    void note_no_room(std::vector<NoRoom>& list, const Job& j) const;
-    void ask_for_room(const Job& j);
-    [[nodiscard]] std::vector<std::uint32_t> find_room(const Job& j) const; // positions in the index
-    [[nodiscard]] bool left_to_others(const Machine& m, const Job& j) const;
-    int place_single(const Job& j, double cap);
-    int place_service(const Job& j);
-    bool place_gang(const Job& j);
-    [[nodiscard]] double batch_cost(const PlacementCost& cost_of, const Machine& m, const Job& j) const;
+    [[nodiscard]] bool covers(const NoRoom& f, const Job& job) const;
+    void note_no_room(std::vector<NoRoom>& list, const Job& job) const;
+    void ask_for_room(const Job& job);
+    [[nodiscard]] std::vector<std::uint32_t> find_room(const Job& job) const; // positions in the index
+    [[nodiscard]] bool left_to_others(const Machine& machine, const Job& job) const;
+    int place_single(const Job& job, double cap);
+    int place_service(const Job& job);
+    bool place_gang(const Job& job);
+    [[nodiscard]] double batch_cost(const PlacementCost& cost_of, const Machine& machine, const Job& job) const;
     int place_batch(const std::vector<const Job*>& batch, int most, double cap);
-    [[nodiscard]] Room room_on(const Machine& m, const Job& j, int most, double loss_weight) const;
-    void take_room(const Room& r, const Job& j);
-    int make_room(const Job& j, double cap);
+    [[nodiscard]] Room room_on(const Machine& machine, const Job& job, int most, double loss_weight) const;
+    void take_room(const Room& room, const Job& job);
+    int make_room(const Job& job, double cap);
     const std::vector<Release>& releases_on(std::size_t position);
-    [[nodiscard]] bool may_await(const Machine& m, const Job& j) const;
-    void await_first(const Job& j, double within_s, Rank against);
-    void await_room(const Job& j, int most, double within_s, Rank against);
+    [[nodiscard]] bool may_await(const Machine& machine, const Job& job) const;
+    void await_first(const Job& job, double within_s, Priority against);
+    void await_room(const Job& job, int most, double within_s, Priority against);
     void begin_waiting(const std::vector<const Job*>& jobs);
-    [[nodiscard]] int quota_left(const Job& j) const;
-    [[nodiscard]] double rest_of(const Entry& e) const;
-    [[nodiscard]] double loss_of(const Entry& e) const;
-    void mark_slow(const Machine& m);
+    [[nodiscard]] int quota_left(const Job& job) const;
+    [[nodiscard]] double rest_of(const Entry& entry) const;
+    [[nodiscard]] double loss_of(const Entry& entry) const;
+    void mark_slow(const Machine& machine);
 
-    const State& v_;
-    const Settings& s_;
-    ledger::Proposals& out_;
+    const ClusterData& cluster_;
+    const Settings& settings_;
+    cluster::Proposals& proposals_;
     std::size_t waiting_ = 0;
     std::vector<const Job*> first_of_team_; // whose limit is left to this one until it has begun; by team
     bool ordinary_waits_ = false;           // an array that may not use spot machines
@@ -77,4 +78,4 @@
     std::vector<char> releases_known_;
 };
 
-} // namespace heronshift::policies
+} // namespace heronshift::scheduling
--- a/include/heronshift/policies/room_index.hpp
+++ b/include/heronshift/scheduling/room_index.hpp
@@ -2,14 +2,14 @@
 // without a look at all the others. Owns nothing that outlives the pass.
 #pragma once
 
-#include "heronshift/policies/common.hpp"
+#include "heronshift/scheduling/placement_cost.hpp"
 
 #include <cstdint>
 #include <map>
 #include <tuple>
 #include <vector>
 
-namespace heronshift::policies {
+namespace heronshift::scheduling {
 
 // A segment tree over the free room of a sequence of machines. Each node holds the largest amount of
 // each resource below it, so that a search passes over what is full.
@@ -29,23 +29,23 @@
 
 class RoomIndex {
 public:
-    explicit RoomIndex(const State& view) : v_(view) {}
+    explicit RoomIndex(const ClusterData& view) : cluster_(view) {}
 
     // At the start of a pass. Until the next one nothing but room and reservations may change, and each
     // machine on which they do has to be passed to update().
     void rebuild();
-    void update(const Machine& m);
+    void update(const Machine& machine);
 
     enum class PlainMachines : std::uint8_t { included, left_out };
     // The positions in machines() of those with free room for a task of the job where usable() holds, ascending.
-    [[nodiscard]] std::vector<std::uint32_t> find(const Job& j, PlainMachines which) const;
+    [[nodiscard]] std::vector<std::uint32_t> find(const Job& job, PlainMachines which) const;
     // All machines that may take work in this pass, in the order of their ids.
     [[nodiscard]] const std::vector<const Machine*>& machines() const {
         return machines_;
     }
     static constexpr std::size_t none = SIZE_MAX;
     // The position of a machine there, or none.
-    [[nodiscard]] std::size_t position(const Machine& m) const;
+    [[nodiscard]] std::size_t position(const Machine& machine) const;
 
 private:
     // Machines that are alike but for their room.
@@ -62,22 +62,22 @@
     struct Reservation {
         std::uint32_t machine = 0;
         const void* job = nullptr;
-        Rank rank = Rank::low;
+        Priority priority = Priority::low;
     };
 
-    [[nodiscard]] bool takes_work(const Machine& m) const;
-    [[nodiscard]] bool is_reserved(const Machine& m) const;
-    [[nodiscard]] Resources service_room(const Machine& m) const;
-    [[nodiscard]] Resources task_room(const Machine& m) const;
-    void note_reservation(const Machine& m, std::uint32_t at);
-    [[nodiscard]] bool may_hold(const Group& g, const Job& j, PlainMachines which) const;
-    void find_reserved(const Job& j, PlainMachines which, std::vector<std::uint32_t>& found) const;
+    [[nodiscard]] bool takes_work(const Machine& machine) const;
+    [[nodiscard]] bool is_reserved(const Machine& machine) const;
+    [[nodiscard]] Resources service_room(const Machine& machine) const;
+    [[nodiscard]] Resources task_room(const Machine& machine) const;
+    void note_reservation(const Machine& machine, std::uint32_t at);
+    [[nodiscard]] bool may_hold(const Group& group, const Job& job, PlainMachines which) const;
+    void find_reserved(const Job& job, PlainMachines which, std::vector<std::uint32_t>& found) const;
 
-    const State& v_;
+    const ClusterData& cluster_;
     std::vector<const Machine*> machines_;
     std::vector<Place> places_; // by position
     std::map<GroupKey, Group> groups_;
     std::vector<Reservation> reserved_; // these machines are in no tree
 };
 
-} // namespace heronshift::policies
+} // namespace heronshift::scheduling
--- a/include/heronshift/store/server.hpp
+++ b/include/heronshift/store/server.hpp
@@ -1,5 +1,5 @@
-// A stand-in of the state service: an engine behind HTTP on loopback, for tests, tries and scripts.
-// Troubles can be played: an outage (503) or silence, for everybody.
+// an emulator of the state service: an engine behind HTTP on loopback, for tests, tries and scripts.
+// Faults can be played: an outage (503) or silence, for everybody.
 #pragma once
 
 #include "heronshift/http.hpp"
@@ -10,7 +10,7 @@
 
 class StoreServer {
 public:
-    enum class Mood : std::uint8_t { well, out, busy, silent }; // 503, 429, no answer
+    enum class FaultMode : std::uint8_t { well, out, busy, silent }; // 503, 429, no answer
     StoreServer(uv_loop_t* loop, std::unique_ptr<Engine> engine);
     StoreServer(const StoreServer&) = delete;
     StoreServer& operator=(const StoreServer&) = delete;
@@ -22,20 +22,20 @@
     [[nodiscard]] Engine& engine() {
         return store_.engine();
     }
-    // When an outage ends, all holds have their full time again.
-    void set_mood(Mood m);
+    // When an outage ends, all leases have their full time again.
+    void set_fault_mode(FaultMode m);
     void poll(); // answers who waits for a change; start() sees to it
     [[nodiscard]] std::uint64_t requests() const {
         return requests_;
     }
 
 private:
-    void handle(HttpRequest&& r, const Responder& res);
+    void handle(HttpRequest&& request, const Responder& res);
     uv_loop_t* loop_;
     DirectStore store_;
     HttpServer server_;
     std::vector<Responder> unanswered_;
-    Mood mood_ = Mood::well;
+    FaultMode fault_mode_ = FaultMode::well;
     std::uint64_t requests_ = 0, polls_ = 0;
     LoopTimer timer_;
 };
--- a/include/heronshift/types.hpp
+++ b/include/heronshift/types.hpp
@@ -12,7 +12,7 @@
 /// How the tasks of a job belong together: an array's run one by one, a gang's all at once, a service's for good.
 enum class Shape : std::uint8_t { array, gang, service };
 /// A job's priority. Smaller means more urgent.
-enum class Rank : std::uint8_t { critical, high, normal, low };
+enum class Priority : std::uint8_t { critical, high, normal, low };
 
 /// An amount of resources, of a task or of a machine.
 struct Resources {
@@ -24,26 +24,26 @@
     double memory_gb = 0;
 
     /// Adds each amount.
-    Resources& operator+=(const Resources& o) {
-        cpus += o.cpus, gpus += o.gpus, memory_gb += o.memory_gb;
+    Resources& operator+=(const Resources& resources) {
+        cpus += resources.cpus, gpus += resources.gpus, memory_gb += resources.memory_gb;
         return *this;
     }
     /// Subtracts each amount; the result may be negative.
-    Resources& operator-=(const Resources& o) {
-        cpus -= o.cpus, gpus -= o.gpus, memory_gb -= o.memory_gb;
+    Resources& operator-=(const Resources& resources) {
+        cpus -= resources.cpus, gpus -= resources.gpus, memory_gb -= resources.memory_gb;
         return *this;
     }
     /// The sum of each amount.
-    friend Resources operator+(Resources a, const Resources& b) {
-        return a += b;
+    friend Resources operator+(Resources resources, const Resources& b) {
+        return resources += b;
     }
     /// The difference of each amount; may be negative.
-    friend Resources operator-(Resources a, const Resources& b) {
-        return a -= b;
+    friend Resources operator-(Resources resources, const Resources& b) {
+        return resources -= b;
     }
     /// Each amount k times.
-    friend Resources operator*(Resources a, double k) {
-        return {a.cpus * k, a.gpus * k, a.memory_gb * k};
+    friend Resources operator*(Resources resources, double k) {
+        return {resources.cpus * k, resources.gpus * k, resources.memory_gb * k};
     }
     /// Whether each amount is at most that of `room`. Amounts are decimal numbers, so sums carry rounding errors,
     /// which are allowed for.
@@ -64,7 +64,7 @@
     /// How its tasks belong together.
     Shape shape = Shape::array;
     /// Its priority.
-    Rank rank = Rank::normal;
+    Priority priority = Priority::normal;
     /// The number of its tasks, 1 to 100,000.
     std::uint32_t tasks = 1;
     /// What each task needs.
@@ -92,9 +92,9 @@
     /// When it should be done, in seconds after its submission; below zero: no deadline.
     double deadline_s = -1;
     /// Ids of the jobs that must be done before any task of this one starts.
-    std::vector<std::string> needs;
+    std::vector<std::string> dependencies;
     /// As stored: `needs` cannot be read.
-    bool needs_damaged = false;
+    bool dependencies_damaged = false;
 };
 
 /// A type of machine that the cloud rents out.
@@ -123,14 +123,14 @@
 /// full; `busy`: what it needs was in use there.
 enum class ExitCause : std::uint8_t { none, done, stopped, peers, alone, error, no_room, busy, unknown };
 
-/// One task in a report.
+/// One task in a heartbeat.
 struct ReportedTask {
     /// The id of its job.
     std::string job;
     /// Its index in the job, from 0.
     std::uint32_t index = 0;
     /// The number of the attempt; a later attempt has a greater one.
-    std::uint64_t try_no = 0;
+    std::uint64_t attempt = 0;
     /// What it does.
     TaskState state = TaskState::running;
     /// Why it ended; `none` while it has not.
@@ -140,7 +140,7 @@
 };
 
 /// A machine's heartbeat: all that is on it at one moment.
-struct Report {
+struct Heartbeat {
     /// The id of the machine.
     std::string machine;
     /// The address that takes orders, HOST:PORT.
@@ -152,11 +152,11 @@
     /// It is a spot machine.
     bool spot = false;
     /// The epoch of the agent on it: a restarted agent has a greater one and no tasks.
-    std::uint64_t tenure = 0;
-    /// The number of the report within the epoch.
+    std::uint64_t agent_epoch = 0;
+    /// The number of the heartbeat within the epoch.
     std::uint64_t counter = 0;
     /// The highest fencing token that the agent has seen.
-    std::uint64_t fence = 0;
+    std::uint64_t fencing_token = 0;
     /// Until the machine is reclaimed, in seconds; below zero: no notice was given.
     double notice_s = -1;
     /// The tasks on it; ended ones until they are reaped.
@@ -174,7 +174,7 @@
     /// The task's index in the job, from 0.
     std::uint32_t index = 0;
     /// The number of the attempt.
-    std::uint64_t try_no = 0;
+    std::uint64_t attempt = 0;
     /// For a stop: the time that the task has for saving its progress, in seconds.
     double drain_s = 0;
 };
--- /dev/null
+++ b/src/cloud/cloud_client.cpp
@@ -0,0 +1,152 @@
+#include "heronshift/cloud/cloud_client.hpp"
+
+#include <algorithm>
+#include <spdlog/spdlog.h>
+
+namespace heronshift::cloud {
+namespace {
+
+constexpr std::size_t max_queued_lists = 4; // requests that wait: a list comes later then
+constexpr const char* types_key = "types";
+
+} // namespace
+
+void CloudClient::tick() {
+    const double now = timers_.now();
+    if (now >= next_types_)
+        learn_types();
+    if (host_.is_leader() && now >= next_list_) {
+        next_list_ = now + std::max(settings_.list_lag_s / 2, 2 / settings_.cloud_rps);
+        list_machines("");
+    }
+    pump();
+}
+
+void CloudClient::on_leadership_acquired() {
+    if (!types_.empty())
+        host_.push(MachineTypesKnown{types_});
+    next_list_ = 0;
+}
+
+void CloudClient::request(std::function<void(bool)> ask) {
+    queue_.push_back(std::move(ask));
+    pump();
+}
+
+void CloudClient::pump() {
+    // What a leader asked for that may no longer act must not reach the cloud later.
+    if (!host_.is_active_leader())
+        for (auto gone = std::move(queue_); !gone.empty(); gone.pop_front())
+            gone.front()(false);
+    while (!queue_.empty() && budget_.take(timers_.now())) {
+        const auto ask = std::move(queue_.front());
+        queue_.pop_front();
+        ask(true);
+    }
+}
+
+void CloudClient::rent(const Rent& wanted) {
+    request([this, gen = generation_, wanted](bool go) {
+        auto done = [this, gen, go](Rented&& command) {
+            if (go)
+                host_.cloud_answered(command.outcome == RentOutcome::rented ||
+                                     command.outcome == RentOutcome::no_capacity);
+            if (gen != generation_)
+                return;
+            const double delay = command.outcome == RentOutcome::rented ? 0 : settings_.report_s / 6;
+            timers_.after(delay, [this, gen, command = std::move(command)]() mutable {
+                if (gen == generation_)
+                    host_.push(std::move(command));
+            });
+        };
+        if (!go)
+            return done({wanted.claim, RentOutcome::failed, {}});
+        executor_.rent(wanted, settings_.report_s * 2, done);
+    });
+}
+
+void CloudClient::release(const Release& wanted) {
+    request([this, gen = generation_, wanted](bool go) {
+        auto done = [this, gen, go](Released&& command) {
+            if (go)
+                host_.cloud_answered(command.ok);
+            if (gen == generation_)
+                host_.push(std::move(command));
+        };
+        if (!go)
+            return done({wanted.machines, false});
+        executor_.release(wanted, settings_.report_s * 2, done);
+    });
+}
+
+void CloudClient::list_machines(const std::string& since) {
+    if (queue_.size() > max_queued_lists)
+        return;
+    if (since.empty()) {
+        listing_.clear();
+        listing_at_ = timers_.now();
+    }
+    request([this, gen = generation_, since](bool go) {
+        if (!go)
+            return;
+        executor_.list(since, settings_.report_s * 2, [this, gen](std::optional<codec::MachinePage>&& page) {
+            host_.cloud_answered(page.has_value());
+            if (gen != generation_ || !page)
+                return;
+            std::string last;
+            for (auto& listed_machine : page->machines) {
+                last = listed_machine.id;
+                listing_.push_back(std::move(listed_machine));
+            }
+            if (page->more && !last.empty())
+                return list_machines(last);
+            host_.push(MachinesListed{std::move(listing_), listing_at_});
+            listing_.clear();
+        });
+    });
+}
+
+// The types come from the cloud; the leader keeps a copy in the store for nodes that start while
+// the cloud is in fault.
+void CloudClient::learn_types() {
+    next_types_ = timers_.now() + settings_.report_s;
+    if (learning_types_)
+        return;
+    if (!types_.empty() && (!host_.is_leader() || timers_.now() - types_at_ < settings_.lease_s))
+        return;
+    learning_types_ = true;
+    if (!types_.empty())
+        return from_cloud();
+    store_.get(types_key, settings_.report_s / 2, [this](store::Answer&& answer) {
+        if (answer.item)
+            if (auto types = codec::machine_types(answer.item->value.dump()); types)
+                return learned(std::move(*types));
+        from_cloud();
+    });
+}
+
+void CloudClient::from_cloud() {
+    executor_.types(settings_.report_s * 2, [this](std::optional<std::vector<MachineType>>&& types) {
+        host_.cloud_answered(types.has_value());
+        learning_types_ = false;
+        if (!types)
+            return;
+        const bool first = types_.empty();
+        if (first)
+            spdlog::info("{} machine types known", types->size());
+        learned(std::move(*types));
+        if (first)
+            store_.transact({{types_key, 0}}, {{types_key, codec::types_to_json(types_), 0}}, 1,
+                            [](store::Answer&&) {});
+    });
+}
+
+void CloudClient::learned(std::vector<MachineType>&& types) {
+    learning_types_ = false;
+    types_ = std::move(types);
+    types_at_ = timers_.now();
+    if (host_.is_leader())
+        host_.push(MachineTypesKnown{types_});
+}
+
+} // namespace heronshift::cloud
--- /dev/null
+++ b/src/cluster/proposals.cpp
@@ -0,0 +1,179 @@
+// What policies propose, checked and entered.
+#include "heronshift/cluster/cluster_state.hpp"
+
+#include <algorithm>
+#include <fmt/format.h>
+
+namespace heronshift::cluster {
+
+// Every placement comes through here; a rule that it would break stops it, whoever planned it.
+bool ClusterState::place(const Job& job, const Machine& machine) {
+    auto& j = own(job);
+    auto& m = own(machine);
+    if (const auto* why = data_.refusal(j, m); why != nullptr) {
+        log(2, fmt::format("no task of job {} on {}: {}", j.spec.id, m.id, why));
+        return false;
+    }
+    while (!j.pending.empty()) {
+        const auto i = j.pending.front();
+        j.pending.pop_front();
+        j.tasks[i].queued = false;
+        if (j.tasks[i].done || j.tasks[i].live > 0)
+            continue;
+        // A task is placed once a pass at most, so the pass makes the attempt unique.
+        const auto attempt = (data_.term << attempt_counter_bits) + pass_counter_;
+        if (j.spec.shape == Shape::gang)
+            j.gang_attempt = attempt;
+        add_entry(m, j, i, attempt);
+        // What was made room for is there: others may have the rest.
+        if (m.reserved_for == &j && --m.reserved_tasks <= 0)
+            m.reserved_for = nullptr;
+        return true;
+    }
+    return false;
+}
+
+void ClusterState::drop_settled(const Job& job, bool all) {
+    auto& j = own(job);
+    const auto settled = [&](std::uint32_t i) {
+        const bool over = j.tasks[i].done || j.tasks[i].live > 0;
+        if (over)
+            j.tasks[i].queued = false;
+        return over;
+    };
+    if (all) {
+        std::erase_if(j.pending, settled);
+        return;
+    }
+    while (!j.pending.empty() && settled(j.pending.front()))
+        j.pending.pop_front();
+}
+
+void ClusterState::stop(const Entry& entry, double drain_s) {
+    stop_entry(own(entry), drain_s);
+}
+
+void ClusterState::preempt(const Entry& entry) {
+    stop_entry(own(entry), 0);
+    ++counters_.preempted;
+}
+
+void ClusterState::move_away(const Entry& entry, double drain_s) {
+    stop_entry(own(entry), drain_s);
+    own(entry).moving = true;
+    ++counters_.moved;
+}
+
+void ClusterState::gang_whole(const Job& job) {
+    own(job).gang_breaking = false;
+}
+
+void ClusterState::reserve(const Machine& machine, const Job& job, int tasks, double until, Priority against) {
+    auto& m = own(machine);
+    m.reserved_for = &job;
+    m.reserved_priority = against;
+    m.reserved_until = until;
+    m.reserved_tasks = tasks;
+}
+
+void ClusterState::room_asked(const Job& job, double until) {
+    own(job).room_until = until;
+}
+
+void ClusterState::good_room(const Job& job, bool being_made) {
+    own(job).good_room = being_made;
+}
+
+void ClusterState::set_pool(const std::vector<const Machine*>& pool, const Resources& service_shape) {
+    data_.service_shape = service_shape;
+    for (auto& [id, machine] : data_.machines)
+        machine->pool = false;
+    for (const auto* machine : pool)
+        own(*machine).pool = true;
+}
+
+void ClusterState::set_common_shape(const Resources& resources) {
+    data_.common_shape = resources;
+}
+
+// A job is within its team's guarantee if it fits into that with the team's earlier ones.
+void ClusterState::mark_guarantees() {
+    for (auto& team : data_.teams) {
+        double cpus = 0, gpus = 0;
+        for (auto& job : team.jobs) {
+            if (job->final != Final::none)
+                continue;
+            cpus += job->spec.each.cpus * job->spec.tasks;
+            gpus += job->spec.each.gpus * job->spec.tasks;
+            // What is guaranteed nothing of what a job uses is no guarantee for it.
+            const bool some = team.limits.cpus > 0 || (team.limits.gpus > 0 && job->spec.each.gpus > 0);
+            job->guaranteed = some && (team.limits.cpus <= 0 || cpus <= team.limits.cpus + 1e-6) &&
+                              (team.limits.gpus <= 0 || gpus <= team.limits.gpus + 1e-6);
+        }
+    }
+}
+
+void ClusterState::blame(const Entry& entry) {
+    auto& blamed = own(entry).job->tasks[entry.index].blamed;
+    if (blamed < 4)
+        ++blamed;
+}
+
+void ClusterState::slow(const Machine& machine, double until) {
+    own(machine).slow_until = until;
+    ++own(machine).slow_seen;
+}
+
+void ClusterState::retire(const Machine& machine, bool leave) {
+    own(machine).retiring = leave;
+    if (!leave)
+        needs_scheduling_ = true;
+}
+
+void ClusterState::rent(const Pending& rental) {
+    // The term makes the name unique among all leaders there ever were.
+    const auto claim = fmt::format("r-{}-{}", data_.term, ++claim_seq_);
+    data_.rentals[claim] = rental;
+    effects_.emplace_back(Rent{claim, rental.type, rental.zone, rental.spot, rental.count});
+}
+
+void ClusterState::ask(const Machine& machine) {
+    own(machine).asked_at = data_.now;
+    to_ask_.push_back(machine.id);
+}
+
+void ClusterState::presume_dead(const Machine& machine) {
+    own(machine).presumed_dead = true;
+}
+
+void ClusterState::give_back(const Machine& machine) {
+    auto& m = own(machine);
+    m.releasing = m.release_asked = true;
+    if (!m.presumed_dead)
+        return;
+    record_spot_loss();
+    log(1, fmt::format("spot machine {} is silent, {} tasks start elsewhere once it is surely gone", m.id,
+                       m.entries.size()));
+}
+
+// A machine that is given back must stay known as gone for as long as late messages may name it. Without room for
+// that it stays rented, takes no work, and is asked for again.
+void ClusterState::release(std::vector<std::string> machines) {
+    const auto room = departed_.room_for(releases_under_way_ + machines.size(), data_.now);
+    const auto may_go = std::min(machines.size(), room - std::min(room, releases_under_way_));
+    for (auto i = may_go; i < machines.size(); ++i)
+        if (auto* machine = find_machine(machines[i]); machine != nullptr) {
+            machine->release_asked = false;
+            machine->release_retry = data_.now + data_.settings.report_s;
+        }
+    if (may_go < machines.size())
+        log(2, fmt::format("{} machines stay rented for now: {} departed lately", machines.size() - may_go,
+                           departed_.size()));
+    machines.resize(may_go);
+    if (machines.empty())
+        return;
+    releases_under_way_ += machines.size();
+    effects_.emplace_back(Release{std::move(machines)});
+}
+
+} // namespace heronshift::cluster
--- a/src/embed/scheduler.cpp
+++ b/src/embed/scheduler.cpp
@@ -17,31 +17,32 @@
 // be let go inside one of its own callbacks.
 class Scheduler::Inner : public std::enable_shared_from_this<Inner> {
 public:
-    Inner(uv_loop_t* loop, SchedulerOptions o) : loop_(loop), o_(std::move(o)) {
-        if (!o_.clock)
-            o_.clock = std::make_shared<Clock>();
+    Inner(uv_loop_t* loop, SchedulerOptions options) : loop_(loop), options_(std::move(options)) {
+        if (!options_.clock)
+            options_.clock = std::make_shared<Clock>();
     }
 
     // On the loop's thread. Throws what the constructors of Scheduler do.
     void start() {
         Node::Parts parts;
-        if (o_.state) {
-            parts.state = o_.state(loop_);
-        } else if (!o_.state_file.empty()) {
-            parts.state = store::file_store(loop_, o_.state_file, o_.settings.txn_ops, o_.settings.value_kb);
+        if (options_.state) {
+            parts.state = options_.state(loop_);
+        } else if (!options_.state_file.empty()) {
+            parts.state =
+                store::file_store(loop_, options_.state_file, options_.settings.txn_ops, options_.settings.value_kb);
         }
-        if (o_.executor)
-            parts.executor = o_.executor(loop_);
-        parts.clock = o_.clock;
-        node_ = std::make_unique<Node>(loop_, o_.settings, std::move(parts));
-        if (!o_.command_log.empty())
-            node_->record(std::make_unique<replay::CommandLog>(o_.command_log, replay::usual_size));
+        if (options_.executor)
+            parts.executor = options_.executor(loop_);
+        parts.clock = options_.clock;
+        node_ = std::make_unique<Node>(loop_, options_.settings, std::move(parts));
+        if (!options_.command_log.empty())
+            node_->record(std::make_unique<replay::CommandLog>(options_.command_log, replay::usual_size));
         if (const int e = node_->start(); e != 0) {
             node_.reset();
             throw std::system_error(-e, std::generic_category(), "the scheduler cannot listen");
         }
         port_ = node_->port();
-        node_->each_tick([this] { acts_until_ = node_->acts_until(); });
+        node_->each_tick([this] { active_until_ = node_->active_until(); });
         async_ = new uv_async_t;
         uv_async_init(loop_, async_, [](uv_async_t* a) {
             if (a->data != nullptr)
@@ -52,11 +53,11 @@
     }
 
     // From any thread; f runs on the loop's.
-    void post(std::function<void(Inner&)> f) {
+    void post(std::function<void(Inner&)> callback) {
         const std::lock_guard l(lock_);
         if (ended_)
             return;
-        queue_.push_back(std::move(f));
+        queue_.push_back(std::move(callback));
         uv_async_send(async_);
     }
 
@@ -71,9 +72,9 @@
         });
     }
 
-    void subscribe(Watch w) {
-        post([w = std::move(w)](Inner& in) mutable {
-            in.watches_.push_back(std::move(w));
+    void subscribe(Watch callback) {
+        post([callback = std::move(callback)](Inner& in) mutable {
+            in.watches_.push_back(std::move(callback));
             if (in.watches_.size() == 1)
                 in.watch_from_now();
         });
@@ -101,8 +102,8 @@
     }
     std::thread thread;
     std::atomic<std::thread::id> thread_id;
-    [[nodiscard]] bool acts() const {
-        return o_.clock->now() < acts_until_;
+    [[nodiscard]] bool is_active_leader() const {
+        return options_.clock->now() < active_until_;
     }
     [[nodiscard]] int port() const {
         return port_;
@@ -112,18 +113,18 @@
     void answer(const Done& done, int status, std::string_view body, int after) {
         if (silent_ || !done)
             return;
-        Reply r;
-        r.status = status;
-        r.retry_after_s = after;
-        if (const auto a = codec::job_answer_of(body); r.ok() && a) {
-            r.id = a->id;
-            r.state = a->status;
-            r.done = a->done;
-            r.running = a->running;
+        Reply reply;
+        reply.status = status;
+        reply.retry_after_s = after;
+        if (const auto a = codec::job_answer_of(body); reply.ok() && a) {
+            reply.id = a->id;
+            reply.state = a->status;
+            reply.done = a->done;
+            reply.running = a->running;
         } else {
-            r.error = codec::store_error(body);
+            reply.error = codec::store_error(body);
         }
-        done(r);
+        done(reply);
     }
 
     void run() {
@@ -133,13 +134,13 @@
             const std::lock_guard l(lock_);
             list.swap(queue_);
         }
-        for (auto& f : list)
-            f(*this);
+        for (auto& callback : list)
+            callback(*this);
         if (!stopping_ || (!node_ && !end_now_))
             return;
         // No call of the node's is on the stack here.
         node_.reset();
-        acts_until_ = 0;
+        active_until_ = 0;
         if (!end_now_)
             return;
         {
@@ -157,20 +158,20 @@
     void watch_from_now() {
         if (!node_)
             return;
-        node_->state().list("f/", "", 1, o_.settings.report_s, [this](store::Answer&& a) {
-            if (a.status != 200)
+        node_->state().list("f/", "", 1, options_.settings.report_s, [this](store::Answer&& answer) {
+            if (answer.status != 200)
                 return again();
-            follow(a.epoch);
+            follow(answer.revision);
         });
     }
 
     void again() { // after a pause that costs the store little
         if (!node_)
             return;
-        node_->after(o_.settings.report_s, [this] {
-            for (const auto& w : watches_)
+        node_->after(options_.settings.report_s, [this] {
+            for (const auto& callback : watches_)
                 if (!silent_)
-                    w({{}, {}, true});
+                    callback({{}, {}, true});
             watch_from_now();
         });
     }
@@ -178,23 +179,23 @@
     void follow(std::uint64_t since) {
         if (!node_)
             return;
-        node_->state().follow("f/", since, o_.settings.lease_s, [this, since](store::Answer&& a) {
-            if (a.status != 200)
+        node_->state().follow("f/", since, options_.settings.lease_s, [this, since](store::Answer&& answer) {
+            if (answer.status != 200)
                 return again();
-            for (const auto& i : a.items) {
+            for (const auto& i : answer.items) {
                 const auto final = i.deleted ? std::nullopt : codec::stored_final(i.value);
                 if (!final)
                     continue;
-                for (const auto& w : watches_)
+                for (const auto& callback : watches_)
                     if (!silent_)
-                        w({i.key.substr(2), final->status, false});
+                        callback({i.key.substr(2), final->status, false});
             }
-            follow(std::max(since, a.epoch));
+            follow(std::max(since, answer.revision));
         });
     }
 
     uv_loop_t* loop_;
-    SchedulerOptions o_;
+    SchedulerOptions options_;
     std::unique_ptr<Node> node_;
     uv_async_t* async_ = nullptr;
     std::shared_ptr<Inner> self_;
@@ -204,7 +205,7 @@
     std::atomic<bool> silent_{false};
     bool ended_ = false, stopping_ = false, end_now_ = false;
     int port_ = 0;
-    std::atomic<double> acts_until_{0};
+    std::atomic<double> active_until_{0};
 };
 
 Scheduler::Scheduler(uv_loop_t* loop, SchedulerOptions options)
@@ -282,8 +283,8 @@
     inner_->turn();
 }
 
-bool Scheduler::acts() const {
-    return inner_->acts();
+bool Scheduler::is_active_leader() const {
+    return inner_->is_active_leader();
 }
 
 int Scheduler::port() const {
--- a/src/office/reader.cpp
+++ b/src/leadership/state_loader.cpp
@@ -1,8 +1,8 @@
-#include "heronshift/office/reader.hpp"
+#include "heronshift/leadership/state_loader.hpp"
 
 #include <algorithm>
 
-namespace heronshift::office {
+namespace heronshift::leadership {
 namespace {
 
 constexpr int records_a_page = 500;
@@ -10,7 +10,7 @@
 
 } // namespace
 
-void Reader::read_all(const std::function<void(Snapshot&&)>& done) {
+void StateLoader::read_all(const std::function<void(Snapshot&&)>& done) {
     ++generation_;
     stored_ = {};
     // All at once: only jobs can still change, by other nodes, and those changes are followed.
@@ -28,19 +28,19 @@
 }
 
 // Everything below a prefix, page by page.
-void Reader::load(const std::string& prefix, const std::string& since, std::vector<codec::Item>* into,
-                  const std::function<void()>& next) {
+void StateLoader::load(const std::string& prefix, const std::string& since, std::vector<codec::Item>* into,
+                       const std::function<void()>& next) {
     const auto gen = generation_;
     store_.list(prefix, since, records_a_page, page_s, [=, this](store::Answer&& page) {
         if (gen != generation_)
             return;
         if (page.status != 200)
-            return later_.after(s_.report_s / 10, [=, this] {
+            return timers_.after(settings_.report_s / 10, [=, this] {
                 if (gen == generation_)
                     load(prefix, since, into, next);
             });
         if (prefix == "j/" && since.empty())
-            epoch_ = page.epoch;
+            revision_ = page.revision;
         std::string last;
         for (auto& i : page.items) {
             last = i.key;
@@ -52,47 +52,47 @@
     });
 }
 
-void Reader::tell(const std::vector<codec::Item>& items) {
+void StateLoader::tell(const std::vector<codec::Item>& items) {
     std::vector<codec::StoredJob> jobs;
     for (const auto& i : items) {
         if (i.deleted)
             continue;
-        if (auto j = codec::stored_job(i.value, later_.wall()); j)
+        if (auto j = codec::stored_job(i.value, timers_.wall()); j)
             jobs.push_back(std::move(*j));
     }
     seen_(std::move(jobs));
 }
 
-void Reader::follow_jobs(std::function<void(std::vector<codec::StoredJob>&&)> seen) {
-    seen_ = std::move(seen);
+void StateLoader::follow_jobs(std::function<void(std::vector<codec::StoredJob>&&)> handle_leader_read) {
+    seen_ = std::move(handle_leader_read);
     follow();
 }
 
-// Other nodes accept jobs too; the holder learns of them here.
-void Reader::follow() {
+// Other nodes accept jobs too; the leader learns of them here.
+void StateLoader::follow() {
     const auto gen = generation_;
-    store_.follow("j/", epoch_, s_.lease_s / 2, [this, gen](store::Answer&& r) {
+    store_.follow("j/", revision_, settings_.lease_s / 2, [this, gen](store::Answer&& answer) {
         if (gen != generation_)
             return;
         auto again = [this, gen](double delay_s) {
-            later_.after(delay_s, [this, gen] {
+            timers_.after(delay_s, [this, gen] {
                 if (gen == generation_)
                     follow();
             });
         };
-        if (r.status == 410) { // too far behind: everything is read again
+        if (answer.status == 410) { // too far behind: everything is read again
             stored_ = {};
             return load("j/", "", &stored_.jobs, [this, again] {
                 tell(std::exchange(stored_, {}).jobs);
                 again(0);
             });
         }
-        if (r.status != 200)
-            return again(s_.report_s / 10);
-        epoch_ = std::max(epoch_, r.epoch);
-        tell(r.items);
+        if (answer.status != 200)
+            return again(settings_.report_s / 10);
+        revision_ = std::max(revision_, answer.revision);
+        tell(answer.items);
         again(0);
     });
 }
 
-} // namespace heronshift::office
+} // namespace heronshift::leadership
--- a/src/local/cloud.cpp
+++ b/src/local/cloud.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr std::uint64_t tick_ms = 20, ticks_a_sweep = 5, ticks_a_second = 50;
-constexpr double answer_s = 4, next_node_s = 1, least_pause_s = 0.5;
+constexpr double answer_s = 4, next_node_s = 1, min_pause_s = 0.5;
 
 std::string error_body(const std::string& what) {
     return codec::Json{{"error", what}}.dump();
@@ -18,41 +18,42 @@
 
 } // namespace
 
-StandInWorker::StandInWorker(Platform& p, std::string id, const MachineType& type, std::string zone, bool spot,
-                             double up_at)
-    : p_(p), id_(std::move(id)), zone_(std::move(zone)), type_(type), spot_(spot), rented_at_(p.now()), up_at_(up_at),
-      lease_from_(up_at), next_beat_(up_at), speed_(p.between(0.95, 1.05)),
-      server_(p.loop_, 64, 600, [this](HttpRequest&& r, const Responder& res) { handle(std::move(r), res); }) {}
+EmulatedWorker::EmulatedWorker(Platform& p, std::string id, const MachineType& type, std::string zone, bool spot,
+                               double up_at)
+    : platform_(p), id_(std::move(id)), zone_(std::move(zone)), type_(type), spot_(spot), rented_at_(p.now()),
+      up_at_(up_at), lease_from_(up_at), next_heartbeat_(up_at), speed_(p.between(0.95, 1.05)),
+      server_(p.loop_, 64, 600,
+              [this](HttpRequest&& request, const Responder& res) { handle(std::move(request), res); }) {}
 
-int StandInWorker::start() {
-    if (p_.direct_) {
+int EmulatedWorker::start() {
+    if (platform_.direct_) {
         addr_ = id_;
         return 0;
     }
     if (const int e = server_.listen({"127.0.0.1", 0}); e != 0)
         return e;
     addr_ = fmt::format("127.0.0.1:{}", server_.port());
-    if (!p_.plan_.workers.nodes.empty() && !p_.plan_.lockstep)
-        node_ = p_.rng_() % p_.plan_.workers.nodes.size();
+    if (!platform_.plan_.workers.nodes.empty() && !platform_.plan_.lockstep)
+        node_ = platform_.rng_() % platform_.plan_.workers.nodes.size();
     return 0;
 }
 
-ListedMachine StandInWorker::listed(double now) const {
+ListedMachine EmulatedWorker::listed(double now) const {
     return {id_, addr_, type_.name, zone_, up(now) ? "running" : "booting", spot_, now - rented_at_};
 }
 
-Report StandInWorker::report() {
-    Report r{id_, addr_, type_.name, zone_, spot_, tenure_, ++counter_, fence_, -1, {}};
+Heartbeat EmulatedWorker::heartbeat() {
+    Heartbeat r{id_, addr_, type_.name, zone_, spot_, agent_epoch_, ++counter_, fencing_token_, -1, {}};
     for (const auto& x : runs_)
         r.tasks.push_back(x.t);
     return r;
 }
 
-void StandInWorker::end(Run& r, ExitCause cause, bool saved) {
+void EmulatedWorker::end(Run& r, ExitCause cause, bool saved) {
     if (r.counted)
-        p_.history_.off_machine(r.t.job, r.t.index, id_);
+        platform_.history_.off_machine(r.t.job, r.t.index, id_);
     if (cause == ExitCause::done)
-        p_.history_.task_done(r.t.job, r.t.index);
+        platform_.history_.task_done(r.t.job, r.t.index);
     r.counted = false;
     r.t.state = TaskState::ended;
     r.t.cause = cause;
@@ -60,37 +61,37 @@
     changed_ = true;
 }
 
-void StandInWorker::lose_all() {
+void EmulatedWorker::lose_all() {
     for (auto& r : runs_)
         if (r.counted)
-            p_.history_.off_machine(r.t.job, r.t.index, id_);
+            platform_.history_.off_machine(r.t.job, r.t.index, id_);
     runs_.clear();
 }
 
-void StandInWorker::launch(const Order& o, double now) {
-    if (!p_.jobs_.contains(o.job) && p_.ask)
-        if (const auto s = p_.ask(o.job); s) {
-            p_.know(*s);
-            p_.history_.submitted(*s);
+void EmulatedWorker::launch(const Order& order, double now) {
+    if (!platform_.jobs_.contains(order.job) && platform_.ask)
+        if (const auto s = platform_.ask(order.job); s) {
+            platform_.know(*s);
+            platform_.history_.submitted(*s);
         }
-    const auto& specs = p_.jobs_;
+    const auto& specs = platform_.jobs_;
     Run r;
-    r.t = {o.job, o.index, o.try_no, TaskState::fetching, ExitCause::none, false};
-    if (p_.on_launch)
-        p_.on_launch(o, type_, zone_, spot_);
-    const auto spec = specs.find(o.job);
+    r.t = {order.job, order.index, order.attempt, TaskState::fetching, ExitCause::none, false};
+    if (platform_.on_launch)
+        platform_.on_launch(order, type_, zone_, spot_);
+    const auto spec = specs.find(order.job);
     Resources used;
     bool here = false;
     for (const auto& x : runs_) {
-        if (x.t.job == o.job && x.t.index == o.index) {
-            if (x.t.try_no == o.try_no)
+        if (x.t.job == order.job && x.t.index == order.index) {
+            if (x.t.attempt == order.attempt)
                 return;
             here = here || x.t.state != TaskState::ended;
         }
         if (const auto s = specs.find(x.t.job); s != specs.end() && x.t.state != TaskState::ended)
             used += s->second.each;
     }
-    if (spec == specs.end() || o.index >= spec->second.tasks)
+    if (spec == specs.end() || order.index >= spec->second.tasks)
         end(r, ExitCause::unknown);
     else if (here)
         end(r, ExitCause::busy);
@@ -102,62 +103,62 @@
     changed_ = true;
 }
 
-void StandInWorker::execute(const std::vector<Order>& list, double now) {
-    for (const auto& o : list) {
-        if (o.verb == Verb::launch) {
-            launch(o, now);
+void EmulatedWorker::execute(const std::vector<Order>& list, double now) {
+    for (const auto& order : list) {
+        if (order.verb == Verb::launch) {
+            launch(order, now);
             continue;
         }
         const auto it = std::find_if(runs_.begin(), runs_.end(), [&](const Run& r) {
-            return r.t.job == o.job && r.t.index == o.index && r.t.try_no == o.try_no;
+            return r.t.job == order.job && r.t.index == order.index && r.t.attempt == order.attempt;
         });
         if (it == runs_.end())
             continue;
-        if (o.verb == Verb::reap) {
+        if (order.verb == Verb::reap) {
             if (it->t.state == TaskState::ended)
                 runs_.erase(it);
             continue;
         }
         if (it->t.state == TaskState::ended)
             continue;
-        const auto& s = p_.jobs_[o.job];
-        if (it->t.state == TaskState::running && s.checkpoint_s > 0 && o.drain_s >= s.save_s) {
+        const auto& spec = platform_.jobs_[order.job];
+        if (it->t.state == TaskState::running && spec.checkpoint_s > 0 && order.drain_s >= spec.save_s) {
             it->t.state = TaskState::saving;
-            it->until = now + s.save_s;
+            it->until = now + spec.save_s;
             changed_ = true;
-        } else if (it->t.state != TaskState::saving || o.drain_s <= 0) {
+        } else if (it->t.state != TaskState::saving || order.drain_s <= 0) {
             end(*it, ExitCause::stopped);
         }
     }
 }
 
-std::pair<int, std::optional<Report>> StandInWorker::obey(std::uint64_t fence, std::uint64_t tenure,
-                                                          const std::vector<Order>& list) {
-    const double now = p_.now();
-    ++p_.messages_;
+std::pair<int, std::optional<Heartbeat>> EmulatedWorker::obey(std::uint64_t fencing_token, std::uint64_t agent_epoch,
+                                                              const std::vector<Order>& list) {
+    const double now = platform_.now();
+    ++platform_.messages_;
     if (now < hung_until || now < cut_until || !up(now))
         return {0, {}};
-    if (fence < fence_ || tenure != tenure_)
-        return {409, report()};
-    changed_ = changed_ || fence > fence_;
-    fence_ = fence;
+    if (fencing_token < fencing_token_ || agent_epoch != agent_epoch_)
+        return {409, heartbeat()};
+    changed_ = changed_ || fencing_token > fencing_token_;
+    fencing_token_ = fencing_token;
     execute(list, now);
-    return {200, report()};
+    return {200, heartbeat()};
 }
 
-void StandInWorker::handle(HttpRequest&& r, const Responder& res) {
-    const double now = p_.now();
+void EmulatedWorker::handle(HttpRequest&& request, const Responder& res) {
+    const double now = platform_.now();
     if (now < hung_until || now < cut_until || !up(now))
         return; // silence: the caller gives up
-    if (r.method == "GET" && r.path == codec::path_status)
-        return res.send(200, codec::to_body(report()));
-    if (r.method != "POST" || r.path != codec::path_commands)
+    if (request.method == "GET" && request.path == codec::path_status)
+        return res.send(200, codec::to_body(heartbeat()));
+    if (request.method != "POST" || request.path != codec::path_commands)
         return res.send(404, error_body("no such path"));
-    const auto o = codec::read_orders(r.body);
-    if (!o || !o->fence || !o->tenure)
+    const auto o = codec::read_orders(request.body);
+    if (!o || !o->fencing_token || !o->agent_epoch)
         return res.send(400, error_body("fence and tenure are needed"));
     const auto take = [this, o = *o, res] {
-        const auto [status, answer] = obey(*o.fence, *o.tenure, o.list);
+        const auto [status, answer] = obey(*o.fencing_token, *o.agent_epoch, o.list);
         if (answer)
             res.send(status, codec::to_body(*answer));
     };
@@ -166,120 +167,121 @@
     take();
 }
 
-void StandInWorker::next_node(double now) {
-    const auto n = p_.plan_.workers.nodes.size();
+void EmulatedWorker::next_node(double now) {
+    const auto n = platform_.plan_.workers.nodes.size();
     if (n > 0)
         node_ = (node_ + 1) % n;
-    next_beat_ = now + next_node_s;
+    next_heartbeat_ = now + next_node_s;
 }
 
-void StandInWorker::answered(const ReportAnswer& a, double sent, std::uint64_t tenure) {
+void EmulatedWorker::answered(const HeartbeatResponse& a, double sent, std::uint64_t agent_epoch) {
     in_flight_ = false;
-    const double now = p_.now();
+    const double now = platform_.now();
     if (now < cut_until || now < hung_until)
         return;
-    const auto& nodes = p_.plan_.workers.nodes;
+    const auto& nodes = platform_.plan_.workers.nodes;
     if (a.status == 421) {
         for (std::size_t i = 0; i < nodes.size(); ++i)
-            if (nodes[i].first == a.holder && i != node_) {
+            if (nodes[i].first == a.leader && i != node_) {
                 node_ = i;
-                next_beat_ = now + (p_.plan_.lockstep ? 0 : p_.between(0, 0.5));
+                next_heartbeat_ = now + (platform_.plan_.lockstep ? 0 : platform_.between(0, 0.5));
                 return;
             }
         return next_node(now);
     }
     if (a.status != 200)
         return next_node(now);
-    if (a.fence < fence_ || tenure != tenure_)
+    if (a.fencing_token < fencing_token_ || agent_epoch != agent_epoch_)
         return; // dropped; it stays with this node
-    changed_ = changed_ || a.fence > fence_;
-    fence_ = a.fence;
+    changed_ = changed_ || a.fencing_token > fencing_token_;
+    fencing_token_ = a.fencing_token;
     lease_from_ = std::max(lease_from_, sent);
     execute(a.orders, now);
 }
 
-void StandInWorker::beat(double now) {
-    const auto& w = p_.plan_.workers;
+void EmulatedWorker::heartbeat(double now) {
+    const auto& w = platform_.plan_.workers;
     if (in_flight_ || w.nodes.empty())
         return;
-    const bool due =
-        now >= next_beat_ || (changed_ && now >= last_beat_ + least_pause_s && next_beat_ - now < w.report_s);
+    const bool due = now >= next_heartbeat_ ||
+                     (changed_ && now >= last_heartbeat_at_ + min_pause_s && next_heartbeat_ - now < w.report_s);
     if (!due)
         return;
-    next_beat_ = now + w.report_s * (p_.plan_.lockstep ? 1 : p_.between(0.75, 1.25));
-    last_beat_ = now;
+    next_heartbeat_ = now + w.report_s * (platform_.plan_.lockstep ? 1 : platform_.between(0.75, 1.25));
+    last_heartbeat_at_ = now;
     changed_ = false;
     if (now < cut_until)
         return;
     if (now < late_until) { // given up meanwhile: nobody hears the answer
-        held_.emplace_back([this, r = report()] { p_.send(*this, r, [](const ReportAnswer&) {}); });
+        held_.emplace_back([this, r = heartbeat()] { platform_.send(*this, r, [](const HeartbeatResponse&) {}); });
         return;
     }
     in_flight_ = true;
-    p_.send(*this, report(), [&p = p_, id = id_, now, tenure = tenure_](const ReportAnswer& a) {
-        ++p.messages_;
-        const auto it = p.machines_.find(id);
-        if (it != p.machines_.end())
-            it->second->answered(a, now, tenure);
-    });
+    platform_.send(*this, heartbeat(),
+                   [&p = platform_, id = id_, now, agent_epoch = agent_epoch_](const HeartbeatResponse& a) {
+                       ++p.messages_;
+                       const auto it = p.machines_.find(id);
+                       if (it != p.machines_.end())
+                           it->second->answered(a, now, agent_epoch);
+                   });
 }
 
-void Platform::send(StandInWorker& w, Report r, std::function<void(const ReportAnswer&)> done) {
+void Platform::send(EmulatedWorker& w, Heartbeat heartbeat, std::function<void(const HeartbeatResponse&)> done) {
     ++messages_;
     if (direct_)
-        return reports_ ? reports_(std::move(r), std::move(done)) : done({});
-    client_.request(plan_.workers.nodes[w.node_].second, "POST", std::string(codec::path_report), codec::to_body(r),
-                    answer_s, [done = std::move(done)](HttpReply&& reply) {
-                        ReportAnswer a;
+        return reports_ ? reports_(std::move(heartbeat), std::move(done)) : done({});
+    client_.request(plan_.workers.nodes[w.node_].second, "POST", std::string(codec::path_heartbeat),
+                    codec::to_body(heartbeat), answer_s, [done = std::move(done)](HttpReply&& reply) {
+                        HeartbeatResponse a;
                         auto o = reply.status == 200 ? codec::read_orders(reply.body) : std::nullopt;
                         if (reply.status == 421) {
                             a = {421, 0, {}, codec::redirected_to(reply.body)};
                         } else if (reply.status == 200) {
                             // Fence 0: one that cannot be read, older than any.
-                            a = {200, o && o->fence ? *o->fence : 0, {}, {}};
-                            if (a.fence > 0)
+                            a = {200, o && o->fencing_token ? *o->fencing_token : 0, {}, {}};
+                            if (a.fencing_token > 0)
                                 a.orders = std::move(o->list);
                         }
                         done(a);
                     });
 }
 
-void StandInWorker::tick(double now) {
+void EmulatedWorker::tick(double now) {
     if (!up(now))
         return;
-    const auto& w = p_.plan_.workers;
+    const auto& w = platform_.plan_.workers;
     // A hanging machine too: past its lease its tasks never go on.
     if (now > lease_from_ + w.lease_s) {
         lose_all();
-        ++tenure_;
+        ++agent_epoch_;
         lease_from_ = now;
         changed_ = true;
     }
     if (now < hung_until)
         return;
     if (now >= late_until && now >= cut_until)
-        for (const auto& f : std::exchange(held_, {}))
-            f();
+        for (const auto& callback : std::exchange(held_, {}))
+            callback();
     for (auto& r : runs_) {
-        const auto& s = p_.jobs_[r.t.job];
+        const auto& spec = platform_.jobs_[r.t.job];
         if (r.t.state == TaskState::fetching && now >= r.until) {
-            images_.insert(s.image);
+            images_.insert(spec.image);
             if (sick) {
                 end(r, ExitCause::error);
                 continue;
             }
-            p_.history_.on_machine(r.t.job, r.t.index, {id_, type_.name, zone_, spot_}, now);
+            platform_.history_.on_machine(r.t.job, r.t.index, {id_, type_.name, zone_, spot_}, now);
             r.counted = true;
-            r.t.state = s.shape == Shape::gang && s.tasks > 1 ? TaskState::waiting : TaskState::running;
-            const double run = p_.run_s(s, r.t) / speed_;
+            r.t.state = spec.shape == Shape::gang && spec.tasks > 1 ? TaskState::waiting : TaskState::running;
+            const double run = platform_.run_s(spec, r.t) / speed_;
             r.until = now + (r.t.state == TaskState::waiting ? w.gang_wait_s : run);
             changed_ = true;
         } else if (r.t.state == TaskState::waiting) {
-            const auto all = p_.mates(r.t.job, r.t.try_no);
-            const bool ready = all.size() == s.tasks && std::all_of(all.begin(), all.end(), [](const auto& x) {
+            const auto all = platform_.mates(r.t.job, r.t.attempt);
+            const bool ready = all.size() == spec.tasks && std::all_of(all.begin(), all.end(), [](const auto& x) {
                                    return x.run->t.state == TaskState::waiting;
                                });
-            const double run = p_.run_s(s, all.empty() ? r.t : all.front().run->t);
+            const double run = platform_.run_s(spec, all.empty() ? r.t : all.front().run->t);
             for (const auto& x : all) {
                 if (!ready)
                     break;
@@ -290,9 +292,9 @@
             changed_ = changed_ || ready;
             if (!ready && now >= r.until)
                 end(r, ExitCause::alone);
-        } else if (r.t.state == TaskState::running && s.shape == Shape::gang && s.tasks > 1) {
-            const auto all = p_.mates(r.t.job, r.t.try_no);
-            if (all.size() < s.tasks) {
+        } else if (r.t.state == TaskState::running && spec.shape == Shape::gang && spec.tasks > 1) {
+            const auto all = platform_.mates(r.t.job, r.t.attempt);
+            if (all.size() < spec.tasks) {
                 if (r.mate_lost < 0)
                     r.mate_lost = now;
                 if (now > r.mate_lost + w.gang_peer_s)
@@ -302,18 +304,18 @@
                     if (x.run->t.state == TaskState::running)
                         x.on->end(*x.run, ExitCause::done);
             }
-        } else if (r.t.state == TaskState::running && s.shape != Shape::service && now >= r.until) {
+        } else if (r.t.state == TaskState::running && spec.shape != Shape::service && now >= r.until) {
             end(r, ExitCause::done);
         } else if (r.t.state == TaskState::saving && now >= r.until) {
             end(r, ExitCause::stopped, true);
         }
     }
-    beat(now);
+    heartbeat(now);
 }
 
 Platform::Platform(uv_loop_t* loop, PlatformPlan plan, History& history)
     : loop_(loop), plan_(std::move(plan)), history_(history), rng_(plan_.seed),
-      server_(loop, 64, 600, [this](HttpRequest&& r, const Responder& res) { handle(std::move(r), res); }),
+      server_(loop, 64, 600, [this](HttpRequest&& request, const Responder& res) { handle(std::move(request), res); }),
       client_(loop, 128, 4096) {
     if (!plan_.clock)
         plan_.clock = std::make_shared<Clock>();
@@ -329,41 +331,41 @@
 // loop, as they do there.
 class Platform::Direct final : public Executor {
 public:
-    explicit Direct(Platform& p) : p_(p), answers_(p.loop_) {}
+    explicit Direct(Platform& p) : platform_(p), answers_(p.loop_) {}
     ~Direct() override {
-        p_.reports_ = nullptr;
+        platform_.reports_ = nullptr;
     }
-    void reports_to(Reports r) override {
-        p_.reports_ = std::move(r);
+    void set_heartbeat_handler(Heartbeats callback) override {
+        platform_.reports_ = std::move(callback);
     }
-    void command(const SendOrders& o, double, std::function<void(OrdersAnswered&&)> done) override {
-        const auto it = p_.machines_.find(o.machine);
-        OrdersAnswered a{o.machine, o.batch, 0, it != p_.machines_.end(), std::nullopt};
-        if (it != p_.machines_.end())
-            std::tie(a.status, a.report) = it->second->obey(o.fence, o.tenure, o.orders);
-        later(std::move(done), std::move(a));
+    void command(const SendOrders& effect, double, std::function<void(OrdersAnswered&&)> done) override {
+        const auto it = platform_.machines_.find(effect.machine);
+        OrdersAnswered a{effect.machine, effect.batch, 0, it != platform_.machines_.end(), std::nullopt};
+        if (it != platform_.machines_.end())
+            std::tie(a.status, a.heartbeat) = it->second->obey(effect.fencing_token, effect.agent_epoch, effect.orders);
+        timers(std::move(done), std::move(a));
     }
     void rent(const Rent& ask, double, std::function<void(Rented&&)> done) override {
-        later(std::move(done), p_.out ? Rented{ask.claim, RentOutcome::failed, {}} : p_.rent(ask));
+        timers(std::move(done), platform_.out ? Rented{ask.claim, RentOutcome::failed, {}} : platform_.rent(ask));
     }
     void release(const Release& ask, double, std::function<void(Released&&)> done) override {
-        if (!p_.out)
-            p_.release(ask.machines);
-        later(std::move(done), Released{ask.machines, !p_.out});
+        if (!platform_.out)
+            platform_.release(ask.machines);
+        timers(std::move(done), Released{ask.machines, !platform_.out});
     }
     void list(const std::string& since, double,
               std::function<void(std::optional<codec::MachinePage>&&)> done) override {
-        later(std::move(done), p_.out ? std::nullopt : std::optional(p_.page(since)));
+        timers(std::move(done), platform_.out ? std::nullopt : std::optional(platform_.page(since)));
     }
     void types(double, std::function<void(std::optional<std::vector<MachineType>>&&)> done) override {
-        later(std::move(done), p_.out ? std::nullopt : std::optional(p_.plan_.types));
+        timers(std::move(done), platform_.out ? std::nullopt : std::optional(platform_.plan_.types));
     }
 
 private:
-    template <class F, class A> void later(F done, A answer) {
+    template <class F, class A> void timers(F done, A answer) {
         answers_.post([done = std::move(done), answer = std::move(answer)]() mutable { done(std::move(answer)); });
     }
-    Platform& p_;
+    Platform& platform_;
     LoopQueue answers_;
 };
 
@@ -388,32 +390,32 @@
     history_.check(t);
 }
 
-std::vector<Platform::Mate> Platform::mates(const std::string& job, std::uint64_t try_no) {
+std::vector<Platform::Mate> Platform::mates(const std::string& job, std::uint64_t attempt) {
     std::vector<Mate> out;
     for (auto& [id, m] : machines_)
         for (auto& r : m->runs_)
-            if (r.t.job == job && r.t.try_no == try_no &&
+            if (r.t.job == job && r.t.attempt == attempt &&
                 (r.t.state != TaskState::ended || r.t.cause == ExitCause::done))
                 out.push_back({m.get(), &r});
     return out;
 }
 
-double Platform::run_s(const JobSpec& s, const ReportedTask& t) const {
-    std::string name = fmt::format("{} {}/{} {}", plan_.seed, t.job, t.index, t.try_no);
+double Platform::run_s(const JobSpec& spec, const ReportedTask& task) const {
+    std::string name = fmt::format("{} {}/{} {}", plan_.seed, task.job, task.index, task.attempt);
     std::seed_seq from(name.begin(), name.end());
     std::minstd_rand rng(from);
-    return std::max(0.05, s.estimate_s * plan_.run_share * std::uniform_real_distribution<double>(0.67, 1.33)(rng));
+    return std::max(0.05, spec.estimate_s * plan_.run_share * std::uniform_real_distribution<double>(0.67, 1.33)(rng));
 }
 
-StandInWorker* Platform::any() {
-    std::vector<StandInWorker*> list;
+EmulatedWorker* Platform::any() {
+    std::vector<EmulatedWorker*> list;
     for (auto& [id, m] : machines_)
         if (m->up(now()))
             list.push_back(m.get());
     return list.empty() ? nullptr : list[rng_() % list.size()];
 }
 
-void Platform::kill(StandInWorker& w) {
+void Platform::kill(EmulatedWorker& w) {
     w.lose_all();
     const auto it = machines_.find(w.id_);
     gone_.push_back(std::move(it->second));
@@ -427,43 +429,44 @@
     s.returned = returned_;
     for (const auto& [id, m] : machines_) {
         s.up += m->up(now());
-        s.fence = std::max(s.fence, m->fence_);
+        s.fencing_token = std::max(s.fencing_token, m->fencing_token_);
         s.running += static_cast<std::size_t>(std::count_if(
             m->runs_.begin(), m->runs_.end(), [](const auto& r) { return r.t.state == TaskState::running; }));
     }
     return s;
 }
 
-void Platform::handle(HttpRequest&& r, const Responder& res) {
+void Platform::handle(HttpRequest&& request, const Responder& res) {
     if (out)
         return res.send(503, error_body("trouble"));
-    const bool get = r.method == "GET", post = r.method == "POST";
-    if (get && r.path == codec::path_types)
+    const bool get = request.method == "GET", post = request.method == "POST";
+    if (get && request.path == codec::path_types)
         return res.send(200, codec::types_to_json(plan_.types).dump());
-    if (get && r.path == codec::path_rentals) {
-        const auto at = r.query.find("since=");
-        return res.send(
-            200, codec::to_body(
-                     page(at == std::string::npos ? "" : r.query.substr(at + 6, r.query.find('&', at) - at - 6))));
+    if (get && request.path == codec::path_rentals) {
+        const auto at = request.query.find("since=");
+        return res.send(200,
+                        codec::to_body(page(at == std::string::npos
+                                                ? ""
+                                                : request.query.substr(at + 6, request.query.find('&', at) - at - 6))));
     }
-    if (post && r.path == codec::path_release) {
-        const auto list = codec::rented(r.body);
+    if (post && request.path == codec::path_release) {
+        const auto list = codec::rented(request.body);
         if (!list || list->size() > 100)
             return res.send(400, error_body("hosts"));
         release(*list);
         return res.send(200, "{}");
     }
-    if (!post || r.path != codec::path_rentals)
+    if (!post || request.path != codec::path_rentals)
         return res.send(404, error_body("no such path"));
-    const auto ask = codec::rental_request(r.body);
+    const auto ask = codec::rental_request(request.body);
     if (!ask)
         return res.send(400, error_body("malformed"));
-    const auto a = rent({ask->claim, ask->type, ask->zone, ask->spot, ask->count});
-    if (a.outcome == RentOutcome::failed)
+    const auto command = rent({ask->claim, ask->type, ask->zone, ask->spot, ask->count});
+    if (command.outcome == RentOutcome::failed)
         return res.send(400, error_body("malformed"));
-    if (a.outcome == RentOutcome::no_capacity)
+    if (command.outcome == RentOutcome::no_capacity)
         return res.send(503, error_body("no capacity"));
-    res.send(200, codec::release(a.machines));
+    res.send(200, codec::release(command.machines));
 }
 
 codec::MachinePage Platform::page(const std::string& since) {
@@ -508,8 +511,8 @@
     auto& names = claims_[ask.claim];
     for (int i = 0; i < n; ++i) {
         auto id = fmt::format("n-{:06}", ++named_);
-        auto w = std::make_unique<StandInWorker>(*this, id, *type, ask.zone, ask.spot,
-                                                 now() + type->boot_s * between(0.6, 1.5));
+        auto w = std::make_unique<EmulatedWorker>(*this, id, *type, ask.zone, ask.spot,
+                                                  now() + type->boot_s * between(0.6, 1.5));
         if (w->start() != 0)
             break;
         machines_[id] = std::move(w);
--- a/src/local/local.cpp
+++ b/src/local/local.cpp
@@ -2,8 +2,8 @@
 
 #include "heronshift/codec.hpp"
 #include "heronshift/local/cloud.hpp"
+#include "heronshift/local/emulator.hpp"
 #include "heronshift/local/port.hpp"
-#include "heronshift/local/stand_in.hpp"
 #include "heronshift/store/server.hpp"
 
 #include <algorithm>
@@ -33,24 +33,26 @@
 }
 
 JobSpec job(int n, Shape shape, std::uint32_t tasks, double cpus, const std::string& team, double run_s) {
-    JobSpec s;
-    s.id = fmt::format("wk-{:06}", n);
-    s.job_class = shape == Shape::array ? "batch" : shape == Shape::gang ? "solve" : "serve";
-    s.team = team;
-    s.shape = shape;
-    s.rank = shape == Shape::service ? Rank::critical : shape == Shape::gang ? Rank::high : Rank::normal;
-    s.tasks = tasks;
-    s.each = {cpus, 0, cpus * 2};
-    s.image = "img-" + team;
-    s.image_gb = 0.4;
-    s.spot = shape == Shape::array;
-    s.estimate_s = run_s;
-    return s;
+    JobSpec spec;
+    spec.id = fmt::format("wk-{:06}", n);
+    spec.job_class = shape == Shape::array ? "batch" : shape == Shape::gang ? "solve" : "serve";
+    spec.team = team;
+    spec.shape = shape;
+    spec.priority = shape == Shape::service ? Priority::critical
+                    : shape == Shape::gang  ? Priority::high
+                                            : Priority::normal;
+    spec.tasks = tasks;
+    spec.each = {cpus, 0, cpus * 2};
+    spec.image = "img-" + team;
+    spec.image_gb = 0.4;
+    spec.spot = shape == Shape::array;
+    spec.estimate_s = run_s;
+    return spec;
 }
 
 class Local {
 public:
-    explicit Local(const LocalOptions& o) : o_(o), rng_(o.seed), history_(teams(), cancel_s) {
+    explicit Local(const LocalOptions& o) : options_(o), rng_(o.seed), history_(teams(), cancel_s) {
         uv_loop_init(&loop_);
         users_ = std::make_unique<HttpClient>(&loop_, 64, 1024);
     }
@@ -106,7 +108,7 @@
 
     std::string start() {
         began_ = static_cast<double>(uv_hrtime()) * 1e-9;
-        folder_ = o_.folder;
+        folder_ = options_.folder;
         if (folder_.empty()) {
             const char* tmp = std::getenv("TMPDIR");
             folder_ = fmt::format("{}/heronshift-XXXXXX", tmp != nullptr ? tmp : "/tmp");
@@ -123,8 +125,8 @@
         plan.workers.report_s = report_s;
         plan.workers.lease_s = lease_s;
         plan.types = usual_types();
-        plan.seed = o_.seed;
-        for (int i = 0; i < (o_.serve_port > 0 ? 0 : nodes); ++i) {
+        plan.seed = options_.seed;
+        for (int i = 0; i < (options_.serve_port > 0 ? 0 : nodes); ++i) {
             Controller c;
             c.name = fmt::format("berth-{}", i);
             c.config = fmt::format("{}/{}.toml", folder_, c.name);
@@ -132,8 +134,8 @@
             plan.workers.nodes.emplace_back(c.name, fmt::format("127.0.0.1:{}", c.user.number()));
             nodes_.push_back(std::move(c));
         }
-        if (o_.serve_port > 0)
-            plan.workers.nodes.emplace_back("alone", fmt::format("127.0.0.1:{}", o_.serve_port));
+        if (options_.serve_port > 0)
+            plan.workers.nodes.emplace_back("alone", fmt::format("127.0.0.1:{}", options_.serve_port));
         platform_ = std::make_unique<Platform>(&loop_, std::move(plan), history_);
         if (platform_->start({"127.0.0.1", 0}) != 0)
             return "the cloud cannot listen";
@@ -142,7 +144,7 @@
             auto j = row ? codec::stored_job(codec::parse(row->data), 0) : std::nullopt;
             if (j)
                 return std::move(j->spec);
-            if (o_.serve_port == 0)
+            if (options_.serve_port == 0)
                 return {};
             // Kept in the other program's own store, where nobody here can read it.
             return any_job(id);
@@ -154,12 +156,12 @@
             if (!spawn(nodes_[i]))
                 return "a controller cannot be started";
         }
-        if (o_.serve_port > 0) {
+        if (options_.serve_port > 0) {
             const auto path = folder_ + "/settings.toml";
-            if (!write_settings(path, "alone", o_.serve_port, spare_.number()))
+            if (!write_settings(path, "alone", options_.serve_port, spare_.number()))
                 return path + ": cannot be written";
             say("settings for the program that schedules here: " + path);
-            o_.stay = true;
+            options_.stay = true;
         } else {
             plan_load();
         }
@@ -188,10 +190,10 @@
         f << fmt::format("\n[external]\ncloud = \"127.0.0.1:{}\"\nstate = \"127.0.0.1:{}\"\n", platform_->port(),
                          store_->port());
         f << "\n[facts]\ninitial_size = 0\nzones = [\"a\", \"b\"]\ntime_bound_ms = 100.0\n";
-        for (const auto& t : teams())
+        for (const auto& limits : teams())
             f << fmt::format("\n[[facts.teams]]\nname = \"{}\"\ncpus = {:.1f}\ncpus_max = {:.1f}\ngpus = 0.0\n"
                              "gpus_max = 0.0\n",
-                             t.name, t.cpus, t.cpus_max);
+                             limits.name, limits.cpus, limits.cpus_max);
         f << fmt::format("\n[facts.workers]\nreport_s = {:.1f}\nlease_s = {:.1f}\ngang_wait_s = 10.0\n"
                          "gang_peer_s = 2.0\ncancel_s = {:.1f}\n",
                          report_s, lease_s, cancel_s);
@@ -202,7 +204,7 @@
     }
 
     bool spawn(Controller& c) {
-        const std::string program = o_.program.empty() ? "/proc/self/exe" : o_.program;
+        const std::string program = options_.program.empty() ? "/proc/self/exe" : options_.program;
         const int log = ::open(c.log.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0644);
         if (log < 0)
             return false;
@@ -243,38 +245,38 @@
 
     void plan_load() {
         int n = 0;
-        auto add = [&](JobSpec s, double at, double cancel_at = -1) {
+        auto add = [&](JobSpec spec, double at, double cancel_at = -1) {
             User u;
             u.at = at;
             u.cancel_at = cancel_at;
-            u.spec = std::move(s);
+            u.spec = std::move(spec);
             users_wanted_.push_back(std::move(u));
         };
-        const double last = o_.seconds;
-        for (int i = 0; i < o_.jobs; ++i) {
-            const double at = 2 + (last - 2) * i / std::max(1, o_.jobs);
+        const double last = options_.seconds;
+        for (int i = 0; i < options_.jobs; ++i) {
+            const double at = 2 + (last - 2) * i / std::max(1, options_.jobs);
             const auto team = i % 3 == 0 ? "blue" : "red";
             if (i % 4 == 1) {
-                auto s = job(++n, Shape::gang, 2 + static_cast<std::uint32_t>(rng_() % 3), 4, team, 2);
-                s.one_zone = i % 8 == 1;
-                add(std::move(s), at);
+                auto spec = job(++n, Shape::gang, 2 + static_cast<std::uint32_t>(rng_() % 3), 4, team, 2);
+                spec.one_zone = i % 8 == 1;
+                add(std::move(spec), at);
             } else if (i % 4 == 2) {
-                auto s = job(++n, Shape::service, 2 + static_cast<std::uint32_t>(rng_() % 2), 1, team, 0);
-                s.spread = true;
-                add(std::move(s), at, last + 2); // its user ends it after the last submission
+                auto spec = job(++n, Shape::service, 2 + static_cast<std::uint32_t>(rng_() % 2), 1, team, 0);
+                spec.spread = true;
+                add(std::move(spec), at, last + 2); // its user ends it after the last submission
             } else {
-                auto s = job(++n, Shape::array, 3 + static_cast<std::uint32_t>(rng_() % 12), 2, team, 1.5);
-                add(std::move(s), at, i % 8 == 7 ? at + between(0, 3) : -1);
+                auto spec = job(++n, Shape::array, 3 + static_cast<std::uint32_t>(rng_() % 12), 2, team, 1.5);
+                add(std::move(spec), at, i % 8 == 7 ? at + between(0, 3) : -1);
             }
         }
         // A pipeline: each step needs the one before.
         std::vector<std::string> before;
         for (const auto* step : {"gather", "clean", "publish"}) {
-            auto s = job(++n, Shape::array, 4, 1, "red", 1);
-            s.job_class = step;
-            s.needs = before;
-            before = {s.id};
-            add(std::move(s), 3 + 0.3 * static_cast<double>(n % 3));
+            auto spec = job(++n, Shape::array, 4, 1, "red", 1);
+            spec.job_class = step;
+            spec.dependencies = before;
+            before = {spec.id};
+            add(std::move(spec), 3 + 0.3 * static_cast<double>(n % 3));
         }
     }
 
@@ -289,11 +291,12 @@
         if (u.asking || u.state == S::over || t < u.next)
             return;
         if (u.state == S::waits) {
-            const bool ready = std::all_of(u.spec.needs.begin(), u.spec.needs.end(), [this](const auto& id) {
-                return std::any_of(users_wanted_.begin(), users_wanted_.end(), [&](const User& x) {
-                    return x.spec.id == id && x.state != S::waits && x.state != S::submits;
+            const bool ready =
+                std::all_of(u.spec.dependencies.begin(), u.spec.dependencies.end(), [this](const auto& id) {
+                    return std::any_of(users_wanted_.begin(), users_wanted_.end(), [&](const User& x) {
+                        return x.spec.id == id && x.state != S::waits && x.state != S::submits;
+                    });
                 });
-            });
             if (t < u.at || !ready)
                 return;
             u.state = S::submits;
@@ -308,7 +311,7 @@
         const auto path = std::string(codec::path_jobs);
         const auto one = path + "/" + u.spec.id;
         u.asking = true;
-        auto done = [this, i](HttpReply&& r) { answered(i, r); };
+        auto done = [this, i](HttpReply&& reply) { answered(i, reply); };
         if (u.state == S::submits)
             users_->request(some_node(), "POST", path, codec::to_body(u.spec), user_timeout_s, done);
         else if (u.state == S::cancels)
@@ -318,19 +321,19 @@
             users_->request(some_node(), "GET", one, "", poll_timeout_s, done);
     }
 
-    void answered(std::size_t i, const HttpReply& r) {
+    void answered(std::size_t i, const HttpReply& reply) {
         auto& u = users_wanted_[i];
         using S = User::State;
         u.asking = false;
         const double t = now();
         u.next = t + (u.state == S::polls ? poll_every_s : 1);
-        const auto a = r.status == 200 || r.status == 201 ? codec::job_answer_of(r.body) : std::nullopt;
-        if (r.status != 0)
-            history_.told(u.spec.id, r.status, a ? a->status : "", platform_->now());
+        const auto a = reply.status == 200 || reply.status == 201 ? codec::job_answer_of(reply.body) : std::nullopt;
+        if (reply.status != 0)
+            history_.told(u.spec.id, reply.status, a ? a->status : "", platform_->now());
         if (!a) {
-            const bool never = u.state == S::submits && (r.status == 400 || r.status == 422);
+            const bool never = u.state == S::submits && (reply.status == 400 || reply.status == 422);
             if (never || (u.state == S::submits && t - u.first_try > give_up_s)) {
-                u.last = never ? fmt::format("refused with {}", r.status) : "not accepted in time";
+                u.last = never ? fmt::format("refused with {}", reply.status) : "not accepted in time";
                 u.state = S::over;
             }
             return;
@@ -342,18 +345,18 @@
             u.state = S::over;
     }
 
-    void trouble(double t) {
-        if (!o_.faults || t < next_fault_ || t > o_.seconds)
+    void inject_fault(double t) {
+        if (!options_.faults || t < next_fault_ || t > options_.seconds)
             return;
         next_fault_ = t + fault_every_s * between(0.6, 1.4);
         auto* w = platform_->any();
-        using Mood = store::StoreServer::Mood;
-        const auto store = [&](const char* what, Mood mood) {
+        using FaultMode = store::StoreServer::FaultMode;
+        const auto store = [&](const char* what, FaultMode fault_mode) {
             say(fmt::format("trouble: the state service {}", what));
-            store_->set_mood(mood);
+            store_->set_fault_mode(fault_mode);
             store_well_at_ = t + between(1, 5);
         };
-        const auto worker = [&](const char* what, double StandInWorker::*until) {
+        const auto worker = [&](const char* what, double EmulatedWorker::*until) {
             if (w == nullptr)
                 return;
             say(fmt::format("trouble: {} {}", w->listed(0).id, what));
@@ -364,17 +367,17 @@
         };
         switch (std::uniform_int_distribution<int>(0, 9)(rng_)) {
         case 0:
-            return store("is out (503)", Mood::out);
+            return store("is out (503)", FaultMode::out);
         case 1:
-            return store("has too much to do (429)", Mood::busy);
+            return store("has too much to do (429)", FaultMode::busy);
         case 2:
-            return store("is silent", Mood::silent);
+            return store("is silent", FaultMode::silent);
         case 3:
-            return worker("hangs", &StandInWorker::hung_until);
+            return worker("hangs", &EmulatedWorker::hung_until);
         case 4:
-            return worker("is cut off", &StandInWorker::cut_until);
+            return worker("is cut off", &EmulatedWorker::cut_until);
         case 5:
-            return worker("and its controller hear each other late", &StandInWorker::late_until);
+            return worker("and its controller hear each other late", &EmulatedWorker::late_until);
         case 6:
             return worker("stops with all that is on it", nullptr);
         case 7:
@@ -398,7 +401,7 @@
         users_->sweep();
         if (store_well_at_ >= 0 && t >= store_well_at_) {
             store_well_at_ = -1;
-            store_->set_mood(store::StoreServer::Mood::well);
+            store_->set_fault_mode(store::StoreServer::FaultMode::well);
         }
         if (cloud_well_at_ >= 0 && t >= cloud_well_at_) {
             cloud_well_at_ = -1;
@@ -417,7 +420,7 @@
             c.back_at = -1;
             spawn(c);
         }
-        trouble(t);
+        inject_fault(t);
         bool over = true;
         for (std::size_t i = 0; i < users_wanted_.size(); ++i) {
             serve(i, t);
@@ -427,9 +430,9 @@
             next_line_ = t + 1;
             progress();
         }
-        if (over && !o_.stay)
+        if (over && !options_.stay)
             finish("");
-        if (t > o_.seconds + patience_s && !o_.stay)
+        if (t > options_.seconds + patience_s && !options_.stay)
             finish("time is over");
     }
 
@@ -457,7 +460,7 @@
             const auto* shape = u.spec.shape == Shape::array  ? "arrays"
                                 : u.spec.shape == Shape::gang ? "gangs"
                                                               : "services";
-            ++shapes[u.spec.needs.empty() && u.spec.job_class != "gather" ? shape : "pipeline"][u.last];
+            ++shapes[u.spec.dependencies.empty() && u.spec.job_class != "gather" ? shape : "pipeline"][u.last];
         }
         for (const auto& [shape, states] : shapes) {
             std::cout << fmt::format("{:9}", shape);
@@ -475,12 +478,12 @@
         for (const auto& b : history_.broken())
             std::cout << "BROKEN     " << b << "\n";
         std::cout << fmt::format("rules      {}\n", history_.broken().empty() ? "none broken" : "broken, see above");
-        if (o_.faults)
-            std::cout << fmt::format("seed       {}\n", o_.seed);
-        return history_.broken().empty() && (left.empty() || o_.stay) && ended_ == 0 ? 0 : 1;
+        if (options_.faults)
+            std::cout << fmt::format("seed       {}\n", options_.seed);
+        return history_.broken().empty() && (left.empty() || options_.stay) && ended_ == 0 ? 0 : 1;
     }
 
-    LocalOptions o_;
+    LocalOptions options_;
     std::mt19937 rng_;
     uv_loop_t loop_{};
     double began_ = 0, next_fault_ = 4, store_well_at_ = -1, cloud_well_at_ = -1, next_line_ = 1;
--- a/src/node/controller.cpp
+++ b/src/node/controller.cpp
@@ -1,6 +1,6 @@
 #include "heronshift/node/controller.hpp"
 
-#include "heronshift/each.hpp"
+#include "heronshift/overloaded.hpp"
 
 #include <algorithm>
 #include <iterator>
@@ -11,27 +11,28 @@
 using gateway::retry_soon_s;
 
 Controller::Controller(Settings settings, Parts parts)
-    : s_(std::move(settings)), clock_(std::move(parts.clock)), later_(clock_), store_(std::move(parts.state)),
+    : settings_(std::move(settings)), clock_(std::move(parts.clock)), timers_(clock_), store_(std::move(parts.state)),
       executor_(std::move(parts.executor)), peers_(std::move(parts.peers)),
-      members_(s_, later_, store_, *executor_, peers_, *this),
-      office_(s_, later_, store_, peers_, members_, took_, *this),
-      gateway_(s_, later_, store_, peers_, members_, took_, *this),
-      desk_(s_, later_, *executor_, peers_, members_, took_, *this), cloud_(s_, later_, store_, *executor_, *this) {
+      members_(settings_, timers_, store_, *executor_, peers_, *this),
+      election_(settings_, timers_, store_, peers_, members_, took_, *this),
+      gateway_(settings_, timers_, store_, peers_, members_, took_, *this),
+      heartbeat_handler_(settings_, timers_, *executor_, peers_, members_, took_, *this),
+      cloud_(settings_, timers_, store_, *executor_, *this) {
     store_.on_answer = [this](bool ok) { members_.store_answered(ok); };
     peers_.on_answer = [this](const std::string& name, bool ok) { members_.peer_answered(name, ok); };
-    later_.on_change = [this] {
+    timers_.on_change = [this] {
         if (on_wake_at)
             on_wake_at();
     };
 }
 
 void Controller::start() {
-    office_.start();
+    election_.start();
     cloud_.start();
 }
 
 void Controller::stop() {
-    office_.stop();
+    election_.stop();
 }
 
 void Controller::tick() {
@@ -39,87 +40,87 @@
     executor_->sweep();
     peers_.sweep();
     members_.tick();
-    office_.tick();
+    election_.tick();
     cloud_.tick();
-    desk_.settle_early();
+    heartbeat_handler_.retry_pending_heartbeats();
     gateway_.tick();
 }
 
 void Controller::wake() {
-    later_.run();
+    timers_.run();
     run_core();
 }
 
 double Controller::wake_at() const {
-    const double at = later_.next_at();
+    const double at = timers_.next_at();
     if (!core_)
         return at;
-    return queue_.empty() || !office_.valid() ? std::min(at, core_->wake_at()) : 0;
+    return queue_.empty() || !election_.valid() ? std::min(at, core_->wake_at()) : 0;
 }
 
-void Controller::push(Command c) {
+void Controller::push(Command command) {
     if (!core_)
         return;
-    queue_.push_back(std::move(c));
+    queue_.push_back(std::move(command));
     if (on_wake_at)
         on_wake_at();
 }
 
-void Controller::entered(std::uint64_t term, Snapshot&& stored) {
-    const double at = later_.now(), wall_at = later_.wall();
+void Controller::leadership_acquired(std::uint64_t term, Snapshot&& stored) {
+    const double at = timers_.now(), wall_at = timers_.wall();
     ++life_;
     queue_.clear();
     if (log_)
-        log_->begin(s_, term, stored, at, wall_at);
-    core_ = std::make_unique<Core>(s_, term, stored, at, wall_at);
+        log_->begin(settings_, term, stored, at, wall_at);
+    core_ = std::make_unique<Core>(settings_, term, stored, at, wall_at);
     spdlog::info("term {}: {} jobs and {} records read", term, stored.jobs.size(),
                  stored.intents.size() + stored.progress.size() + stored.earlier.size());
-    cloud_.entered_office();
-    desk_.settle_early();
+    cloud_.on_leadership_acquired();
+    heartbeat_handler_.retry_pending_heartbeats();
     if (on_wake_at)
         on_wake_at();
 }
 
-void Controller::left() {
+void Controller::leadership_lost() {
     ++life_;
     core_.reset();
     queue_.clear();
-    cloud_.left_office();
-    desk_.left_office();
-    gateway_.left_office();
+    cloud_.on_leadership_lost();
+    heartbeat_handler_.on_leadership_lost();
+    gateway_.on_leadership_lost();
 }
 
-void Controller::jobs_seen(std::vector<codec::StoredJob>&& jobs) {
-    for (auto& j : jobs)
-        push(job_stored(std::move(j), later_.wall()));
+void Controller::jobs_stored_by_others(std::vector<codec::StoredJob>&& jobs) {
+    for (auto& stored_job : jobs)
+        push(job_stored(std::move(stored_job), timers_.wall()));
 }
 
 void Controller::committed(TxnOutcome outcome) {
     push(Committed{outcome});
 }
 
-void Controller::stored(JobStored&& j) {
+void Controller::stored(JobStored&& command) {
     if (!core_)
         return;
-    took_.first_launches.known(j.spec.id, later_.now());
-    push(std::move(j));
+    took_.first_launches.known(command.spec.id, timers_.now());
+    push(std::move(command));
 }
 
 void Controller::run_core() {
     if (!core_ || running_core_)
         return;
-    const double t = later_.now();
-    if ((queue_.empty() || !office_.valid()) && t < core_->wake_at())
+    const double now = timers_.now();
+    if ((queue_.empty() || !election_.valid()) && now < core_->wake_at())
         return;
     running_core_ = true;
     std::vector<Command> batch;
     batch.swap(queue_);
     const auto commands = batch.size();
-    const double wall_now = later_.wall();
-    const bool entitled = office_.valid();
+    const double wall_now = timers_.wall();
+    const bool may_act = election_.valid();
     if (log_)
-        log_->commands(batch, t, wall_now, entitled);
-    auto effects = core_->step(batch, t, wall_now, entitled);
+        log_->commands(batch, now, wall_now, may_act);
+    auto effects = core_->step(batch, now, wall_now, may_act);
     if (log_) {
         log_->effects(effects);
         if (!log_->open()) {
@@ -127,9 +128,9 @@
             log_.reset();
         }
     }
-    const double took = later_.now() - t;
+    const double took = timers_.now() - now;
     took_.step.add(took);
-    if (took > s_.report_s / 100)
+    if (took > settings_.report_s / 100)
         spdlog::debug("a step took {:.0f} ms for {} commands and {} effects", took * 1000, commands, effects.size());
     queue_.insert(queue_.begin(), std::make_move_iterator(batch.begin()), std::make_move_iterator(batch.end()));
     const auto life = life_;
@@ -148,16 +149,16 @@
         if (life == life_)
             push(std::forward<decltype(c)>(c));
     };
-    std::visit(Each{
-                   [this](Commit& e) { office_.commit(std::move(e)); },
-                   [&](SendOrders& e) { desk_.send(e, to_core); },
-                   [this](BeatAnswer& e) { desk_.answer(std::move(e)); },
-                   [this](CancelAnswer& e) { gateway_.answered(e); },
+    std::visit(Overloaded{
+                   [this](Commit& e) { election_.commit(std::move(e)); },
+                   [&](SendOrders& e) { heartbeat_handler_.send(e, to_core); },
+                   [this](AnswerHeartbeat& e) { heartbeat_handler_.answer(std::move(e)); },
+                   [this](AnswerCancellation& e) { gateway_.answered(e); },
                    [&](FindJob& e) { gateway_.find(e.id, to_core); },
                    [this](Rent& e) { cloud_.rent(e); },
                    [this](Release& e) { cloud_.release(e); },
-                   [this](StepDown& e) { office_.step_down(e.why); },
-                   [](Note& e) {
+                   [this](Resign& e) { election_.resign(e.why); },
+                   [](LogLine& e) {
                        spdlog::log(e.level == 0   ? spdlog::level::debug
                                    : e.level == 1 ? spdlog::level::info
                                                   : spdlog::level::warn,
@@ -167,44 +168,44 @@
                effect);
 }
 
-void Controller::serve_peer(HttpRequest&& r, Responder res) {
-    if (!r.path.starts_with(peer_prefix))
+void Controller::serve_peer(HttpRequest&& request, Responder res) {
+    if (!request.path.starts_with(peer_prefix))
         return res.send(404, codec::error_answer("no such path"));
-    r.path.erase(0, std::string_view(peer_prefix).size());
-    if (r.path == "/view")
-        return members_.exchanged(r, res);
-    if (r.path == "/promise")
-        return office_.asked_to_promise(r, res);
-    if (r.path == "/take")
-        return office_.asked_to_take(r, res);
-    if (r.path == "/relay")
-        return desk_.pass_on(std::move(r), res);
-    if (r.path == "/office") // for versions without views
-        return res.send(200, codec::Json{{"holder", office_.holder()}, {"term", office_.holder_term()}}.dump());
-    serve(std::move(r), std::move(res), true);
-}
-
-void Controller::serve(HttpRequest&& r, Responder res) {
+    request.path.erase(0, std::string_view(peer_prefix).size());
+    if (request.path == "/view")
+        return members_.handle_view(request, res);
+    if (request.path == "/promise")
+        return election_.handle_extension_vote_request(request, res);
+    if (request.path == "/take")
+        return election_.handle_takeover_request(request, res);
+    if (request.path == "/relay")
+        return heartbeat_handler_.forward(std::move(request), res);
+    if (request.path == "/office") // for versions without views
+        return res.send(200, codec::Json{{"holder", election_.leader()}, {"term", election_.leader_term()}}.dump());
+    serve(std::move(request), std::move(res), true);
+}
+
+void Controller::serve(HttpRequest&& request, Responder res) {
     ++took_.requests;
-    serve(std::move(r), std::move(res), false);
+    serve(std::move(request), std::move(res), false);
 }
 
-void Controller::serve(HttpRequest&& r, Responder res, bool passed_on) {
-    const std::string_view path = r.path;
-    const bool get = r.method == "GET", post = r.method == "POST";
+void Controller::serve(HttpRequest&& request, Responder res, bool forwarded) {
+    const std::string_view path = request.path;
+    const bool get = request.method == "GET", post = request.method == "POST";
     auto wrong_method = [&] { res.send(405, codec::error_answer("wrong method")); };
-    if (path == codec::path_report)
-        return post ? desk_.beat(std::move(r), res, passed_on) : wrong_method();
+    if (path == codec::path_heartbeat)
+        return post ? heartbeat_handler_.handle_heartbeat(std::move(request), res, forwarded) : wrong_method();
     if (path == codec::path_health) {
         if (!get)
             return wrong_method();
-        const bool of_use = !types().empty() && members_.of_use();
-        return of_use ? res.send(200, "{}") : res.send(503, codec::not_now, retry_soon_s);
+        const bool can_serve = !types().empty() && members_.can_serve();
+        return can_serve ? res.send(200, "{}") : res.send(503, codec::not_now, retry_soon_s);
     }
     if (path == "/metrics")
         return get ? res.send(200, metrics()) : wrong_method();
     if (path.starts_with(codec::path_jobs))
-        return gateway_.serve(std::move(r), std::move(res), passed_on);
+        return gateway_.serve(std::move(request), std::move(res), forwarded);
     res.send(404, codec::error_answer("no such path"));
 }
 
@@ -219,26 +220,26 @@
 std::map<std::string, std::size_t> Controller::machines_by_zone() const {
     std::map<std::string, std::size_t> out;
     if (core_)
-        for (const auto& [id, m] : core_->state().machines)
-            if (m->status == ledger::Status::up && !m->releasing)
-                ++out[m->zone_name];
+        for (const auto& [id, machine] : core_->state().machines)
+            if (machine->status == cluster::Status::up && !machine->releasing)
+                ++out[machine->zone_name];
     return out;
 }
 
 std::string Controller::metrics() const {
     auto values = core_ ? core_->metrics() : std::vector<metrics::Value>{};
-    for (auto&& part : {office_.metrics(), members_.metrics()})
+    for (auto&& part : {election_.metrics(), members_.metrics()})
         values.insert(values.end(), part.begin(), part.end());
     values.push_back(
         {"heronshift_relayed_total", "reports and orders passed on for others", static_cast<double>(took_.relayed)});
     values.push_back({"heronshift_sent_by_others_total", "orders that another passed on for this controller",
-                      static_cast<double>(took_.sent_by_others)});
+                      static_cast<double>(took_.relayed_by_others)});
     values.push_back({"heronshift_requests_total", "from users and workers", static_cast<double>(took_.requests)});
     values.push_back({"heronshift_refused_total", "requests sent away for now", static_cast<double>(took_.refused)});
     return metrics::text(values, {{"heronshift_submit_seconds", "to store a job and answer", &took_.submit},
                                   {"heronshift_first_launch_seconds",
                                    "from when the holder knows a job to its first launch", &took_.launch},
-                                  {"heronshift_report_seconds", "to answer a report", &took_.report},
+                                  {"heronshift_report_seconds", "to answer a report", &took_.heartbeat},
                                   {"heronshift_commit_seconds", "to store a transaction", &took_.commit},
                                   {"heronshift_step_seconds", "of decisions", &took_.step}});
 }
--- a/src/records/intents.cpp
+++ b/src/persistence/intents.cpp
@@ -1,4 +1,4 @@
-#include "heronshift/records/intents.hpp"
+#include "heronshift/persistence/intents.hpp"
 
 #include "heronshift/codec.hpp"
 
@@ -36,7 +36,7 @@
     std::uint32_t first = 0, last = 0;
     if (!codec::valid_job_id(i.job) || !parse_range(range, first, last) || !range.empty())
         return false;
-    if (!take_number(attempt, i.try_no) || !attempt.empty())
+    if (!take_number(attempt, i.attempt) || !attempt.empty())
         return false;
     for (i.index = first; i.index <= last; ++i.index)
         out.push_back(i);
@@ -49,14 +49,14 @@
     if (!open_)
         return;
     open_ = false;
-    text_ += first_ == last_ ? fmt::format(" {}/{}:{}", job_, first_, try_no_)
-                             : fmt::format(" {}/{}-{}:{}", job_, first_, last_, try_no_);
+    text_ += first_ == last_ ? fmt::format(" {}/{}:{}", job_, first_, attempt_)
+                             : fmt::format(" {}/{}-{}:{}", job_, first_, last_, attempt_);
 }
 
-void Writer::add(std::string_view machine, std::string_view zone, std::uint64_t tenure, std::string_view job,
-                 std::uint32_t index, std::uint64_t try_no) {
-    const bool same_machine = machine == machine_ && zone == zone_ && tenure == tenure_;
-    if (open_ && same_machine && job == job_ && try_no == try_no_ && index == last_ + 1) {
+void Writer::add(std::string_view machine, std::string_view zone, std::uint64_t agent_epoch, std::string_view job,
+                 std::uint32_t index, std::uint64_t attempt) {
+    const bool same_machine = machine == machine_ && zone == zone_ && agent_epoch == agent_epoch_;
+    if (open_ && same_machine && job == job_ && attempt == attempt_ && index == last_ + 1) {
         last_ = index;
         return;
     }
@@ -64,13 +64,13 @@
     if (!same_machine) {
         if (!text_.empty())
             text_ += '\n';
-        text_ += fmt::format("{} {} {}", machine, zone.empty() ? "-" : zone, tenure);
+        text_ += fmt::format("{} {} {}", machine, zone.empty() ? "-" : zone, agent_epoch);
         machine_ = machine;
         zone_ = zone;
-        tenure_ = tenure;
+        agent_epoch_ = agent_epoch;
     }
     job_ = job;
-    try_no_ = try_no;
+    attempt_ = attempt;
     first_ = last_ = index;
     open_ = true;
 }
@@ -90,8 +90,8 @@
         on.zone = next_word(line, ' ');
         if (on.zone == "-")
             on.zone.clear();
-        auto tenure = next_word(line, ' ');
-        bool good = take_number(tenure, on.tenure) && tenure.empty() && !line.empty();
+        auto agent_epoch = next_word(line, ' ');
+        bool good = take_number(agent_epoch, on.agent_epoch) && agent_epoch.empty() && !line.empty();
         while (good && !line.empty())
             good = read_tasks(next_word(line, ' '), on, r.intents);
         if (good)
@@ -115,10 +115,10 @@
         if (!take_number(text, last))
             return false;
     }
-    return first <= last && last < codec::most_tasks;
+    return first <= last && last < codec::max_tasks;
 }
 
-std::string ranges_of(const std::vector<bool>& bits, std::size_t most_bytes) {
+std::string ranges_of(const std::vector<bool>& bits, std::size_t max_bytes) {
     std::string out;
     for (std::size_t i = 0; i < bits.size();) {
         if (!bits[i]) {
@@ -128,7 +128,7 @@
         std::size_t j = i;
         while (j + 1 < bits.size() && bits[j + 1])
             ++j;
-        if (out.size() + 14 > most_bytes)
+        if (out.size() + 14 > max_bytes)
             break; // what is left out is only run again
         if (!out.empty())
             out += ',';
--- /dev/null
+++ b/src/scheduling/room_index.cpp
@@ -0,0 +1,162 @@
+// The index of free room, see room_index.hpp.
+#include "heronshift/scheduling/room_index.hpp"
+
+#include <algorithm>
+#include <bit>
+
+namespace heronshift::scheduling {
+namespace {
+
+constexpr double rounding = 1e-9; // sums in another order than usable() has them; find() asks that again
+const Resources no_room{-1e18, -1e18, -1e18};
+
+Resources larger_of_each(const Resources& resources, const Resources& b) {
+    return {std::max(resources.cpus, b.cpus), std::max(resources.gpus, b.gpus),
+            std::max(resources.memory_gb, b.memory_gb)};
+}
+
+} // namespace
+
+void RoomTree::assign(const std::vector<Resources>& rooms) {
+    leaves_ = std::bit_ceil(std::max<std::size_t>(rooms.size(), 1));
+    nodes_.assign(2 * leaves_, no_room);
+    std::copy(rooms.begin(), rooms.end(), nodes_.begin() + static_cast<std::ptrdiff_t>(leaves_));
+    for (std::size_t n = leaves_; n-- > 1;)
+        nodes_[n] = larger_of_each(nodes_[2 * n], nodes_[2 * n + 1]);
+}
+
+void RoomTree::set(std::size_t at, const Resources& room) {
+    std::size_t n = leaves_ + at;
+    nodes_[n] = room;
+    for (n /= 2; n >= 1; n /= 2)
+        nodes_[n] = larger_of_each(nodes_[2 * n], nodes_[2 * n + 1]);
+}
+
+void RoomTree::find(const Resources& need, std::vector<std::uint32_t>& found) const {
+    if (!nodes_.empty())
+        find_below(1, need, found);
+}
+
+void RoomTree::find_below(std::size_t node, const Resources& need, std::vector<std::uint32_t>& found) const {
+    if (!need.fits(nodes_[node]))
+        return;
+    if (node >= leaves_) {
+        found.push_back(static_cast<std::uint32_t>(node - leaves_));
+        return;
+    }
+    find_below(2 * node, need, found);
+    find_below(2 * node + 1, need, found);
+}
+
+// The part of usable() that is the same for all jobs.
+bool RoomIndex::takes_work(const Machine& machine) const {
+    if (machine.status != Status::up || machine.draining || machine.bad || machine.releasing || machine.retiring ||
+        machine.type < 0 || machine.zone < 0 || !machine.proven || machine.inbound_unreachable())
+        return false;
+    return cluster_.now >= machine.avoid_until &&
+           cluster_.now <= machine.last_heartbeat_at + 1.5 * cluster_.settings.report_s;
+}
+
+bool RoomIndex::is_reserved(const Machine& machine) const {
+    return machine.reserved_for != nullptr && cluster_.now < machine.reserved_until;
+}
+
+Resources RoomIndex::service_room(const Machine& machine) const {
+    return is_reserved(machine) ? no_room : machine.whole - machine.used;
+}
+
+Resources RoomIndex::task_room(const Machine& machine) const {
+    if (is_reserved(machine) || cluster_.now < machine.slow_until)
+        return no_room;
+    const auto free = machine.whole - machine.used;
+    return machine.pool ? free - cluster_.service_shape * 2 + Resources{rounding, rounding, rounding} : free;
+}
+
+void RoomIndex::rebuild() {
+    machines_.clear();
+    places_.clear();
+    reserved_.clear();
+    for (auto& [key, group] : groups_) {
+        group.members.clear();
+        group.service_rooms.clear();
+        group.task_rooms.clear();
+    }
+    for (const auto& [id, machine] : cluster_.machines) {
+        if (!takes_work(*machine))
+            continue;
+        const auto at = static_cast<std::uint32_t>(machines_.size());
+        machines_.push_back(machine.get());
+        auto& group = groups_[{machine->type, machine->zone, machine->spot}];
+        places_.push_back({&group, static_cast<std::uint32_t>(group.members.size())});
+        group.members.push_back(at);
+        group.service_rooms.push_back(service_room(*machine));
+        group.task_rooms.push_back(task_room(*machine));
+        note_reservation(*machine, at);
+    }
+    for (auto& [key, group] : groups_) {
+        group.for_services.assign(group.service_rooms);
+        group.for_tasks.assign(group.task_rooms);
+    }
+}
+
+void RoomIndex::note_reservation(const Machine& machine, std::uint32_t at) {
+    if (is_reserved(machine))
+        reserved_.push_back({at, machine.reserved_for, machine.reserved_priority});
+}
+
+std::size_t RoomIndex::position(const Machine& machine) const {
+    const auto it = std::lower_bound(machines_.begin(), machines_.end(), &machine,
+                                     [](const Machine* a, const Machine* b) { return a->id < b->id; });
+    return it != machines_.end() && *it == &machine ? static_cast<std::size_t>(it - machines_.begin()) : none;
+}
+
+void RoomIndex::update(const Machine& machine) {
+    const auto found = position(machine);
+    if (found == none)
+        return;
+    const auto at = static_cast<std::uint32_t>(found);
+    std::erase_if(reserved_, [at](const Reservation& r) { return r.machine == at; });
+    note_reservation(machine, at);
+    const auto& place = places_[found];
+    place.group->for_services.set(place.member, service_room(machine));
+    place.group->for_tasks.set(place.member, task_room(machine));
+}
+
+bool RoomIndex::may_hold(const Group& group, const Job& job, PlainMachines which) const {
+    if (group.members.empty())
+        return false;
+    const auto& any = *machines_[group.members.front()];
+    if (which == PlainMachines::left_out && plain(any))
+        return false;
+    return cluster_.allowed_there(job, any);
+}
+
+void RoomIndex::find_reserved(const Job& job, PlainMachines which, std::vector<std::uint32_t>& found) const {
+    for (const auto& r : reserved_) {
+        if (r.job != &job && job.priority >= r.priority)
+            continue;
+        const auto& machine = *machines_[r.machine];
+        if (which == PlainMachines::left_out && plain(machine))
+            continue;
+        if (job.spec.each.fits(machine.whole - machine.used))
+            found.push_back(r.machine);
+    }
+}
+
+std::vector<std::uint32_t> RoomIndex::find(const Job& job, PlainMachines which) const {
+    std::vector<std::uint32_t> positions, members;
+    for (const auto& [key, group] : groups_) {
+        if (!may_hold(group, job, which))
+            continue;
+        members.clear();
+        (job.spec.shape == Shape::service ? group.for_services : group.for_tasks).find(job.spec.each, members);
+        for (const auto i : members)
+            positions.push_back(group.members[i]);
+    }
+    find_reserved(job, which, positions);
+    std::sort(positions.begin(), positions.end());
+    std::erase_if(positions, [&](std::uint32_t p) { return !usable(cluster_, *machines_[p], job); });
+    return positions;
+}
+
+} // namespace heronshift::scheduling
--- a/src/store/engine.cpp
+++ b/src/store/engine.cpp
@@ -1,6 +1,6 @@
 #include "heronshift/store/engine.hpp"
 
-#include "heronshift/each.hpp"
+#include "heronshift/overloaded.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -12,23 +12,23 @@
 using codec::Json;
 
 Answer refused(int status, std::string why) {
-    Answer a;
-    a.status = status;
-    a.sent = true;
-    a.error = std::move(why);
-    return a;
+    Answer answer;
+    answer.status = status;
+    answer.sent = true;
+    answer.error = std::move(why);
+    return answer;
 }
 
-Answer good(std::uint64_t epoch) {
-    Answer a;
-    a.status = 200;
-    a.sent = true;
-    a.epoch = epoch;
-    return a;
+Answer good(std::uint64_t revision) {
+    Answer answer;
+    answer.status = 200;
+    answer.sent = true;
+    answer.revision = revision;
+    return answer;
 }
 
 bool valid_key(const std::string& key) {
-    return !key.empty() && key.size() <= most_key &&
+    return !key.empty() && key.size() <= max_key &&
            std::none_of(key.begin(), key.end(), [](unsigned char c) { return c <= ' ' || c == 0x7f; });
 }
 
@@ -56,14 +56,14 @@
         return refused(400, "the key");
     if (!take(1, 0, now_ms))
         return refused(429, "too many requests");
-    auto a = good(data_->epoch());
+    auto answer = good(data_->revision());
     const auto row = data_->get(key);
     if (!row) {
-        a.status = 404;
-        return a;
+        answer.status = 404;
+        return answer;
     }
-    a.item = codec::Item{key, Json::parse(row->data, nullptr, false), row->stamp, false, row->lease};
-    return a;
+    answer.item = codec::Item{key, Json::parse(row->data, nullptr, false), row->mod_revision, false, row->lease};
+    return answer;
 }
 
 Answer Engine::list(const std::string& under, const std::string& since, int most, std::int64_t now_ms) {
@@ -71,19 +71,19 @@
         return refused(400, "most");
     if (!take(1, 0, now_ms))
         return refused(429, "too many requests");
-    auto a = good(data_->epoch());
-    const auto limit = std::min(static_cast<std::size_t>(most), most_items);
+    auto answer = good(data_->revision());
+    const auto limit = std::min(static_cast<std::size_t>(most), max_items);
     std::size_t size = 0;
     data_->each(under, since, [&](const std::string& key, const Data::Row& row) {
         size += key.size() + row.data.size() + 60;
-        if (a.items.size() >= limit || (size > most_page && !a.items.empty())) {
-            a.more = true;
+        if (answer.items.size() >= limit || (size > max_page && !answer.items.empty())) {
+            answer.more = true;
             return false;
         }
-        a.items.push_back({key, Json::parse(row.data, nullptr, false), row.stamp, false, row.lease});
+        answer.items.push_back({key, Json::parse(row.data, nullptr, false), row.mod_revision, false, row.lease});
         return true;
     });
-    return a;
+    return answer;
 }
 
 Answer Engine::transact(const std::vector<codec::Guard>& guards, const std::vector<codec::Write>& writes,
@@ -95,94 +95,94 @@
         return refused(400, fmt::format("{} guards, {} are allowed", guards.size(), 4 * ops));
     std::vector<std::string> texts;
     std::size_t total = 0;
-    for (const auto& g : guards) {
-        if (!valid_key(g.key))
+    for (const auto& guard : guards) {
+        if (!valid_key(guard.key))
             return refused(400, "a guard's key");
-        total += g.key.size() + 30;
+        total += guard.key.size() + 30;
     }
-    for (const auto& w : writes) {
-        if (!valid_key(w.key))
+    for (const auto& write : writes) {
+        if (!valid_key(write.key))
             return refused(400, "a change's key");
-        texts.push_back(w.value ? w.value->dump() : std::string());
+        texts.push_back(write.value ? write.value->dump() : std::string());
         if (static_cast<double>(texts.back().size()) > limits_.value_kb * 1024)
-            return refused(400, fmt::format("{}: a value longer than {} KiB", w.key, limits_.value_kb));
-        total += w.key.size() + texts.back().size() + 30;
+            return refused(400, fmt::format("{}: a value longer than {} KiB", write.key, limits_.value_kb));
+        total += write.key.size() + texts.back().size() + 30;
     }
-    if (total > most_txn)
+    if (total > max_txn)
         return refused(400, "longer than 64 KiB");
     if (!take(1, static_cast<double>(writes.size()), now_ms))
         return refused(429, "too many requests or changes");
-    for (const auto& w : writes)
-        if (w.value && w.hold != 0 && !data_->get_hold(w.hold))
+    for (const auto& write : writes)
+        if (write.value && write.lease != 0 && !data_->get_lease(write.lease))
             return refused(400, "no such lease");
-    auto a = good(data_->epoch());
-    for (const auto& g : guards) {
-        const auto row = data_->get(g.key);
-        if ((row ? row->stamp : 0) != g.stamp)
-            a.failed.push_back(g.key);
+    auto answer = good(data_->revision());
+    for (const auto& guard : guards) {
+        const auto row = data_->get(guard.key);
+        if ((row ? row->mod_revision : 0) != guard.mod_revision)
+            answer.failed.push_back(guard.key);
     }
-    if (!a.failed.empty()) {
-        a.status = 409;
-        return a;
+    if (!answer.failed.empty()) {
+        answer.status = 409;
+        return answer;
     }
     if (writes.empty())
-        return a;
-    a.epoch = data_->next_epoch();
+        return answer;
+    answer.revision = data_->next_revision();
     for (std::size_t i = 0; i < writes.size(); ++i) {
-        const auto& w = writes[i];
-        if (w.value) {
-            data_->put(w.key, {texts[i], a.epoch, w.hold});
-            data_->add_change({w.key, texts[i], a.epoch});
-        } else if (data_->get(w.key)) {
-            data_->erase(w.key);
-            data_->add_change({w.key, std::nullopt, a.epoch});
+        const auto& write = writes[i];
+        if (write.value) {
+            data_->put(write.key, {texts[i], answer.revision, write.lease});
+            data_->add_change({write.key, texts[i], answer.revision});
+        } else if (data_->get(write.key)) {
+            data_->erase(write.key);
+            data_->add_change({write.key, std::nullopt, answer.revision});
         }
     }
-    return a;
+    return answer;
 }
 
-Answer Engine::hold(std::int64_t ttl_ms, std::int64_t now_ms) {
-    if (ttl_ms < shortest_hold_ms || ttl_ms > longest_hold_ms)
+Answer Engine::create_lease(std::int64_t ttl_ms, std::int64_t now_ms) {
+    if (ttl_ms < min_lease_ms || ttl_ms > max_lease_ms)
         return refused(400, "ttlMs");
     if (!take(1, 0, now_ms))
         return refused(429, "too many requests");
-    auto a = good(data_->epoch());
-    a.lease = data_->add_hold({ttl_ms, now_ms + ttl_ms});
-    return a;
+    auto answer = good(data_->revision());
+    answer.lease = data_->add_lease({ttl_ms, now_ms + ttl_ms});
+    return answer;
 }
 
-Answer Engine::extend(std::uint64_t hold, std::int64_t now_ms) {
+Answer Engine::renew_lease(std::uint64_t lease, std::int64_t now_ms) {
     if (!take(1, 0, now_ms))
         return refused(429, "too many requests");
-    auto h = data_->get_hold(hold);
+    auto h = data_->get_lease(lease);
     if (!h)
         return refused(404, "no such lease");
     h->ends_ms = now_ms + h->ttl_ms;
-    data_->set_hold(hold, *h);
-    auto a = good(data_->epoch());
-    a.lease = hold;
-    return a;
+    data_->set_lease(lease, *h);
+    auto answer = good(data_->revision());
+    answer.lease = lease;
+    return answer;
 }
 
-void Engine::drop_hold(std::uint64_t id) {
+void Engine::drop_lease(std::uint64_t id) {
     const auto keys = data_->keys_of(id);
-    data_->erase_hold(id);
+    data_->erase_lease(id);
     if (keys.empty())
         return;
-    const auto epoch = data_->next_epoch();
+    const auto revision = data_->next_revision();
     for (const auto& k : keys) {
         data_->erase(k);
-        data_->add_change({k, std::nullopt, epoch});
+        data_->add_change({k, std::nullopt, revision});
     }
 }
 
-Answer Engine::end_hold(std::uint64_t hold, std::int64_t now_ms) {
+Answer Engine::revoke_lease(std::uint64_t lease, std::int64_t now_ms) {
     if (!take(1, 0, now_ms))
         return refused(429, "too many requests");
-    if (!data_->get_hold(hold))
+    if (!data_->get_lease(lease))
         return refused(404, "no such lease");
-    drop_hold(hold);
-    return good(data_->epoch());
+    drop_lease(lease);
+    return good(data_->revision());
 }
 
 Answer Engine::follow_opened(const std::string& under, std::uint64_t since, std::int64_t now_ms) {
@@ -195,61 +195,62 @@
     const auto list = data_->changes(under, since);
     if (!list)
         return refused(410, "no longer kept: read the keys again");
-    auto a = good(data_->epoch());
+    auto answer = good(data_->revision());
     for (const auto& c : *list) {
         codec::Item i;
         i.key = c.key;
-        i.stamp = c.stamp;
+        i.mod_revision = c.mod_revision;
         i.deleted = !c.data;
         if (c.data)
             i.value = Json::parse(*c.data, nullptr, false);
-        a.items.push_back(std::move(i));
+        answer.items.push_back(std::move(i));
     }
-    return a;
+    return answer;
 }
 
-Answer Engine::run(const Call& c, std::int64_t now_ms) {
-    return std::visit(Each{
+Answer Engine::run(const Call& call, std::int64_t now_ms) {
+    return std::visit(Overloaded{
                           [&](const Get& x) { return get(x.key, now_ms); },
                           [&](const List& x) { return list(x.under, x.since, x.most, now_ms); },
                           [&](const Transact& x) { return transact(x.guards, x.writes, now_ms); },
-                          [&](const Hold& x) { return hold(std::llround(x.ttl_s * 1000), now_ms); },
-                          [&](const Extend& x) { return extend(x.hold, now_ms); },
-                          [&](const EndHold& x) { return end_hold(x.hold, now_ms); },
+                          [&](const CreateLease& x) { return create_lease(std::llround(x.ttl_s * 1000), now_ms); },
+                          [&](const RenewLease& x) { return renew_lease(x.lease, now_ms); },
+                          [&](const RevokeLease& x) { return revoke_lease(x.lease, now_ms); },
                           [&](const Follow&) { return refused(400, "a follow waits"); },
                       },
-                      c);
+                      call);
 }
 
 std::optional<Answer> Engine::look(Waiting& w, bool changed, std::int64_t now_ms) {
     if (!changed && w.opened && now_ms < w.until_ms)
         return {};
-    Answer a;
+    Answer answer;
     try {
-        a = w.opened ? follow(w.follow.under, w.follow.since) : follow_opened(w.follow.under, w.follow.since, now_ms);
-    } catch (const std::exception& e) {
-        a = refused(503, e.what());
+        answer =
+            w.opened ? follow(w.follow.under, w.follow.since) : follow_opened(w.follow.under, w.follow.since, now_ms);
+    } catch (const std::exception& error) {
+        answer = refused(503, error.what());
     }
     data_->abandon();
     w.opened = true;
-    // During trouble open watches stay open, as with the state service.
-    if ((a.status == 503 || (a.status == 200 && a.items.empty())) && now_ms < w.until_ms)
+    // During fault open watches stay open, as with the state service.
+    if ((answer.status == 503 || (answer.status == 200 && answer.items.empty())) && now_ms < w.until_ms)
         return {};
-    return a;
+    return answer;
 }
 
 bool Engine::expire(std::int64_t now_ms) {
-    const auto ended = data_->ended_holds(now_ms);
+    const auto ended = data_->expired_leases(now_ms);
     for (const auto id : ended)
-        drop_hold(id);
+        drop_lease(id);
     return !ended.empty();
 }
 
 void Engine::renew_all(std::int64_t now_ms) {
-    for (const auto id : data_->ended_holds(INT64_MAX)) {
-        auto h = data_->get_hold(id);
+    for (const auto id : data_->expired_leases(INT64_MAX)) {
+        auto h = data_->get_lease(id);
         h->ends_ms = now_ms + h->ttl_ms;
-        data_->set_hold(id, *h);
+        data_->set_lease(id, *h);
     }
 }
 
@@ -262,11 +263,11 @@
         return true;
     }
     void abandon() override {}
-    std::uint64_t epoch() override {
-        return epoch_;
+    std::uint64_t revision() override {
+        return revision_;
     }
-    std::uint64_t next_epoch() override {
-        return ++epoch_;
+    std::uint64_t next_revision() override {
+        return ++revision_;
     }
     std::optional<Row> get(const std::string& key) override {
         const auto it = rows_.find(key);
@@ -275,10 +276,10 @@
         return it->second;
     }
     void each(const std::string& under, const std::string& since,
-              const std::function<bool(const std::string&, const Row&)>& f) override {
+              const std::function<bool(const std::string&, const Row&)>& callback) override {
         auto it = since < under ? rows_.lower_bound(under) : rows_.upper_bound(since);
         for (; it != rows_.end() && it->first.starts_with(under); ++it)
-            if (!f(it->first, it->second))
+            if (!callback(it->first, it->second))
                 return;
     }
     void put(const std::string& key, const Row& row) override {
@@ -291,7 +292,7 @@
         changes_.push_back(c);
         if (changes_.size() <= kept_changes)
             return;
-        forgotten_ = changes_.front().stamp;
+        forgotten_ = changes_.front().mod_revision;
         changes_.pop_front();
     }
     std::optional<std::vector<Change>> changes(const std::string& under, std::uint64_t since) override {
@@ -299,39 +300,39 @@
             return {};
         std::vector<Change> out;
         const auto from = std::upper_bound(changes_.begin(), changes_.end(), since,
-                                           [](std::uint64_t s, const Change& c) { return s < c.stamp; });
+                                           [](std::uint64_t s, const Change& c) { return s < c.mod_revision; });
         for (auto it = from; it != changes_.end(); ++it)
             if (it->key.starts_with(under))
                 out.push_back(*it);
         return out;
     }
-    std::uint64_t add_hold(const Hold& h) override {
-        holds_[++last_hold_] = h;
+    std::uint64_t add_lease(const Lease& h) override {
+        leases_[++last_hold_] = h;
         return last_hold_;
     }
-    std::optional<Hold> get_hold(std::uint64_t id) override {
-        const auto it = holds_.find(id);
-        if (it == holds_.end())
+    std::optional<Lease> get_lease(std::uint64_t id) override {
+        const auto it = leases_.find(id);
+        if (it == leases_.end())
             return {};
         return it->second;
     }
-    void set_hold(std::uint64_t id, const Hold& h) override {
-        holds_[id] = h;
+    void set_lease(std::uint64_t id, const Lease& h) override {
+        leases_[id] = h;
     }
-    void erase_hold(std::uint64_t id) override {
-        holds_.erase(id);
+    void erase_lease(std::uint64_t id) override {
+        leases_.erase(id);
     }
-    std::vector<std::uint64_t> ended_holds(std::int64_t now_ms) override {
+    std::vector<std::uint64_t> expired_leases(std::int64_t now_ms) override {
         std::vector<std::uint64_t> out;
-        for (const auto& [id, h] : holds_)
+        for (const auto& [id, h] : leases_)
             if (h.ends_ms < now_ms)
                 out.push_back(id);
         return out;
     }
-    std::vector<std::string> keys_of(std::uint64_t hold) override {
+    std::vector<std::string> keys_of(std::uint64_t lease) override {
         std::vector<std::string> out;
         for (const auto& [k, row] : rows_)
-            if (row.lease == hold)
+            if (row.lease == lease)
                 out.push_back(k);
         return out;
     }
@@ -342,8 +343,8 @@
 private:
     std::map<std::string, Row> rows_;
     std::deque<Change> changes_;
-    std::map<std::uint64_t, Hold> holds_;
-    std::uint64_t epoch_ = 0, last_hold_ = 0, forgotten_ = 0;
+    std::map<std::uint64_t, Lease> leases_;
+    std::uint64_t revision_ = 0, last_hold_ = 0, forgotten_ = 0;
 };
 
 } // namespace
--- a/src/store/file_data.cpp
+++ b/src/store/file_data.cpp
@@ -23,7 +23,7 @@
     " WITHOUT ROWID;"
     "CREATE TABLE holds(id INTEGER PRIMARY KEY AUTOINCREMENT, ttl INTEGER NOT NULL, ends INTEGER NOT NULL);"
     "CREATE TABLE changes(n INTEGER PRIMARY KEY AUTOINCREMENT, stamp INTEGER NOT NULL, k TEXT NOT NULL, data TEXT);",
-    // What hangs on a hold was found by reading every key.
+    // What hangs on a store lease was found by reading every key.
     "CREATE INDEX kv_lease ON kv(lease) WHERE lease <> 0;"
     "CREATE INDEX changes_stamp ON changes(stamp);"
     "INSERT INTO meta VALUES('forgotten', 0);",
@@ -78,29 +78,31 @@
         open_ = false;
     }
 
-    std::uint64_t epoch() override {
-        auto& q = prepared("SELECT v FROM meta WHERE k='epoch'");
-        q.row();
-        return q.number(0);
+    std::uint64_t revision() override {
+        auto& statement = prepared("SELECT v FROM meta WHERE k='epoch'");
+        statement.row();
+        return statement.number(0);
     }
-    std::uint64_t next_epoch() override {
+    std::uint64_t next_revision() override {
         prepared("UPDATE meta SET v=v+1 WHERE k='epoch'").run();
-        return epoch();
+        return revision();
     }
     std::optional<Row> get(const std::string& key) override {
-        auto& q = prepared("SELECT data, stamp, lease FROM kv WHERE k=?1").bind(1, key);
-        if (!q.row())
+        auto& statement = prepared("SELECT data, stamp, lease FROM kv WHERE k=?1").bind(1, key);
+        if (!statement.row())
             return {};
-        return Row{q.text(0), q.number(1), q.number(2)};
+        return Row{statement.text(0), statement.number(1), statement.number(2)};
     }
     void each(const std::string& under, const std::string& since,
-              const std::function<bool(const std::string&, const Row&)>& f) override {
+              const std::function<bool(const std::string&, const Row&)>& callback) override {
         const bool from_start = since < under;
-        auto& q = from_start ? prepared("SELECT k, data, stamp, lease FROM kv WHERE k>=?1 ORDER BY k").bind(1, under)
-                             : prepared("SELECT k, data, stamp, lease FROM kv WHERE k>?1 ORDER BY k").bind(1, since);
-        while (q.row()) {
-            const auto key = q.text(0);
-            if (!key.starts_with(under) || !f(key, {q.text(1), q.number(2), q.number(3)}))
+        auto& statement = from_start
+                              ? prepared("SELECT k, data, stamp, lease FROM kv WHERE k>=?1 ORDER BY k").bind(1, under)
+                              : prepared("SELECT k, data, stamp, lease FROM kv WHERE k>?1 ORDER BY k").bind(1, since);
+        while (statement.row()) {
+            const auto key = statement.text(0);
+            if (!key.starts_with(under) ||
+                !callback(key, {statement.text(1), statement.number(2), statement.number(3)}))
                 return;
         }
     }
@@ -108,7 +110,7 @@
         prepared("INSERT INTO kv VALUES(?1,?2,?3,?4) ON CONFLICT(k) DO UPDATE SET data=?2, stamp=?3, lease=?4")
             .bind(1, key)
             .bind(2, row.data)
-            .bind(3, row.stamp)
+            .bind(3, row.mod_revision)
             .bind(4, row.lease)
             .run();
     }
@@ -116,12 +118,13 @@
         prepared("DELETE FROM kv WHERE k=?1").bind(1, key).run();
     }
     void add_change(const Change& c) override {
-        auto& q = prepared("INSERT INTO changes(stamp, k, data) VALUES(?1,?2,?3)").bind(1, c.stamp).bind(2, c.key);
+        auto& statement =
+            prepared("INSERT INTO changes(stamp, k, data) VALUES(?1,?2,?3)").bind(1, c.mod_revision).bind(2, c.key);
         if (c.data)
-            q.bind(3, *c.data);
+            statement.bind(3, *c.data);
         else
-            q.bind_null(3);
-        q.run();
+            statement.bind_null(3);
+        statement.run();
         if (++added_ % trim_every != 0)
             return;
         const std::string old = fmt::format("(SELECT max(n)-{} FROM changes)", kept_changes);
@@ -135,60 +138,61 @@
         old.row();
         if (since < old.number(0))
             return {};
-        auto& q = prepared("SELECT k, data, stamp FROM changes WHERE stamp>?1 ORDER BY n").bind(1, since);
+        auto& statement = prepared("SELECT k, data, stamp FROM changes WHERE stamp>?1 ORDER BY n").bind(1, since);
         std::vector<Change> out;
-        while (q.row()) {
-            Change c{q.text(0), std::nullopt, q.number(2)};
+        while (statement.row()) {
+            Change c{statement.text(0), std::nullopt, statement.number(2)};
             if (!c.key.starts_with(under))
                 continue;
-            if (!q.null(1))
-                c.data = q.text(1);
+            if (!statement.null(1))
+                c.data = statement.text(1);
             out.push_back(std::move(c));
         }
         return out;
     }
-    std::uint64_t add_hold(const Hold& h) override {
+    std::uint64_t add_lease(const Lease& h) override {
         prepared("INSERT INTO holds(ttl, ends) VALUES(?1,?2)")
             .bind(1, number(h.ttl_ms))
             .bind(2, number(h.ends_ms))
             .run();
         return static_cast<std::uint64_t>(sqlite3_last_insert_rowid(db_));
     }
-    std::optional<Hold> get_hold(std::uint64_t id) override {
-        auto& q = prepared("SELECT ttl, ends FROM holds WHERE id=?1").bind(1, id);
-        if (!q.row())
+    std::optional<Lease> get_lease(std::uint64_t id) override {
+        auto& statement = prepared("SELECT ttl, ends FROM holds WHERE id=?1").bind(1, id);
+        if (!statement.row())
             return {};
-        return Hold{static_cast<std::int64_t>(q.number(0)), static_cast<std::int64_t>(q.number(1))};
+        return Lease{static_cast<std::int64_t>(statement.number(0)),
+                           static_cast<std::int64_t>(statement.number(1))};
     }
-    void set_hold(std::uint64_t id, const Hold& h) override {
+    void set_lease(std::uint64_t id, const Lease& h) override {
         prepared("UPDATE holds SET ttl=?2, ends=?3 WHERE id=?1")
             .bind(1, id)
             .bind(2, number(h.ttl_ms))
             .bind(3, number(h.ends_ms))
             .run();
     }
-    void erase_hold(std::uint64_t id) override {
+    void erase_lease(std::uint64_t id) override {
         prepared("DELETE FROM holds WHERE id=?1").bind(1, id).run();
     }
-    std::vector<std::uint64_t> ended_holds(std::int64_t now_ms) override {
-        auto& q = prepared("SELECT id FROM holds WHERE ends<?1").bind(1, number(now_ms));
+    std::vector<std::uint64_t> expired_leases(std::int64_t now_ms) override {
+        auto& statement = prepared("SELECT id FROM holds WHERE ends<?1").bind(1, number(now_ms));
         std::vector<std::uint64_t> out;
-        while (q.row())
-            out.push_back(q.number(0));
+        while (statement.row())
+            out.push_back(statement.number(0));
         return out;
     }
-    std::vector<std::string> keys_of(std::uint64_t hold) override {
-        auto& q = prepared("SELECT k FROM kv WHERE lease=?1 AND lease<>0").bind(1, hold);
+    std::vector<std::string> keys_of(std::uint64_t lease) override {
+        auto& statement = prepared("SELECT k FROM kv WHERE lease=?1 AND lease<>0").bind(1, lease);
         std::vector<std::string> out;
-        while (q.row())
-            out.push_back(q.text(0));
+        while (statement.row())
+            out.push_back(statement.text(0));
         return out;
     }
     bool changed_by_others() override {
-        auto& q = prepared("PRAGMA data_version");
-        q.row();
-        const auto v = q.number(0);
-        q.reset();
+        auto& statement = prepared("PRAGMA data_version");
+        statement.row();
+        const auto v = statement.number(0);
+        statement.reset();
         return std::exchange(version_, v) != v;
     }
 
@@ -197,35 +201,36 @@
     class Statement {
     public:
         Statement(sqlite3* db, const std::string& path, const std::string& sql) : db_(db), path_(path) {
-            check(sqlite3_prepare_v3(db, sql.c_str(), -1, SQLITE_PREPARE_PERSISTENT, &s_, nullptr), SQLITE_OK);
+            check(sqlite3_prepare_v3(db, sql.c_str(), -1, SQLITE_PREPARE_PERSISTENT, &statement_, nullptr), SQLITE_OK);
         }
         ~Statement() {
-            sqlite3_finalize(s_);
+            sqlite3_finalize(statement_);
         }
         Statement(const Statement&) = delete;
         Statement& operator=(const Statement&) = delete;
 
         Statement& reset() {
-            sqlite3_reset(s_);
+            sqlite3_reset(statement_);
             return *this;
         }
         Statement& bind(int at, const std::string& text) {
-            check(sqlite3_bind_text(s_, at, text.data(), static_cast<int>(text.size()), SQLITE_TRANSIENT), SQLITE_OK);
+            check(sqlite3_bind_text(statement_, at, text.data(), static_cast<int>(text.size()), SQLITE_TRANSIENT),
+                  SQLITE_OK);
             return *this;
         }
         Statement& bind(int at, std::uint64_t n) {
-            check(sqlite3_bind_int64(s_, at, static_cast<sqlite3_int64>(n)), SQLITE_OK);
+            check(sqlite3_bind_int64(statement_, at, static_cast<sqlite3_int64>(n)), SQLITE_OK);
             return *this;
         }
         void bind_null(int at) {
-            sqlite3_bind_null(s_, at);
+            sqlite3_bind_null(statement_, at);
         }
         bool row() {
-            const int e = sqlite3_step(s_);
+            const int e = sqlite3_step(statement_);
             if (e == SQLITE_ROW)
                 return true;
             check(e, SQLITE_DONE);
-            sqlite3_reset(s_);
+            sqlite3_reset(statement_);
             return false;
         }
         void run() {
@@ -233,14 +238,14 @@
             }
         }
         std::string text(int at) {
-            const auto* p = reinterpret_cast<const char*>(sqlite3_column_text(s_, at));
-            return p == nullptr ? "" : std::string(p, static_cast<std::size_t>(sqlite3_column_bytes(s_, at)));
+            const auto* p = reinterpret_cast<const char*>(sqlite3_column_text(statement_, at));
+            return p == nullptr ? "" : std::string(p, static_cast<std::size_t>(sqlite3_column_bytes(statement_, at)));
         }
         std::uint64_t number(int at) {
-            return static_cast<std::uint64_t>(sqlite3_column_int64(s_, at));
+            return static_cast<std::uint64_t>(sqlite3_column_int64(statement_, at));
         }
         bool null(int at) {
-            return sqlite3_column_type(s_, at) == SQLITE_NULL;
+            return sqlite3_column_type(statement_, at) == SQLITE_NULL;
         }
 
     private:
@@ -250,31 +255,31 @@
         }
         sqlite3* db_;
         const std::string& path_;
-        sqlite3_stmt* s_ = nullptr;
+        sqlite3_stmt* statement_ = nullptr;
     };
 
     static std::uint64_t number(std::int64_t n) {
         return static_cast<std::uint64_t>(n);
     }
     Statement& prepared(const std::string& sql) {
-        auto& s = statements_[sql];
-        if (!s)
-            s = std::make_unique<Statement>(db_, path_, sql);
-        return s->reset();
+        auto& statement = statements_[sql];
+        if (!statement)
+            statement = std::make_unique<Statement>(db_, path_, sql);
+        return statement->reset();
     }
     // A statement that was not read to its end holds on to an old view of the file, and the next
     // transaction could not begin on top of it.
     void reset_all() {
-        for (auto& [sql, s] : statements_)
-            s->reset();
+        for (auto& [sql, statement] : statements_)
+            statement->reset();
     }
     void run(const char* sql) {
         if (sqlite3_exec(db_, sql, nullptr, nullptr, nullptr) != SQLITE_OK)
             fail();
     }
     std::uint64_t ask(const char* sql) {
-        Statement q(db_, path_, sql);
-        return q.row() ? q.number(0) : 0;
+        Statement statement(db_, path_, sql);
+        return statement.row() ? statement.number(0) : 0;
     }
     [[noreturn]] void fail() const {
         throw StoreError(fmt::format("{}: {}", path_, sqlite3_errmsg(db_)));
@@ -304,9 +309,9 @@
             throw StoreError(fmt::format("{}: written by a newer version (schema {}, this one knows {})", path_, schema,
                                          file_schema));
         if (tables != 0) {
-            Statement q(db_, path_, "PRAGMA quick_check(1)");
-            if (!q.row() || q.text(0) != "ok")
-                throw StoreError(fmt::format("{}: damaged: {}", path_, q.text(0)));
+            Statement statement(db_, path_, "PRAGMA quick_check(1)");
+            if (!statement.row() || statement.text(0) != "ok")
+                throw StoreError(fmt::format("{}: damaged: {}", path_, statement.text(0)));
         }
         to_wal(options.busy_wait_s);
         run(options.fsync ? "PRAGMA synchronous=FULL" : "PRAGMA synchronous=OFF");
@@ -345,13 +350,13 @@
         }
     }
 
-    // The clock that holds end by began anew.
+    // The clock that leases end by began anew.
     void renew_after_boot() {
         const auto boot = boot_id();
-        Statement q(db_, path_, "SELECT v FROM meta WHERE k='boot'");
-        if (q.row() && q.text(0) == boot)
+        Statement statement(db_, path_, "SELECT v FROM meta WHERE k='boot'");
+        if (statement.row() && statement.text(0) == boot)
             return;
-        q.reset();
+        statement.reset();
         using namespace std::chrono;
         const auto now = duration_cast<milliseconds>(steady_clock::now().time_since_epoch()).count();
         Statement(db_, path_, "UPDATE holds SET ends=?1+ttl").bind(1, number(now)).run();
--- a/src/store/local.cpp
+++ b/src/store/local.cpp
@@ -20,25 +20,25 @@
 }
 
 Answer failed(int status, std::string why) {
-    Answer a;
-    a.status = status;
-    a.sent = true;
-    a.error = std::move(why);
-    return a;
+    Answer answer;
+    answer.status = status;
+    answer.sent = true;
+    answer.error = std::move(why);
+    return answer;
 }
 
-bool is_follow(const Call& c) {
-    return std::holds_alternative<Follow>(c);
+bool is_follow(const Call& call) {
+    return std::holds_alternative<Follow>(call);
 }
 
-bool writes(const Call& c) {
-    return !is_follow(c) && !std::holds_alternative<Get>(c) && !std::holds_alternative<List>(c);
+bool writes(const Call& call) {
+    return !is_follow(call) && !std::holds_alternative<Get>(call) && !std::holds_alternative<List>(call);
 }
 
 // Calls of one controller, beyond which the next is answered 503 at once. Machines do not call the store: the leader
 // has one transaction under way, and look-ups and submissions of users have their own bounds (gateway/gateway.cpp).
-constexpr std::size_t most_waiting = 1000;
-constexpr std::size_t most_batch = 200; // for one commit of the file; the rest goes into the next
+constexpr std::size_t max_waiting = 1000;
+constexpr std::size_t max_batch = 200; // for one commit of the file; the rest goes into the next
 
 } // namespace
 
@@ -67,11 +67,11 @@
 
     void run() {
         std::unique_lock l(lock);
-        while (!stop || !queue.empty()) { // what was asked for before the end is done, such as giving a hold up
+        while (!stop || !queue.empty()) { // what was asked for before the end is done, such as giving a store lease up
             if (queue.empty())
                 wake.wait_for(l, std::chrono::duration<double>(poll_s));
             std::vector<Asked> batch;
-            while (!queue.empty() && batch.size() < most_batch) {
+            while (!queue.empty() && batch.size() < max_batch) {
                 batch.push_back(std::move(queue.front()));
                 queue.pop_front();
             }
@@ -94,7 +94,7 @@
         bool open_outcome = false;
         try {
             changed = engine->data().changed_by_others();
-            const bool expires = !engine->data().ended_holds(now).empty();
+            const bool expires = !engine->data().expired_leases(now).empty();
             engine->data().abandon();
             if (!batch.empty() || expires) {
                 engine->data().begin();
@@ -110,8 +110,8 @@
                 if (open_outcome)
                     wrong = "the disk failed, the outcome is open";
             }
-        } catch (const std::exception& e) {
-            wrong = e.what();
+        } catch (const std::exception& error) {
+            wrong = error.what();
             engine->data().abandon();
         }
         if (!wrong.empty()) {
@@ -125,10 +125,10 @@
             if (auto* f = std::get_if<Follow>(&c.call); f != nullptr)
                 follows.push_back({c.id, {std::move(*f), c.until_ms}});
         std::erase_if(follows, [&](Waiting& f) {
-            auto a = engine->look(f.w, changed, now);
-            if (a)
-                out.emplace_back(f.id, std::move(*a));
-            return a.has_value();
+            auto answer = engine->look(f.w, changed, now);
+            if (answer)
+                out.emplace_back(f.id, std::move(*answer));
+            return answer.has_value();
         });
         return out;
     }
@@ -166,7 +166,7 @@
     const auto* f = std::get_if<Follow>(&c);
     const auto until = f != nullptr ? steady_ms() + static_cast<std::int64_t>(f->block_s * 1000) : 0;
     const std::lock_guard l(shared_->lock);
-    if (shared_->queue.size() >= most_waiting) {
+    if (shared_->queue.size() >= max_waiting) {
         shared_->answers.emplace_back(id, failed(503, "too many calls wait"));
         uv_async_send(shared_->async);
         return;
--- a/src/store/remote.cpp
+++ b/src/store/remote.cpp
@@ -1,6 +1,6 @@
 #include "heronshift/store/remote.hpp"
 
-#include "heronshift/each.hpp"
+#include "heronshift/overloaded.hpp"
 
 #include <algorithm>
 #include <fmt/format.h>
@@ -9,58 +9,58 @@
 namespace {
 
 constexpr std::size_t connections = 8, waiting = 200, follow_connections = 2, follow_waiting = 4;
-constexpr double longest_block_s = 60; // the state service refuses a longer one
+constexpr double max_block_s = 60; // the state service refuses a longer one
 
 // An answer that cannot be read is none: what was asked for may have been done.
-void unreadable(Answer& a) {
-    a.status = 502;
-    a.error = "an answer that cannot be read";
+void unreadable(Answer& answer) {
+    answer.status = 502;
+    answer.error = "an answer that cannot be read";
 }
 
-void read_item(const std::string& body, Answer& a) {
-    if (a.status != 200)
+void read_item(const std::string& body, Answer& answer) {
+    if (answer.status != 200)
         return;
-    a.item = codec::item(body);
-    if (!a.item)
-        unreadable(a);
+    answer.item = codec::item(body);
+    if (!answer.item)
+        unreadable(answer);
 }
 
-void read_items(std::optional<codec::Page>&& page, Answer& a) {
+void read_items(std::optional<codec::Page>&& page, Answer& answer) {
     if (!page)
-        return unreadable(a);
-    a.items = std::move(page->items);
-    a.more = page->more;
-    a.epoch = page->epoch;
+        return unreadable(answer);
+    answer.items = std::move(page->items);
+    answer.more = page->more;
+    answer.revision = page->revision;
 }
 
-void read_page(const std::string& body, Answer& a) {
-    if (a.status == 200)
-        read_items(codec::page(body), a);
+void read_page(const std::string& body, Answer& answer) {
+    if (answer.status == 200)
+        read_items(codec::page(body), answer);
 }
 
-void read_events(const std::string& body, Answer& a) {
-    if (a.status == 200)
-        read_items(codec::events(body), a);
+void read_events(const std::string& body, Answer& answer) {
+    if (answer.status == 200)
+        read_items(codec::events(body), answer);
 }
 
-void read_outcome(const std::string& body, Answer& a) {
-    if (a.status == 409)
-        a.failed = codec::failed_guards(body).value_or(std::vector<std::string>());
-    if (a.status != 200)
+void read_outcome(const std::string& body, Answer& answer) {
+    if (answer.status == 409)
+        answer.failed = codec::failed_guards(body).value_or(std::vector<std::string>());
+    if (answer.status != 200)
         return;
-    const auto epoch = codec::epoch_of(body);
-    if (!epoch)
-        return unreadable(a);
-    a.epoch = *epoch;
+    const auto revision = codec::revision_of(body);
+    if (!revision)
+        return unreadable(answer);
+    answer.revision = *revision;
 }
 
-void read_hold(const std::string& body, Answer& a) {
-    if (a.status != 200)
+void read_lease(const std::string& body, Answer& answer) {
+    if (answer.status != 200)
         return;
-    const auto hold = codec::hold_of(body);
-    if (!hold)
-        return unreadable(a);
-    a.lease = *hold;
+    const auto lease = codec::lease_of(body);
+    if (!lease)
+        return unreadable(answer);
+    answer.lease = *lease;
 }
 
 } // namespace
@@ -69,22 +69,22 @@
     : at_(at.str()), calls_(loop, connections, waiting), follows_(loop, follow_connections, follow_waiting) {}
 
 void RemoteStore::call(Call&& call, double timeout_s, Callback done) {
-    using Read = void (*)(const std::string& body, Answer& a);
+    using Read = void (*)(const std::string& body, Answer& answer);
     const auto ask = [&](HttpClient& by, const char* method, const std::string& path, std::string body, Read read) {
-        by.request(at_, method, path, std::move(body), timeout_s, [read, done = std::move(done)](HttpReply&& r) {
-            Answer a;
-            a.status = r.status;
-            a.sent = r.sent;
-            if (r.status >= 400)
-                a.error = codec::store_error(r.body);
+        by.request(at_, method, path, std::move(body), timeout_s, [read, done = std::move(done)](HttpReply&& reply) {
+            Answer answer;
+            answer.status = reply.status;
+            answer.sent = reply.sent;
+            if (reply.status >= 400)
+                answer.error = codec::store_error(reply.body);
             if (read != nullptr)
-                read(r.body, a);
-            done(std::move(a));
+                read(reply.body, answer);
+            done(std::move(answer));
         });
     };
-    const auto hold_path = [](std::uint64_t hold) { return fmt::format("{}/{}", codec::path_holds, hold); };
+    const auto lease_path = [](std::uint64_t lease) { return fmt::format("{}/{}", codec::path_leases, lease); };
     std::visit(
-        Each{
+        Overloaded{
             [&](const Get& c) { ask(calls_, "GET", fmt::format("{}/{}", codec::path_store, c.key), "", read_item); },
             [&](const List& c) {
                 auto path = fmt::format("{}?under={}&most={}", codec::path_store, c.under, c.most);
@@ -95,17 +95,17 @@
             [&](const Transact& c) {
                 ask(calls_, "POST", std::string(codec::path_txn), codec::txn(c.guards, c.writes), read_outcome);
             },
-            [&](const Hold& c) {
-                ask(calls_, "POST", std::string(codec::path_holds), codec::hold_request(c.ttl_s), read_hold);
+            [&](const CreateLease& c) {
+                ask(calls_, "POST", std::string(codec::path_leases), codec::lease_request(c.ttl_s), read_lease);
             },
-            [&](const Extend& c) {
-                ask(calls_, "POST", hold_path(c.hold) + "/" + std::string(codec::suffix_extend), "{}", nullptr);
+            [&](const RenewLease& c) {
+                ask(calls_, "POST", lease_path(c.lease) + "/" + std::string(codec::suffix_renew), "{}", nullptr);
             },
-            [&](const EndHold& c) { ask(calls_, "DELETE", hold_path(c.hold), "", nullptr); },
+            [&](const RevokeLease& c) { ask(calls_, "DELETE", lease_path(c.lease), "", nullptr); },
             [&](const Follow& c) {
-                // With leases of three minutes every follow was refused, and the holder never heard of the jobs
+                // With leases of three minutes every follow was refused, and the leader never heard of the jobs
                 // that other nodes had stored.
-                const double block_s = std::min(c.block_s, longest_block_s);
+                const double block_s = std::min(c.block_s, max_block_s);
                 timeout_s -= c.block_s - block_s;
                 ask(follows_, "GET",
                     fmt::format("{}?under={}&since={}&blockMs={}", codec::path_follow, c.under, c.since,
