--- a/tests/troubles.hpp
+++ b/tests/fault_injection.hpp
@@ -1,4 +1,4 @@
-// Troubles drawn by seed, for a fleet at work: cut links of every kind, crashes, processes that stand still, outages,
+// Faults drawn by seed, for a fleet at work: cut links of every kind, crashes, processes that stand still, outages,
 // machines that die, hang or are cut; and those that the users' last word added.
 #pragma once
 
@@ -6,14 +6,14 @@
 
 namespace heronshift::testing {
 
-struct Troubled : Working {
+struct FaultInjection : Working {
     using Working::Working;
 
     std::size_t pick(std::size_t n) {
         return static_cast<std::size_t>(between(0, static_cast<double>(n) - 0.01));
     }
-    std::size_t holder_or(std::size_t i) {
-        return chance() < 0.5 ? holder().value_or(i) : i;
+    std::size_t leader_or(std::size_t i) {
+        return chance() < 0.5 ? leader().value_or(i) : i;
     }
     Mode some_mode() {
         return std::array{Mode::drop, Mode::hold, Mode::refuse, Mode::slow}[pick(4)];
@@ -26,7 +26,7 @@
     }
 
     // One of those that the matrices of cut links are drawn from.
-    void trouble(double for_s) {
+    void inject_fault(double for_s) {
         hard_at = now;
         const double c = chance();
         const auto i = pick(nodes.size());
@@ -56,9 +56,9 @@
             nodes[i].refused_by_store = true;
             send(for_s, [this, i] { nodes[i].refused_by_store = false; });
         } else if (c < 0.85) {
-            crash(holder_or(i), 3);
+            crash(leader_or(i), 3);
         } else if (c < 0.92) {
-            freeze(holder_or(i), std::min(for_s, 30.0));
+            freeze(leader_or(i), std::min(for_s, 30.0));
         } else if (c < 0.95) {
             store_down = true;
             send(std::min(for_s, 30.0), [this] { end_outage(); });
@@ -76,7 +76,8 @@
     // --- those that were added ---
 
     // Reports of these machines arrive; what these controllers say to them does not.
-    void deafen_some(double share, const std::string& zone_only, const std::vector<std::size_t>& to, double for_s) {
+    void make_some_inbound_unreachable(double share, const std::string& zone_only, const std::vector<std::size_t>& to,
+                                       double for_s) {
         std::vector<std::string> names, list;
         for (const auto i : to)
             names.push_back(nodes[i].name);
@@ -86,10 +87,10 @@
         if (list.empty() && !workers.empty())
             list.push_back(std::next(workers.begin(), static_cast<long>(pick(workers.size())))->first);
         for (const auto& id : list)
-            deafen(id, names);
+            make_inbound_unreachable(id, names);
         send(for_s, [this, list] {
             for (const auto& id : list)
-                deaf.erase(id);
+                inbound_unreachable.erase(id);
         });
     }
     std::vector<std::size_t> all_nodes() const {
@@ -108,23 +109,26 @@
     double moment() {
         return between(0.05, 0.5);
     }
-    void new_trouble(double for_s) {
+    void inject_later_fault(double for_s) {
         hard_at = now;
         const double c = chance();
         const auto i = pick(nodes.size());
         if (c < 0.2) {
-            const auto to = chance() < 0.4 ? std::vector{holder().value_or(i)} : all_nodes();
+            const auto to = chance() < 0.4 ? std::vector{leader().value_or(i)} : all_nodes();
             const double kind = chance();
-            deafen_some(kind < 0.4 ? 0 : kind < 0.7 ? 0.33 : 1, kind < 0.7 ? "" : settings.zones[pick(3)], to, for_s);
+            make_some_inbound_unreachable(kind < 0.4   ? 0
+                                          : kind < 0.7 ? 0.33
+                                                       : 1,
+                                          kind < 0.7 ? "" : settings.zones[pick(3)], to, for_s);
         } else if (c < 0.3) {
             copies = 0.3;
             send(2 * for_s, [this] { copies = 0; });
         } else if (c < 0.5) {
-            isolate(holder_or(i), some_mode(), for_s);
+            isolate(leader_or(i), some_mode(), for_s);
             if (chance() < 0.3)
                 isolate(pick(nodes.size()), some_mode(), for_s);
         } else if (c < 0.7) {
-            crash(holder_or(i), moment());
+            crash(leader_or(i), moment());
         } else if (c < 0.8) {
             for (std::size_t o = 0; o < nodes.size(); ++o)
                 send(between(0, 1), [this, o] { crash(o, moment()); });
@@ -138,7 +142,8 @@
                     w.dead = true;
         }
     }
-    // A machine that is back within a moment: it stood still, or its process is a new one with a tenure of its own.
+    // A machine that is back within a moment: it stood still, or its process is a new one with an agent epoch of its
+    // own.
     void restart(const std::string& id) {
         auto& w = workers[id];
         if (chance() < 0.5) {
@@ -150,7 +155,7 @@
             return;
         }
         w.tasks.clear();
-        ++w.tenure;
+        ++w.agent_epoch;
         w.lease_from = now;
     }
 };
--- a/tests/fault_scenario.hpp
+++ b/tests/fault_scenario.hpp
@@ -1,15 +1,16 @@
 // Scenarios of concurrent faults: a fleet at work, what happens to it from then on, and the checks that all of them
-// share (docs/meetings.md says which combination of faults each stands for).
+// share (docs/combined-faults.md says which combination of faults each stands for).
 #pragma once
 
-#include "troubles.hpp"
+#include "fault_injection.hpp"
 
 #include <gtest/gtest.h>
 
 namespace heronshift::testing {
 
-struct FaultyFleet : Troubled {
-    explicit FaultyFleet(unsigned seed, std::size_t controllers = 5) : Troubled(seed + other_seeds(), controllers, 24) {
+struct FaultyFleet : FaultInjection {
+    explicit FaultyFleet(unsigned seed, std::size_t controllers = 5)
+        : FaultInjection(seed + other_seeds(), controllers, 24) {
         before_step = [this] {
             if (on_step)
                 on_step();
@@ -38,9 +39,9 @@
             return first(*this);
         return started_cancelled > 0 ? fmt::format("{} started though cancelled", started_cancelled) : "";
     }
-    std::string end_of_day() {
+    std::string run_final_checks() {
         on_step = {};
-        return day_end(std::max(leases(5), 90.0), leases(3));
+        return final_checks(std::max(leases(5), 90.0), leases(3));
     }
     bool every(double seconds, double from = 0) const {
         return std::fmod(now + from, seconds) < 0.1;
@@ -53,7 +54,7 @@
     std::function<void(FaultyFleet&)> begin;
     double for_s = 90;
     double changes_per_s = 0; // that the store takes; 0: as the world has it
-    // Whether the faults that the name promises came about; empty: it is not counted.
+    // Whether the faults that the name extension votes came about; empty: it is not counted.
     std::function<bool(const FaultyFleet&)> took_place = nullptr;
     double team_cpus = 0; // the limit of each team, beyond what the services take; 0: as the world has it
     friend std::ostream& operator<<(std::ostream& o, const Scenario& s) {
@@ -64,10 +65,10 @@
 inline void some_cancel(FaultyFleet& f, double share) {
     for (auto& [id, u] : f.asks)
         if (u.accepted() && u.seen.done_at < 0 && f.jobs[id].shape != Shape::service && f.chance() < share)
-            f.withdraw(id);
+            f.request_cancellation(id);
 }
 
-// The share of machines that can't be asked for so long: cut, hanging, deaf or mute.
+// The share of machines that can't be asked for so long: cut, hanging, unreachable inbound or unreachable outbound.
 inline void unreachable(FaultyFleet& f, double share, double for_s) {
     std::vector<std::string> list;
     for (auto& [id, w] : f.workers)
@@ -81,14 +82,14 @@
         if (k == 1)
             w.hung = true;
         if (k == 2)
-            f.deafen(id, f.names());
+            f.make_inbound_unreachable(id, f.names());
         if (k == 3)
-            f.mute.insert(id);
+            f.outbound_unreachable.insert(id);
     }
     f.send(for_s, [&f, list] {
         for (const auto& id : list) {
-            f.deaf.erase(id);
-            f.mute.erase(id);
+            f.inbound_unreachable.erase(id);
+            f.outbound_unreachable.erase(id);
             if (const auto w = f.workers.find(id); w != f.workers.end())
                 w->second.cut = w->second.hung = false;
         }
@@ -96,7 +97,7 @@
 }
 
 inline void end_leader(FaultyFleet& f, double for_s = 1) {
-    f.crash(f.holder().value_or(0), for_s);
+    f.crash(f.leader().value_or(0), for_s);
 }
 
 inline void outage(FaultyFleet& f, double for_s) {
@@ -127,7 +128,7 @@
     }
     f.takes = {};
     f.close_looks = false;
-    EXPECT_EQ(f.end_of_day(), "") << seed;
+    EXPECT_EQ(f.run_final_checks(), "") << seed;
     EXPECT_EQ(std::count_if(f.asks.begin(), f.asks.end(), [](const auto& a) { return !a.second.accepted(); }), 0);
     EXPECT_EQ(f.unfinished(f.leases(3)), 0) << seed; // nothing stays suspected, reserved or counted for ever
 }
--- a/tests/world.hpp
+++ b/tests/simulated_cluster.hpp
@@ -1,19 +1,19 @@
-// A cluster in memory for stories: a store, a cloud, workers that follow the protocol, a network
-// that delays, loses and holds messages, and one controller whose office changes at a word, or
+// A cluster in memory for scenarios: a store, a cloud, workers that follow the protocol, a network
+// that delays, loses and holds messages, and one controller whose leadership changes at a word, or
 // several that take it from each other. After every step all rules are checked.
 #pragma once
 
 #include "machines.hpp"
 
 #include "heronshift/core/core.hpp"
-#include "heronshift/office/tenancy.hpp"
+#include "heronshift/leadership/leader_lease.hpp"
 #include "heronshift/replay/command_log.hpp"
 
 #include <memory>
 
 namespace heronshift::testing {
 
-struct World : Machines {
+struct SimulatedCluster : Machines {
     struct Message {
         double at = 0;
         std::function<void()> f;
@@ -21,45 +21,45 @@
 
     struct Controller {
         std::string name;
-        std::unique_ptr<Core> core; // while it holds the office, or believes so
+        std::unique_ptr<Core> core; // while it is the leader, or believes so
         std::vector<Command> queue;
-        std::uint64_t life = 0, term = 0, hold = 0; // answers for an earlier life are dropped
-        std::optional<Tenancy> tenancy;             // none: alone, and always entitled
+        std::uint64_t life = 0, term = 0, store_lease = 0; // answers for an earlier life are dropped
+        std::optional<LeaderLease> leader_lease;           // none: alone, and always entitled
         bool alive = true, acquiring = false, no_store = false, no_workers = false, no_peers = false;
         bool old = false; // of the version before chains: see what it reads and writes below
         double rate = 1, back_at = 0, next_look = 0, next_renew = 0;
     };
 
-    explicit World(unsigned seed, std::size_t count = 1)
+    explicit SimulatedCluster(unsigned seed, std::size_t count = 1)
         : Machines(seed), controllers(count), core(controllers[0].core) {
         for (std::size_t i = 0; i < count; ++i) {
             controllers[i].name = fmt::format("berth-{}", i);
             if (count == 1)
                 continue;
             controllers[i].rate = between(0.9995, 1.0005); // steady clocks drift apart
-            controllers[i].tenancy.emplace(ttl_s(), count - 1, 0);
+            controllers[i].leader_lease.emplace(ttl_s(), count - 1, 0);
         }
     }
     Settings old_settings = settings;
-    double beat_loss = 0, order_loss = 0, late = 0;
+    double heartbeat_loss = 0, order_loss = 0, late = 0;
     bool store_down = false, strict = false; // strict: the store's lower limits hold
     bool check_orphaned = true;
     std::map<std::string, codec::Json> store;
-    struct Held {
+    struct LeaderRecord {
         std::size_t node = 0;
-        std::uint64_t hold = 0, term = 0;
+        std::uint64_t store_lease = 0, term = 0;
     };
-    std::optional<Held> office;
-    std::map<std::uint64_t, double> holds; // until when
-    std::uint64_t term = 0, hold_seq = 0;
-    int offices = 0, carried = 0; // times the office was taken; steps it was held by promises alone
+    std::optional<LeaderRecord> leader_record;
+    std::map<std::uint64_t, double> store_leases; // until when
+    std::uint64_t term = 0, store_lease_seq = 0;
+    int acquisitions = 0, carried = 0; // times the leadership was taken; steps it was held by extension votes alone
     std::map<std::string, double> submitted;
     std::set<std::string> asked;             // to be cancelled, by their users
     std::map<std::string, std::string> told; // final states heard
     std::vector<Message> messages;
     std::vector<Controller> controllers;
     std::unique_ptr<Core>& core; // of the first
-    std::map<std::uint64_t, std::function<void(int, std::uint64_t, std::vector<Order>)>> beats;
+    std::map<std::uint64_t, std::function<void(int, std::uint64_t, std::vector<Order>)>> heartbeats;
     std::map<std::uint64_t, std::string> cancels;
     std::uint64_t handles = 0;
     int capacity = 6;            // machines left to rent
@@ -78,19 +78,19 @@
     [[nodiscard]] bool several() const {
         return controllers.size() > 1;
     }
-    [[nodiscard]] bool entitled(const Controller& c) const {
-        return c.alive && c.core && (!c.tenancy || c.tenancy->valid(now * c.rate));
+    [[nodiscard]] bool may_act(const Controller& c) const {
+        return c.alive && c.core && (!c.leader_lease || c.leader_lease->valid(now * c.rate));
     }
 
-    // A new holder of the office: everything it knows is what the store holds.
-    void take_office() {
+    // A new leader: everything it knows is what the store holds.
+    void acquire_leadership() {
         ++term;
         start_core(controllers[0]);
     }
 
     void start_core(Controller& c) {
         ++c.life;
-        ++offices;
+        ++acquisitions;
         c.term = term;
         Snapshot s;
         for (const auto& [k, v] : store) {
@@ -115,7 +115,7 @@
         if (log != nullptr)
             log->begin(settings, c.term, s, now * c.rate, now);
         c.core = std::make_unique<Core>(c.old ? old_settings : settings, c.term, s, now * c.rate, now);
-        c.queue.push_back(TypesKnown{small_types()});
+        c.queue.push_back(MachineTypesKnown{small_types()});
         c.queue.push_back(list());
     }
 
@@ -137,8 +137,8 @@
         workers.erase(it);
     }
 
-    Listed list() const {
-        Listed l;
+    MachinesListed list() const {
+        MachinesListed l;
         for (const auto& [id, w] : workers)
             if (!w.dead)
                 l.machines.push_back({w.id, w.addr, "m8", w.zone, "running", w.spot, now - w.rented_at});
@@ -147,7 +147,7 @@
 
     void submit(JobSpec spec) {
         jobs[spec.id] = spec;
-        const bool waits = !spec.needs.empty();
+        const bool waits = !spec.dependencies.empty();
         store["j/" + spec.id] = codec::to_record({spec, now, -1, waits, {}});
         submitted[spec.id] = now;
         for (auto& c : controllers)
@@ -163,11 +163,11 @@
             return;
         asked.insert(id);
         for (auto& c : controllers) {
-            if (!entitled(c))
+            if (!may_act(c))
                 continue;
             const auto h = ++handles;
             cancels[h] = id;
-            c.queue.push_back(CancelAsked{id, h});
+            c.queue.push_back(CancellationRequested{id, h});
         }
     }
 
@@ -180,7 +180,7 @@
 
     void end_store_outage() {
         store_down = false;
-        for (auto& [id, until] : holds)
+        for (auto& [id, until] : store_leases)
             until = now + ttl_s(); // all have their full time again
     }
 
@@ -189,43 +189,44 @@
         return it == store.end() ? std::nullopt : std::optional(it->second);
     }
 
-    void report_if_due(Worker& w) override {
-        if (now < w.next_beat)
+    void heartbeat_if_due(Worker& w) override {
+        if (now < w.next_heartbeat)
             return;
-        w.next_beat = now + settings.report_s * between(0.75, 1.25);
+        w.next_heartbeat = now + settings.report_s * between(0.75, 1.25);
         if (w.cut)
             return;
         const double sent = now;
-        auto r = report(w);
+        auto r = heartbeat(w);
         const double delay = chance() < late ? between(5, 60) : between(0, 0.2);
-        if (chance() < beat_loss)
+        if (chance() < heartbeat_loss)
             return;
-        send(delay, [this, id = w.id, r, sent, tenure = w.tenure, node = w.node] {
+        send(delay, [this, id = w.id, r, sent, agent_epoch = w.agent_epoch, node = w.node] {
             auto& c = controllers[node];
             auto refused = [this, id] {
                 if (auto it = workers.find(id); it != workers.end())
-                    it->second.node =
-                        chance() < 0.5 || !office ? (it->second.node + 1) % controllers.size() : office->node;
+                    it->second.node = chance() < 0.5 || !leader_record ? (it->second.node + 1) % controllers.size()
+                                                                       : leader_record->node;
             };
             if (!c.core || c.no_workers)
                 return refused();
             const auto h = ++handles;
-            beats[h] = [this, id, sent, tenure, refused](int status, std::uint64_t fence, std::vector<Order> orders) {
+            heartbeats[h] = [this, id, sent, agent_epoch, refused](int status, std::uint64_t fencing_token,
+                                                                   std::vector<Order> orders) {
                 if (status != 200)
                     return refused();
-                send(between(0, 0.2), [this, id, sent, tenure, fence, orders] {
+                send(between(0, 0.2), [this, id, sent, agent_epoch, fencing_token, orders] {
                     auto it = workers.find(id);
                     if (it == workers.end() || it->second.dead || it->second.hung || it->second.cut)
                         return;
                     auto& x = it->second;
-                    if (now > sent + 4 || x.tenure != tenure || fence < x.fence)
+                    if (now > sent + 4 || x.agent_epoch != agent_epoch || fencing_token < x.fencing_token)
                         return;
-                    x.fence = fence;
+                    x.fencing_token = fencing_token;
                     x.lease_from = std::max(x.lease_from, sent);
                     execute(x, orders);
                 });
             };
-            c.queue.push_back(Beat{r, h});
+            c.queue.push_back(HeartbeatReceived{r, h});
         });
     }
 
@@ -238,7 +239,7 @@
             if (on_commit)
                 on_commit(commit->writes);
             send(between(0.01, 0.5), [this, &c, tell, t = c.term, writes = commit->writes] {
-                if (t != term || (several() && (!office || office->term != t)))
+                if (t != term || (several() && (!leader_record || leader_record->term != t)))
                     return; // the guards fail
                 TxnOutcome out = TxnOutcome::refused;
                 if (!store_down && !c.no_store) {
@@ -275,22 +276,22 @@
                         return;
                     auto& w = it->second;
                     OrdersAnswered a{o.machine, o.batch, 409, true, std::nullopt};
-                    if (o.fence >= w.fence && o.tenure == w.tenure) {
-                        w.fence = o.fence;
+                    if (o.fencing_token >= w.fencing_token && o.agent_epoch == w.agent_epoch) {
+                        w.fencing_token = o.fencing_token;
                         execute(w, o.orders);
                         a.status = 200;
                     }
-                    a.report = report(w);
+                    a.heartbeat = heartbeat(w);
                     if (!held)
                         send(between(0, 0.1), [answer, a] { answer(a); });
                 });
             send(1.0, [answer, o = *o] { answer({o.machine, o.batch, 0, true, std::nullopt}); });
-        } else if (const auto* b = std::get_if<BeatAnswer>(&effect)) {
-            if (auto it = beats.find(b->handle); it != beats.end()) {
-                it->second(b->status, b->fence, b->orders);
-                beats.erase(it);
+        } else if (const auto* b = std::get_if<AnswerHeartbeat>(&effect)) {
+            if (auto it = heartbeats.find(b->handle); it != heartbeats.end()) {
+                it->second(b->status, b->fencing_token, b->orders);
+                heartbeats.erase(it);
             }
-        } else if (const auto* a = std::get_if<CancelAnswer>(&effect)) {
+        } else if (const auto* a = std::get_if<AnswerCancellation>(&effect)) {
             if (a->status.empty())
                 return;
             const auto& id = cancels[a->handle];
@@ -312,7 +313,7 @@
                     w.zone = r.zone;
                     w.addr = id;
                     w.spot = r.spot;
-                    w.lease_from = w.next_beat = now;
+                    w.lease_from = w.next_heartbeat = now;
                     workers[id] = w;
                 });
             }
@@ -337,54 +338,54 @@
                     found.state = x->second["s"] == codec::status_done ? Known::done : Known::cancelled;
                 tell(found);
             });
-        } else if (std::get_if<StepDown>(&effect) != nullptr) {
+        } else if (std::get_if<Resign>(&effect) != nullptr) {
             c.core.reset();
             ++c.life;
         }
     }
 
-    // What a node does about the office, as src/office.cpp does it over the wire.
-    void run_tenancy(std::size_t i) {
+    // What a node does about the leadership, as src/leadership.cpp does it over the wire.
+    void run_leader_lease(std::size_t i) {
         auto& c = controllers[i];
         const double t = now * c.rate;
         if (!c.alive) {
             if (now < c.back_at)
                 return;
             c.alive = true;
-            c.tenancy.emplace(ttl_s(), controllers.size() - 1, t);
+            c.leader_lease.emplace(ttl_s(), controllers.size() - 1, t);
         }
-        for (auto it = holds.begin(); it != holds.end();) {
+        for (auto it = store_leases.begin(); it != store_leases.end();) {
             const bool ended = !store_down && now > it->second + 0.05;
-            if (ended && office && office->hold == it->first)
-                office.reset();
-            it = ended ? holds.erase(it) : std::next(it);
+            if (ended && leader_record && leader_record->store_lease == it->first)
+                leader_record.reset();
+            it = ended ? store_leases.erase(it) : std::next(it);
         }
         const bool served = !store_down && !c.no_store;
         if (c.core && t >= c.next_renew) {
             c.next_renew = t + ttl_s() / 6;
-            if (served && !holds.contains(c.hold)) {
+            if (served && !store_leases.contains(c.store_lease)) {
                 c.core.reset();
                 ++c.life;
                 return;
             }
             if (served) {
-                holds[c.hold] = now + ttl_s();
-                c.tenancy->hold_extended(t);
-            } else if (c.tenancy->wants_promises(t)) {
-                ask_for_promises(i, t);
+                store_leases[c.store_lease] = now + ttl_s();
+                c.leader_lease->store_lease_renewed(t);
+            } else if (c.leader_lease->wants_extension_votes(t)) {
+                request_extension_votes(i, t);
             }
         }
         if (c.core || c.acquiring || now < c.next_look)
             return;
         c.next_look = now + between(0.1, 0.3);
-        c.tenancy->store_read(served, t);
+        c.leader_lease->record_store_answer(served, t);
         if (!served)
             return;
-        if (office && office->node == i) { // the process before
-            holds.erase(office->hold);
-            office.reset();
-            c.tenancy->found_own_name();
-        } else if (!office && c.tenancy->may_take(t)) {
+        if (leader_record && leader_record->node == i) { // the process before
+            store_leases.erase(leader_record->store_lease);
+            leader_record.reset();
+            c.leader_lease->previous_process_was_leader();
+        } else if (!leader_record && c.leader_lease->may_acquire(t)) {
             attempt(i, t);
         }
     }
@@ -392,32 +393,33 @@
     void attempt(std::size_t i, double sent) {
         auto& c = controllers[i];
         c.acquiring = true;
-        const auto hold = ++hold_seq;
-        holds[hold] = now + ttl_s();
+        const auto store_lease = ++store_lease_seq;
+        store_leases[store_lease] = now + ttl_s();
         const double delay = chance() < late ? between(1, 20) : between(0.02, 0.2);
         send(std::min(delay, 1.0), [this, &c, life = c.life, delay] {
             if (c.life != life || !c.acquiring || delay < 1)
                 return;
             c.acquiring = false;
-            c.tenancy->attempt_unresolved(); // it may still be applied
+            c.leader_lease->acquisition_in_doubt(); // it may still be applied
         });
-        send(delay, [this, i, &c, life = c.life, hold, sent, read = term] {
-            const bool applied = !store_down && !c.no_store && !office && holds.contains(hold) && term == read;
+        send(delay, [this, i, &c, life = c.life, store_lease, sent, read = term] {
+            const bool applied =
+                !store_down && !c.no_store && !leader_record && store_leases.contains(store_lease) && term == read;
             if (applied)
-                office = Held{i, hold, ++term};
+                leader_record = LeaderRecord{i, store_lease, ++term};
             if (c.life != life || !c.acquiring)
                 return;
             c.acquiring = false;
             if (!applied)
                 return;
-            c.hold = hold;
-            c.tenancy->begin();
-            c.tenancy->hold_extended(sent);
+            c.store_lease = store_lease;
+            c.leader_lease->begin();
+            c.leader_lease->store_lease_renewed(sent);
             start_core(c);
         });
     }
 
-    void ask_for_promises(std::size_t i, double sent) {
+    void request_extension_votes(std::size_t i, double sent) {
         auto& c = controllers[i];
         for (std::size_t k = 0; k < controllers.size(); ++k) {
             if (k == i || c.no_peers)
@@ -428,12 +430,12 @@
                     return;
                 const double t = now * p.rate;
                 const bool failed = store_down || p.no_store;
-                p.tenancy->store_read(!failed, t);
-                if (!p.tenancy->promise(c.tenancy->promise_s(), t, !p.core && !p.acquiring, failed))
+                p.leader_lease->record_store_answer(!failed, t);
+                if (!p.leader_lease->grant_extension(c.leader_lease->extension_s(), t, !p.core && !p.acquiring, failed))
                     return;
                 send(between(0, 0.1), [this, &c, life, sent, name = p.name] {
                     if (c.life == life && c.core)
-                        c.tenancy->promised(name, sent, now * c.rate);
+                        c.leader_lease->extension_granted(name, sent, now * c.rate);
                 });
             });
         }
@@ -443,7 +445,7 @@
     // knows that, if that has been told.
     bool doomed(const std::string& id, double& since) {
         bool any = false;
-        std::vector<std::string> stack = jobs[id].needs;
+        std::vector<std::string> stack = jobs[id].dependencies;
         std::set<std::string> seen(stack.begin(), stack.end());
         while (!stack.empty()) {
             const auto n = stack.back();
@@ -452,7 +454,7 @@
             if (const auto t = cancelled.find(n); t != cancelled.end())
                 since = std::min(since, t->second);
             if (const auto j = jobs.find(n); j != jobs.end())
-                for (const auto& k : j->second.needs)
+                for (const auto& k : j->second.dependencies)
                     if (seen.insert(k).second)
                         stack.push_back(k);
         }
@@ -463,8 +465,8 @@
         if (told.contains(id) && told[id] == status)
             return;
         double since = 1e18;
-        const bool taken_along = !asked.empty() && !jobs[id].needs.empty() && doomed(id, since);
-        if (status == codec::status_cancelled && !asked.contains(id) && !taken_along)
+        const bool cancelled_with_dependency = !asked.empty() && !jobs[id].dependencies.empty() && doomed(id, since);
+        if (status == codec::status_cancelled && !asked.contains(id) && !cancelled_with_dependency)
             broken.push_back("went_back " + id + " was cancelled by nobody");
         if (check_orphaned && status != codec::status_cancelled && status != codec::status_done &&
             now > std::max(since, submitted[id]) + settings.cancel_s)
@@ -499,11 +501,11 @@
         for (auto& m : due)
             m.f();
         run_machines();
-        const int holders = run_controllers();
+        const int leaders = run_controllers();
         // Any node answers from the store.
         if (!store_down && ++steps % 20 == 0)
             read_all();
-        if (holders > 1)
+        if (leaders > 1)
             broken.push_back("two holders");
         for (const auto& [id, w] : workers)
             for (const auto& t : w.tasks)
@@ -513,15 +515,15 @@
     }
 
     virtual int run_controllers() { // how many may act
-        int holders = 0;
+        int leaders = 0;
         for (std::size_t i = 0; i < controllers.size(); ++i) {
             auto& c = controllers[i];
             if (several())
-                run_tenancy(i);
+                run_leader_lease(i);
             if (!c.core)
                 continue;
-            const bool may = entitled(c);
-            holders += may;
+            const bool may = may_act(c);
+            leaders += may;
             carried += may && several() && store_down;
             if (log != nullptr)
                 log->commands(c.queue, now * c.rate, now, may);
@@ -537,7 +539,7 @@
                 if (const auto v = c.core->view(id); v)
                     hear(id, v->status);
         }
-        return holders;
+        return leaders;
     }
 
     virtual void read_all() {
--- a/tests/test_chains.cpp
+++ b/tests/test_chains.cpp
@@ -1,21 +1,21 @@
-// Stories of jobs that wait for others, and of two versions that take turns on one store.
-#include "world.hpp"
+// Scenarios of jobs that wait for others, and of two versions that take turns on one store.
+#include "simulated_cluster.hpp"
 
 #include <gtest/gtest.h>
 
 namespace heronshift::testing {
 namespace {
 
-JobSpec after(int n, const std::vector<int>& needs, std::uint32_t tasks = 2) {
+JobSpec after(int n, const std::vector<int>& dependencies, std::uint32_t tasks = 2) {
     auto j = job(n, Shape::array, tasks, 1);
-    for (const int k : needs)
-        j.needs.push_back(fmt::format("wk-{:06}", k));
+    for (const int k : dependencies)
+        j.dependencies.push_back(fmt::format("wk-{:06}", k));
     return j;
 }
 std::string name(int n) {
     return fmt::format("wk-{:06}", n);
 }
-std::string first(const World& w) {
+std::string first(const SimulatedCluster& w) {
     return w.broken.empty() ? "" : w.broken.front();
 }
 codec::Json waiting(const JobSpec& s, double at = 0) {
@@ -26,14 +26,14 @@
 
 TEST(Chains, ASubmissionNamesJobsOrSaysWhichFieldIsWrong) {
     auto body = codec::to_json(after(5, {}));
-    auto read = [&](const codec::Json& needs) {
-        body["waitsOn"] = needs;
+    auto read = [&](const codec::Json& dependencies) {
+        body["waitsOn"] = dependencies;
         return codec::submission(body.dump());
     };
     for (const auto& none : {codec::Json(), codec::Json::array()})
-        EXPECT_TRUE(std::get<JobSpec>(read(none)).needs.empty());
+        EXPECT_TRUE(std::get<JobSpec>(read(none)).dependencies.empty());
     const auto twice = std::get<JobSpec>(read({"wk-1", "wk-2", "wk-1"}));
-    EXPECT_EQ(twice.needs, (std::vector<std::string>{"wk-1", "wk-2"}));
+    EXPECT_EQ(twice.dependencies, (std::vector<std::string>{"wk-1", "wk-2"}));
     for (const auto& bad : {codec::Json("wk-1"), codec::Json{7}, codec::Json{"job"}, codec::Json{{"wk-1", 1}},
                             codec::Json{"wk-1", nullptr}, codec::Json{"wk-"}, codec::Json(true)}) {
         const auto r = read(bad);
@@ -77,17 +77,17 @@
     ASSERT_TRUE(back);
     const auto c = job_stored(codec::StoredJob(*back), 20);
     EXPECT_DOUBLE_EQ(c.age_s, 15);
-    EXPECT_DOUBLE_EQ(c.ready_age_s, 12); // the moment of readiness survives a takeover
+    EXPECT_DOUBLE_EQ(c.ready_age_s, 12); // the moment of readiness survives a failover
     EXPECT_FALSE(c.waits);
 }
 
 TEST(Chains, ARecordWithDamagedNeedsWaitsAndCanBeCancelled) {
     auto record = waiting(after(2, {1}));
     record["chain"]["waitsOn"] = {"wk-000001", 5};
-    World w(1);
+    SimulatedCluster w(1);
     w.jobs["wk-000002"] = after(2, {});
     w.store["j/wk-000002"] = record;
-    w.take_office();
+    w.acquire_leadership();
     w.run(20);
     EXPECT_EQ(w.started, 0);
     w.cancel("wk-000002");
@@ -96,8 +96,8 @@
 }
 
 TEST(Chains, AJobThatNeedsWhatTheStoreDoesNotKnowWaitsAndCanBeCancelled) {
-    World w(1);
-    w.take_office();
+    SimulatedCluster w(1);
+    w.acquire_leadership();
     w.submit(after(2, {77}));
     w.run(30);
     EXPECT_EQ(w.started, 0);
@@ -107,16 +107,16 @@
     EXPECT_EQ(first(w), "");
 }
 
-// --- whole stories ---
+// --- whole scenarios ---
 
 TEST(Chains, ADiamondRunsInItsOrder) {
-    World w(2);
-    w.take_office();
+    SimulatedCluster w(2);
+    w.acquire_leadership();
     w.submit(after(1, {}));
     w.submit(after(2, {1}));
     w.submit(after(3, {1}));
     auto gang = job(4, Shape::gang, 3, 2);
-    gang.needs = {name(2), name(3)};
+    gang.dependencies = {name(2), name(3)};
     w.submit(gang);
     w.submit(after(5, {4, 1}));
     w.run(15);
@@ -130,9 +130,9 @@
     EXPECT_EQ(first(w), "");
 }
 
-TEST(Chains, AChainOfAHundredOutlivesTakeovers) {
-    World w(3);
-    w.take_office();
+TEST(Chains, AChainOfAHundredOutlivesFailovers) {
+    SimulatedCluster w(3);
+    w.acquire_leadership();
     for (int i = 0; i < 100; ++i) {
         auto j = after(i + 1, i > 0 ? std::vector<int>{i} : std::vector<int>{}, 1);
         j.estimate_s = 1;
@@ -141,21 +141,21 @@
     for (int i = 0; i < 60; ++i) {
         w.run(i % 3 == 0 ? 35 : 11);
         if (i % 2 == 0)
-            w.take_office();
+            w.acquire_leadership();
     }
     EXPECT_EQ(w.told[name(100)], codec::status_done);
     EXPECT_EQ(first(w), "");
 }
 
-// Hundreds are written over many small transactions; holders end between any two of them.
-TEST(Chains, ACancellationTakesAllAlongWhoeverHoldsTheOffice) {
+// Hundreds are written over many small transactions; leaders end between any two of them.
+TEST(Chains, ACancellationCancelsAllDependentsWhoeverIsLeader) {
     for (unsigned seed = 1; seed <= 4; ++seed) {
-        World w(seed);
+        SimulatedCluster w(seed);
         w.settings.txn_ops = 5;
         w.settings.value_kb = 2;
         w.settings.state_write_rps = 24;
         w.strict = true;
-        w.take_office();
+        w.acquire_leadership();
         auto root = after(1, {}, 300); // more than its team may run for a while
         w.submit(root);
         for (int i = 2; i <= 200; ++i)
@@ -165,7 +165,7 @@
             if (!w.cancelled.contains(name(1)))
                 w.cancel(name(1)); // as its user repeats it
             w.run(w.between(0.2, 5));
-            w.take_office();
+            w.acquire_leadership();
         }
         w.run(w.settings.cancel_s);
         EXPECT_EQ(first(w), "");
@@ -182,8 +182,8 @@
 TEST(Chains, ACancellationRacesWithTheLastTask) {
     int done = 0, cancelled = 0;
     for (unsigned seed = 1; seed <= 40; ++seed) {
-        World w(seed);
-        w.take_office();
+        SimulatedCluster w(seed);
+        w.acquire_leadership();
         w.submit(after(1, {}));
         w.submit(after(2, {1}));
         while (!w.told.contains(name(1)) && w.broken.empty() && w.now < 60) {
@@ -193,7 +193,7 @@
         }
         w.submit(after(3, {1}));
         if (w.chance() < 0.5)
-            w.take_office();
+            w.acquire_leadership();
         w.run(40);
         EXPECT_EQ(first(w), "") << seed;
         EXPECT_EQ(w.told[name(1)], w.told[name(2)]) << seed;
@@ -205,12 +205,12 @@
 }
 
 // The final state is in the store, that its successor is ready is not; nor is the record of the job.
-TEST(Chains, ANewHolderFindsWhatIsDoneInTheStore) {
+TEST(Chains, ANewLeaderFindsWhatIsDoneInTheStore) {
     Snapshot s;
     s.jobs.push_back({"j/wk-000002", waiting(after(2, {1})), 1, false});
     const auto settings = small_settings();
     Core core(settings, 2, s, 0, 0);
-    std::vector<Command> q{TypesKnown{small_types()}};
+    std::vector<Command> q{MachineTypesKnown{small_types()}};
     bool asked = false, open = false; // a transaction of something else
     for (const auto& e : core.step(q, 0.1, 0.1)) {
         asked = asked || std::holds_alternative<FindJob>(e);
@@ -232,7 +232,7 @@
     EXPECT_TRUE(wrote_ready(std::move(found), 0.3));
 }
 
-// What only the holder's memory knows to be done, the next holder may run again.
+// What only the leader's memory knows to be done, the next leader may run again.
 TEST(Chains, NothingIsReadyBeforeTheStoreHasTheFinalState) {
     const auto settings = small_settings();
     Snapshot s;
@@ -253,7 +253,7 @@
             q.clear();
         }
     };
-    go(0.1, 2, {TypesKnown{small_types()}}); // the store does not answer
+    go(0.1, 2, {MachineTypesKnown{small_types()}}); // the store does not answer
     EXPECT_TRUE(final_sent);
     EXPECT_FALSE(ready_sent);
     final_sent = false;
@@ -265,11 +265,11 @@
 }
 
 TEST(Chains, WhatWaitsHoldsNothingOfItsTeam) {
-    World w(4);
-    w.take_office();
+    SimulatedCluster w(4);
+    w.acquire_leadership();
     w.submit(after(1, {}, 1));
     auto large = job(2, Shape::service, 9, 4); // the team's whole limit, nearly
-    large.needs = {name(1)};
+    large.dependencies = {name(1)};
     w.submit(large);
     w.submit(job(3, Shape::service, 4, 4));
     w.run(4);
@@ -279,23 +279,23 @@
 }
 
 // A job is as urgent as the one that needs it; the deadline at the end counts for all before it.
-TEST(Chains, TheLastJobsRankIsThatOfAllItNeeds) {
-    World w(5);
+TEST(Chains, TheLastJobsPriorityIsThatOfAllItDependsOn) {
+    SimulatedCluster w(5);
     w.capacity = 2;
-    w.take_office();
+    w.acquire_leadership();
     for (int i = 1; i <= 6; ++i) {
         auto j = job(i, Shape::array, 30, 2, "blue");
-        j.rank = Rank::normal;
+        j.priority = Priority::normal;
         w.submit(j);
     }
     w.run(25);
     auto low = after(10, {}, 2);
-    low.rank = Rank::low;
+    low.priority = Priority::low;
     auto last = after(12, {11}, 1);
-    last.rank = Rank::high;
+    last.priority = Priority::high;
     last.deadline_s = 80;
     auto middle = after(11, {10}, 1);
-    middle.rank = Rank::low;
+    middle.priority = Priority::low;
     w.submit(low);
     w.submit(middle);
     w.submit(last);
@@ -330,7 +330,7 @@
     }
     Core core(settings, 2, s, 0, 0);
     std::mt19937 rng(1);
-    std::vector<Command> q{TypesKnown{small_types()}};
+    std::vector<Command> q{MachineTypesKnown{small_types()}};
     auto named = [&] {
         std::set<std::uint32_t> tasks;
         for (const auto& [k, v] : store)
@@ -395,23 +395,23 @@
 };
 class BothVersions : public ::testing::TestWithParam<Turn> {};
 
-// Nodes are replaced one after the other under load and troubles; chains come once all are new.
+// Nodes are replaced one after the other under load and faults; chains come once all are new.
 TEST_P(BothVersions, TakeTurnsAndBreakNoRule) {
     const auto p = GetParam();
-    World w(p.seed, 5);
+    SimulatedCluster w(p.seed, 5);
     w.settings.teams = {{"red", 200, 400, 0, 0}, {"blue", 200, 600, 0, 0}};
     w.settings.state_write_rps = 60;
     w.old_settings = w.settings;
     w.settings.txn_ops = 8;
     w.settings.value_kb = 2;
-    w.check_orphaned = !p.back; // an old holder takes nothing along: see docs/operations.md
+    w.check_orphaned = !p.back; // an old leader takes nothing along: see docs/operations.md
     w.capacity = 60;
-    w.beat_loss = w.order_loss = w.late = 0.02;
+    w.heartbeat_loss = w.order_loss = w.late = 0.02;
     for (auto& c : w.controllers)
         c.old = true;
     int n = 0;
     std::size_t turned = 0;
-    double next_turn = 15, next_job = 1, next_trouble = 20;
+    double next_turn = 15, next_job = 1, next_fault = 20;
     std::vector<int> arrays;
     while (w.now < 190 && w.broken.empty()) {
         if (turned < 5 && w.now >= next_turn) {
@@ -430,7 +430,7 @@
                         const auto at = arrays.size() - 1 -
                                         static_cast<std::size_t>(w.between(
                                             0, std::min<double>(8, static_cast<double>(arrays.size()) - 0.01)));
-                        j.needs.push_back(name(arrays[at]));
+                        j.dependencies.push_back(name(arrays[at]));
                     }
             if (shape != Shape::service)
                 arrays.push_back(n);
@@ -438,8 +438,8 @@
         }
         if (n > 0 && w.chance() < 0.004)
             w.cancel(name(1 + static_cast<int>(w.between(std::max(0, n - 15), n - 0.01))));
-        if (w.now >= next_trouble) {
-            next_trouble = w.now + w.between(3, 12);
+        if (w.now >= next_fault) {
+            next_fault = w.now + w.between(3, 12);
             const double c = w.chance();
             auto& node = w.controllers[static_cast<std::size_t>(w.between(0, 4.99))];
             if (c < 0.5) {
@@ -464,10 +464,10 @@
     }
     EXPECT_EQ(first(w), "") << "at " << w.now;
     EXPECT_GT(w.started, 300);
-    EXPECT_GE(w.offices, 2);
+    EXPECT_GE(w.acquisitions, 2);
 }
 
-INSTANTIATE_TEST_SUITE_P(Turns, BothVersions,
+INSTANTIATE_TEST_SUITE_P(FairTokenBucket, BothVersions,
                          ::testing::Values(Turn{1, false}, Turn{2, false}, Turn{3, false}, Turn{4, false},
                                            Turn{5, true}, Turn{6, true}, Turn{7, true}));
 
--- a/tests/test_meetings.cpp
+++ b/tests/test_combined_faults.cpp
@@ -1,4 +1,4 @@
-// Where two troubles meet, one story each (docs/meetings.md names them), over several seeds.
+// Where two faults meet, one scenario each (docs/combined-faults.md names them), over several seeds.
 #include "fault_scenario.hpp"
 
 #include <gtest/gtest.h>
@@ -37,7 +37,7 @@
 constexpr unsigned seeds = sanitized ? 1 : 4;
 
 // Other nodes read what a transaction wrote whose answer was lost; the leader then said something older.
-TEST(Meetings, CloseLooksWhileTheAnswersOfTransactionsAreLost) {
+TEST(CombinedFaults, CloseLooksWhileTheAnswersOfTransactionsAreLost) {
     for (unsigned seed = 1; seed <= seeds; ++seed) {
         FaultyFleet f(500 + seed);
         f.close_looks = true;
@@ -52,12 +52,12 @@
         f.work(60);
         EXPECT_EQ(f.violation(), "") << seed;
         EXPECT_GT(f.looks, 1000) << seed;
-        EXPECT_EQ(f.end_of_day(), "") << seed;
+        EXPECT_EQ(f.run_final_checks(), "") << seed;
     }
 }
 
 // At every controller: a known id gets its state whatever else is wrong, an unknown one the error of the protocol.
-TEST(Meetings, OddRequestsGetTheSameAnswerEverywhere) {
+TEST(CombinedFaults, OddRequestsGetTheSameAnswerEverywhere) {
     FaultyFleet f(510);
     ASSERT_TRUE(f.settle(40));
     std::string done, open;
@@ -80,16 +80,16 @@
     auto crowd = job(1, Shape::gang, 500, 4); // beyond its team's limit, all of it
     auto stranger = job(1, Shape::array, 1, 1, "nobody");
     const auto plain = job(1, Shape::array, 1, 1);
-    struct Odd {
+    struct OddRequest {
         HttpRequest r;
         int status;
         std::string says;
     };
-    std::vector<Odd> odd{{{"POST", runs, "", "[1"}, 400, "error"},
-                         {{"POST", runs, "", "{\"id\":7}"}, 400, "id"},
-                         {{"POST", runs + "/" + done + "/cancel", "", "{}"}, 200, "done"},
-                         {{"POST", runs + "/wk-999999/cancel", "", "{}"}, 404, "no such job"},
-                         {{"GET", runs + "/wk-999999", "", ""}, 404, "no such job"}};
+    std::vector<OddRequest> odd{{{"POST", runs, "", "[1"}, 400, "error"},
+                                {{"POST", runs, "", "{\"id\":7}"}, 400, "id"},
+                                {{"POST", runs + "/" + done + "/cancel", "", "{}"}, 200, "done"},
+                                {{"POST", runs + "/wk-999999/cancel", "", "{}"}, 404, "no such job"},
+                                {{"GET", runs + "/wk-999999", "", ""}, 404, "no such job"}};
     for (const auto& [spec, status, why] : std::vector<std::tuple<JobSpec, int, const char*>>{
              {huge, 422, "machine type"}, {crowd, 422, "cpus"}, {stranger, 422, "owner"}}) {
         odd.push_back({{"POST", runs, "", body(spec, "wk-999998", nullptr)}, status, why});
@@ -125,7 +125,7 @@
         if (n % 4 == 0)
             f.send(f.between(0.5, 8), [&f, id] {
                 if (f.asks[id].accepted() && f.asks[id].seen.done_at < 0)
-                    f.withdraw(id);
+                    f.request_cancellation(id);
             });
     };
 }
@@ -188,7 +188,7 @@
              f.on_step = [&f] {
                  if (f.every(9)) {
                      const auto zone = Fleet::zone(f.settings.zones[f.pick(3)]);
-                     const auto& name = f.nodes[f.holder_or(f.pick(f.nodes.size()))].name;
+                     const auto& name = f.nodes[f.leader_or(f.pick(f.nodes.size()))].name;
                      f.cut(name, zone, Mode::hold, f.chance() < 0.5, f.between(3, 9));
                  }
                  if (f.every(5))
@@ -202,14 +202,14 @@
              f.on_step = [&f, n = 0]() mutable {
                  if (f.every(1) && f.now < 100) {
                      auto urgent = job(0, Shape::array, 2, 4, "blue");
-                     urgent.rank = Rank::high;
+                     urgent.priority = Priority::high;
                      add(f, urgent, n);
                      auto other = job(0, Shape::array, 12, 2);
-                     other.rank = Rank::low;
+                     other.priority = Priority::low;
                      add(f, other, n);
                  }
                  if (f.every(10))
-                     f.cut(f.nodes[f.holder_or(f.pick(f.nodes.size()))].name, Fleet::zone(f.settings.zones[f.pick(3)]),
+                     f.cut(f.nodes[f.leader_or(f.pick(f.nodes.size()))].name, Fleet::zone(f.settings.zones[f.pick(3)]),
                            Mode::slow, false, 6);
                  if (f.every(5))
                      some_cancel(f, 0.1);
@@ -264,7 +264,7 @@
                          done += f.done_tasks.contains(fmt::format("{}/{}", id, i));
                      if (done + 1 < f.jobs[id].tasks || f.chance() < 0.7)
                          continue;
-                     f.chance() < 0.5 ? f.withdraw(id) : (void)(u.repeat_at = u.next_at = f.now);
+                     f.chance() < 0.5 ? f.request_cancellation(id) : (void)(u.repeat_at = u.next_at = f.now);
                      u.next_at = f.now;
                  }
              };
@@ -299,7 +299,7 @@
                  if (f.every(12, 0.5))
                      some_cancel(f, 0.2);
                  if (f.every(12)) { // by its end, a handover, or a cut
-                     const auto h = f.holder().value_or(0);
+                     const auto h = f.leader().value_or(0);
                      const auto k = f.pick(3);
                      if (k == 0)
                          f.crash(h, f.moment());
@@ -318,7 +318,7 @@
              f.on_step = [&f] {
                  if (!f.every(50))
                      return;
-                 const auto in = f.holder_or(f.pick(f.nodes.size()));
+                 const auto in = f.leader_or(f.pick(f.nodes.size()));
                  const auto zone = f.settings.zones[in % 3];
                  const double for_s = f.leases(1.3);
                  for (std::size_t o = 0; o < f.nodes.size(); ++o) {
@@ -361,7 +361,7 @@
                  // leases run out, whoever gives way when.
                  const auto mode = std::array{Mode::drop, Mode::hold, Mode::refuse}[f.pick(3)];
                  if (f.every(30))
-                     f.isolate(f.holder().value_or(0), mode, f.between(8, 26));
+                     f.isolate(f.leader().value_or(0), mode, f.between(8, 26));
                  if (f.every(4))
                      some_cancel(f, 0.15);
              };
@@ -376,7 +376,7 @@
                      for (const auto& n : f.nodes)
                          f.cut(n.name, Fleet::state, Mode::slow, false, 10);
                  if (std::abs(t - 25) < 0.05)
-                     f.nodes[f.holder().value_or(0)].refused_by_store = true;
+                     f.nodes[f.leader().value_or(0)].refused_by_store = true;
                  if (std::abs(t - 25.9) < 0.05)
                      outage(f, f.settings.cancel_s + 5);
                  if (f.every(3))
@@ -414,10 +414,10 @@
                      for (const auto& [id, w] : f.workers)
                          if (f.chance() < 0.4)
                              list.push_back(id);
-                     f.mute.insert(list.begin(), list.end());
+                     f.outbound_unreachable.insert(list.begin(), list.end());
                      f.send(f.leases(f.between(0.4, 1.4)), [&f, list] {
                          for (const auto& id : list)
-                             f.mute.erase(id);
+                             f.outbound_unreachable.erase(id);
                      });
                      f.send(2, [&f] { some_cancel(f, 0.3); });
                  }
@@ -438,9 +438,9 @@
 INSTANTIATE_TEST_SUITE_P(All, FaultScenarios, ::testing::ValuesIn(scenarios()),
                          [](const auto& p) { return std::string(p.param.name); });
 
-// Any two of them at once, drawn by seed. Two troubles at once may leave nobody who can answer a machine in time, so
+// Any two of them at once, drawn by seed. Two faults at once may leave nobody who can answer a machine in time, so
 // leases are not judged here; rules, answers and what must be known are.
-TEST(Meetings, TwoAtOnceBreakNoRule) {
+TEST(CombinedFaults, TwoAtOnceBreakNoRule) {
     std::mt19937 rng(90 + other_seeds());
     const auto all = scenarios();
     for (unsigned k = 0; k < (sanitized ? 2 : 16); ++k) {
@@ -464,7 +464,7 @@
         f.every_s = 1e9;
         f.close_looks = false;
         f.on_step = {};
-        f.day_end(f.leases(5));
+        f.final_checks(f.leases(5));
         for (const auto& [id, u] : f.asks)
             if (u.accepted() && !u.cancels) {
                 EXPECT_LT(u.seen.silent_s, 75) << id << ' ' << k << ' ' << a << ' ' << b;
--- a/tests/test_crowded.cpp
+++ b/tests/test_crowded.cpp
@@ -1,13 +1,13 @@
 // A fleet that is too small for what is asked of it: who goes first, who waits, and for how long.
-#include "world.hpp"
+#include "simulated_cluster.hpp"
 
 #include <gtest/gtest.h>
 
 namespace heronshift::testing {
 namespace {
 
-struct Crowd : World {
-    Crowd(unsigned seed, int spot_machines, int ordinary_machines) : World(seed) {
+struct Crowd : SimulatedCluster {
+    Crowd(unsigned seed, int spot_machines, int ordinary_machines) : SimulatedCluster(seed) {
         settings.teams = {{"red", 400, 400, 0, 0}, {"blue", 400, 400, 0, 0}};
         settings.ops.begin_s = 60;
         capacity = spot_machines;
@@ -39,7 +39,7 @@
             for (const auto& t : w.tasks)
                 if (t.state == TaskState::running)
                     began.emplace(t.job, now - submitted[t.job]);
-        return World::run_controllers();
+        return SimulatedCluster::run_controllers();
     }
     double began_after(const std::string& id) const {
         const auto it = began.find(id);
@@ -60,12 +60,12 @@
 double large_begins(double limit, int machines, double every_s) {
     Crowd c(3, machines, 0);
     c.settings.teams[0].cpus_max = limit;
-    c.take_office();
+    c.acquire_leadership();
     const auto single = [](JobSpec& j) { j.tasks = 1; };
     c.keep_busy(20, every_s, 2, single);
     const auto large = c.ask(Shape::array, 3, 8);
     c.keep_busy(40, every_s, 2, single);
-    c.take_office(); // its age survives: it goes by the submission
+    c.acquire_leadership(); // its age survives: it goes by the submission
     c.keep_busy(30, every_s, 2, single);
     EXPECT_TRUE(c.broken.empty()) << c.broken.front();
     EXPECT_GT(c.started, 100);
@@ -90,8 +90,8 @@
 // Spot room to spare, but ordinary machines few and full of what might run elsewhere.
 TEST(Crowded, WorkThatMayNotUseSpotGetsTheOrdinaryMachines) {
     Crowd c(5, 10, 2);
-    c.take_office();
-    const auto high = [](JobSpec& j) { j.rank = Rank::high; };
+    c.acquire_leadership();
+    const auto high = [](JobSpec& j) { j.priority = Priority::high; };
     c.keep_busy(40, 0.25, 2, high);
     std::vector<std::string> list;
     for (int k = 0; k < 8; ++k) {
@@ -109,7 +109,7 @@
 TEST(Crowded, RoomIsWaitedForWhereTasksEndAllTheTime) {
     Crowd c(7, 12, 0);
     c.settings.objectives = {{"wait", "urgent", 12, 0.9, 0}};
-    c.take_office();
+    c.acquire_leadership();
     const auto small = [&] { c.keep_busy(6, 0.3); };
     for (int k = 0; k < 8; ++k)
         small();
@@ -117,7 +117,7 @@
     std::vector<std::string> list;
     for (int k = 0; k < 10; ++k) {
         list.push_back(c.ask(Shape::array, 4, 4, [](JobSpec& j) {
-            j.rank = Rank::high;
+            j.priority = Priority::high;
             j.job_class = "urgent";
         }));
         small();
--- a/tests/test_cuts.cpp
+++ b/tests/test_cuts.cpp
@@ -1,5 +1,5 @@
 // Cuts that leave some links up: real controllers, several hundred machines, directed links.
-#include "troubles.hpp"
+#include "fault_injection.hpp"
 
 #include <gtest/gtest.h>
 
@@ -9,8 +9,8 @@
 // What a controller has left: 0 store and workers, 1 the store only, 2 the workers only, 3 neither.
 using Left = std::vector<int>;
 
-// All ways to cut n controllers: the holder's own, then those of the others, whose order does not matter.
-std::vector<Left> all_cuts(std::size_t n, int holder) {
+// All ways to cut n controllers: the leader's own, then those of the others, whose order does not matter.
+std::vector<Left> all_cuts(std::size_t n, int leader) {
     std::vector<Left> out;
     std::function<void(Left)> add = [&](Left l) {
         if (l.size() == n)
@@ -21,7 +21,7 @@
             l.pop_back();
         }
     };
-    add({holder});
+    add({leader});
     return out;
 }
 
@@ -51,13 +51,13 @@
     f.look_for_paths();
     const bool path = f.path_since >= 0;
     const bool in_time = m == Mode::refuse || tries_s(left, f.settings) < f.settings.lease_s;
-    const int lapses = f.lapses;
+    const int expirations = f.expirations;
     f.bound_s = 1e9; // said below
     f.work(f.leases(4));
     if (!f.broken.empty())
         return first(f);
-    if (path && in_time && f.lapses > lapses)
-        return fmt::format("{} leases ran out", f.lapses - lapses);
+    if (path && in_time && f.expirations > expirations)
+        return fmt::format("{} leases ran out", f.expirations - expirations);
     // The first that takes over may have had no time yet to see that it is cut off, too.
     if (path && !f.hasty().empty())
         return f.hasty();
@@ -76,10 +76,10 @@
 class Subsets : public ::testing::TestWithParam<std::tuple<Mode, int>> {};
 
 TEST_P(Subsets, OfLinksToStoreAndWorkersOfFive) {
-    const auto [mode, holder] = GetParam();
+    const auto [mode, leader] = GetParam();
     std::string wrong;
     int k = 0;
-    for (const auto& left : all_cuts(5, holder)) {
+    for (const auto& left : all_cuts(5, leader)) {
         if (sanitized && k++ % 7 != 0)
             continue;
         std::string name;
@@ -114,18 +114,18 @@
     EXPECT_EQ(wrong, "");
 }
 
-TEST(Cuts, AnUncutFleetKeepsItsHolder) {
+TEST(Cuts, AFleetWithoutCutsKeepsItsLeader) {
     Working f(1, 5, 300);
     f.every_s = 0.2;
     ASSERT_TRUE(f.settle(90));
-    EXPECT_EQ(f.lapses, 0);
+    EXPECT_EQ(f.expirations, 0);
     EXPECT_EQ(f.unfinished(30), 0);
     EXPECT_GT(f.started, 1000);
 }
 
-// From a day on which the holder gave the office up in an outage, because of a view 0.6 s old that said a
+// From a day on which the leader resigned in an outage, because of a view 0.6 s old that said a
 // peer reached the store: nobody could take it for 18 s, longer than a lease, and 2,187 tasks were killed.
-TEST(Cuts, AnOutageOfTheStoreLeavesTheHolderItsOffice) {
+TEST(Cuts, AnOutageOfTheStoreLeavesTheLeaderInPlace) {
     for (unsigned seed = 1; seed <= 24; ++seed) {
         Working f(seed, 5, 24);
         ASSERT_TRUE(f.settle(25 + 0.17 * seed)) << seed;
@@ -135,13 +135,13 @@
         f.work(f.leases(1));
         EXPECT_EQ(first(f), "") << seed;
         EXPECT_EQ(f.changes.size(), 1U) << seed;
-        EXPECT_EQ(f.lapses, 0) << seed;
+        EXPECT_EQ(f.expirations, 0) << seed;
     }
 }
 
-// From a day on which the holder handed the office to one that had reached the cloud at its start, and knew of
+// From a day on which the leader handed the leadership to one that had reached the cloud at its start, and knew of
 // none of the machines that were booting.
-TEST(Cuts, ACloudThatNobodyReachesMovesNoOffice) {
+TEST(Cuts, ACloudThatNobodyReachesMovesNoLeadership) {
     for (unsigned seed = 1; seed <= 12; ++seed) {
         Working f(seed, 5, 24);
         ASSERT_TRUE(f.settle(25 + 0.3 * seed)) << seed;
@@ -154,7 +154,7 @@
 }
 
 // One that reaches it does take over.
-TEST(Cuts, ACloudThatAnotherReachesMovesTheOfficeThere) {
+TEST(Cuts, ACloudThatAnotherReachesMovesTheLeadershipThere) {
     Working f(3, 5, 24);
     ASSERT_TRUE(f.settle(40));
     for (std::size_t k = 0; k < 5; ++k)
@@ -163,7 +163,7 @@
     f.work(f.leases(3));
     EXPECT_EQ(first(f), "");
     EXPECT_EQ(f.changes.size(), 2U);
-    EXPECT_EQ(f.nodes[f.holder().value_or(0)].name, f.name(2));
+    EXPECT_EQ(f.nodes[f.leader().value_or(0)].name, f.name(2));
 }
 
 struct Matrix {
@@ -178,24 +178,24 @@
 
 TEST_P(Matrices, BreakNoRuleAndHealWhole) {
     const auto p = GetParam();
-    Troubled f(p.seed + other_seeds(), p.controllers, p.machines);
+    FaultInjection f(p.seed + other_seeds(), p.controllers, p.machines);
     f.every_s = 20.0 / p.machines;
     f.late = 0.01;
-    double next_trouble = 25;
+    double next_fault = 25;
     f.before_step = [&] {
         if (f.n > 0 && f.chance() < 0.01)
-            f.withdraw(fmt::format("wk-{:06}", 1 + f.pick(static_cast<std::size_t>(f.n))));
-        // Troubles, then time in which those that last a while longer must have become harmless.
+            f.request_cancellation(fmt::format("wk-{:06}", 1 + f.pick(static_cast<std::size_t>(f.n))));
+        // Faults, then time in which those that last a while longer must have become harmless.
         const double in_round = std::fmod(f.now, 120);
-        if (f.now < next_trouble || in_round < 25 || in_round > 65 || f.now > 240)
+        if (f.now < next_fault || in_round < 25 || in_round > 65 || f.now > 240)
             return;
-        next_trouble = f.now + f.between(1, 4);
-        f.trouble(f.chance() < 0.7 ? f.between(2, 30) : 100);
+        next_fault = f.now + f.between(1, 4);
+        f.inject_fault(f.chance() < 0.7 ? f.between(2, 30) : 100);
     };
     f.work(240);
     EXPECT_EQ(first(f), "");
     f.before_step = {};
-    EXPECT_EQ(f.day_end(f.leases(5)), "");
+    EXPECT_EQ(f.final_checks(f.leases(5)), "");
     EXPECT_EQ(f.unfinished(f.leases(3)), 0);
     EXPECT_GT(f.started, p.machines);
 }
--- a/tests/test_same.cpp
+++ b/tests/test_embedded_matches_daemon.cpp
@@ -27,9 +27,9 @@
 
 constexpr double report_s = 30, lease_s = 180;
 constexpr double step_s = report_s / 20 * 1.001; // the core's own tick is due in each
-constexpr double reports_after = 0.2;            // of a step: sooner than the pass after the one at its beginning
+constexpr double heartbeats_after = 0.2;         // of a step: sooner than the pass after the one at its beginning
 constexpr int quiet_turns = 8;                   // of the loop: more than any message takes on loopback
-constexpr int most_steps = 6000;
+constexpr int max_steps = 6000;
 #ifdef __SANITIZE_ADDRESS__
 constexpr bool sanitized = true; // twenty times slower
 #else
@@ -66,7 +66,7 @@
         const auto kind = roll(8);
         s.shape = kind < 4 ? Shape::array : kind < 6 ? Shape::gang : Shape::service;
         s.job_class = s.shape == Shape::array ? "batch" : s.shape == Shape::gang ? "solve" : "serve";
-        s.rank = static_cast<Rank>(roll(4));
+        s.priority = static_cast<Priority>(roll(4));
         s.tasks = 1 + roll(s.shape == Shape::array ? 12 : s.shape == Shape::gang ? 4 : 8);
         s.each = {static_cast<double>(1 + roll(4)), roll(12) == 0 ? 1.0 : 0.0, static_cast<double>(2 + roll(8))};
         s.image = fmt::format("img-{}", roll(6));
@@ -84,8 +84,8 @@
         if (finite.size() > 5 && roll(5) == 0) // a chain
             for (auto k = 1 + roll(2); k > 0; --k) {
                 const auto& need = finite[finite.size() - 1 - roll(5)];
-                if (std::find(s.needs.begin(), s.needs.end(), need) == s.needs.end())
-                    s.needs.push_back(need);
+                if (std::find(s.dependencies.begin(), s.dependencies.end(), need) == s.dependencies.end())
+                    s.dependencies.push_back(need);
             }
         if (s.shape == Shape::service)
             w.cancel_after = 60 + static_cast<int>(roll(200));
@@ -107,8 +107,8 @@
 };
 
 // The platform and the users; who schedules is for those below.
-struct World {
-    explicit World(const OperatorSettings& ops) {
+struct SimulatedCluster {
+    explicit SimulatedCluster(const OperatorSettings& ops) {
         uv_loop_init(&loop);
         s.zones = {"a", "b"};
         s.teams = {{"red", 60, 120, 4, 8}, {"blue", 40, 80, 4, 8}};
@@ -128,13 +128,13 @@
         plan.lockstep = true;
         history = std::make_unique<local::History>(s.teams, s.cancel_s);
     }
-    virtual ~World() = default;
-    World(const World&) = delete;
-    World& operator=(const World&) = delete;
+    virtual ~SimulatedCluster() = default;
+    SimulatedCluster(const SimulatedCluster&) = delete;
+    SimulatedCluster& operator=(const SimulatedCluster&) = delete;
     void make_platform() {
         platform = std::make_unique<local::Platform>(&loop, plan, *history);
         platform->on_launch = [this](const Order& o, const MachineType& type, const std::string& zone, bool spot) {
-            now_launched.push_back(fmt::format("{}/{} attempt {} on a {}{} in {}", o.job, o.index, o.try_no, type.name,
+            now_launched.push_back(fmt::format("{}/{} attempt {} on a {}{} in {}", o.job, o.index, o.attempt, type.name,
                                                spot ? " (spot)" : "", zone));
         };
     }
@@ -146,20 +146,20 @@
 
     virtual void turn() = 0;
     virtual std::uint64_t messages() = 0;
-    using Told = std::function<void(int status, const std::string& state)>;
-    virtual void submit(const JobSpec& j, Told told) = 0;
-    virtual void get(const std::string& id, Told told) = 0;
-    virtual void cancel(const std::string& id, Told told) = 0;
+    using HistoryChecks = std::function<void(int status, const std::string& state)>;
+    virtual void submit(const JobSpec& j, HistoryChecks told) = 0;
+    virtual void get(const std::string& id, HistoryChecks told) = 0;
+    virtual void cancel(const std::string& id, HistoryChecks told) = 0;
 
     // First the controllers decide, by what had reached them before; then users ask, so soon after that no
     // pass is due again; then machines report what has become of their tasks.
     void step(const std::function<void()>& ask = {}) {
-        clock->at += (1 - reports_after) * step_s;
+        clock->at += (1 - heartbeats_after) * step_s;
         settle(false);
         if (ask)
             ask();
         settle(false);
-        clock->at += reports_after * step_s;
+        clock->at += heartbeats_after * step_s;
         settle(true);
         std::sort(now_launched.begin(), now_launched.end());
         for (auto& l : now_launched)
@@ -177,7 +177,7 @@
             quiet = messages() + platform->messages() == before ? quiet + 1 : 0;
         }
     }
-    Told heard(const std::string& id) {
+    HistoryChecks heard(const std::string& id) {
         return [this, id](int status, const std::string& state) {
             ++answered;
             history->told(id, status, state, clock->at);
@@ -189,9 +189,9 @@
     }
     Outcome run(const std::vector<Wanted>& jobs) {
         for (int i = 0; i < 20; ++i)
-            step(); // the office is taken, types are learned
+            step(); // the leadership is taken, types are learned
         std::multimap<int, std::string> cancels;
-        for (std::size_t i = 0; i < jobs.size() || (over.size() < jobs.size() && out.steps < most_steps); ++i) {
+        for (std::size_t i = 0; i < jobs.size() || (over.size() < jobs.size() && out.steps < max_steps); ++i) {
             step([&] {
                 if (i < jobs.size()) {
                     const auto& w = jobs[i];
@@ -230,8 +230,8 @@
     Outcome out;
 };
 
-struct Library final : World {
-    explicit Library(const OperatorSettings& ops) : World(ops) {
+struct Library final : SimulatedCluster {
+    explicit Library(const OperatorSettings& ops) : SimulatedCluster(ops) {
         make_platform();
         SchedulerOptions o;
         o.settings = s;
@@ -255,25 +255,25 @@
     std::uint64_t messages() override {
         return answered;
     }
-    static Scheduler::Done done(Told told) {
+    static Scheduler::Done done(HistoryChecks told) {
         return [told = std::move(told)](const Reply& r) { told(r.status, r.state); };
     }
-    void submit(const JobSpec& j, Told told) override {
+    void submit(const JobSpec& j, HistoryChecks told) override {
         scheduler->submit(j, done(std::move(told)));
     }
-    void get(const std::string& id, Told told) override {
+    void get(const std::string& id, HistoryChecks told) override {
         scheduler->get(id, done(std::move(told)));
     }
-    void cancel(const std::string& id, Told told) override {
+    void cancel(const std::string& id, HistoryChecks told) override {
         scheduler->cancel(id, done(std::move(told)));
     }
     std::unique_ptr<Scheduler> scheduler;
 };
 
 // Three controllers, asked in turn over HTTP on loopback; who runs them is for those below.
-struct OverHttp : World {
+struct OverHttp : SimulatedCluster {
     static constexpr int count = 3;
-    explicit OverHttp(const OperatorSettings& ops) : World(ops) {
+    explicit OverHttp(const OperatorSettings& ops) : SimulatedCluster(ops) {
         state = std::make_unique<store::StoreServer>(
             &loop, std::make_unique<store::Engine>(store::memory_data(), store::Limits{}));
         EXPECT_EQ(state->start({"127.0.0.1", 0}), 0);
@@ -303,7 +303,7 @@
     std::uint64_t messages() override {
         return answered + state->requests() + (asked > heard_of ? ++waiting : 0); // not quiet while a user waits
     }
-    void ask(const char* method, const std::string& path, std::string body, Told told) {
+    void ask(const char* method, const std::string& path, std::string body, HistoryChecks told) {
         const auto& to = plan.workers.nodes[static_cast<std::size_t>(asked++ % count)].second;
         users->request(to, method, path, std::move(body), 60, [this, told = std::move(told)](HttpReply&& r) {
             ++heard_of;
@@ -311,13 +311,13 @@
             told(r.status, a ? a->status : "");
         });
     }
-    void submit(const JobSpec& j, Told told) override {
+    void submit(const JobSpec& j, HistoryChecks told) override {
         ask("POST", std::string(codec::path_jobs), codec::to_body(j), std::move(told));
     }
-    void get(const std::string& id, Told told) override {
+    void get(const std::string& id, HistoryChecks told) override {
         ask("GET", fmt::format("{}/{}", codec::path_jobs, id), "", std::move(told));
     }
-    void cancel(const std::string& id, Told told) override {
+    void cancel(const std::string& id, HistoryChecks told) override {
         ask("POST", fmt::format("{}/{}/{}", codec::path_jobs, id, codec::suffix_cancel), "{}", std::move(told));
     }
     local::Port ports[count], peer_ports[count];
@@ -378,7 +378,7 @@
                 serve(i);
             children.push_back(child);
         }
-        turn(); // all have begun before time passes: when they may take the office counts from there
+        turn(); // all have begun before time passes: when they may become leader counts from there
     }
     ~Processes() override {
         for (const auto c : children) {
--- a/tests/test_day.cpp
+++ b/tests/test_end_of_day.cpp
@@ -1,9 +1,9 @@
 // The end of a day: every accepted job is known and runs, every class, team and the largest jobs are served,
 // whatever machines that do not hear, late copies, controllers cut off from all but workers, and processes that are
 // back within a moment have done to it.
-#include "troubles.hpp"
+#include "fault_injection.hpp"
 
-#include "heronshift/gateway/turns.hpp"
+#include "heronshift/gateway/fair_token_bucket.hpp"
 
 #include <gtest/gtest.h>
 
@@ -27,16 +27,16 @@
 }
 
 std::string wrong(const std::vector<Seen>& all) {
-    DayEnd end;
+    FinalChecks end;
     end.now = 500;
     return fmt::format("{}", fmt::join(end.wrong(all), "; "));
 }
 
-TEST(DayEnd, AGoodDayIsOne) {
+TEST(FinalChecks, AGoodDayIsOne) {
     EXPECT_EQ(wrong(a_good_day()), "");
 }
 
-TEST(DayEnd, AJobThatNobodyAnswersForIsForgottenHoweverOthersFare) {
+TEST(FinalChecks, AJobThatNobodyAnswersForIsForgottenHoweverOthersFare) {
     auto day = a_good_day();
     day[7].silent_s = 76;
     EXPECT_EQ(wrong(day), "forgotten: wk-000007 had no answer for 76 s");
@@ -46,7 +46,7 @@
     EXPECT_EQ(wrong(day), "forgotten: wk-000008, submitted again");
 }
 
-TEST(DayEnd, AStarvedTeamIsSeenAmongManyServed) {
+TEST(FinalChecks, AStarvedTeamIsSeenAmongManyServed) {
     auto day = a_good_day();
     int n = 0;
     for (auto& j : day)
@@ -55,7 +55,7 @@
     EXPECT_EQ(wrong(day), "team blue: 8 of 20 served");
 }
 
-TEST(DayEnd, ALargestJobThatBeginsLateIsSeen) {
+TEST(FinalChecks, ALargestJobThatBeginsLateIsSeen) {
     auto day = a_good_day();
     day[36].begun_at = day[36].asked_at + 241; // the largest of "wide"
     EXPECT_EQ(wrong(day), "wk-000036, one of the largest of class wide, begins after 241 s");
@@ -70,9 +70,9 @@
 
 // Of six times as many as the budget allows, all have their turn; one after the other as they come, those that
 // are unlucky are refused for minutes.
-TEST(Turns, NobodyWhoAsksAgainAndAgainIsRefusedForLong) {
+TEST(FairTokenBucket, NobodyWhoAsksAgainAndAgainIsRefusedForLong) {
     std::mt19937 rng(5);
-    gateway::Turns turns(10, 16, 40);
+    gateway::FairTokenBucket turns(10, 16, 40);
     std::vector<double> next(300), served(300);
     for (auto& t : next)
         t = std::uniform_real_distribution<double>(0, 5)(rng);
@@ -90,11 +90,12 @@
     EXPECT_LT(longest, 75);
 }
 
-// --- stories ---
+// --- scenarios ---
 
 // A day with services, small and wide arrays, and gangs, of two teams.
-struct Day : Troubled {
-    Day(unsigned seed, std::size_t controllers, int machines) : Troubled(seed + other_seeds(), controllers, machines) {
+struct Day : FaultInjection {
+    Day(unsigned seed, std::size_t controllers, int machines)
+        : FaultInjection(seed + other_seeds(), controllers, machines) {
         for (auto& [id, u] : asks)
             u.seen.job_class = jobs[id].job_class = "serve";
         before_step = [this] {
@@ -120,10 +121,10 @@
     // Ends the day: what is wrong with it.
     std::string end() {
         more = {};
-        return day_end(std::max(leases(5), 90.0));
+        return final_checks(std::max(leases(5), 90.0));
     }
-    const ledger::Machine* known(const std::string& id) {
-        const auto& c = nodes[holder().value_or(0)].controller;
+    const cluster::Machine* known(const std::string& id) {
+        const auto& c = nodes[leader().value_or(0)].controller;
         const auto* term = c ? c->core() : nullptr;
         if (term == nullptr)
             return nullptr;
@@ -140,7 +141,7 @@
 };
 
 // A machine whose reports come while answers do not reach it lost all that was placed there, every lease again;
-// orders, and with them the newest fence, may reach it all the same.
+// orders, and with them the newest fencing token, may reach it all the same.
 void one_gets_nothing_more(bool orders_reach, double known_after, double gone_after) {
     Day f(11, 5, 40);
     ASSERT_TRUE(f.settle(60));
@@ -152,15 +153,15 @@
     if (orders_reach)
         f.misses_answers.insert(id);
     else
-        f.deafen(id, f.names());
+        f.make_inbound_unreachable(id, f.names());
     const double since = f.now;
     double known_at = -1, known_there = -1, gone_at = -1;
     int placed = 0;
     f.more = [&] {
         const auto* m = f.known(id);
-        if (known_at < 0 && m != nullptr && m->deaf()) {
+        if (known_at < 0 && m != nullptr && m->inbound_unreachable()) {
             known_at = f.now;
-            known_there = f.nodes[*f.holder()].clock->now();
+            known_there = f.nodes[*f.leader()].clock->now();
         }
         if (gone_at < 0 && !f.workers.contains(id))
             gone_at = f.now;
@@ -177,26 +178,26 @@
     EXPECT_GT(gone_at, 0);
     EXPECT_EQ(f.end(), "");
 }
-TEST(Deaf, OneMachineGetsNothingMoreAndIsGivenBack) {
+TEST(InboundUnreachable, OneMachineGetsNothingMoreAndIsGivenBack) {
     one_gets_nothing_more(false, 3, 6);
 }
-TEST(Deaf, OneThatOrdersReachGetsNothingMoreAndIsGivenBack) {
+TEST(InboundUnreachable, OneThatOrdersReachGetsNothingMoreAndIsGivenBack) {
     one_gets_nothing_more(true, 3, 6);
 }
 
-// Another controller passes its reports on: it keeps its lease and its work.
-TEST(Deaf, AMachineThatOneControllerDoesNotReachIsReachedByAnother) {
+// Another controller passes its heartbeats on: it keeps its lease and its work.
+TEST(InboundUnreachable, AMachineThatOneControllerDoesNotReachIsReachedByAnother) {
     for (unsigned seed = 1; seed <= 6; ++seed) {
         Day f(20 + seed, 5, 40);
         ASSERT_TRUE(f.settle(60)) << seed;
         std::vector<std::string> some = f.busy();
         some.resize(5);
-        const int before = f.lapses;
+        const int before = f.expirations;
         for (const auto& id : some)
-            f.deafen(id, {f.nodes[*f.holder()].name});
+            f.make_inbound_unreachable(id, {f.nodes[*f.leader()].name});
         f.work(f.leases(4));
         EXPECT_EQ(first(f), "") << seed;
-        EXPECT_EQ(f.lapses, before) << seed;
+        EXPECT_EQ(f.expirations, before) << seed;
         EXPECT_LE(f.changes.size(), 2U) << seed; // to one that reaches them all
         EXPECT_EQ(f.end(), "") << seed;
     }
@@ -209,16 +210,16 @@
         return o << s.share << s.zone;
     }
 };
-class Deafness : public ::testing::TestWithParam<Silence> {};
+class InboundUnreachableMachines : public ::testing::TestWithParam<Silence> {};
 
 // With a gang half on such machines, and cancelled jobs on them.
-TEST_P(Deafness, OfManyStartsTheirWorkElsewhereOnlyOnceItIsGone) {
+TEST_P(InboundUnreachableMachines, OfManyStartsTheirWorkElsewhereOnlyOnceItIsGone) {
     Day f(31, 5, 60);
     ASSERT_TRUE(f.settle(60));
-    f.deafen_some(GetParam().share, GetParam().zone, f.all_nodes(), f.leases(3));
+    f.make_some_inbound_unreachable(GetParam().share, GetParam().zone, f.all_nodes(), f.leases(3));
     for (const auto& [id, u] : f.asks)
         if (f.chance() < 0.1 && u.seen.done_at < 0)
-            f.withdraw(id);
+            f.request_cancellation(id);
     f.work(f.leases(4));
     EXPECT_EQ(first(f), "");
     f.work(f.leases(2)); // they hear again, and are used again
@@ -226,11 +227,11 @@
     EXPECT_EQ(f.unfinished(f.leases(3)), 0);
 }
 
-INSTANTIATE_TEST_SUITE_P(Day, Deafness, ::testing::Values(Silence{0.33, ""}, Silence{1, "b"}));
+INSTANTIATE_TEST_SUITE_P(Day, InboundUnreachableMachines, ::testing::Values(Silence{0.33, ""}, Silence{1, "b"}));
 
-// Late copies of reports count for nothing, before, during and after changes of office, also of machines that are
-// gone by then.
-TEST(Copies, OfReportsChangeNothing) {
+// Late copies of heartbeats count for nothing, before, during and after changes of leadership, also of machines that
+// are gone by then.
+TEST(Copies, OfHeartbeatsChangeNothing) {
     for (unsigned seed = 1; seed <= 4; ++seed) {
         Day f(40 + seed, 5, 60);
         f.copies = 0.5;
@@ -239,27 +240,27 @@
             for (auto& [id, w] : f.workers)
                 if (f.chance() < 0.2)
                     w.dead = true; // taken without notice, while copies go on coming
-            f.crash(*f.holder(), k == 0 ? 0.2 : 3);
+            f.crash(*f.leader(), k == 0 ? 0.2 : 3);
             f.work(f.leases(1.5));
-            ASSERT_TRUE(f.holder()) << seed;
+            ASSERT_TRUE(f.leader()) << seed;
         }
         EXPECT_EQ(first(f), "") << seed;
         EXPECT_EQ(f.end(), "") << seed;
     }
 }
 
-// For as long as copies of its reports came, a machine that was gone kept its tasks.
+// For as long as copies of its heartbeats came, a machine that was gone kept its tasks.
 TEST(Copies, DoNotKeepTheTasksOfAMachineThatIsGone) {
     Day f(51, 3, 24);
     ASSERT_TRUE(f.settle(40));
     const auto id = f.busy().at(0);
     auto& w = f.workers[id];
-    const auto body = codec::to_body(f.report(w));
+    const auto body = codec::to_body(f.heartbeat(w));
     const auto zone = Fleet::zone(w.zone);
     w.dead = true;
     const double since = f.now;
     f.more = [&] { // several a second, of one moment
-        f.http(zone, f.pick(3), {"POST", std::string(codec::path_report), "", body}, false, 4,
+        f.http(zone, f.pick(3), {"POST", std::string(codec::path_heartbeat), "", body}, false, 4,
                [](const std::optional<HttpReply>&, bool) {});
     };
     double freed_at = -1;
@@ -277,7 +278,7 @@
 // One that reaches neither the store nor other controllers may act for a moment longer, then sends workers and
 // users away at once, and nothing of its term has an effect later.
 struct CutOff {
-    int who; // 0 the holder, 1 a standby, 2 the holder and a standby
+    int who; // 0 the leader, 1 a standby, 2 the leader and a standby
     Mode mode;
     double leases;
     friend std::ostream& operator<<(std::ostream& o, const CutOff& c) {
@@ -290,7 +291,7 @@
     const auto p = GetParam();
     Day f(61, 5, 40);
     ASSERT_TRUE(f.settle(60));
-    const auto h = *f.holder();
+    const auto h = *f.leader();
     const double for_s = p.leases * f.settings.lease_s;
     std::vector<std::size_t> cut;
     if (p.who != 1)
@@ -299,11 +300,11 @@
         cut.push_back((h + 2) % 5);
     for (const auto i : cut)
         f.isolate(i, p.mode, for_s);
-    const int lapses = f.lapses;
-    f.work(std::min(for_s - 1, 8.0)); // a hold, and what it takes to know
+    const int expirations = f.expirations;
+    f.work(std::min(for_s - 1, 8.0)); // a store lease, and what it takes to know
     if (for_s > 9)
         for (const auto i : cut) {
-            EXPECT_FALSE(f.acts(i));
+            EXPECT_FALSE(f.is_active_leader(i));
             const auto said = std::make_shared<std::map<std::string, std::pair<int, double>>>();
             const auto try_out = [&](const std::string& what, HttpRequest r) {
                 f.http(Fleet::users, i, std::move(r), false, 4,
@@ -315,11 +316,11 @@
             try_out("job", {"GET", std::string(codec::path_jobs) + "/wk-000001", "", ""});
             try_out("submission",
                     {"POST", std::string(codec::path_jobs), "", codec::to_body(job(777, Shape::array, 1, 1))});
-            try_out("report",
-                    {"POST", std::string(codec::path_report), "", codec::to_body(f.report(f.workers.begin()->second))});
+            try_out("report", {"POST", std::string(codec::path_heartbeat), "",
+                               codec::to_body(f.heartbeat(f.workers.begin()->second))});
             f.work(1);
             for (const auto* what : {"up", "job", "submission", "report"}) {
-                // A standby may still know who held the office a moment ago.
+                // A standby may still know who was the leader a moment ago.
                 const bool knows = i != h && what == std::string_view("report");
                 EXPECT_EQ((*said)[what].first, knows && (*said)[what].first != 503 ? 421 : 503) << what;
                 EXPECT_LT((*said)[what].second, 0.5) << what;
@@ -327,7 +328,7 @@
         }
     f.work(for_s);
     EXPECT_EQ(first(f), "");
-    EXPECT_EQ(f.lapses, lapses);
+    EXPECT_EQ(f.expirations, expirations);
     EXPECT_EQ(f.end(), "");
     EXPECT_EQ(f.unfinished(f.leases(3)), 0);
 }
@@ -363,17 +364,17 @@
             ++times;
             f.send(f.between(0, 0.3), [&f, i] { f.crash(i, f.moment()); });
         };
-        // What makes the controllers say it: changes of office, an outage, a zone that its holder does not reach.
+        // What makes the controllers say it: changes of leadership, an outage, a zone that its leader does not reach.
         f.more = [&] {
             const bool handovers = p.when == "/peer/take"; // no other changes within a lease before
             if (!handovers && std::fmod(f.now, 20) < 0.1)
-                f.crash(f.holder().value_or(0), f.moment());
+                f.crash(f.leader().value_or(0), f.moment());
             if (std::fmod(f.now + 5, 40) < 0.1) {
                 f.store_down = true;
                 f.send(4, [&f] { f.end_outage(); });
             }
             if (std::fmod(f.now + 15, 45) < 0.1)
-                f.cut(f.nodes[f.holder().value_or(0)].name, Fleet::zone("a"), Mode::drop, false, 15);
+                f.cut(f.nodes[f.leader().value_or(0)].name, Fleet::zone("a"), Mode::drop, false, 15);
         };
         f.work(f.leases(5));
         EXPECT_EQ(first(f), "") << seed;
@@ -419,15 +420,15 @@
     Day f(p.seed, p.controllers, p.machines);
     f.every_s = 20.0 / p.machines;
     f.late = 0.01;
-    double next_trouble = 25;
+    double next_fault = 25;
     f.more = [&] {
         if (f.n > 0 && f.chance() < 0.01)
-            f.withdraw(fmt::format("wk-{:06}", 1 + f.pick(static_cast<std::size_t>(f.n))));
-        if (f.now < next_trouble || f.now > 200)
+            f.request_cancellation(fmt::format("wk-{:06}", 1 + f.pick(static_cast<std::size_t>(f.n))));
+        if (f.now < next_fault || f.now > 200)
             return;
-        next_trouble = f.now + f.between(2, 10);
+        next_fault = f.now + f.between(2, 10);
         const double for_s = f.chance() < 0.8 ? f.between(1, 20) : 45;
-        f.chance() < 0.6 ? f.new_trouble(for_s) : f.trouble(for_s);
+        f.chance() < 0.6 ? f.inject_later_fault(for_s) : f.inject_fault(for_s);
     };
     f.work(240);
     EXPECT_EQ(first(f), "");
--- a/tests/test_gap.cpp
+++ b/tests/test_leader_cut_off.cpp
@@ -1,21 +1,21 @@
 // The gap: the state service refuses the leader alone, another controller confirms cancellations, then the
 // service is down for all for longer than cancel_s, while workers go on reporting to the old leader.
-#include "troubles.hpp"
+#include "fault_injection.hpp"
 
 #include <gtest/gtest.h>
 
 namespace heronshift::testing {
 namespace {
 
-struct Gap : Troubled {
-    Gap(unsigned seed, std::size_t controllers) : Troubled(seed + other_seeds(), controllers, 24) {
+struct LeaderCutOff : FaultInjection {
+    LeaderCutOff(unsigned seed, std::size_t controllers) : FaultInjection(seed + other_seeds(), controllers, 24) {
         every_s = 6;
         takes = [this](std::uint32_t) { return between(60, 110); }; // they would go on past cancel_s
         before_step = [this] { every_step(); };
     }
     double cancel_until = -1, next_cancel = 0;
     std::size_t cancels = 0;
-    int lapses_before = 0;
+    int expirations_before = 0;
     bool in_handover = false; // the outage began while the leadership passed from one to another
 
     // Users cancel what runs, ten a second.
@@ -30,7 +30,7 @@
                     running.push_back(t.job);
         if (running.empty())
             return;
-        withdraw(running[pick(running.size())]);
+        request_cancellation(running[pick(running.size())]);
         ++cancels;
     }
     std::string what_is_wrong() {
@@ -44,17 +44,17 @@
 
 enum class Besides : std::uint8_t { nothing, answers_lost, leader_ends, machines_hang, machines_cut, peers_cut };
 
-struct Story {
+struct Scenario {
     std::size_t controllers;
     double after_s; // from the refusal to the outage
     Besides besides;
-    friend std::ostream& operator<<(std::ostream& o, const Story& s) {
+    friend std::ostream& operator<<(std::ostream& o, const Scenario& s) {
         return o << s.controllers << " outage after " << s.after_s << " besides " << static_cast<int>(s.besides);
     }
 };
 
-std::vector<Story> stories() {
-    std::vector<Story> out;
+std::vector<Scenario> scenarios() {
+    std::vector<Scenario> out;
     for (const std::size_t n : {3U, 5U})
         for (const double after : {0.1, 0.5, 1.0, 1.5, 2.0, 5.0, 8.0})
             for (const auto b : {Besides::nothing, Besides::answers_lost, Besides::leader_ends, Besides::machines_hang,
@@ -65,8 +65,8 @@
 }
 
 // Once: the refusal, the cancellations, the outage; then all is well again.
-void pass(Gap& f, const Story& s, std::size_t asked_at) {
-    const auto leader = *f.holder();
+void pass(LeaderCutOff& f, const Scenario& s, std::size_t asked_at) {
+    const auto leader = *f.leader();
     const auto n = f.nodes.size();
     // At the old leader, at the others in turn, or wherever the balancer sends them.
     if (asked_at < n)
@@ -88,13 +88,13 @@
     f.work(s.after_s);
     f.store_down = true;
     f.lost_answers = 0;
-    f.lapses_before = f.lapses;
+    f.expirations_before = f.expirations;
     f.send(f.between(5, f.settings.lease_s * 0.8), [&f] {
         for (auto& [id, w] : f.workers)
             w.hung = w.cut = false;
     });
     f.work(0.5);
-    f.in_handover = !f.holder();
+    f.in_handover = !f.leader();
     f.work(f.settings.cancel_s + 12);
     f.heal();
     f.nodes[leader].refused_by_store = false;
@@ -102,12 +102,12 @@
     f.end_outage();
 }
 
-class GapStories : public ::testing::TestWithParam<Story> {};
+class LeaderCutOffScenarios : public ::testing::TestWithParam<Scenario> {};
 
-TEST_P(GapStories, NoTaskOutlivesItsCancellation) {
+TEST_P(LeaderCutOffScenarios, NoTaskOutlivesItsCancellation) {
     const auto s = GetParam();
     const auto where = static_cast<std::size_t>(s.after_s * 10 + static_cast<int>(s.besides)) % 3;
-    Gap f(400, s.controllers);
+    LeaderCutOff f(400, s.controllers);
     ASSERT_TRUE(f.settle(45));
     pass(f, s, where); // asked at the old leader, the next, the one after it
     EXPECT_EQ(f.what_is_wrong(), "");
@@ -118,30 +118,30 @@
             EXPECT_EQ(f.cancelled.empty(), s.after_s < 5);
         }
         EXPECT_FALSE(f.in_handover); // too early for it, or over
-        EXPECT_EQ(f.lapses, f.lapses_before);
+        EXPECT_EQ(f.expirations, f.expirations_before);
     }
     f.work(f.leases(2));
-    ASSERT_TRUE(f.holder());
+    ASSERT_TRUE(f.leader());
     if (s.after_s >= 2)
         pass(f, s, 99); // once more on the same day, asked anywhere
     EXPECT_EQ(f.what_is_wrong(), "");
     f.takes = {};
-    EXPECT_EQ(f.day_end(f.leases(5), f.settings.cancel_s * 2), "");
+    EXPECT_EQ(f.final_checks(f.leases(5), f.settings.cancel_s * 2), "");
     EXPECT_EQ(f.what_is_wrong(), "");
 }
 
-INSTANTIATE_TEST_SUITE_P(Gap, GapStories, ::testing::ValuesIn(stories()));
+INSTANTIATE_TEST_SUITE_P(LeaderCutOff, LeaderCutOffScenarios, ::testing::ValuesIn(scenarios()));
 
-// A view of the others that is older than the outage made the leader give its office up, to nobody.
-TEST(Gap, ALeaderThatAllPromiseToWaitForStays) {
+// A view of the others that is older than the outage made the leader give its leadership up, to nobody.
+TEST(LeaderCutOff, ALeaderWithAllExtensionVotesStays) {
     for (unsigned k = 0; k < (sanitized ? 4 : 24); ++k) {
-        Gap f(450 + k, 5);
+        LeaderCutOff f(450 + k, 5);
         ASSERT_TRUE(f.settle(45 + 0.1 * k)) << k;
-        const auto leader = *f.holder();
+        const auto leader = *f.leader();
         pass(f, {5, 0.5 + 0.1 * (k % 12), Besides::nothing}, 99);
         EXPECT_EQ(f.what_is_wrong(), "") << k;
-        EXPECT_EQ(f.holder(), leader) << k;
-        EXPECT_EQ(f.lapses, f.lapses_before) << k;
+        EXPECT_EQ(f.leader(), leader) << k;
+        EXPECT_EQ(f.expirations, f.expirations_before) << k;
     }
 }
 
--- a/tests/test_local.cpp
+++ b/tests/test_local.cpp
@@ -1,8 +1,8 @@
-// The stand-in platform: its checks can fail, and its worker keeps the protocol's side of the bargain.
+// The emulator platform: its checks can fail, and its worker keeps the protocol's side of the bargain.
 #include "heronshift/codec.hpp"
 #include "heronshift/local/cloud.hpp"
+#include "heronshift/local/emulator.hpp"
 #include "heronshift/local/history.hpp"
-#include "heronshift/local/stand_in.hpp"
 
 #include <gtest/gtest.h>
 #include <unistd.h>
@@ -22,7 +22,7 @@
     return s;
 }
 
-struct Told : ::testing::Test {
+struct HistoryChecks : ::testing::Test {
     History h{{{"red", 4, 8, 0, 0}}, 10};
     History::Place here{"n-1", "m8", "a", false}, there{"n-2", "m8", "b", false}, spot{"n-3", "m8", "a", true};
     std::string first() {
@@ -30,7 +30,7 @@
     }
 };
 
-TEST_F(Told, ATaskInTwoPlaces) {
+TEST_F(HistoryChecks, ATaskInTwoPlaces) {
     h.submitted(array("wk-1"));
     h.on_machine("wk-1", 0, here, 1);
     h.off_machine("wk-1", 0, "n-1");
@@ -40,7 +40,7 @@
     EXPECT_EQ(first(), "ran_twice");
 }
 
-TEST_F(Told, AboveTheLimit) {
+TEST_F(HistoryChecks, AboveTheLimit) {
     h.submitted(array("wk-1", 9));
     for (std::uint32_t i = 0; i < 4; ++i)
         h.on_machine("wk-1", i, here, 1);
@@ -49,7 +49,7 @@
     EXPECT_EQ(first(), "quota");
 }
 
-TEST_F(Told, InTheWrongPlace) {
+TEST_F(HistoryChecks, InTheWrongPlace) {
     auto s = array("wk-1");
     s.spread = true;
     h.submitted(s);
@@ -64,22 +64,22 @@
     EXPECT_EQ(other.broken().size(), 1U);
 }
 
-TEST_F(Told, TooEarly) {
+TEST_F(HistoryChecks, TooEarly) {
     h.submitted(array("wk-1", 1));
     auto s = array("wk-2", 1);
-    s.needs = {"wk-1"};
+    s.dependencies = {"wk-1"};
     h.submitted(s);
     h.task_done("wk-1", 0);
     h.on_machine("wk-2", 0, here, 1);
     EXPECT_EQ(first(), "");
     auto t = array("wk-3", 1);
-    t.needs = {"wk-2"};
+    t.dependencies = {"wk-2"};
     h.submitted(t);
     h.on_machine("wk-3", 0, here, 2);
     EXPECT_EQ(first(), "too_early");
 }
 
-TEST_F(Told, CancelledAndStillThere) {
+TEST_F(HistoryChecks, CancelledAndStillThere) {
     h.submitted(array("wk-1"));
     h.cancel_asked("wk-1");
     h.on_machine("wk-1", 0, here, 1);
@@ -90,7 +90,7 @@
     EXPECT_EQ(first(), "ran_cancelled");
 }
 
-TEST_F(Told, AnswersThatCannotBe) {
+TEST_F(HistoryChecks, AnswersThatCannotBe) {
     h.told("wk-9", 404, "", 1);
     EXPECT_EQ(first(), "");
     h.told("wk-9", 200, "pending", 1);
@@ -112,7 +112,7 @@
     EXPECT_EQ(three.broken().size(), 1U);
 }
 
-TEST_F(Told, AJobAcceptedAndNeverOver) {
+TEST_F(HistoryChecks, AJobAcceptedAndNeverOver) {
     h.submitted(array("wk-1", 1));
     h.submitted(array("wk-2", 1));
     h.told("wk-1", 201, "pending", 1);
@@ -173,10 +173,11 @@
                 machine = page->machines.at(0).addr;
         }
     }
-    Report command(std::uint64_t fence, std::uint64_t tenure, const std::vector<Order>& list, int status = 200) {
-        const auto r = ask(machine, "POST", "/commands", codec::commands(fence, tenure, list));
+    Heartbeat command(std::uint64_t fencing_token, std::uint64_t agent_epoch, const std::vector<Order>& list,
+                      int status = 200) {
+        const auto r = ask(machine, "POST", "/commands", codec::commands(fencing_token, agent_epoch, list));
         EXPECT_EQ(r.status, status);
-        return codec::report(r.body).value_or(Report{});
+        return codec::heartbeat(r.body).value_or(Heartbeat{});
     }
 };
 
@@ -195,11 +196,11 @@
     EXPECT_EQ(platform->sum().machines, 0U);
 }
 
-TEST_F(Wire, AWorkerObeysTheHighestFenceAndItsTenure) {
+TEST_F(Wire, AWorkerObeysTheHighestFencingTokenAndItsAgentEpoch) {
     rent();
     auto r = command(7, 1, {{Verb::launch, "wk-1", 0, 1, 0}});
     ASSERT_EQ(r.tasks.size(), 1U);
-    EXPECT_EQ(r.fence, 7U);
+    EXPECT_EQ(r.fencing_token, 7U);
     EXPECT_EQ(command(6, 1, {{Verb::launch, "wk-1", 1, 1, 0}}, 409).tasks.size(), 1U);
     EXPECT_EQ(command(7, 2, {{Verb::launch, "wk-1", 1, 1, 0}}, 409).tasks.size(), 1U);
     EXPECT_EQ(ask(machine, "POST", "/commands", "{}").status, 400);
@@ -214,32 +215,33 @@
     EXPECT_EQ(r.tasks[0].state, TaskState::ended);
 }
 
-// What is held up arrives when nobody waits for the answer any more, and is judged then: by the fence and
-// the tenure of that moment.
+// What is held up arrives when nobody waits for the answer any more, and is judged then: by the fencing token and
+// the agent epoch of that moment.
 TEST_F(Wire, AHeldCommandIsJudgedWhenItArrives) {
     rent();
     platform->any()->late_until = platform->now() + 0.6;
     int answered = 0, given_up = 0;
-    const auto send = [&](std::uint64_t fence, std::uint32_t index) {
-        client->request(machine, "POST", "/commands", codec::commands(fence, 1, {{Verb::launch, "wk-1", index, 1, 0}}),
-                        0.2, [&](HttpReply&& r) { ++(r.status == 0 && r.sent ? given_up : answered); });
+    const auto send = [&](std::uint64_t fencing_token, std::uint32_t index) {
+        client->request(machine, "POST", "/commands",
+                        codec::commands(fencing_token, 1, {{Verb::launch, "wk-1", index, 1, 0}}), 0.2,
+                        [&](HttpReply&& r) { ++(r.status == 0 && r.sent ? given_up : answered); });
     };
     send(7, 0);
-    send(6, 1); // of an earlier holder
+    send(6, 1); // of an earlier leader
     while (given_up + answered < 2) {
         uv_run(&loop, UV_RUN_ONCE);
         client->sweep();
     }
     EXPECT_EQ(given_up, 2);
-    EXPECT_EQ(platform->sum().fence, 0U); // nothing has arrived
-    while (platform->sum().fence == 0)
+    EXPECT_EQ(platform->sum().fencing_token, 0U); // nothing has arrived
+    while (platform->sum().fencing_token == 0)
         uv_run(&loop, UV_RUN_ONCE);
     const auto r = command(7, 1, {});
     ASSERT_EQ(r.tasks.size(), 1U);
     EXPECT_EQ(r.tasks[0].index, 0U);
 }
 
-TEST(StandIn, AddressesAreReadOrRefused) {
+TEST(Emulator, AddressesAreReadOrRefused) {
     EXPECT_EQ(address("127.0.0.1:0").port, 0);
     EXPECT_EQ(address("10.0.0.1:65535").host, "10.0.0.1");
     for (const auto* bad : {"", "x", ":7", "a:", "a:b", "a:65536", "a:-1", "a:7x"})
--- a/tests/test_records.cpp
+++ b/tests/test_records.cpp
@@ -1,18 +1,18 @@
-// Stories of what the store holds: the ring of placements, the progress, and what came before them.
-#include "world.hpp"
+// Scenarios of what the store holds: the ring of placements, the progress, and what came before them.
+#include "simulated_cluster.hpp"
 
 #include <gtest/gtest.h>
 
 namespace heronshift::testing {
 namespace {
 
-TEST(Records, PlacementsComeBackAsTheyWereWritten) {
+TEST(ClusterRecords, PlacementsComeBackAsTheyWereWritten) {
     const std::vector<intents::Intent> in{{"n-1", "a", 1, "wk-000001", 3, 70}, {"n-1", "a", 1, "wk-000001", 4, 70},
                                           {"n-1", "a", 1, "wk-000001", 5, 71}, {"n-1", "a", 2, "wk-000002", 0, 71},
                                           {"n-2", "", 1, "wk-000002", 1, 71},  {"n-2", "", 1, "wk-000002", 3, 71}};
     intents::Writer w;
     for (const auto& i : in)
-        w.add(i.machine, i.zone, i.tenure, i.job, i.index, i.try_no);
+        w.add(i.machine, i.zone, i.agent_epoch, i.job, i.index, i.attempt);
     const auto text = w.take();
     EXPECT_EQ(text, "n-1 a 1 wk-000001/3-4:70 wk-000001/5:71\nn-1 a 2 wk-000002/0:71\n"
                     "n-2 - 1 wk-000002/1:71 wk-000002/3:71");
@@ -23,7 +23,7 @@
 
 // Every prefix of a record, and every single wrong byte, is read without a crash; what is lost of
 // it leaves its machine in doubt.
-TEST(Records, DamagedTextIsReadAsFarAsItCanBeProven) {
+TEST(ClusterRecords, DamagedTextIsReadAsFarAsItCanBeProven) {
     const std::string text = "n-1 a 1 wk-000001/3-4:70\nn-2 b 1 wk-000002/0:71";
     for (std::size_t n = 0; n < text.size(); ++n) {
         (void)intents::read(text.substr(0, n));
@@ -53,8 +53,8 @@
     return core.step(q, now, now);
 }
 
-Report beat(const std::string& id, std::uint64_t counter, std::uint64_t fence) {
-    return {id, "10.1.0.1:9000", "m8", "a", false, 1, counter, fence, -1, {}};
+Heartbeat heartbeat(const std::string& id, std::uint64_t counter, std::uint64_t fencing_token) {
+    return {id, "10.1.0.1:9000", "m8", "a", false, 1, counter, fencing_token, -1, {}};
 }
 
 // A core whose store always answers; counts the launches it sends.
@@ -86,32 +86,33 @@
 };
 
 // What a damaged record named may run anywhere on its machine: until that machine has spoken to us
-// or its lease has surely lapsed, nothing is placed at all.
-TEST(Records, ADamagedRecordHoldsItsMachineUntilItIsProven) {
+// or its lease has surely expired, nothing is placed at all.
+TEST(ClusterRecords, ADamagedRecordKeepsItsMachineOccupiedUntilItIsProven) {
     const auto settings = small_settings();
     auto stored = one_job(job(1, Shape::array, 2, 1));
     stored.intents.push_back({"i/0", {{"t", "n-9 a 1 wk-00"}}, 1, false});
     Core core(settings, 7, stored, 0, 0);
     Launches l{core};
-    l.give({TypesKnown{small_types()}, Beat{beat("n-1", 1, std::uint64_t{7} << fence_bits), 1}});
+    l.give({MachineTypesKnown{small_types()},
+            HeartbeatReceived{heartbeat("n-1", 1, std::uint64_t{7} << token_counter_bits), 1}});
     EXPECT_EQ(l.within(2), 0);
-    l.give({Beat{beat("n-9", 1, 0), 2}}); // has not seen our term: proves nothing
+    l.give({HeartbeatReceived{heartbeat("n-9", 1, 0), 2}}); // has not seen our term: proves nothing
     EXPECT_EQ(l.within(0.5), 0);
-    l.give({Beat{beat("n-9", 2, std::uint64_t{7} << fence_bits), 3},
-            Beat{beat("n-1", 2, std::uint64_t{7} << fence_bits), 4}});
+    l.give({HeartbeatReceived{heartbeat("n-9", 2, std::uint64_t{7} << token_counter_bits), 3},
+            HeartbeatReceived{heartbeat("n-1", 2, std::uint64_t{7} << token_counter_bits), 4}});
     EXPECT_EQ(l.within(2), 2);
 }
 
-// Else each new holder would have images of 15 GB fetched again that lie ready.
-TEST(Records, ANewHolderKnowsWhereImagesLie) {
+// Else each new leader would have images of 15 GB fetched again that lie ready.
+TEST(ClusterRecords, ANewLeaderKnowsWhereImagesLie) {
     const auto settings = small_settings();
     auto stored = one_job(job(1, Shape::array, 1, 1));
     stored.images.push_back(
         {"c/0", codec::parse(R"({"names":[["other",1],["img",0.5]],"held":{"n-2":[1],"n-1":[0,7]}})"), 1, false});
     Core core(settings, 7, stored, 0, 0);
-    std::vector<Command> q{TypesKnown{small_types()}};
+    std::vector<Command> q{MachineTypesKnown{small_types()}};
     for (const auto* id : {"n-1", "n-2", "n-3"})
-        q.emplace_back(Beat{beat(id, 1, std::uint64_t{7} << fence_bits), 1});
+        q.emplace_back(HeartbeatReceived{heartbeat(id, 1, std::uint64_t{7} << token_counter_bits), 1});
     std::string where;
     bool stored_now = false;
     for (double t = 0.1; t < 2; t += 0.05) {
@@ -128,8 +129,8 @@
     EXPECT_EQ(where, "n-2");
 }
 
-// From vagonplan-ops-grown troubles: after each takeover machines were rented for tasks that ran.
-TEST(Records, NothingIsRentedForWhatRunsAlready) {
+// From vagonplan-ops-grown faults: after each failover machines were rented for tasks that ran.
+TEST(ClusterRecords, NothingIsRentedForWhatRunsAlready) {
     const auto settings = small_settings();
     auto stored = one_job(job(1, Shape::gang, 4, 8));
     stored.intents.push_back({"i/0",
@@ -139,11 +140,11 @@
                               false});
     Core core(settings, 7, stored, 0, 0);
     for (double t = 0.1; t < settings.lease_s; t += 0.2)
-        for (const auto& e : step(core, t, {TypesKnown{small_types()}}))
+        for (const auto& e : step(core, t, {MachineTypesKnown{small_types()}}))
             EXPECT_FALSE(std::holds_alternative<Rent>(e)) << "at " << t;
 }
 
-TEST(Records, TheEarlierLayoutIsReadAndRemoved) {
+TEST(ClusterRecords, TheEarlierLayoutIsReadAndRemoved) {
     const auto settings = small_settings();
     auto stored = one_job(job(1, Shape::array, 4, 1));
     stored.earlier.push_back({"m/n-1",
@@ -173,15 +174,15 @@
 }
 
 // Two thousand launches: each record stays below the longest value, a transaction below its limits,
-// and what a later holder reads names all of them.
-TEST(Records, ABurstOfPlacementsCostsAFewWrites) {
-    World w(11);
+// and what a later leader reads names all of them.
+TEST(ClusterRecords, ABurstOfPlacementsCostsAFewWrites) {
+    SimulatedCluster w(11);
     w.settings.teams = {{"red", 1e5, 1e6, 0, 0}};
     w.settings.state_write_rps = 35;
     w.settings.txn_ops = 16;
     w.settings.fd_limit = 4000;
     w.capacity = 300;
-    w.take_office();
+    w.acquire_leadership();
     for (int i = 1; i <= 20; ++i)
         w.submit(job(i, Shape::service, 100, 1));
     std::size_t writes = 0;
@@ -203,26 +204,27 @@
         live += w.core->live_tasks(fmt::format("wk-{:06}", i));
     EXPECT_EQ(live, 2000U);
     EXPECT_LT(writes, 500U);
-    w.take_office();
+    w.acquire_leadership();
     std::size_t known = 0;
     for (int i = 1; i <= 20; ++i)
         known += w.core->live_tasks(fmt::format("wk-{:06}", i));
     EXPECT_EQ(known, 2000U);
 }
 
-// After each change of office machines were given back that were needed a moment later, or none for a
-// minute: the new holder knew neither their age nor how much work the day brings.
-TEST(Records, WhatAHolderLearnedOfTheDayGoesToTheNext) {
+// After each change of leadership machines were given back that were needed a moment later, or none for a
+// minute: the new leader knew neither their age nor how much work the day brings.
+TEST(ClusterRecords, WhatALeaderLearnedGoesToTheNext) {
     const auto settings = small_settings();
     auto returned = [&](const codec::Json& learned) {
         Snapshot s;
         s.learned.push_back({"l/0", learned, 1, false});
         Core core(settings, 7, s, 0, 100);
-        std::vector<Command> q{TypesKnown{small_types()},
-                               Listed{{{"n-1", "10.1.0.1:9000", "m8", "a", "running", false, 100}}, 0}};
+        std::vector<Command> q{MachineTypesKnown{small_types()},
+                               MachinesListed{{{"n-1", "10.1.0.1:9000", "m8", "a", "running", false, 100}}, 0}};
         std::uint64_t counter = 0;
         for (double now = 0.05; now < 15; now += 0.5) {
-            q.emplace_back(Beat{beat("n-1", ++counter, std::uint64_t{7} << fence_bits), counter});
+            q.emplace_back(
+                HeartbeatReceived{heartbeat("n-1", ++counter, std::uint64_t{7} << token_counter_bits), counter});
             for (const auto& e : core.step(q, now, 100 + now)) {
                 if (std::holds_alternative<Release>(e))
                     return now;
--- a/tests/test_scheduler.cpp
+++ b/tests/test_scheduler.cpp
@@ -1,10 +1,10 @@
-// The embedding interface: on the program's loop and on a thread, on a file store, with stand-ins of
+// The embedding interface: on the program's loop and on a thread, on a file store, with emulators of
 // cloud and machines on loopback.
 #include "heronshift/embed/scheduler.hpp"
 
+#include "heronshift/cluster/cluster_data.hpp"
 #include "heronshift/codec.hpp"
 #include "heronshift/embed/heronshift.h"
-#include "heronshift/ledger/state.hpp"
 #include "heronshift/local/cloud.hpp"
 #include "heronshift/local/port.hpp"
 #include "heronshift/store/remote.hpp"
@@ -81,14 +81,14 @@
         o.state_file = file;
         return o;
     }
-    void reports_to(const Scheduler& s) {
-        platform->report_to({{"copy", fmt::format("127.0.0.1:{}", s.port())}});
+    void set_heartbeat_handler(const Scheduler& s) {
+        platform->heartbeat_to({{"copy", fmt::format("127.0.0.1:{}", s.port())}});
     }
     void want(const JobSpec& s) {
         platform->know(s);
         history.submitted(s);
     }
-    // Turns the loop until it is so; no story takes this long.
+    // Turns the loop until it is so; no scenario takes this long.
     bool until(const std::function<bool()>& over) {
         const auto end = uv_hrtime() + 60'000'000'000ULL;
         bool so = false;
@@ -166,7 +166,7 @@
                 u.spec.tasks = 2;
             }
             if (n % 7 == 0)
-                u.spec.needs = {job(n - 1).id};
+                u.spec.dependencies = {job(n - 1).id};
             e_.want(u.spec);
             list_.push_back(std::move(u));
         }
@@ -214,12 +214,12 @@
 
 TEST_F(Embedded, RunsJobsOnTheProgramsLoop) {
     auto s = std::make_unique<Scheduler>(&loop, options());
-    reports_to(*s);
+    set_heartbeat_handler(*s);
     std::vector<Change> changes;
     s->subscribe([&](const Change& c) { changes.push_back(c); });
     want(job(1));
     auto next = job(2);
-    next.needs = {"wk-000001"};
+    next.dependencies = {"wk-000001"};
     want(next);
     Reply a, b;
     submit(*s, job(1), &a);
@@ -234,13 +234,13 @@
     EXPECT_EQ(ask([&](auto d) { s->get("wk-000002", d); }).state, "done");
     EXPECT_EQ(ask([&](auto d) { s->submit(job(1), d); }).status, 200); // known already
     EXPECT_EQ(ask([&](auto d) { s->cancel("wk-000001", d); }).state, "done");
-    EXPECT_TRUE(s->acts());
+    EXPECT_TRUE(s->is_active_leader());
     EXPECT_TRUE(history.broken().empty());
 }
 
 TEST_F(Embedded, RefusesAsTheDaemonDoes) {
     Scheduler s(&loop, options());
-    ASSERT_TRUE(until([&] { return s.acts(); }));
+    ASSERT_TRUE(until([&] { return s.is_active_leader(); }));
     EXPECT_EQ(ask([&](auto d) { s.submit(std::string("{"), d); }).status, 400);
     const auto bad = ask([&](auto d) { s.submit(std::string(R"({"id":"wk-000001"})"), d); });
     EXPECT_EQ(bad.status, 400);
@@ -267,7 +267,7 @@
 
 TEST_F(Embedded, OnAThreadItTakesCallsFromAnyThread) {
     auto s = std::make_unique<Scheduler>(options());
-    reports_to(*s);
+    set_heartbeat_handler(*s);
     constexpr int callers = 4, each = 5;
     for (int n = 0; n < callers * each; ++n)
         want(job(n + 1, 1));
@@ -316,7 +316,7 @@
     s.stop();
     s.stop();
     EXPECT_EQ(ask([&](auto d) { s.get("wk-000001", d); }).status, 0);
-    EXPECT_FALSE(s.acts());
+    EXPECT_FALSE(s.is_active_leader());
 }
 
 // Two copies share a store: one acts, the other answers reads truthfully and takes over.
@@ -324,19 +324,19 @@
     auto second = first;
     second.settings.name = "other";
     auto one = std::make_unique<Scheduler>(first);
-    ASSERT_TRUE(until([&] { return one->acts(); }));
-    reports_to(*one);
+    ASSERT_TRUE(until([&] { return one->is_active_leader(); }));
+    set_heartbeat_handler(*one);
     Scheduler two(second);
     want(job(1));
     Reply a;
     submit(*one, job(1), &a);
     ASSERT_TRUE(until([&] { return a.ok(); }));
     EXPECT_TRUE(until([&] { return ask([&](auto d) { two.get("wk-000001", d); }).state == "done"; }));
-    EXPECT_TRUE(one->acts());
-    EXPECT_FALSE(two.acts());
+    EXPECT_TRUE(one->is_active_leader());
+    EXPECT_FALSE(two.is_active_leader());
     one.reset();
-    ASSERT_TRUE(until([&] { return two.acts(); }));
-    platform->report_to({{"other", fmt::format("127.0.0.1:{}", two.port())}});
+    ASSERT_TRUE(until([&] { return two.is_active_leader(); }));
+    platform->heartbeat_to({{"other", fmt::format("127.0.0.1:{}", two.port())}});
     want(job(2));
     Reply b;
     submit(two, job(2), &b);
@@ -354,30 +354,30 @@
     two_copies(on(*service));
 }
 
-// Frozen, or busy with something else, for longer than the hold: another copy acts by then, so it must
+// Frozen, or busy with something else, for longer than the store lease: another copy acts by then, so it must
 // not go on where it was.
-TEST_F(Embedded, ABlockedLoopLosesTheOfficeAndKnowsIt) {
+TEST_F(Embedded, ABlockedLoopLosesTheLeadershipAndKnowsIt) {
     auto service = state_service(); // on this loop too: while that stands still, holds do not end
     const auto o = options();
     auto two_o = o;
     two_o.settings.name = "other";
     Scheduler one(&loop, o);
-    ASSERT_TRUE(until([&] { return one.acts(); }));
+    ASSERT_TRUE(until([&] { return one.is_active_leader(); }));
     auto two = std::make_unique<Scheduler>(two_o); // on a thread
-    platform->report_to(
+    platform->heartbeat_to(
         {{"copy", fmt::format("127.0.0.1:{}", one.port())}, {"other", fmt::format("127.0.0.1:{}", two->port())}});
     Users users(*this, {fmt::format("127.0.0.1:{}", one.port()), fmt::format("127.0.0.1:{}", two->port())}, 6);
     ASSERT_TRUE(until([&] { return users.serve(), history.starts() > 0; }));
     const auto end = uv_hrtime() + 30'000'000'000ULL;
-    while (!two->acts() && uv_hrtime() < end)
+    while (!two->is_active_leader() && uv_hrtime() < end)
         usleep(1000); // the loop stands still
-    EXPECT_TRUE(two->acts());
-    EXPECT_FALSE(one.acts());
+    EXPECT_TRUE(two->is_active_leader());
+    EXPECT_FALSE(one.is_active_leader());
     ASSERT_TRUE(until([&] { return users.serve(); }));
-    EXPECT_FALSE(one.acts());
-    EXPECT_TRUE(two->acts());
+    EXPECT_FALSE(one.is_active_leader());
+    EXPECT_TRUE(two->is_active_leader());
     two.reset();
-    EXPECT_TRUE(until([&] { return one.acts(); }));
+    EXPECT_TRUE(until([&] { return one.is_active_leader(); }));
     EXPECT_EQ(history.broken(), std::vector<std::string>{});
 }
 
@@ -407,57 +407,57 @@
     auto o = on(*service);
     o.state = [&](uv_loop_t* l) { return std::make_unique<Cut>(l, o.settings.state, cut); };
     Scheduler one(&loop, o);
-    ASSERT_TRUE(until([&] { return one.acts(); }));
+    ASSERT_TRUE(until([&] { return one.is_active_leader(); }));
     auto second = on(*service);
     second.settings.name = "other";
     Scheduler two(&loop, second);
     const std::vector<std::string> addresses{fmt::format("127.0.0.1:{}", one.port()),
                                              fmt::format("127.0.0.1:{}", two.port())};
-    platform->report_to({{"copy", addresses[0]}, {"other", addresses[1]}});
+    platform->heartbeat_to({{"copy", addresses[0]}, {"other", addresses[1]}});
     Users users(*this, addresses, 14);
     bool both = false;
     const auto watch = [&] {
-        both = both || (one.acts() && two.acts());
+        both = both || (one.is_active_leader() && two.is_active_leader());
         return users.serve();
     };
     ASSERT_TRUE(until([&] { return watch(), history.starts() > 0; }));
     cut = true;
-    ASSERT_TRUE(until([&] { return watch(), two.acts(); }));
-    EXPECT_FALSE(one.acts());
-    // A report that it took would renew a lease which the other counts as running out.
+    ASSERT_TRUE(until([&] { return watch(), two.is_active_leader(); }));
+    EXPECT_FALSE(one.is_active_leader());
+    // A heartbeat that it took would renew a lease which the other counts as running out.
     HttpClient worker(&loop, 1, 4);
     int status = 0;
-    const Report report{"n-000001", "127.0.0.1:1", "m8", "a", false, 1, 1000, 0, -1, {}};
-    worker.request(addresses[0], "POST", std::string(codec::path_report), codec::to_body(report), 5,
+    const Heartbeat heartbeat{"n-000001", "127.0.0.1:1", "m8", "a", false, 1, 1000, 0, -1, {}};
+    worker.request(addresses[0], "POST", std::string(codec::path_heartbeat), codec::to_body(heartbeat), 5,
                    [&](HttpReply&& r) { status = r.status; });
     ASSERT_TRUE(until([&] { return watch(), status != 0; }));
     EXPECT_TRUE(status == 503 || status == 421) << status;
     ASSERT_TRUE(until([&] { return watch(), history.starts() > 5; }));
     cut = false;
     EXPECT_TRUE(until(watch));
-    EXPECT_TRUE(two.acts());
+    EXPECT_TRUE(two.is_active_leader());
     EXPECT_FALSE(both);
     EXPECT_EQ(history.broken(), std::vector<std::string>{});
     EXPECT_TRUE(history.unfinished().empty());
 }
 
-// The state service is out, then silent, for longer than the hold: nothing is told that is not stored, the
+// The state service is out, then silent, for longer than the store lease: nothing is told that is not stored, the
 // caller is sent away, and all goes on when it is back.
 TEST_F(Embedded, ACopyThatLosesItsStoreStopsActingAndGoesOnLater) {
     auto service = state_service();
     Scheduler s(&loop, on(*service));
-    reports_to(s);
+    set_heartbeat_handler(s);
     Users users(*this, {fmt::format("127.0.0.1:{}", s.port())}, 12);
     int n = 100;
-    for (const auto mood : {store::StoreServer::Mood::out, store::StoreServer::Mood::silent}) {
+    for (const auto fault_mode : {store::StoreServer::FaultMode::out, store::StoreServer::FaultMode::silent}) {
         const int starts = history.starts();
-        ASSERT_TRUE(until([&] { return users.serve(), s.acts() && history.starts() > starts; }));
-        service->set_mood(mood);
-        ASSERT_TRUE(until([&] { return users.serve(), !s.acts(); }));
+        ASSERT_TRUE(until([&] { return users.serve(), s.is_active_leader() && history.starts() > starts; }));
+        service->set_fault_mode(fault_mode);
+        ASSERT_TRUE(until([&] { return users.serve(), !s.is_active_leader(); }));
         const auto r = ask([&](auto d) { s.submit(job(++n), d); });
         EXPECT_EQ(r.status, 503);
         EXPECT_GT(r.retry_after_s, 0);
-        service->set_mood(store::StoreServer::Mood::well);
+        service->set_fault_mode(store::StoreServer::FaultMode::well);
     }
     EXPECT_TRUE(until([&] { return users.serve(); }));
     EXPECT_EQ(ask([&](auto d) { s.get(job(101).id, d); }).status, 404); // what was refused is not there
@@ -466,7 +466,7 @@
 }
 
 // The embedding program is killed at any moment: before a job is stored, between a placement and its
-// launch, between a report and the final state. What it had answered stays true, nothing runs twice,
+// launch, between a heartbeat and the final state. What it had answered stays true, nothing runs twice,
 // nothing is lost.
 TEST_F(Embedded, TheProgramIsKilledAgainAndAgain) {
     // A long run, out of CI: HERONSHIFT_KILLS=300.
@@ -477,7 +477,7 @@
     const local::Port port;
     o.settings.listen.port = port.number();
     const auto address = o.settings.listen.str();
-    platform->report_to({{"copy", address}});
+    platform->heartbeat_to({{"copy", address}});
     pid_t child = -1;
     auto start = [&] { child = program(o); };
     auto stop = [&] { kill_program(child); };
@@ -512,7 +512,7 @@
         names.emplace_back(o.settings.name, addresses.back());
         copies.push_back(program(o));
     }
-    platform->report_to(names);
+    platform->heartbeat_to(names);
     Users users(*this, addresses, 40);
     // Both are there before the first is frozen: one that is frozen while it makes the file keeps the other from
     // starting, which then says so and ends.
@@ -542,7 +542,7 @@
     EXPECT_TRUE(until([&] { return users.serve(); }));
     for (const auto pid : copies)
         kill_program(pid);
-    EXPECT_GE(platform->sum().fence >> ledger::fence_bits, 2U) << "nobody ever took over";
+    EXPECT_GE(platform->sum().fencing_token >> cluster::token_counter_bits, 2U) << "nobody ever took over";
     EXPECT_EQ(history.broken(), std::vector<std::string>{});
     EXPECT_TRUE(history.unfinished().empty());
 }
@@ -558,8 +558,8 @@
     EXPECT_STREQ(why, "/no/such.toml: cannot be read");
     EXPECT_EQ(hs_start("/no/such.toml", nullptr, &s, why, 4), HS_SETTINGS);
     EXPECT_STREQ(why, "/no"); // cut, and ended
-    int elsewhere = 0;
-    auto* wrong = reinterpret_cast<hs_scheduler*>(&elsewhere);
+    int not_leader_response = 0;
+    auto* wrong = reinterpret_cast<hs_scheduler*>(&not_leader_response);
     for (auto* x : {static_cast<hs_scheduler*>(nullptr), wrong}) {
         EXPECT_EQ(hs_submit(x, "{}", done, nullptr), HS_INVALID);
         EXPECT_EQ(hs_get(x, "wk-1", done, nullptr), HS_INVALID);
--- a/tests/test_world.cpp
+++ b/tests/test_simulated_cluster.cpp
@@ -1,18 +1,18 @@
 // Whole days in small, with fixed seeds: every rule is checked after every step.
-#include "world.hpp"
+#include "simulated_cluster.hpp"
 
 #include <gtest/gtest.h>
 
 namespace heronshift::testing {
 namespace {
 
-std::string first(const World& w) {
+std::string first(const SimulatedCluster& w) {
     return w.broken.empty() ? "" : w.broken.front();
 }
 
-TEST(World, AQuietDayRunsEverything) {
-    World w(1);
-    w.take_office();
+TEST(SimulatedCluster, AQuietDayRunsEverything) {
+    SimulatedCluster w(1);
+    w.acquire_leadership();
     w.submit(job(1, Shape::array, 20, 2));
     w.submit(job(2, Shape::gang, 3, 4));
     auto service = job(3, Shape::service, 3, 1, "blue");
@@ -27,9 +27,9 @@
     EXPECT_LE(w.workers.size(), 3U);
 }
 
-TEST(World, CancelledWorkIsGoneInTimeAlsoBehindACut) {
-    World w(2);
-    w.take_office();
+TEST(SimulatedCluster, CancelledWorkIsGoneInTimeAlsoBehindACut) {
+    SimulatedCluster w(2);
+    w.acquire_leadership();
     w.submit(job(1, Shape::service, 3, 4));
     w.run(30);
     ASSERT_EQ(w.core->view("wk-000001")->running, 3U);
@@ -43,15 +43,15 @@
     EXPECT_TRUE(w.store.contains("f/wk-000001"));
 }
 
-TEST(World, ATakeoverKeepsWhatRunsAndCountsWhatItCannotSee) {
-    World w(3);
-    w.take_office();
+TEST(SimulatedCluster, AFailoverKeepsWhatRunsAndCountsWhatItCannotSee) {
+    SimulatedCluster w(3);
+    w.acquire_leadership();
     w.submit(job(1, Shape::service, 4, 4));
     w.run(30);
     ASSERT_EQ(w.core->live_tasks("wk-000001"), 4U);
     w.workers.begin()->second.cut = true; // still runs what it has
     const int before = w.started;
-    w.take_office();
+    w.acquire_leadership();
     w.step();
     // The intent counts until the machine says otherwise or its lease has surely run out.
     EXPECT_EQ(w.core->live_tasks("wk-000001"), 4U);
@@ -62,9 +62,9 @@
     EXPECT_EQ(first(w), "");
 }
 
-TEST(World, ASickMachineIsReplacedAndABadJobTakesNoMachineDown) {
-    World w(4);
-    w.take_office();
+TEST(SimulatedCluster, ASickMachineIsReplacedAndABadJobTakesNoMachineDown) {
+    SimulatedCluster w(4);
+    w.acquire_leadership();
     w.submit(job(1, Shape::array, 30, 2));
     w.run(14);
     ASSERT_FALSE(w.workers.empty());
@@ -80,11 +80,11 @@
 // Restarted elsewhere for ever, the last task of a job never ended, nor did what waited for the job.
 // How many of ten tasks were begun again, of which the first takes so long and the others 5 s.
 int begun_again(double first_s) {
-    World w(5);
+    SimulatedCluster w(5);
     w.takes = [first_s](std::uint32_t index) { return index == 0 ? first_s : 5.0; };
     w.settings.teams[0].cpus_max = 400;
     w.capacity = 30;
-    w.take_office();
+    w.acquire_leadership();
     w.submit(job(2, Shape::service, 30, 6)); // that many machines: a few may be slow
     w.run(40);
     const int before = w.started;
@@ -94,25 +94,25 @@
     EXPECT_EQ(first(w), "");
     return w.started - before - 10;
 }
-TEST(World, ATaskThatIsLongEverywhereEnds) {
+TEST(SimulatedCluster, ATaskThatIsLongEverywhereEnds) {
     EXPECT_EQ(begun_again(15), 1); // once it was worth a try elsewhere
 }
 // Nearly through, the longest of its siblings began anew, and its job was late by that.
-TEST(World, ATaskThatIsALittleLongerIsLeftToRun) {
+TEST(SimulatedCluster, ATaskThatIsALittleLongerIsLeftToRun) {
     EXPECT_EQ(begun_again(13), 0);
 }
 
-// Crashes of the holder, cuts, hangs, lost and late messages, refused transactions.
-class Trouble : public ::testing::TestWithParam<unsigned> {};
+// Crashes of the leader, cuts, hangs, lost and late messages, refused transactions.
+class Fault : public ::testing::TestWithParam<unsigned> {};
 
-TEST_P(Trouble, BreaksNoRule) {
-    World w(GetParam());
-    w.beat_loss = 0.05;
+TEST_P(Fault, BreaksNoRule) {
+    SimulatedCluster w(GetParam());
+    w.heartbeat_loss = 0.05;
     w.order_loss = 0.1;
     w.late = 0.05;
-    w.take_office();
+    w.acquire_leadership();
     int n = 0;
-    double next_job = 0, next_trouble = 10;
+    double next_job = 0, next_fault = 10;
     while (w.now < 400 && w.broken.empty()) {
         if (w.now >= next_job && n < 60) {
             next_job = w.now + w.between(1, 8);
@@ -127,9 +127,9 @@
         }
         if (n > 0 && w.chance() < 0.01)
             w.cancel(fmt::format("wk-{:06}", 1 + static_cast<int>(w.between(0, n))));
-        if (w.now >= next_trouble) {
-            next_trouble = w.now + w.between(3, 20);
-            auto pick = [&]() -> World::Worker* {
+        if (w.now >= next_fault) {
+            next_fault = w.now + w.between(3, 20);
+            auto pick = [&]() -> SimulatedCluster::Worker* {
                 if (w.workers.empty())
                     return nullptr;
                 auto it = w.workers.begin();
@@ -140,7 +140,7 @@
             const double c = w.chance();
             if (c < 0.3 || !w.core) {
                 w.core.reset();
-                w.send(w.between(0.5, 8), [&w] { w.take_office(); });
+                w.send(w.between(0.5, 8), [&w] { w.acquire_leadership(); });
             } else if (c < 0.5 && x != nullptr) {
                 x->cut = true;
                 w.send(w.between(1, 25), [&w, id = x->id] {
@@ -168,7 +168,7 @@
     EXPECT_GT(w.started, 20);
 }
 
-INSTANTIATE_TEST_SUITE_P(Seeds, Trouble,
+INSTANTIATE_TEST_SUITE_P(Seeds, Fault,
                          ::testing::Values(214U, 318U, 444U, 100U, 101U, 102U, 103U, 104U, 105U, 106U, 107U, 108U));
 
 } // namespace
--- a/tests/users.hpp
+++ b/tests/users.hpp
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "answers.hpp"
-#include "day_end.hpp"
+#include "final_checks.hpp"
 #include "fleet.hpp"
 
 #include <fmt/ranges.h>
@@ -15,7 +15,7 @@
     struct User {
         Seen seen;
         bool cancels = false, asking = false;
-        double next_at = 0, answered_at = -1, repeat_at = -1;
+        double next_at = 0, last_answered_at = -1, repeat_at = -1;
         [[nodiscard]] bool accepted() const {
             return seen.accepted_at >= 0;
         }
@@ -40,7 +40,7 @@
         u.seen = {spec.id, spec.job_class, spec.team, spec.shape, spec.tasks * (spec.each.cpus + spec.each.gpus), now};
         u.next_at = now;
     }
-    void withdraw(const std::string& id) {
+    void request_cancellation(const std::string& id) {
         if (!asks.contains(id))
             return;
         asks[id].cancels = true;
@@ -51,7 +51,7 @@
         const std::string path(codec::path_jobs);
         const bool cancels = chance() < looks_cancel && !asks[id].cancels;
         if (cancels)
-            withdraw(id);
+            request_cancellation(id);
         for (std::size_t to = 0; to < nodes.size(); ++to) {
             const auto look = [this, id, to](HttpRequest r, bool cancel) {
                 send(between(0, 0.4), [this, id, to, r, cancel] {
@@ -149,8 +149,8 @@
         if (!j || (a->status != 200 && a->status != 201))
             return;
         if (over_at >= 0)
-            u.seen.silent_s = std::max(u.seen.silent_s, now - std::max(u.answered_at, over_at));
-        u.answered_at = now;
+            u.seen.silent_s = std::max(u.seen.silent_s, now - std::max(u.last_answered_at, over_at));
+        u.last_answered_at = now;
         const bool news = !u.accepted() || Answers::is_final(j->status);
         if (!u.accepted())
             u.seen.accepted_at = now;
@@ -166,14 +166,14 @@
     }
 
     // --- the end of the day ---
-    double over_at = -1; // since when no trouble is left; below zero: the day goes on
-    // All troubles are over and nothing new is asked for; everybody asks for every job, and each is submitted
+    double over_at = -1; // since when no fault is left; below zero: the day goes on
+    // All faults are over and nothing new is asked for; everybody asks for every job, and each is submitted
     // once more. After so many seconds: what is wrong.
-    std::string day_end(double seconds, double excused_s = 0) {
+    std::string final_checks(double seconds, double excused_s = 0) {
         heal();
-        deaf.clear();
+        inbound_unreachable.clear();
         misses_answers.clear();
-        mute.clear();
+        outbound_unreachable.clear();
         copies = kept_copies = late_writes = lost_answers = late_commands.share = 0;
         if (store_down)
             end_outage();
@@ -198,14 +198,14 @@
                     running.insert(t.job);
         std::vector<Seen> all;
         for (auto& [id, u] : asks) {
-            u.seen.silent_s = std::max(u.seen.silent_s, now - std::max(u.answered_at, over_at));
+            u.seen.silent_s = std::max(u.seen.silent_s, now - std::max(u.last_answered_at, over_at));
             u.seen.repeated_ok = u.repeat_at < 0;
             u.seen.cancelled = u.cancels;
             u.seen.running = running.contains(id);
             u.seen.excused_s = excused_s;
             all.push_back(u.seen);
         }
-        DayEnd end;
+        FinalChecks end;
         end.now = now;
         end.begin_s = settings.ops.begin_s;
         return fmt::format("{}", fmt::join(end.wrong(all), "\n"));
--- a/tests/working.hpp
+++ b/tests/working.hpp
@@ -1,4 +1,4 @@
-// A fleet with services that must stay up and short jobs all the time, for stories of many seconds.
+// A fleet with services that must stay up and short jobs all the time, for scenarios of many seconds.
 #pragma once
 
 #include "users.hpp"
@@ -14,7 +14,7 @@
 inline constexpr bool sanitized = false;
 #endif
 
-inline std::string first(const World& w) {
+inline std::string first(const SimulatedCluster& w) {
     return w.broken.empty() ? "" : fmt::format("{} at {:.1f}", w.broken.front(), w.now);
 }
 
@@ -26,14 +26,14 @@
 
 // A fleet at work, with the times of a large one: services that must stay up, and short jobs all the time.
 struct Working : Populated {
-    Working(unsigned seed, std::size_t count, int most_machines) : Populated(seed, count) {
+    Working(unsigned seed, std::size_t count, int max_machines) : Populated(seed, count) {
         spdlog::set_level(spdlog::level::from_str(level == nullptr ? "off" : level));
         settings.report_s = 4;
         settings.lease_s = 22;
         settings.cancel_s = 47;
         bound_s = 2 * settings.lease_s;
-        capacity = most_machines;
-        for (int k = 0; k < most_machines / 8; ++k) {
+        capacity = max_machines;
+        for (int k = 0; k < max_machines / 8; ++k) {
             ++n;
             auto j = job(n, Shape::service, 4, 4, "blue");
             j.spread = true;
@@ -77,14 +77,14 @@
                 return fmt::format("two changes of holder in {:.1f} s", changes[k] - changes[k - 1]);
         return {};
     }
-    const std::string& name(std::size_t after_holder) const {
-        return nodes[(first_holder + after_holder) % nodes.size()].name;
+    const std::string& name(std::size_t after_leader) const {
+        return nodes[(first_leader + after_leader) % nodes.size()].name;
     }
-    std::size_t first_holder = 0;
+    std::size_t first_leader = 0;
     bool settle(double seconds = 25) {
         work(seconds);
-        const auto h = holder();
-        first_holder = h.value_or(0);
+        const auto h = leader();
+        first_leader = h.value_or(0);
         return h && changes.size() == 1 && broken.empty();
     }
 };
