--- a/include/heronshift/embed/heronshift.h
+++ b/include/heronshift/embed/heronshift.h
@@ -11,6 +11,13 @@
 #include <stddef.h>
 #include <stdint.h>
 
+/** Marks former names: compilers that know the attribute warn where one is used. */
+#if defined(__GNUC__) || defined(__clang__)
+#define HS_DEPRECATED __attribute__((deprecated))
+#else
+#define HS_DEPRECATED
+#endif
+
 #ifdef __cplusplus
 extern "C" {
 #endif
@@ -62,8 +69,10 @@
 int hs_cancel(hs_scheduler* s, const char* id, hs_done done, void* context);
 /** Tells of each job that comes to its end, until the scheduler ends. Returns HS_OK, HS_INVALID or HS_SYSTEM. */
 int hs_subscribe(hs_scheduler* s, hs_change change, void* context);
-/** 1 if this copy acts, 0 if not or if the handle is not valid. */
-int hs_acts(const hs_scheduler* s);
+/** 1 if this copy is the leader and may act at this moment, 0 if not or if the handle is not valid. */
+int hs_is_active_leader(const hs_scheduler* s);
+/** Deprecated: the former name of hs_is_active_leader. */
+HS_DEPRECATED int hs_acts(const hs_scheduler* s);
 /** Ends it and forgets the handle: HS_OK or HS_INVALID. No callback starts after it; it may be called in one. */
 int hs_end(hs_scheduler* s);
 /** The version of the library, such as "0.1.0"; valid for ever. */
--- a/include/heronshift/embed/scheduler.hpp
+++ b/include/heronshift/embed/scheduler.hpp
@@ -114,6 +114,10 @@
     /// Whether this copy may act at this moment; another may share its store. False too while its loop has
     /// stood still for so long that it no longer may. On any thread.
     [[nodiscard]] bool is_active_leader() const;
+    /// The former name of is_active_leader().
+    [[deprecated("use is_active_leader()")]] [[nodiscard]] bool acts() const {
+        return is_active_leader();
+    }
     /// The TCP port for machines' reports; 0: it does not listen.
     [[nodiscard]] int port() const;
 
--- a/src/embed/c_api.cpp
+++ b/src/embed/c_api.cpp
@@ -110,10 +110,14 @@
     });
 }
 
-int hs_acts(const hs_scheduler* s) {
+int hs_is_active_leader(const hs_scheduler* s) {
     return known(s) && s->scheduler.is_active_leader() ? 1 : 0;
 }
 
+int hs_acts(const hs_scheduler* s) {
+    return hs_is_active_leader(s);
+}
+
 int hs_end(hs_scheduler* s) {
     {
         const std::lock_guard l(lock);
--- a/tests/test_scheduler.cpp
+++ b/tests/test_scheduler.cpp
@@ -235,6 +235,10 @@
     EXPECT_EQ(ask([&](auto d) { s->submit(job(1), d); }).status, 200); // known already
     EXPECT_EQ(ask([&](auto d) { s->cancel("wk-000001", d); }).state, "done");
     EXPECT_TRUE(s->is_active_leader());
+#pragma GCC diagnostic push
+#pragma GCC diagnostic ignored "-Wdeprecated-declarations"
+    EXPECT_TRUE(s->acts()); // the former name
+#pragma GCC diagnostic pop
     EXPECT_TRUE(history.broken().empty());
 }
 
@@ -558,13 +562,17 @@
     EXPECT_STREQ(why, "/no/such.toml: cannot be read");
     EXPECT_EQ(hs_start("/no/such.toml", nullptr, &s, why, 4), HS_SETTINGS);
     EXPECT_STREQ(why, "/no"); // cut, and ended
-    int not_leader_response = 0;
-    auto* wrong = reinterpret_cast<hs_scheduler*>(&not_leader_response);
+    int elsewhere = 0;
+    auto* wrong = reinterpret_cast<hs_scheduler*>(&elsewhere);
     for (auto* x : {static_cast<hs_scheduler*>(nullptr), wrong}) {
         EXPECT_EQ(hs_submit(x, "{}", done, nullptr), HS_INVALID);
         EXPECT_EQ(hs_get(x, "wk-1", done, nullptr), HS_INVALID);
         EXPECT_EQ(hs_cancel(x, "wk-1", done, nullptr), HS_INVALID);
-        EXPECT_EQ(hs_acts(x), 0);
+        EXPECT_EQ(hs_is_active_leader(x), 0);
+#pragma GCC diagnostic push
+#pragma GCC diagnostic ignored "-Wdeprecated-declarations"
+        EXPECT_EQ(hs_acts(x), 0); // the former name
+#pragma GCC diagnostic pop
         EXPECT_EQ(hs_end(x), HS_INVALID);
     }
 }
