--- a/include/heronshift/cluster/cluster_data.hpp
+++ b/include/heronshift/cluster/cluster_data.hpp
@@ -1,5 +1,5 @@
 // The state of the cluster as the leader sees it: jobs, tasks, machines, teams. Plain
-// data. Policies get it const, and const reaches through every pointer in it; only the Ledger
+// data. Policies get it const, and const reaches through every pointer in it; only ClusterState
 // changes it. Times are seconds of the steady clock unless they are called wall.
 #pragma once
 
@@ -22,9 +22,9 @@
 // A pointer that is as const as what holds it, so that a const view cannot be written through.
 template <class T> using PropagateConst = std::experimental::propagate_const<T>;
 
-// fencing token = term << fence_bits | raises within the term. Each machine's are its own, whatever their number: one
-// for each launch whose outcome is open or lease that ran out, so one in report_s / 2 at most. 2^24 of them take nine
-// months of one term with report_s 3; terms have 40 bits.
+// fencing token = term << token_counter_bits | increments within the term. Each machine's are its own, whatever their
+// number: one for each launch whose outcome is open or lease that ran out, so one in report_s / 2 at most. 2^24 of them
+// take nine months of one term with report_s 3; terms have 40 bits.
 inline constexpr int token_counter_bits = 24;
 // attempt = term << try_bits | passes within the term, one in report_s / 60 at most: seven years of a term.
 inline constexpr int attempt_counter_bits = 32;
--- a/include/heronshift/cluster/cluster_state.hpp
+++ b/include/heronshift/cluster/cluster_state.hpp
@@ -152,7 +152,7 @@
         return const_cast<Entry&>(entry); // NOLINT(cppcoreguidelines-pro-type-const-cast)
     }
 
-    // ledger.cpp
+    // jobs.cpp
     Job* find_job(const std::string& id);
     void update_entry(Entry& entry, const ReportedTask& task);
     void mark_seen(Entry& entry);
--- a/include/heronshift/membership/membership.hpp
+++ b/include/heronshift/membership/membership.hpp
@@ -77,7 +77,7 @@
     // All others are alive, and none of them reaches workers and store.
     [[nodiscard]] bool no_better_candidate() const;
     [[nodiscard]] bool has_any_link() const; // with the store or any other controller
-    // The fittest of those alive, if it is surely a better candidate than this node.
+    // The best candidate of those alive, if it is surely a better candidate than this node.
     [[nodiscard]] std::optional<std::string> better_candidate() const;
     [[nodiscard]] Eligibility own_eligibility() const;
     [[nodiscard]] Eligibility eligibility(const std::string& peer) const;
--- a/include/heronshift/overloaded.hpp
+++ b/include/heronshift/overloaded.hpp
@@ -1,4 +1,4 @@
-// One lambda for each alternative of a variant: std::visit(Each{...}, v).
+// One lambda for each alternative of a variant: std::visit(Overloaded{...}, v).
 #pragma once
 
 namespace heronshift {
--- a/src/leadership/leader_election.cpp
+++ b/src/leadership/leader_election.cpp
@@ -331,7 +331,7 @@
 // been late, and no renewal was sent in that time or its answer lies unread. So a renewal that was sent after the last
 // successful one must have failed. That is known long before the store lease is old enough: renewals go out six times a
 // store lease and end within a fifth of it. Staying on is no risk: whether this node acts is decided by the store
-// lease's end alone (Tenancy::valid).
+// lease's end alone (LeaderLease::valid).
 void LeaderElection::resign_to_served_peer() {
     const double now = timers_.now();
     const double renewed_at = leader_lease_.renewed_at();
--- a/src/local/cloud.cpp
+++ b/src/local/cloud.cpp
@@ -237,7 +237,7 @@
                         if (reply.status == 421) {
                             a = {421, 0, {}, codec::redirected_to(reply.body)};
                         } else if (reply.status == 200) {
-                            // Fence 0: one that cannot be read, older than any.
+                            // Token 0: one that cannot be read, older than any.
                             a = {200, o && o->fencing_token ? *o->fencing_token : 0, {}, {}};
                             if (a.fencing_token > 0)
                                 a.orders = std::move(o->list);
--- a/src/peers/peers.cpp
+++ b/src/peers/peers.cpp
@@ -5,8 +5,8 @@
 
 // To each peer, and for each kind of request. What finds no place is not sent, which is said at once. Four peers with
 // all their connections are 72, below the tenth of fd_limit 1024 that a controller accepts from its peers. Relays are
-// bounded before by agents::Desk (51 under way); eight connections carry 167 relayed heartbeats a second, a quarter of
-// what 2,000 machines send in report_s 3, if each is answered within 48 ms on average.
+// bounded before by workers::HeartbeatHandler (51 under way); eight connections carry 167 relayed heartbeats a second,
+// a quarter of what 2,000 machines send in report_s 3, if each is answered within 48 ms on average.
 constexpr std::size_t connections = 8, waiting = 64, control_connections = 2, control_waiting = 8;
 
 } // namespace
