--- a/include/heronshift/membership/peer_view.hpp
+++ b/include/heronshift/membership/peer_view.hpp
@@ -26,7 +26,7 @@
     std::map<std::string, Reachability> zones; // their workers
     std::map<std::string, Reachability> peers; // who answers this node
     std::map<std::string, std::vector<std::string>> machines; // addresses of some that were heard of lately, by zone
-    // The leadership: who holds it by what the store told this node itself (sees_office), or by hearsay.
+    // The leadership: who holds it by what the store told this node itself (sees_leader), or by hearsay.
     std::string leader;
     std::uint64_t term = 0;
     bool sees_leader = false, is_active_leader = false;
