--- a/include/heronshift/connection_shares.hpp
+++ b/include/heronshift/connection_shares.hpp
@@ -1,4 +1,5 @@
-// Who may have how many of a server's connections, and which idle one makes room for another. No sockets and no clock.
+// Who may have how many of a server's connections, and which idle one makes room for another. Plain bookkeeping without
+// sockets and clock; used on the thread of the server's loop.
 #pragma once
 
 #include <array>
@@ -23,8 +24,7 @@
 // Counts connections by kind and keeps the idle ones in the order in which they became so. Every operation takes
 // constant time. A connection is a pointer that is not followed here.
 template <class Connection> class ConnectionShares {
-    using Idle = std::list<std::pair<Connection*, std::uint64_t>>; // with the turn in
-                                                                   // which it became idle
+    using Idle = std::list<std::pair<Connection*, std::uint64_t>>; // with the turn in which it became idle
 
 public:
     // What is kept of a connection, by the connection itself.
@@ -80,12 +80,12 @@
         return counts_[index(kind)];
     }
     // The one of this kind that has been idle for longest; null: none is.
-    [[nodiscard]] Connection* max_idle(ClientKind kind) const {
+    [[nodiscard]] Connection* longest_idle(ClientKind kind) const {
         const auto& list = idle_[index(kind)];
         return list.empty() ? nullptr : list.front().first;
     }
     // The same of all kinds.
-    [[nodiscard]] Connection* max_idle() const {
+    [[nodiscard]] Connection* longest_idle() const {
         const typename Idle::value_type* out = nullptr;
         for (const auto& list : idle_)
             if (!list.empty() && (out == nullptr || list.front().second < out->second))
--- a/include/heronshift/loop_queue.hpp
+++ b/include/heronshift/loop_queue.hpp
@@ -1,7 +1,8 @@
-// Functions that are to run in a later turn of a libuv loop, in order, while their owner lives; one of them
-// may destroy it. From the loop's thread only.
+// Functions that run in a later turn of a libuv loop.
 #pragma once
 
+#include "heronshift/loop_handle.hpp"
+
 #include <deque>
 #include <functional>
 #include <utility>
@@ -9,35 +10,33 @@
 
 namespace heronshift {
 
+/// Runs functions in a later turn of the loop, in the order in which they were posted, while the queue lives. One of
+/// them may destroy the queue; then the rest is dropped. On the loop's thread only.
 class LoopQueue {
 public:
-    explicit LoopQueue(uv_loop_t* loop) : async_(new uv_async_t) {
-        uv_async_init(loop, async_, [](uv_async_t* a) {
-            if (a->data == nullptr)
-                return;
-            for (auto list = std::exchange(static_cast<LoopQueue*>(a->data)->list_, {}); !list.empty();
-                 list.pop_front())
-                if (a->data != nullptr)
-                    list.front()();
-        });
-        async_->data = this;
-    }
-    ~LoopQueue() {
-        async_->data = nullptr;
-        uv_close(reinterpret_cast<uv_handle_t*>(async_),
-                 [](uv_handle_t* h) { delete reinterpret_cast<uv_async_t*>(h); });
+    explicit LoopQueue(uv_loop_t* loop) {
+        auto* async = async_.create();
+        uv_async_init(loop, async, run);
+        async->data = this;
     }
-    LoopQueue(const LoopQueue&) = delete;
-    LoopQueue& operator=(const LoopQueue&) = delete;
 
     void post(std::function<void()> callback) {
         list_.push_back(std::move(callback));
-        uv_async_send(async_);
+        uv_async_send(async_.get());
     }
 
 private:
+    static void run(uv_async_t* async) {
+        if (async->data == nullptr)
+            return;
+        for (auto list = std::exchange(static_cast<LoopQueue*>(async->data)->list_, {}); !list.empty();
+             list.pop_front())
+            if (async->data != nullptr)
+                list.front()();
+    }
+
     std::deque<std::function<void()>> list_;
-    uv_async_t* async_;
+    LoopHandle<uv_async_t> async_;
 };
 
 } // namespace heronshift
--- a/include/heronshift/loop_timer.hpp
+++ b/include/heronshift/loop_timer.hpp
@@ -1,6 +1,8 @@
-// A timer that repeats on a libuv loop for as long as its owner lives.
+// A repeating timer on a libuv loop.
 #pragma once
 
+#include "heronshift/loop_handle.hpp"
+
 #include <cstdint>
 #include <functional>
 #include <utility>
@@ -8,27 +10,17 @@
 
 namespace heronshift {
 
+/// Calls a function again and again for as long as the timer lives. On the loop's thread only.
 class LoopTimer {
 public:
-    LoopTimer() = default;
-    ~LoopTimer() {
-        if (timer_ == nullptr)
-            return;
-        timer_->data = nullptr;
-        uv_close(reinterpret_cast<uv_handle_t*>(timer_),
-                 [](uv_handle_t* h) { delete reinterpret_cast<uv_timer_t*>(h); });
-    }
-    LoopTimer(const LoopTimer&) = delete;
-    LoopTimer& operator=(const LoopTimer&) = delete;
-
-    // Once. Returns 0 or a libuv error.
+    /// To be called once. Returns 0 or a libuv error.
     int start(uv_loop_t* loop, std::uint64_t every_ms, std::function<void()> callback) {
         callback_ = std::move(callback);
-        timer_ = new uv_timer_t;
-        uv_timer_init(loop, timer_);
-        timer_->data = this;
+        auto* timer = timer_.create();
+        uv_timer_init(loop, timer);
+        timer->data = this;
         return uv_timer_start(
-            timer_,
+            timer,
             [](uv_timer_t* t) {
                 if (t->data != nullptr)
                     static_cast<LoopTimer*>(t->data)->callback_();
@@ -37,7 +29,7 @@
     }
 
 private:
-    uv_timer_t* timer_ = nullptr;
+    LoopHandle<uv_timer_t> timer_;
     std::function<void()> callback_;
 };
 
--- /dev/null
+++ b/src/http/client.cpp
@@ -0,0 +1,278 @@
+#include "heronshift/http.hpp"
+
+#include "heronshift/http_status.hpp"
+#include "socket.hpp"
+
+#include <algorithm>
+#include <fmt/format.h>
+
+namespace heronshift {
+namespace {
+
+constexpr std::size_t max_reply = 8UL * 1024 * 1024;
+// Of a time-out: what is found overdue later than that was kept waiting by our own loop.
+constexpr double punctual = 0.25;
+// After which a connection that is not used is closed.
+constexpr double idle_connection_s = 30;
+
+// What ends a request that may have reached the server.
+HttpReply no_answer(bool sent) {
+    return {http_status::no_answer, {}, sent};
+}
+
+} // namespace
+
+// One connection to an address, with the request that is under way on it. Owned by the client's pool.
+struct HttpClient::Connection {
+    Connection(HttpClient* owner, std::string address, PendingRequest&& first)
+        : client(owner), addr(std::move(address)), busy(true), request(std::move(first)) {
+        uv_tcp_init(client->loop_, tcp.create());
+        uv_tcp_nodelay(tcp.get(), 1);
+        tcp.get()->data = this;
+    }
+
+    HttpClient* client;
+    std::string addr;
+    LoopHandle<uv_tcp_t> tcp;
+    http_parser parser{};
+    bool busy = false;     // with `request`
+    bool complete = false; // the answer has been read to its end
+    bool used = false;     // a request was written
+    PendingRequest request;
+    std::string body;                         // of the answer, as far as it has come
+    double idle_since = 0;                    // by steady_now(), while it is not busy
+    std::list<Connection*>::iterator idle_at; // in the client's idle_, while it is not busy
+
+    void start() {
+        uv_read_start(as_stream(tcp.get()), http::give_buffer, [](uv_stream_t* s, ssize_t n, const uv_buf_t* buf) {
+            if (auto* connection = static_cast<Connection*>(s->data); connection != nullptr)
+                connection->on_read(n, buf);
+        });
+        send();
+    }
+
+    void send() {
+        used = true;
+        http_parser_init(&parser, HTTP_RESPONSE);
+        parser.data = this;
+        body.clear();
+        complete = false;
+        auto out = fmt::format("{} {} HTTP/1.1\r\nHost: {}\r\n", request.method, request.path, addr);
+        if (!request.body.empty() || request.method == "POST")
+            out += fmt::format("Content-Type: application/json\r\nContent-Length: {}\r\n", request.body.size());
+        out += "\r\n";
+        out += request.body;
+        if (http::write_all(tcp.get(), std::move(out)) != 0)
+            client->finish(this, no_answer(true), false);
+    }
+
+    void on_read(ssize_t n, const uv_buf_t* buf) {
+        if (n == 0)
+            return;
+        if (!busy)
+            return client->finish(this, {}, false);
+        static const http_parser_settings callbacks = make_callbacks();
+        // At the end of the stream the parser is told so: a body without length ends there.
+        http_parser_execute(&parser, &callbacks, buf->base, n < 0 ? 0 : static_cast<std::size_t>(n));
+        if (complete) {
+            const bool keep = n > 0 && http_should_keep_alive(&parser) != 0;
+            return client->finish(this, {static_cast<int>(parser.status_code), std::move(body), true}, keep);
+        }
+        if (n < 0 || HTTP_PARSER_ERRNO(&parser) != HPE_OK)
+            client->finish(this, no_answer(true), false);
+    }
+
+    static http_parser_settings make_callbacks() {
+        http_parser_settings s;
+        http_parser_settings_init(&s);
+        s.on_body = [](http_parser* p, const char* at, std::size_t n) {
+            auto* connection = static_cast<Connection*>(p->data);
+            connection->body.append(at, n);
+            return connection->body.size() > max_reply ? 1 : 0;
+        };
+        s.on_message_complete = [](http_parser* p) {
+            static_cast<Connection*>(p->data)->complete = true;
+            return 0;
+        };
+        return s;
+    }
+};
+
+HttpClient::HttpClient(uv_loop_t* loop, std::size_t max_per_address, std::size_t max_waiting,
+                       std::size_t max_connections)
+    : loop_(loop), max_per_address_(max_per_address), max_waiting_(max_waiting), max_connections_(max_connections) {}
+
+HttpClient::~HttpClient() {
+    for (const auto& [addr, pool] : pools_)
+        for (const auto* connection : pool.connections)
+            delete connection;
+}
+
+void HttpClient::request(const std::string& addr, const char* method, const std::string& path, std::string body,
+                         double timeout_s, Callback done) {
+    auto& pool = pools_[addr];
+    if (pool.waiting.size() >= max_waiting_) {
+        done({});
+        return;
+    }
+    pool.waiting.push_back(
+        {method, path, std::move(body), timeout_s, http::precise_now() + timeout_s, false, std::move(done)});
+    pump(addr);
+}
+
+HttpClient::Connection* HttpClient::idle_connection(const Pool& pool) {
+    Connection* idle = nullptr;
+    for (auto* connection : pool.connections)
+        if (!connection->busy)
+            idle = connection;
+    return idle;
+}
+
+// Gives the requests that wait for this address to connections, as far as there are any or may be opened.
+void HttpClient::pump(const std::string& addr) {
+    auto& pool = pools_[addr];
+    while (!pool.waiting.empty()) {
+        auto* idle = idle_connection(pool);
+        if (idle == nullptr && pool.connections.size() >= max_per_address_)
+            return;
+        if (idle == nullptr && connections_ >= max_connections_ && !make_room())
+            return starved_.push_back(addr);
+        auto request = std::move(pool.waiting.front());
+        pool.waiting.pop_front();
+        if (idle != nullptr)
+            send_on(idle, std::move(request));
+        else if (!connect(addr, std::move(request)))
+            return;
+    }
+}
+
+void HttpClient::send_on(Connection* idle, PendingRequest&& request) {
+    idle_.erase(idle->idle_at);
+    idle->busy = true;
+    idle->request = std::move(request);
+    idle->send();
+}
+
+// Opens a connection for a request. False: libuv could not even begin, so the request has failed and the queue of the
+// address was gone through again already.
+bool HttpClient::connect(const std::string& addr, PendingRequest&& request) {
+    const auto colon = addr.rfind(':');
+    sockaddr_in to{};
+    if (colon == std::string::npos ||
+        !http::read_address(addr.substr(0, colon), std::atoi(addr.c_str() + colon + 1), to)) {
+        request.done({});
+        return true;
+    }
+    auto* connection = new Connection(this, addr, std::move(request));
+    pools_[addr].connections.push_back(connection);
+    ++connections_;
+    auto operation = std::make_unique<uv_connect_t>();
+    const int error = uv_tcp_connect(operation.get(), connection->tcp.get(), reinterpret_cast<const sockaddr*>(&to),
+                                     [](uv_connect_t* done, int status) {
+                                         auto* opened = static_cast<Connection*>(done->handle->data);
+                                         delete done;
+                                         if (opened == nullptr)
+                                             return; // closed meanwhile
+                                         if (status != 0)
+                                             return opened->client->finish(opened, {}, false);
+                                         opened->start();
+                                     });
+    if (error != 0) {
+        finish(connection, {}, false);
+        return false;
+    }
+    (void)operation.release(); // the callback deletes it
+    return true;
+}
+
+// Requests to an address wait here at most once each time that there was no room, and go on when there is.
+void HttpClient::pump_starved() {
+    while (!starved_.empty() && (connections_ < max_connections_ || !idle_.empty())) {
+        const auto addr = std::move(starved_.front());
+        starved_.pop_front();
+        pump(addr);
+    }
+}
+
+bool HttpClient::make_room() {
+    if (idle_.empty())
+        return false;
+    auto* longest = idle_.front();
+    idle_.pop_front();
+    remove(longest);
+    return true;
+}
+
+void HttpClient::remove(Connection* connection) {
+    auto& connections = pools_[connection->addr].connections;
+    connections.erase(std::find(connections.begin(), connections.end(), connection));
+    --connections_;
+    delete connection;
+}
+
+// Ends the request under way on a connection, if any, with this reply; then the connection is kept or closed, and what
+// waits goes on.
+void HttpClient::finish(Connection* connection, HttpReply reply, bool keep) {
+    const auto addr = connection->addr;
+    const bool was_busy = connection->busy;
+    auto done = std::move(connection->request.done);
+    if (!was_busy)
+        idle_.erase(connection->idle_at);
+    if (keep) {
+        connection->busy = false;
+        connection->idle_since = steady_now(loop_);
+        connection->idle_at = idle_.insert(idle_.end(), connection);
+    } else {
+        remove(connection);
+    }
+    if (was_busy && done)
+        done(std::move(reply));
+    pump(addr);
+    pump_starved();
+}
+
+// Time in which the loop did not turn is not counted as waited, once and for at most the time-out itself: the answer
+// may have come in it, and may need another turn to be read. So a server that is silent is still found out within twice
+// the time-out, and on a loop that turns as it should within the time-out.
+bool HttpClient::PendingRequest::overdue(double now) {
+    const double late = now - deadline;
+    if (late <= 0)
+        return false;
+    if (extended || late <= punctual * timeout_s)
+        return true;
+    extended = true;
+    deadline = now + std::min(late, timeout_s);
+    return false;
+}
+
+bool HttpClient::is_open(const Connection* connection) const {
+    return std::any_of(pools_.begin(), pools_.end(), [&](const auto& entry) {
+        const auto& connections = entry.second.connections;
+        return std::find(connections.begin(), connections.end(), connection) != connections.end();
+    });
+}
+
+void HttpClient::sweep() {
+    const double now = steady_now(loop_), precise = http::precise_now();
+    std::vector<Connection*> late;
+    std::vector<PendingRequest> unsent;
+    for (auto it = pools_.begin(); it != pools_.end();) {
+        auto& pool = it->second;
+        for (auto* connection : pool.connections)
+            if (connection->busy ? connection->request.overdue(precise)
+                                 : now - connection->idle_since > idle_connection_s)
+                late.push_back(connection);
+        while (!pool.waiting.empty() && pool.waiting.front().overdue(precise)) {
+            unsent.push_back(std::move(pool.waiting.front()));
+            pool.waiting.pop_front();
+        }
+        it = pool.connections.empty() && pool.waiting.empty() ? pools_.erase(it) : std::next(it);
+    }
+    for (auto* connection : late)
+        if (is_open(connection)) // an earlier callback may have ended it already
+            finish(connection, no_answer(connection->used), false);
+    for (auto& request : unsent)
+        request.done({});
+}
+
+} // namespace heronshift
--- /dev/null
+++ b/src/http/server.cpp
@@ -0,0 +1,293 @@
+#include "heronshift/http.hpp"
+
+#include "heronshift/http_status.hpp"
+#include "socket.hpp"
+
+#include <fmt/format.h>
+
+namespace heronshift {
+namespace {
+
+constexpr std::size_t max_body = 64UL * 1024;
+constexpr std::size_t max_url = 16UL * 1024;
+constexpr int listen_backlog = 512;
+// After which a client that was refused for want of connections may ask again.
+constexpr int refused_retry_s = 2;
+
+const char* reason(int status) {
+    switch (status) {
+    case http_status::ok:
+        return "OK";
+    case http_status::created:
+        return "Created";
+    case http_status::bad_request:
+        return "Bad Request";
+    case http_status::not_found:
+        return "Not Found";
+    case http_status::method_not_allowed:
+        return "Method Not Allowed";
+    case http_status::misdirected_request:
+        return "Misdirected Request";
+    case http_status::unprocessable_entity:
+        return "Unprocessable Entity";
+    case http_status::too_many_requests:
+        return "Too Many Requests";
+    case http_status::service_unavailable:
+        return "Service Unavailable";
+    case http_status::gateway_timeout:
+        return "Gateway Timeout";
+    default:
+        return "Status";
+    }
+}
+
+} // namespace
+
+// One connection. It belongs to its server and, while a request is unanswered, to that request's Responder, which may
+// outlive both the socket and the server.
+class ServerConnection : public std::enable_shared_from_this<ServerConnection> {
+public:
+    explicit ServerConnection(HttpServer* server) : server_(server) {
+        http_parser_init(&parser_, HTTP_REQUEST);
+        parser_.data = this;
+        uv_tcp_init(server->loop_, tcp_.create());
+        tcp_.get()->data = this;
+        last_active_ = steady_now(server->loop_);
+    }
+
+    uv_tcp_t* tcp() {
+        return tcp_.get();
+    }
+
+    void start() {
+        uv_tcp_nodelay(tcp_.get(), 1);
+        uv_read_start(as_stream(tcp_.get()), http::give_buffer, [](uv_stream_t* s, ssize_t n, const uv_buf_t* buf) {
+            if (auto* c = static_cast<ServerConnection*>(s->data); c != nullptr)
+                c->on_read(n, buf);
+        });
+    }
+
+    void close() {
+        if (!tcp_)
+            return;
+        tcp_.close();
+        auto self = shared_from_this();
+        if (server_ == nullptr)
+            return;
+        server_->shares_.closed(share_);
+        server_->connections_.erase(self);
+    }
+
+    // The server is gone: an answer that still comes is not counted there.
+    void detach() {
+        server_ = nullptr;
+    }
+
+    void respond(int status, std::string_view body, int retry_after_s) {
+        if (!tcp_ || !busy_)
+            return;
+        busy_ = false;
+        last_active_ = steady_now(tcp_.get()->loop);
+        auto head = fmt::format("HTTP/1.1 {} {}\r\nContent-Type: application/json\r\nContent-Length: {}\r\n", status,
+                                reason(status), body.size());
+        if (retry_after_s > 0)
+            head += fmt::format("Retry-After: {}\r\n", retry_after_s);
+        if (!keep_)
+            head += "Connection: close\r\n";
+        head += "\r\n";
+        head += body;
+        if (http::write_all(tcp_.get(), std::move(head)) != 0 || !keep_)
+            return close();
+        if (server_ != nullptr)
+            server_->shares_.idle(share_, this);
+    }
+
+    // Answers the request under way, if any, and closes after it.
+    void refuse() {
+        keep_ = false;
+        respond(http_status::service_unavailable, R"({"error":"too many connections"})", refused_retry_s);
+    }
+
+    // A request that takes too long to arrive, or an idle connection.
+    [[nodiscard]] bool stale(double now, double idle_s) const {
+        if (busy_)
+            return false;
+        return now - last_active_ > (receiving_ ? idle_s / 4 : idle_s);
+    }
+
+    ConnectionShares<ServerConnection>::Entry share_;
+
+private:
+    void on_read(ssize_t n, const uv_buf_t* buf) {
+        if (n == 0)
+            return;
+        auto self = shared_from_this();
+        if (n < 0)
+            return close();
+        if (busy_)
+            return bad(); // pipelining is not part of the protocol
+        static const http_parser_settings callbacks = make_callbacks();
+        const auto used = http_parser_execute(&parser_, &callbacks, buf->base, static_cast<std::size_t>(n));
+        if (!tcp_)
+            return;
+        if (HTTP_PARSER_ERRNO(&parser_) == HPE_PAUSED) {
+            http_parser_pause(&parser_, 0);
+            complete();
+            return;
+        }
+        if (HTTP_PARSER_ERRNO(&parser_) != HPE_OK || parser_.upgrade != 0 || used != static_cast<std::size_t>(n))
+            return bad();
+    }
+
+    void bad() {
+        busy_ = true;
+        keep_ = false;
+        respond(http_status::bad_request, R"({"error":"malformed request"})", 0);
+    }
+
+    void complete() {
+        receiving_ = false;
+        busy_ = true;
+        keep_ = http_should_keep_alive(&parser_) != 0;
+        request_.method = http_method_str(static_cast<http_method>(parser_.method));
+        const auto q = url_.find('?');
+        request_.path = url_.substr(0, q);
+        request_.query = q == std::string::npos ? "" : url_.substr(q + 1);
+        auto request = std::move(request_);
+        request_ = {};
+        url_.clear();
+        if (server_ == nullptr)
+            return;
+        if (!server_->admit(*this, request))
+            return refuse();
+        server_->handler_(std::move(request), Responder(shared_from_this()));
+    }
+
+    static http_parser_settings make_callbacks() {
+        http_parser_settings s;
+        http_parser_settings_init(&s);
+        s.on_message_begin = [](http_parser* p) {
+            auto* c = static_cast<ServerConnection*>(p->data);
+            c->receiving_ = true;
+            if (c->server_ != nullptr)
+                c->server_->shares_.busy(c->share_);
+            c->last_active_ = steady_now(c->tcp_.get()->loop);
+            c->url_.clear();
+            c->request_ = {};
+            return 0;
+        };
+        s.on_url = [](http_parser* p, const char* at, std::size_t n) {
+            auto* c = static_cast<ServerConnection*>(p->data);
+            c->url_.append(at, n);
+            return c->url_.size() > max_url ? 1 : 0;
+        };
+        s.on_body = [](http_parser* p, const char* at, std::size_t n) {
+            auto* c = static_cast<ServerConnection*>(p->data);
+            c->request_.body.append(at, n);
+            return c->request_.body.size() > max_body ? 1 : 0;
+        };
+        s.on_message_complete = [](http_parser* p) {
+            http_parser_pause(p, 1);
+            return 0;
+        };
+        return s;
+    }
+
+    HttpServer* server_;
+    LoopHandle<uv_tcp_t> tcp_;
+    http_parser parser_{};
+    HttpRequest request_;
+    std::string url_;
+    bool busy_ = false, keep_ = true, receiving_ = false;
+    double last_active_ = 0;
+};
+
+void Responder::send(int status, std::string_view body, int retry_after_s) const {
+    if (conn_)
+        conn_->respond(status, body, retry_after_s);
+    if (direct_)
+        direct_->send(status, body, retry_after_s);
+}
+
+HttpServer::HttpServer(uv_loop_t* loop, std::size_t max_connections, double idle_s, Handler handler)
+    : HttpServer(loop, {max_connections, max_connections, max_connections}, idle_s, {}, std::move(handler)) {}
+
+HttpServer::HttpServer(uv_loop_t* loop, ConnectionLimits limits, double idle_s, Classifier classifier, Handler handler)
+    : loop_(loop), shares_(limits), idle_s_(idle_s), classifier_(std::move(classifier)), handler_(std::move(handler)) {}
+
+// NOLINTNEXTLINE(bugprone-exception-escape): closing a connection throws only when memory is exhausted
+HttpServer::~HttpServer() {
+    auto all = std::move(connections_);
+    connections_.clear();
+    for (const auto& c : all) {
+        c->detach();
+        c->close();
+    }
+}
+
+int HttpServer::listen(const Endpoint& at) {
+    sockaddr_in addr{};
+    if (!http::read_address(at.host, at.port, addr))
+        return UV_EINVAL;
+    auto* tcp = tcp_.create();
+    uv_tcp_init(loop_, tcp);
+    tcp->data = this;
+    if (const int error = uv_tcp_bind(tcp, reinterpret_cast<const sockaddr*>(&addr), 0); error != 0)
+        return error;
+    return uv_listen(as_stream(tcp), listen_backlog, [](uv_stream_t* s, int status) {
+        if (status == 0)
+            static_cast<HttpServer*>(s->data)->accept();
+    });
+}
+
+int HttpServer::port() const {
+    sockaddr_in addr{};
+    int size = sizeof addr;
+    if (!tcp_ || uv_tcp_getsockname(tcp_.get(), reinterpret_cast<sockaddr*>(&addr), &size) != 0)
+        return 0;
+    return ntohs(addr.sin_port);
+}
+
+void HttpServer::accept() {
+    auto c = std::make_shared<ServerConnection>(this);
+    connections_.insert(c);
+    shares_.opened();
+    if (uv_accept(as_stream(tcp_.get()), as_stream(c->tcp())) != 0)
+        return c->close();
+    if (shares_.over_total()) {
+        auto* longest = shares_.longest_idle();
+        (longest != nullptr ? longest : c.get())->close();
+        if (longest == nullptr)
+            return;
+    }
+    shares_.idle(c->share_, c.get()); // until its first request comes
+    c->start();
+}
+
+// Whether a request may be served: beyond the share of its kind an idle connection of that kind has to make room.
+bool HttpServer::admit(ServerConnection& c, const HttpRequest& request) {
+    if (!classifier_)
+        return true;
+    const auto kind = classifier_(request);
+    if (kind != c.share_.kind())
+        shares_.classify(c.share_, kind);
+    if (!shares_.over_share(kind))
+        return true;
+    auto* longest = shares_.longest_idle(kind);
+    if (longest == nullptr)
+        return false;
+    longest->close();
+    return true;
+}
+
+void HttpServer::sweep() {
+    const double now = steady_now(loop_);
+    std::vector<std::shared_ptr<ServerConnection>> old;
+    for (const auto& c : connections_)
+        if (c->stale(now, idle_s_))
+            old.push_back(c);
+    for (const auto& c : old)
+        c->close();
+}
+
+} // namespace heronshift
--- a/tests/test_connections.cpp
+++ b/tests/test_connections.cpp
@@ -41,7 +41,7 @@
     for (std::size_t k = 0; k < std::size(c); ++k)
         shares.opened();
     EXPECT_TRUE(shares.over_total());
-    EXPECT_EQ(shares.max_idle(), nullptr);
+    EXPECT_EQ(shares.longest_idle(), nullptr);
     for (int k = 0; k < 3; ++k)
         shares.classify(c[k].share, ClientKind::worker);
     EXPECT_FALSE(shares.over_share(ClientKind::worker));
@@ -52,12 +52,12 @@
     shares.idle(c[3].share, &c[3]);
     shares.idle(c[1].share, &c[1]);
     shares.idle(c[0].share, &c[0]);
-    EXPECT_EQ(shares.max_idle(), &c[3]);
-    EXPECT_EQ(shares.max_idle(ClientKind::worker), &c[1]);
+    EXPECT_EQ(shares.longest_idle(), &c[3]);
+    EXPECT_EQ(shares.longest_idle(ClientKind::worker), &c[1]);
     shares.busy(c[1].share);
-    EXPECT_EQ(shares.max_idle(ClientKind::worker), &c[0]);
+    EXPECT_EQ(shares.longest_idle(ClientKind::worker), &c[0]);
     shares.closed(c[0].share);
-    EXPECT_EQ(shares.max_idle(ClientKind::worker), nullptr);
+    EXPECT_EQ(shares.longest_idle(ClientKind::worker), nullptr);
     EXPECT_FALSE(shares.over_total());
     EXPECT_EQ(shares.count(ClientKind::worker), 3U);
 }
