--- a/include/heronshift/gateway/gateway.hpp
+++ b/include/heronshift/gateway/gateway.hpp
@@ -1,8 +1,4 @@
-// What users ask: accept, look up, cancel, and pass on what only the leader can answer.
-//
-// Owns: the answers still owed to users, what it remembers of accepted jobs, the budgets of reads and
-// submissions. May call the store, the peers, membership and, where this node acts, the core's view through
-// its Host; never the leadership or a machine. Knows nothing of leases: its Host says whether this node acts.
+// The users' requests: submit, look up and cancel jobs.
 #pragma once
 
 #include "heronshift/core/core.hpp"
@@ -21,86 +17,137 @@
 
 namespace heronshift::gateway {
 
+/// What a user is told to wait before asking again, in seconds (Retry-After).
 inline constexpr int retry_soon_s = 1;
 
+/// Answers users: from memory where this node is the active leader, from the store where it is not, and by way of
+/// another controller where only that one can answer. It keeps the answers that are still owed, what it remembers of
+/// accepted and finished jobs, and the budgets of reads and submissions.
+///
+/// It uses the store, the peers and membership, and through its Host the core's view. It does not judge who leads:
+/// Host::active_core() says whether this node may decide.
+///
+/// All calls and callbacks on the thread of the node's loop.
 class Gateway {
 public:
+    /// What the gateway needs of the node around it.
     class Host {
     public:
         virtual ~Host() = default;
-        // The core, while this node may answer from its memory and decide; else none.
+        /// The core, while this node may answer from its memory and decide; else null.
         [[nodiscard]] virtual const Core* active_core() const = 0;
-        [[nodiscard]] virtual const std::string& leader() const = 0; // a hint, may be empty
+        /// The name of the leader: a hint, may be empty.
+        [[nodiscard]] virtual const std::string& leader() const = 0;
+        /// The machine types; empty: not known yet.
         [[nodiscard]] virtual const std::vector<MachineType>& types() const = 0;
-        virtual void push(Command command) = 0;       // to the core
-        virtual void stored(JobStored&& command) = 0; // a job was accepted here
+        /// Hands a command to the core.
+        virtual void push(Command command) = 0;
+        /// A job was accepted here.
+        virtual void stored(JobStored&& command) = 0;
     };
     Gateway(const Settings& settings, TimerQueue& timers, store::StateStore& store, Peers& peers,
-            const membership::Membership& members, metrics::Timings& took, Host& host);
+            const membership::Membership& members, metrics::Timings& timings, Host& host);
 
-    // A path of /v2/runs. passed_on: by another controller, so it is not passed on again.
-    void serve(HttpRequest&& request, Responder res, bool forwarded);
+    /// A request to a path under codec::path_jobs. forwarded: by another controller, so it is not passed on again.
+    void serve(HttpRequest&& request, const Responder& res, bool forwarded);
+    /// Refuses cancellations that the store does not take in time. To be called some thirty times in report_s.
     void tick();
-    void on_leadership_lost(); // nothing that was asked of the core is answered by it any more
+    /// Refuses what was asked of the core, which answers nothing any more.
+    void on_leadership_lost();
 
-    // From the core.
+    /// The core's answer to CancellationRequested.
     void answered(const AnswerCancellation& effect);
+    /// Finds out for the core what the store says of a job.
     void find(const std::string& id, std::function<void(JobFound&&)> done);
 
 private:
-    void submit(HttpRequest&& request, Responder res, bool forwarded);
-    void poll(const std::string& id, const Responder& res);
-    [[nodiscard]] std::optional<JobView> known_here(const std::string& id) const;
-    void cancel(const std::string& id, HttpRequest&& request, Responder res, bool forwarded);
-    void ask_core_to_cancel(const std::string& id, Responder res);
-    using Otherwise = std::function<void(Responder)>;
-    [[nodiscard]] std::vector<std::string> ways(bool to_leader, bool to_store) const;
-    void forward(std::shared_ptr<const HttpRequest> request, Responder res, std::vector<std::string> to, double wait_s,
-                 Otherwise otherwise);
-    // Fresh reads: the final state if there is one, else whether the job was accepted.
-    struct Found {
-        bool known = false;   // the store has answered
-        std::string status;   // empty: never accepted
-        bool service = false; // if its final state says so
-        std::optional<codec::Item> job;
+    enum class Acceptance : std::uint8_t { unanswered, never_accepted, accepted };
+    // What a fresh read of the store says of a job.
+    struct LookupResult {
+        Acceptance acceptance = Acceptance::unanswered;
+        std::string status;             // if accepted, as users are told it
+        bool service = false;           // if its final state says so
+        std::optional<codec::Item> job; // its record, as far as it was read
+        void accepted_as(std::string_view known_status);
     };
-    void look_up(const std::string& id, std::function<void(Found)> done);
+    using LookupDone = std::function<void(const LookupResult&)>;
+    struct Lookup {
+        std::string id;
+        LookupDone done;
+        LookupResult result;
+    };
+    using OpenLookup = std::shared_ptr<Lookup>;
+    enum class FinalState : std::uint8_t { unanswered, none, damaged, read };
+
     // A submission that is checked, or on its way to the store.
     struct Submission {
         JobSpec spec;
         std::shared_ptr<const HttpRequest> request;
         Responder res;
         bool forwarded = false;
-        double since = 0;
+        double since = 0; // by the steady clock, in seconds
         std::size_t next_dependency = 0;
-        int tries = 0;
+        int tries = 0; // that the store refused for its budget
     };
-    using Open = std::shared_ptr<Submission>;
-    void check_dependencies(const Open& submission);
-    void accept(const Open& submission);
-    void store_job(const Open& submission);
-    void stored(const Open& submission, store::Answer&& answer, double at, double began);
+    using OpenSubmission = std::shared_ptr<Submission>;
+
+    // A cancellation that the core has not answered.
+    struct Cancellation {
+        Responder res;
+        std::string id;
+        double since = 0; // by the steady clock, in seconds
+    };
+
+    using Otherwise = std::function<void(const Responder&)>;
+    using SharedRequest = std::shared_ptr<const HttpRequest>;
+
+    void get(const std::string& id, HttpRequest&& request, const Responder& res, bool forwarded);
+    void poll(const std::string& id, const Responder& res);
+    [[nodiscard]] std::optional<JobView> known_here(const std::string& id) const;
+    void cancel(const std::string& id, HttpRequest&& request, const Responder& res, bool forwarded);
+    void ask_core_to_cancel(const std::string& id, const Responder& res);
+    void cancel_stored(const Cancellation& cancellation, const LookupResult& found);
+
+    [[nodiscard]] std::vector<std::string> alternatives(bool to_leader, bool to_store) const;
+    void forward(SharedRequest request, const Responder& res, std::vector<std::string> to, double wait_s,
+                 Otherwise otherwise);
+
+    void look_up(const std::string& id, LookupDone done);
+    [[nodiscard]] bool may_look_up(const std::string& id);
+    [[nodiscard]] static FinalState read_final(const store::Answer& answer, LookupResult& result);
+    void read_first(const OpenLookup& lookup);
+    void read_record(const OpenLookup& lookup);
+    void read_last(const OpenLookup& lookup);
+    void end_lookup(const OpenLookup& lookup);
+
+    void submit(HttpRequest&& request, const Responder& res, bool forwarded);
+    void refuse_invalid(const std::string& body, const std::string& why, const Responder& res);
+    void check_dependencies(const OpenSubmission& submission);
+    void look_up_dependency(const OpenSubmission& submission, const std::string& id);
+    void refuse_dependency(const OpenSubmission& submission, const std::string& why);
+    void accept(const OpenSubmission& submission);
+    void store_job(const OpenSubmission& submission);
+    void stored(const OpenSubmission& submission, const store::Answer& answer, double at, double began);
     void refuse_unless_known(const std::string& id, int status, const std::string& why, const Responder& res);
     void remember_final(const std::string& id, const std::string& status);
-    bool tell_final(const std::string& id, const Responder& res) const; // false: none is known here
-    [[nodiscard]] std::string impossible(const JobSpec& spec) const;
+    [[nodiscard]] bool tell_final(const std::string& id, const Responder& res) const; // false: none is known here
+    [[nodiscard]] bool tell_known(const std::string& id, const Responder& res) const; // false: not known here
+    [[nodiscard]] std::string impossible(const JobSpec& spec) const;                  // why; empty: it is not
+    [[nodiscard]] std::string beyond_team_limits(const JobSpec& spec) const;
+    [[nodiscard]] bool fits_a_type(const JobSpec& spec) const;
 
     const Settings& settings_;
     TimerQueue& timers_;
     store::StateStore& store_;
     Peers& peers_;
     const membership::Membership& members_;
-    metrics::Timings& took_;
+    metrics::Timings& timings_;
     Host& host_;
     FairTokenBucket reads_, submissions_;
     std::size_t max_lookups_, lookups_ = 0; // under way
-    std::uint64_t handle_seq_ = 0, generation_ = 0;
-    struct Cancel {
-        Responder res;
-        std::string id;
-        double since = 0;
-    };
-    std::map<std::uint64_t, Cancel> cancels_;
+    std::uint64_t handle_seq_ = 0;
+    std::uint64_t generation_ = 0; // counts losses of the leadership
+    std::map<std::uint64_t, Cancellation> cancellations_;
     BoundedCache<bool> accepted_;
     BoundedCache<std::string> finals_; // never taken back, so whoever heard of one may tell it
 };
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -1,5 +1,6 @@
 #include "heronshift/gateway/gateway.hpp"
 
+#include "heronshift/http_status.hpp"
 #include "heronshift/memory_share.hpp"
 
 #include <algorithm>
@@ -23,18 +24,59 @@
 constexpr std::size_t job_bytes = 160, final_bytes = 160; // 144 and 160 were measured
 constexpr double patience_leases = 2;                     // then who asks in vain has its turn
 constexpr int max_store_tries = 3;                        // while the store's budget is spent
+constexpr double store_retry_s = 0.05;                    // until the first of them; each next one waits longer
 constexpr double look_up_s = 2, submit_s = 5;             // that a user waits, says the protocol
 constexpr double share_of_wait = 0.8;                     // for the others that are asked
+constexpr double rounding = 1e-6;                         // that a demand may exceed a team's limit by
 
 std::size_t max_refused(const Settings& settings) {
     return entries_in_share(settings.memory_mb, refused_memory_share, job_bytes);
 }
 
+// The store's keys of a job: its record, and its final state.
+std::string job_key(const std::string& id) {
+    return "j/" + id;
+}
+std::string final_key(const std::string& id) {
+    return "f/" + id;
+}
+
+void try_later(const Responder& res) {
+    res.send(http_status::service_unavailable, not_now, retry_soon_s);
+}
+
+void no_such_path(const Responder& res) {
+    res.send(http_status::not_found, error_answer("no such path"));
+}
+
+void no_such_job(const Responder& res) {
+    res.send(http_status::not_found, error_answer("no such job"));
+}
+
+void wrong_method(const Responder& res) {
+    res.send(http_status::method_not_allowed, error_answer("wrong method"));
+}
+
+void tell_status(const std::string& id, const std::string& status, const Responder& res) {
+    res.send(http_status::ok, codec::job_answer(id, status));
+}
+
+// The id that a submission names, even where all else of it cannot be read; empty: none.
+std::string submitted_id(const std::string& body) {
+    const auto json = codec::parse(body);
+    return json.is_object() && json.contains("id") && json["id"].is_string() ? json["id"].get<std::string>() : "";
+}
+
+template <class Values, class Value> bool contains(const Values& values, const Value& value) {
+    return std::find(values.begin(), values.end(), value) != values.end();
+}
+
 } // namespace
 
 Gateway::Gateway(const Settings& settings, TimerQueue& timers, store::StateStore& store, Peers& peers,
-                 const membership::Membership& members, metrics::Timings& took, Host& host)
-    : settings_(settings), timers_(timers), store_(store), peers_(peers), members_(members), took_(took), host_(host),
+                 const membership::Membership& members, metrics::Timings& timings, Host& host)
+    : settings_(settings), timers_(timers), store_(store), peers_(peers), members_(members), timings_(timings),
+      host_(host),
       // What a user's read may take when this node is alone with the store.
       reads_(settings.state_rps / 4, settings.state_rps / 6, patience_leases * settings.lease_s, max_refused(settings)),
       submissions_(settings.state_write_rps / 5, settings.state_write_rps / 3, settings.lease_s, max_refused(settings)),
@@ -43,59 +85,43 @@
       accepted_(entries_in_share(settings.memory_mb, accepted_memory_share, job_bytes)),
       finals_(entries_in_share(settings.memory_mb, finals_memory_share, final_bytes)) {}
 
-void Gateway::serve(HttpRequest&& request, Responder res, bool forwarded) {
-    const bool get = request.method == "GET", post = request.method == "POST";
-    auto wrong_method = [&] { res.send(405, error_answer("wrong method")); };
+void Gateway::serve(HttpRequest&& request, const Responder& res, bool forwarded) {
+    const bool post = request.method == "POST";
     const std::string_view path = request.path;
     if (path == codec::path_jobs)
-        return post ? submit(std::move(request), std::move(res), forwarded) : wrong_method();
+        return post ? submit(std::move(request), res, forwarded) : wrong_method(res);
     if (path.size() <= codec::path_jobs.size() + 1 || path[codec::path_jobs.size()] != '/')
-        return res.send(404, error_answer("no such path"));
-    auto rest = path.substr(codec::path_jobs.size() + 1);
+        return no_such_path(res);
+    const auto rest = path.substr(codec::path_jobs.size() + 1);
     const auto slash = rest.find('/');
     const std::string id(rest.substr(0, slash));
-    if (slash == std::string_view::npos) {
-        if (!get)
-            return wrong_method();
-        // An id that can't have been accepted needs no reading.
-        if (!codec::valid_job_id(id))
-            return res.send(404, error_answer("no such job"));
-        if (tell_final(id, res))
-            return;
-        if (forwarded || host_.active_core() != nullptr)
-            return poll(id, std::move(res));
-        return forward(std::make_shared<HttpRequest>(std::move(request)), std::move(res), ways(true, true), look_up_s,
-                       [this, id](Responder responder) { poll(id, std::move(responder)); });
-    }
+    if (slash == std::string_view::npos)
+        return request.method == "GET" ? get(id, std::move(request), res, forwarded) : wrong_method(res);
     if (rest.substr(slash + 1) != codec::suffix_cancel)
-        return res.send(404, error_answer("no such path"));
-    if (!post)
-        return wrong_method();
-    if (!codec::valid_job_id(id))
-        return res.send(404, error_answer("no such job"));
-    cancel(id, std::move(request), std::move(res), forwarded);
+        return no_such_path(res);
+    return post ? cancel(id, std::move(request), res, forwarded) : wrong_method(res);
 }
 
 void Gateway::tick() {
     // A cancellation that the store does not take in time is refused, not held back.
-    for (auto it = cancels_.begin(); it != cancels_.end();) {
+    for (auto it = cancellations_.begin(); it != cancellations_.end();) {
         if (timers_.now() - it->second.since < settings_.report_s / 2) {
             ++it;
             continue;
         }
-        it->second.res.send(503, not_now, retry_soon_s);
-        it = cancels_.erase(it);
+        try_later(it->second.res);
+        it = cancellations_.erase(it);
     }
 }
 
 void Gateway::on_leadership_lost() {
     ++generation_;
-    for (auto& [h, c] : std::exchange(cancels_, {}))
-        c.res.send(503, not_now, retry_soon_s);
+    for (const auto& [handle, cancellation] : std::exchange(cancellations_, {}))
+        try_later(cancellation.res);
 }
 
 // Who else could answer: the leader; where the store does not serve this node, one that it serves.
-std::vector<std::string> Gateway::ways(bool to_leader, bool to_store) const {
+std::vector<std::string> Gateway::alternatives(bool to_leader, bool to_store) const {
     std::vector<std::string> out;
     const auto& leader = host_.leader();
     if (to_leader && !leader.empty() && leader != settings_.name &&
@@ -109,24 +135,25 @@
 
 // Passes a request on, to one after the other; what none answers is handled here. Each can be asked again
 // without harm: a job is accepted once, and cancelled by one.
-void Gateway::forward(std::shared_ptr<const HttpRequest> request, Responder res, std::vector<std::string> to,
-                      double wait_s, Otherwise otherwise) {
+void Gateway::forward(SharedRequest request, const Responder& res, std::vector<std::string> to, double wait_s,
+                      Otherwise otherwise) {
     if (to.empty())
-        return otherwise(std::move(res));
+        return otherwise(res);
     const double each_s = std::min(settings_.report_s / 3, share_of_wait * wait_s / static_cast<double>(to.size()));
     const auto first = to.front();
     to.erase(to.begin());
     const char* method = request->method == "GET" ? "GET" : "POST";
-    const double left_s = wait_s - each_s;
-    peers_.request(
-        Lane::users, first, method, peer_prefix + request->path, request->body, each_s,
-        [this, request, res, to = std::move(to), left_s, otherwise = std::move(otherwise)](HttpReply&& reply) mutable {
-            if (reply.status == 0 || reply.status == 503)
-                return forward(std::move(request), std::move(res), std::move(to), left_s, std::move(otherwise));
-            if (const auto j = reply.status == 200 ? codec::job_answer_of(reply.body) : std::nullopt; j)
-                remember_final(j->id, j->status);
-            res.send(reply.status, reply.body, reply.status == 429 ? retry_soon_s : 0);
-        });
+    const auto path = peer_prefix + request->path;
+    auto body = request->body;
+    auto on_reply = [this, request = std::move(request), res, to = std::move(to), left_s = wait_s - each_s,
+                     otherwise = std::move(otherwise)](HttpReply&& reply) mutable {
+        if (reply.status == http_status::no_answer || reply.status == http_status::service_unavailable)
+            return forward(std::move(request), res, std::move(to), left_s, std::move(otherwise));
+        if (const auto job = reply.status == http_status::ok ? codec::job_answer_of(reply.body) : std::nullopt; job)
+            remember_final(job->id, job->status);
+        res.send(reply.status, reply.body, reply.status == http_status::too_many_requests ? retry_soon_s : 0);
+    };
+    peers_.request(Lane::users, first, method, path, std::move(body), each_s, std::move(on_reply));
 }
 
 void Gateway::remember_final(const std::string& id, const std::string& status) {
@@ -137,155 +164,228 @@
 bool Gateway::tell_final(const std::string& id, const Responder& res) const {
     const auto* status = finals_.find(id);
     if (status != nullptr)
-        res.send(200, codec::job_answer(id, *status));
+        tell_status(id, *status, res);
     return status != nullptr;
 }
 
-// The final state is read first, since most that the leader does not know are over, and last: it is never taken
-// back, and it is there before the job's record goes. What cannot be found out is said at once.
-void Gateway::look_up(const std::string& id, std::function<void(Found)> done) {
+bool Gateway::tell_known(const std::string& id, const Responder& res) const {
+    if (tell_final(id, res))
+        return true;
+    const auto view = known_here(id);
+    if (view)
+        res.send(http_status::ok, codec::job_answer(id, view->status));
+    return view.has_value();
+}
+
+// Look-ups. The final state is read first, since most jobs that the leader does not know are over, and last: it is
+// never taken back, and it is there before the job's record goes. What cannot be found out is said at once.
+
+void Gateway::LookupResult::accepted_as(std::string_view known_status) {
+    acceptance = Acceptance::accepted;
+    status = known_status;
+}
+
+bool Gateway::may_look_up(const std::string& id) {
+    if (members_.store() == membership::Reachability::unreachable)
+        return false;
     const double now = timers_.now();
-    const bool lost = members_.store() == membership::Reachability::unreachable;
-    if (lost || lookups_ > max_lookups_ || !reads_.take(id, now)) {
-        if (!lost)
-            reads_.refused(id, now);
-        ++took_.refused;
+    if (lookups_ <= max_lookups_ && reads_.take(id, now))
+        return true;
+    reads_.refused(id, now);
+    return false;
+}
+
+void Gateway::look_up(const std::string& id, LookupDone done) {
+    if (!may_look_up(id)) {
+        ++timings_.refused;
         return done({});
     }
     ++lookups_;
-    auto end = [this, id, done = std::move(done)](const Found& found) {
-        --lookups_;
-        if (found.known)
-            remember_final(id, found.status);
-        done(std::move(found));
-    };
-    // Whether it said something: there is a final state, or there is none.
-    const auto final_of = [](const store::Answer& answer, Found& found) {
-        const auto final = answer.status == 200 && answer.item ? codec::stored_final(answer.item->value) : std::nullopt;
-        if (final) {
-            found.status = final->status;
-            found.service = final->service;
-        }
-        found.known = final || answer.status == 404;
-        return found.known;
-    };
-    store_.get("f/" + id, settings_.report_s / 3, [this, id, final_of, end = std::move(end)](store::Answer&& first) {
-        Found found;
+    read_first(std::make_shared<Lookup>(Lookup{id, std::move(done), {}}));
+}
+
+void Gateway::end_lookup(const OpenLookup& lookup) {
+    --lookups_;
+    if (lookup->result.acceptance == Acceptance::accepted)
+        remember_final(lookup->id, lookup->result.status);
+    lookup->done(lookup->result);
+}
+
+Gateway::FinalState Gateway::read_final(const store::Answer& answer, LookupResult& result) {
+    if (answer.status == http_status::not_found)
+        return FinalState::none;
+    if (answer.status != http_status::ok)
+        return FinalState::unanswered;
+    const auto final = answer.item ? codec::stored_final(answer.item->value) : std::nullopt;
+    if (!final)
+        return FinalState::damaged;
+    result.accepted_as(final->status);
+    result.service = final->service;
+    return FinalState::read;
+}
+
+void Gateway::read_first(const OpenLookup& lookup) {
+    store_.get(final_key(lookup->id), settings_.report_s / 3, [this, lookup](const store::Answer& answer) {
+        const auto final = read_final(answer, lookup->result);
+        if (final == FinalState::unanswered || final == FinalState::read)
+            return end_lookup(lookup);
         // A damaged one may be told by what is left of the job's record.
-        if (!final_of(first, found) ? first.status != 200 : !found.status.empty())
-            return end(std::move(found));
-        reads_.spend(timers_.now(), 2);
-        store_.get("j/" + id, settings_.report_s / 3, [this, id, final_of, end](store::Answer&& r) {
-            Found g;
-            g.job = std::move(r.item);
-            if (r.status != 404 && !g.job)
-                return end({});
-            store_.get("f/" + id, settings_.report_s / 3,
-                       [final_of, end, g = std::move(g)](store::Answer&& last) mutable {
-                           if (!final_of(last, g) && last.status == 200 && g.job)
-                               if (const auto j = codec::stored_job(g.job->value, 0); j && !j->final.empty()) {
-                                   g.status = j->final;
-                                   g.known = true;
-                               }
-                           if (g.known && g.status.empty() && g.job)
-                               g.status = codec::status_pending;
-                           end(std::move(g));
-                       });
-        });
+        reads_.spend(timers_.now(), reads_per_lookup - 1);
+        read_record(lookup);
     });
 }
 
-// From memory, where this node acts. Not while the transaction with the job's final state is under way: others may
-// have read it and told it before its answer comes here. (Its answer was lost; a repeated submission was answered
-// "done" by another controller, and a question a moment later "pending" by the leader.)
+void Gateway::read_record(const OpenLookup& lookup) {
+    store_.get(job_key(lookup->id), settings_.report_s / 3, [this, lookup](store::Answer&& answer) {
+        if (answer.status != http_status::not_found && !answer.item)
+            return end_lookup(lookup);
+        lookup->result.job = std::move(answer.item);
+        read_last(lookup);
+    });
+}
+
+void Gateway::read_last(const OpenLookup& lookup) {
+    store_.get(final_key(lookup->id), settings_.report_s / 3, [this, lookup](const store::Answer& answer) {
+        auto& result = lookup->result;
+        const auto final = read_final(answer, result);
+        if (final == FinalState::none && result.job)
+            result.accepted_as(codec::status_pending);
+        else if (final == FinalState::none)
+            result.acceptance = Acceptance::never_accepted;
+        else if (final == FinalState::damaged && result.job)
+            if (const auto job = codec::stored_job(result.job->value, 0); job && !job->final.empty())
+                result.accepted_as(job->final);
+        end_lookup(lookup);
+    });
+}
+
+// From memory, where this node acts. Not while the transaction with the job's final state is under way: another
+// controller may read that state and tell it before the answer to the transaction comes here, and this node would
+// still say "pending".
 std::optional<JobView> Gateway::known_here(const std::string& id) const {
     const auto* core = host_.active_core();
-    const auto v = core != nullptr ? core->view(id) : std::nullopt;
-    return v && v->settling ? std::nullopt : v;
+    const auto view = core != nullptr ? core->view(id) : std::nullopt;
+    return view && view->settling ? std::nullopt : view;
+}
+
+void Gateway::get(const std::string& id, HttpRequest&& request, const Responder& res, bool forwarded) {
+    // An id that can't have been accepted needs no reading.
+    if (!codec::valid_job_id(id))
+        return no_such_job(res);
+    if (tell_final(id, res))
+        return;
+    if (forwarded || host_.active_core() != nullptr)
+        return poll(id, res);
+    forward(std::make_shared<HttpRequest>(std::move(request)), res, alternatives(true, true), look_up_s,
+            [this, id](const Responder& responder) { poll(id, responder); });
 }
 
 // The store's answer is as new as any: what was told was stored before.
 void Gateway::poll(const std::string& id, const Responder& res) {
-    if (const auto v = known_here(id); v)
-        return res.send(200, codec::job_answer(id, v->status, v->done, v->running));
-    look_up(id, [id, res](const Found& found) {
-        if (!found.known)
-            return res.send(503, not_now, retry_soon_s);
-        if (found.status.empty())
-            return res.send(404, error_answer("no such job"));
-        res.send(200, codec::job_answer(id, found.status, 0, 0));
+    if (const auto view = known_here(id); view)
+        return res.send(http_status::ok, codec::job_answer(id, view->status, view->done, view->running));
+    look_up(id, [id, res](const LookupResult& found) {
+        switch (found.acceptance) {
+        case Acceptance::unanswered:
+            return try_later(res);
+        case Acceptance::never_accepted:
+            return no_such_job(res);
+        case Acceptance::accepted:
+            return res.send(http_status::ok, codec::job_answer(id, found.status, 0, 0));
+        }
     });
 }
 
-void Gateway::cancel(const std::string& id, HttpRequest&& request, Responder res, bool forwarded) {
-    if (host_.active_core() == nullptr) {
-        if (forwarded)
-            return res.send(503, not_now, retry_soon_s);
-        // Only the leader decides, so that its answers from memory are never old.
-        return forward(std::make_shared<HttpRequest>(std::move(request)), std::move(res), ways(true, false), look_up_s,
-                       [](const Responder& responder) { responder.send(503, not_now, retry_soon_s); });
-    }
-    ask_core_to_cancel(id, std::move(res));
+void Gateway::cancel(const std::string& id, HttpRequest&& request, const Responder& res, bool forwarded) {
+    if (!codec::valid_job_id(id))
+        return no_such_job(res);
+    if (host_.active_core() != nullptr)
+        return ask_core_to_cancel(id, res);
+    if (forwarded)
+        return try_later(res);
+    // Only the leader decides, so that its answers from memory are never old.
+    forward(std::make_shared<HttpRequest>(std::move(request)), res, alternatives(true, false), look_up_s, try_later);
 }
 
-void Gateway::ask_core_to_cancel(const std::string& id, Responder res) {
-    const auto h = ++handle_seq_;
-    cancels_[h] = {std::move(res), id, timers_.now()};
-    host_.push(CancellationRequested{id, h});
+void Gateway::ask_core_to_cancel(const std::string& id, const Responder& res) {
+    const auto handle = ++handle_seq_;
+    cancellations_[handle] = {res, id, timers_.now()};
+    host_.push(CancellationRequested{id, handle});
 }
 
 void Gateway::answered(const AnswerCancellation& effect) {
-    const auto it = cancels_.find(effect.handle);
-    if (it == cancels_.end())
+    const auto it = cancellations_.find(effect.handle);
+    if (it == cancellations_.end())
         return;
-    auto open = std::move(it->second);
-    cancels_.erase(it);
+    const auto cancellation = std::move(it->second);
+    cancellations_.erase(it);
     if (!effect.status.empty())
-        return open.res.send(200, codec::job_answer(open.id, effect.status));
-    look_up(open.id, [this, gen = generation_, open](const Found& found) {
-        if (!found.known || gen != generation_)
-            return open.res.send(503, not_now, retry_soon_s);
-        if (found.status.empty())
-            return open.res.send(404, error_answer("no such job"));
-        if (found.status != codec::status_pending)
-            return open.res.send(200, codec::job_answer(open.id, found.status));
-        auto j = found.job ? codec::stored_job(found.job->value, timers_.wall()) : std::nullopt;
-        // A damaged record: nobody can do anything with such a job.
-        if (!j)
-            return open.res.send(503, not_now, retry_soon_s);
-        host_.push(job_stored(std::move(*j), timers_.wall()));
-        ask_core_to_cancel(open.id, open.res);
+        return tell_status(cancellation.id, effect.status, cancellation.res);
+    look_up(cancellation.id, [this, generation = generation_, cancellation](const LookupResult& found) {
+        if (generation != generation_)
+            return try_later(cancellation.res);
+        cancel_stored(cancellation, found);
     });
 }
 
+// Cancels a job that the core does not know, by what the store says of it.
+void Gateway::cancel_stored(const Cancellation& cancellation, const LookupResult& found) {
+    const auto& res = cancellation.res;
+    if (found.acceptance == Acceptance::unanswered)
+        return try_later(res);
+    if (found.acceptance == Acceptance::never_accepted)
+        return no_such_job(res);
+    if (found.status != codec::status_pending)
+        return tell_status(cancellation.id, found.status, res);
+    auto job = found.job ? codec::stored_job(found.job->value, timers_.wall()) : std::nullopt;
+    // A damaged record: nobody can do anything with such a job.
+    if (!job)
+        return try_later(res);
+    host_.push(job_stored(std::move(*job), timers_.wall()));
+    ask_core_to_cancel(cancellation.id, res);
+}
+
 void Gateway::find(const std::string& id, std::function<void(JobFound&&)> done) {
-    look_up(id, [this, id, done = std::move(done)](const Found& found) {
+    look_up(id, [this, id, done = std::move(done)](const LookupResult& found) {
         JobFound command{id, Known::no_answer, std::nullopt};
-        if (found.known)
-            command.state = found.status.empty()                      ? Known::never
-                            : found.status == codec::status_done      ? Known::done
+        if (found.acceptance == Acceptance::never_accepted)
+            command.state = Known::never;
+        else if (found.acceptance == Acceptance::accepted)
+            command.state = found.status == codec::status_done        ? Known::done
                             : found.status == codec::status_cancelled ? Known::cancelled
                                                                       : Known::open;
         if (found.job)
-            if (auto j = codec::stored_job(found.job->value, timers_.wall()); j)
-                command.job = job_stored(std::move(*j), timers_.wall());
+            if (auto job = codec::stored_job(found.job->value, timers_.wall()); job)
+                command.job = job_stored(std::move(*job), timers_.wall());
         done(std::move(command));
     });
 }
 
-std::string Gateway::impossible(const JobSpec& spec) const {
-    const TeamLimits* team = nullptr;
-    for (const auto& limits : settings_.teams)
-        if (limits.name == spec.team)
-            team = &limits;
-    if (team == nullptr)
+std::string Gateway::beyond_team_limits(const JobSpec& spec) const {
+    const auto team = std::find_if(settings_.teams.begin(), settings_.teams.end(),
+                                   [&](const TeamLimits& limits) { return limits.name == spec.team; });
+    if (team == settings_.teams.end())
         return "owner: unknown team";
-    const double n = spec.shape == Shape::array ? 1 : spec.tasks;
-    if (team->cpus_max > 0 && spec.each.cpus * n > team->cpus_max + 1e-6)
+    const double at_once = spec.shape == Shape::array ? 1 : spec.tasks;
+    if (team->cpus_max > 0 && spec.each.cpus * at_once > team->cpus_max + rounding)
         return "cpus: beyond the team's limit";
-    if (team->gpus_max > 0 && spec.each.gpus * n > team->gpus_max + 1e-6)
+    if (team->gpus_max > 0 && spec.each.gpus * at_once > team->gpus_max + rounding)
         return "accelerators: beyond the team's limit";
-    if (std::find(spec.dependencies.begin(), spec.dependencies.end(), spec.id) != spec.dependencies.end())
+    return {};
+}
+
+bool Gateway::fits_a_type(const JobSpec& spec) const {
+    const auto& types = host_.types();
+    return std::any_of(types.begin(), types.end(), [&](const MachineType& type) {
+        return (spec.types.empty() || contains(spec.types, type.name)) &&
+               (spec.zone.empty() || contains(type.zones, spec.zone)) && spec.each.fits(type.room);
+    });
+}
+
+std::string Gateway::impossible(const JobSpec& spec) const {
+    if (auto why = beyond_team_limits(spec); !why.empty())
+        return why;
+    if (contains(spec.dependencies, spec.id))
         return "waitsOn: names the job itself";
     // Its longest record, with the times written out.
     const auto record =
@@ -293,160 +393,148 @@
     if (record > static_cast<std::size_t>(settings_.value_kb * 1024))
         return fmt::format("the job's record is longer than the {} KiB that the state service takes",
                            settings_.value_kb);
-    for (const auto& type : host_.types()) {
-        if (!spec.types.empty() && std::find(spec.types.begin(), spec.types.end(), type.name) == spec.types.end())
-            continue;
-        if (!spec.zone.empty() && std::find(type.zones.begin(), type.zones.end(), spec.zone) == type.zones.end())
-            continue;
-        if (spec.each.fits(type.room))
-            return {};
-    }
-    return "a task fits no allowed machine type";
+    return fits_a_type(spec) ? "" : "a task fits no allowed machine type";
 }
 
-void Gateway::submit(HttpRequest&& request, Responder res, bool forwarded) {
+void Gateway::submit(HttpRequest&& request, const Responder& res, bool forwarded) {
     // Where the store is known not to serve this node, nothing can be found out here.
-    if (const auto others = forwarded ? std::vector<std::string>() : ways(false, true); !others.empty())
-        return forward(std::make_shared<HttpRequest>(std::move(request)), std::move(res), others, submit_s,
-                       [](const Responder& responder) { responder.send(503, not_now, retry_soon_s); });
+    if (auto others = forwarded ? std::vector<std::string>() : alternatives(false, true); !others.empty())
+        return forward(std::make_shared<HttpRequest>(std::move(request)), res, std::move(others), submit_s, try_later);
     auto parsed = codec::submission(request.body);
-    std::string refusal;
-    int status = 0;
-    std::string id;
-    if (auto* bad = std::get_if<codec::Invalid>(&parsed)) {
-        status = 400;
-        refusal = bad->why;
-        // Even then a known id gets its state.
-        if (const auto json = codec::parse(request.body);
-            json.is_object() && json.contains("id") && json["id"].is_string())
-            id = json["id"].get<std::string>();
-        if (!codec::valid_job_id(id))
-            return res.send(400, error_answer(refusal));
-    } else {
-        id = std::get<JobSpec>(parsed).id;
-    }
-    if (tell_final(id, res))
+    if (const auto* invalid = std::get_if<codec::Invalid>(&parsed))
+        return refuse_invalid(request.body, invalid->why, res);
+    auto& spec = std::get<JobSpec>(parsed);
+    if (tell_known(spec.id, res))
         return;
-    if (const auto v = known_here(id); v)
-        return res.send(200, codec::job_answer(id, v->status));
-    if (status == 0) {
-        if (host_.types().empty())
-            return res.send(503, not_now, retry_soon_s);
-        refusal = impossible(std::get<JobSpec>(parsed));
-        if (!refusal.empty())
-            status = 422;
-    }
-    if (status != 0)
-        return refuse_unless_known(id, status, refusal, res);
-    auto s = std::make_shared<Submission>(Submission{std::move(std::get<JobSpec>(parsed)),
-                                                     std::make_shared<HttpRequest>(std::move(request)), std::move(res),
-                                                     forwarded, timers_.now(), 0, 0});
-    s->spec.dependencies.empty() ? accept(s) : check_dependencies(s);
+    if (host_.types().empty())
+        return try_later(res);
+    if (const auto why = impossible(spec); !why.empty())
+        return refuse_unless_known(spec.id, http_status::unprocessable_entity, why, res);
+    const auto submission = std::make_shared<Submission>(Submission{
+        std::move(spec), std::make_shared<HttpRequest>(std::move(request)), res, forwarded, timers_.now(), 0, 0});
+    submission->spec.dependencies.empty() ? accept(submission) : check_dependencies(submission);
+}
+
+// Even where nothing else of a submission can be read, a known id gets its state.
+void Gateway::refuse_invalid(const std::string& body, const std::string& why, const Responder& res) {
+    const auto id = submitted_id(body);
+    if (!codec::valid_job_id(id))
+        return res.send(http_status::bad_request, error_answer(why));
+    if (!tell_known(id, res))
+        refuse_unless_known(id, http_status::bad_request, why, res);
 }
 
 // A known id gets its state, whatever else is wrong.
 void Gateway::refuse_unless_known(const std::string& id, int status, const std::string& why, const Responder& res) {
-    look_up(id, [id, res, status, why](const Found& found) {
-        if (!found.known)
-            return res.send(503, not_now, retry_soon_s);
-        if (!found.status.empty())
-            return res.send(200, codec::job_answer(id, found.status));
-        res.send(status, error_answer(why));
+    look_up(id, [id, res, status, why](const LookupResult& found) {
+        switch (found.acceptance) {
+        case Acceptance::unanswered:
+            return try_later(res);
+        case Acceptance::never_accepted:
+            return res.send(status, error_answer(why));
+        case Acceptance::accepted:
+            return tell_status(id, found.status, res);
+        }
     });
 }
 
-void Gateway::accept(const Open& submission) {
+void Gateway::accept(const OpenSubmission& submission) {
     if (members_.store() == membership::Reachability::unreachable) {
-        ++took_.refused;
-        return submission->res.send(503, not_now, retry_soon_s);
+        ++timings_.refused;
+        return try_later(submission->res);
     }
     if (!submissions_.take(submission->spec.id, timers_.now())) {
-        ++took_.refused;
+        ++timings_.refused;
         spdlog::debug("submission of {} refused, too many at once", submission->spec.id);
-        return submission->res.send(429, not_now, retry_soon_s);
+        return submission->res.send(http_status::too_many_requests, not_now, retry_soon_s);
     }
     store_job(submission);
 }
 
 // That a job was accepted stays true, so it is remembered; that it never was is said only after a
-// fresh read. One need after the other, within the budget for reads.
-void Gateway::check_dependencies(const Open& submission) {
-    auto refuse = [this, submission](const std::string& why) {
-        refuse_unless_known(submission->spec.id, 422, "waitsOn: " + why, submission->res);
-    };
+// fresh read. One dependency after the other, within the budget for reads.
+void Gateway::check_dependencies(const OpenSubmission& submission) {
     for (; submission->next_dependency < submission->spec.dependencies.size(); ++submission->next_dependency) {
         const auto& id = submission->spec.dependencies[submission->next_dependency];
         if (accepted_.contains(id))
             continue;
         const auto* core = host_.active_core();
-        if (const auto shape = core != nullptr ? core->shape_of(id) : std::nullopt; shape) {
-            if (*shape == Shape::service)
-                return refuse(id + " is a service");
-            continue;
-        }
-        if (!reads_.would_take(id, timers_.now(), 1) || lookups_ > max_lookups_) {
-            if (timers_.now() - submission->since > settings_.report_s / 2) {
-                ++took_.refused;
-                return submission->res.send(503, not_now, retry_soon_s);
-            }
-            return timers_.after(settings_.report_s / 60, [this, submission] { check_dependencies(submission); });
-        }
-        return look_up(id, [this, submission, id, refuse](const Found& found) {
-            if (!found.known)
-                return submission->res.send(503, not_now, retry_soon_s);
-            if (found.status.empty())
-                return refuse(id + " was never accepted");
-            const auto j = found.job ? codec::stored_job(found.job->value, timers_.wall()) : std::nullopt;
-            if (found.service || (j && j->spec.shape == Shape::service))
-                return refuse(id + " is a service");
-            accepted_.add(id, true);
-            check_dependencies(submission);
-        });
+        const auto shape = core != nullptr ? core->shape_of(id) : std::nullopt;
+        if (!shape)
+            return look_up_dependency(submission, id);
+        if (*shape == Shape::service)
+            return refuse_dependency(submission, id + " is a service");
     }
     accept(submission);
 }
 
-void Gateway::store_job(const Open& submission) {
+void Gateway::look_up_dependency(const OpenSubmission& submission, const std::string& id) {
+    if (!reads_.would_take(id, timers_.now(), 1) || lookups_ > max_lookups_) {
+        if (timers_.now() - submission->since > settings_.report_s / 2) {
+            ++timings_.refused;
+            return try_later(submission->res);
+        }
+        return timers_.after(settings_.report_s / 60, [this, submission] { check_dependencies(submission); });
+    }
+    look_up(id, [this, submission, id](const LookupResult& found) {
+        if (found.acceptance == Acceptance::unanswered)
+            return try_later(submission->res);
+        if (found.acceptance == Acceptance::never_accepted)
+            return refuse_dependency(submission, id + " was never accepted");
+        const auto job = found.job ? codec::stored_job(found.job->value, timers_.wall()) : std::nullopt;
+        if (found.service || (job && job->spec.shape == Shape::service))
+            return refuse_dependency(submission, id + " is a service");
+        accepted_.add(id, true);
+        check_dependencies(submission);
+    });
+}
+
+void Gateway::refuse_dependency(const OpenSubmission& submission, const std::string& why) {
+    refuse_unless_known(submission->spec.id, http_status::unprocessable_entity, "waitsOn: " + why, submission->res);
+}
+
+void Gateway::store_job(const OpenSubmission& submission) {
     const double at = timers_.wall(), began = timers_.now();
     const auto& id = submission->spec.id;
-    const std::vector<codec::Guard> guards{{"j/" + id, 0}, {"f/" + id, 0}};
+    const std::vector<codec::Guard> guards{{job_key(id), 0}, {final_key(id), 0}};
     const std::vector<codec::Write> writes{
-        {"j/" + id, codec::to_record({submission->spec, at, -1, !submission->spec.dependencies.empty(), {}}), 0}};
+        {job_key(id), codec::to_record({submission->spec, at, -1, !submission->spec.dependencies.empty(), {}}), 0}};
     // Where the store does not answer this node, another may still be served within the user's time.
     const double patience = submission->forwarded ? settings_.report_s / 2 : settings_.report_s / 10;
-    store_.transact(guards, writes, patience, [this, submission, at, began](store::Answer&& answer) {
-        stored(submission, std::move(answer), at, began);
+    store_.transact(guards, writes, patience, [this, submission, at, began](const store::Answer& answer) {
+        stored(submission, answer, at, began);
     });
 }
 
-void Gateway::stored(const Open& submission, store::Answer&& answer, double at, double began) {
+// at: by the wall clock, began: by the steady clock; when the transaction was sent.
+void Gateway::stored(const OpenSubmission& submission, const store::Answer& answer, double at, double began) {
     const auto id = submission->spec.id;
     const bool waits = !submission->spec.dependencies.empty();
-    if (answer.status == 200) {
-        took_.submit.add(timers_.now() - began);
+    if (answer.status == http_status::ok) {
+        timings_.submit.add(timers_.now() - began);
         if (submission->spec.shape != Shape::service)
             accepted_.add(id, true);
         host_.stored(JobStored{std::move(submission->spec), std::max(0.0, timers_.wall() - at), -1, waits});
-        return submission->res.send(201, codec::job_answer(id, codec::status_pending));
+        return submission->res.send(http_status::created, codec::job_answer(id, codec::status_pending));
     }
-    if (answer.status == 409)
-        return look_up(id, [id, res = submission->res](const Found& found) {
-            if (!found.known || found.status.empty())
-                return res.send(503, not_now, retry_soon_s);
-            res.send(200, codec::job_answer(id, found.status));
+    if (answer.status == http_status::conflict)
+        return look_up(id, [id, res = submission->res](const LookupResult& found) {
+            if (found.acceptance != Acceptance::accepted)
+                return try_later(res);
+            tell_status(id, found.status, res);
         });
     // The budget is shared: a moment later there may be room.
-    if (answer.status == 429 && submission->tries < max_store_tries)
-        return timers_.after(0.05 * (1 + submission->tries++), [this, submission] { store_job(submission); });
+    if (answer.status == http_status::too_many_requests && submission->tries < max_store_tries)
+        return timers_.after(store_retry_s * (1 + submission->tries++), [this, submission] { store_job(submission); });
     const auto refuse = [this, id, status = answer.status](const Responder& responder) {
-        ++took_.refused;
+        ++timings_.refused;
         spdlog::debug("submission of {} refused, the store said {}", id, status);
-        responder.send(503, not_now, retry_soon_s);
+        try_later(responder);
     };
     // A process of the version before would take a chained job for one that may start.
-    if (submission->forwarded || waits || answer.status == 429)
+    if (submission->forwarded || waits || answer.status == http_status::too_many_requests)
         return refuse(submission->res);
-    forward(submission->request, submission->res, ways(true, true), submit_s, refuse);
+    forward(submission->request, submission->res, alternatives(true, true), submit_s, refuse);
 }
 
 } // namespace heronshift::gateway
