--- a/include/heronshift/cloud/cloud_client.hpp
+++ b/include/heronshift/cloud/cloud_client.hpp
@@ -1,8 +1,4 @@
-// What a controller asks the cloud, within the rate that all controllers share: rentals, returns, the
-// list of machines, the machine types.
-//
-// Owns: the requests that wait for the budget, the list as far as it has come, the types. May call the
-// executor and, for the copy of the types, the store.
+// What a controller asks the cloud: rentals, returns, the list of machines, the machine types.
 #pragma once
 
 #include "heronshift/config.hpp"
@@ -19,43 +15,58 @@
 
 namespace heronshift::cloud {
 
+/// Sends requests to the cloud within the rate that all controllers share. It keeps the requests that wait for that
+/// budget, the list of machines as far as it has come, and the machine types, of which the store has a copy.
+///
+/// All calls and callbacks on the thread of the node's loop.
 class CloudClient {
 public:
+    /// What the client needs of the node around it.
     class Host {
     public:
         virtual ~Host() = default;
-        [[nodiscard]] virtual bool is_active_leader() const = 0; // at this moment
-        [[nodiscard]] virtual bool is_leader() const = 0;        // this node is the leader
-        virtual void push(Command command) = 0;                  // to the core, if there is one
+        /// This node may act as the leader at this moment.
+        [[nodiscard]] virtual bool is_active_leader() const = 0;
+        /// This node is the leader.
+        [[nodiscard]] virtual bool is_leader() const = 0;
+        /// Hands a command to the core, if there is one.
+        virtual void push(Command command) = 0;
+        /// ok: a request to the cloud was answered as it should be.
         virtual void cloud_answered(bool ok) = 0;
     };
-    CloudClient(const Settings& settings, TimerQueue& timers, store::StateStore& store, Executor& executor, Host& host)
-        : settings_(settings), timers_(timers), store_(store), executor_(executor), host_(host),
-          budget_(settings.cloud_rps * 0.8, std::max(1.0, settings.cloud_rps)) {}
+    CloudClient(const Settings& settings, TimerQueue& timers, store::StateStore& store, Executor& executor, Host& host);
 
+    /// Begins to learn the machine types.
     void start() {
         learn_types();
     }
+    /// Does what has become due. To be called some thirty times in report_s.
     void tick();
     void on_leadership_acquired();
+    /// Drops what waits; answers to what is under way are not passed on any more.
     void on_leadership_lost() {
         ++generation_;
         queue_.clear();
     }
+    /// Empty: not known yet.
     [[nodiscard]] const std::vector<MachineType>& types() const {
         return types_;
     }
 
-    // From the core.
-    void rent(const Rent& ask);
-    void release(const Release& ask);
+    /// Rents machines for the core, which hears of it as Rented.
+    void rent(const Rent& wanted);
+    /// Returns machines for the core, which hears of it as Released.
+    void release(const Release& wanted);
 
 private:
+    // Called once: with true when the budget allows to ask the cloud, with false when it must not be asked any more.
+    using Ask = std::function<void(bool allowed)>;
+    void request(Ask ask);
     void pump();
-    void request(std::function<void(bool)> ask); // ask(true) reaches the cloud as the budget allows; ask(false): never
     void list_machines(const std::string& since);
+    void add_page(codec::MachinePage&& page);
     void learn_types();
-    void from_cloud();
+    void learn_types_from_cloud();
     void learned(std::vector<MachineType>&& types);
 
     const Settings& settings_;
@@ -64,10 +75,13 @@
     Executor& executor_;
     Host& host_;
     TokenBucket budget_;
-    std::uint64_t generation_ = 0; // of the time as leader
-    std::deque<std::function<void(bool)>> queue_;
-    std::vector<ListedMachine> listing_;
-    double listing_at_ = 0, next_list_ = 0, next_types_ = 0, types_at_ = -1e9;
+    std::uint64_t generation_ = 0; // counts losses of the leadership
+    std::deque<Ask> queue_;
+    std::vector<ListedMachine> listing_; // the pages that have come
+    // By the steady clock, in seconds.
+    double listing_at_ = 0; // when the first page was asked for
+    double next_list_ = 0, next_types_ = 0;
+    double types_at_ = 0; // when types_ came; of no meaning while there are none
     std::vector<MachineType> types_;
     bool learning_types_ = false;
 };
--- a/include/heronshift/executor/executor.hpp
+++ b/include/heronshift/executor/executor.hpp
@@ -3,8 +3,8 @@
 /// and takes them back. The daemon's speaks the platform's protocol (executor/http.hpp); a program that
 /// embeds the scheduler may bring its own.
 ///
-/// It only carries: whether an order may be given, and what silence means, is the cluster state's to judge. So
-/// an executor must say what it knows and no more: an answer that was lost is "no answer", not "no".
+/// An executor only carries: whether an order may be given, and what silence means, is decided elsewhere (src/cluster).
+/// So it must say what it knows and no more: an answer that was lost is "no answer", not "no".
 /// All calls and callbacks on the loop's thread. A callback may come before the call returns; each
 /// comes once, at the latest when the executor is destroyed or the time given is over. Nothing throws.
 #pragma once
@@ -32,7 +32,7 @@
     std::string leader;
 };
 
-/// The seam between a controller and what runs tasks. Times given are in seconds.
+/// The interface between a controller and what runs tasks. Times given are in seconds.
 class Executor {
 public:
     /// Takes the answer to a heartbeat.
--- a/include/heronshift/executor/http.hpp
+++ b/include/heronshift/executor/http.hpp
@@ -1,4 +1,4 @@
-// The platform's agents and cloud over HTTP. Reports come to the controller's own port, not here.
+// The platform's machines and cloud over HTTP.
 #pragma once
 
 #include "heronshift/executor/executor.hpp"
@@ -6,12 +6,12 @@
 
 namespace heronshift {
 
+/// Speaks the platform's protocol. Heartbeats come to the controller's own port, not here. All calls and callbacks on
+/// the thread of the loop.
 class HttpExecutor final : public Executor {
 public:
-    // To all agents together at most so many connections.
-    HttpExecutor(uv_loop_t* loop, const Endpoint& cloud, std::size_t max_agent_connections)
-        : cloud_at_(cloud.str()), cloud_(loop, 2, 16), agents_(loop, 1, 4, max_agent_connections), probes_(loop, 1, 1) {
-    }
+    /// max_agent_connections: to the agents of all machines together.
+    HttpExecutor(uv_loop_t* loop, const Endpoint& cloud, std::size_t max_agent_connections);
 
     void command(const SendOrders& orders, double timeout_s, std::function<void(OrdersAnswered&&)> done) override;
     void rent(const Rent& ask, double timeout_s, std::function<void(Rented&&)> done) override;
@@ -23,12 +23,12 @@
     void forward(const std::string& addr, std::string body, double timeout_s,
                  std::function<void(HttpReply&&)> done) override;
     void sweep() override {
-        for (auto* c : {&cloud_, &agents_, &probes_})
-            c->sweep();
+        for (auto* client : {&cloud_, &agents_, &probes_})
+            client->sweep();
     }
 
 private:
-    std::string cloud_at_;
+    std::string cloud_addr_;
     HttpClient cloud_, agents_, probes_;
 };
 
--- a/src/cloud/cloud_client.cpp
+++ b/src/cloud/cloud_client.cpp
@@ -6,11 +6,21 @@
 namespace heronshift::cloud {
 namespace {
 
-constexpr std::size_t max_queued_lists = 4; // requests that wait: a list comes later then
+// The core's rentals and returns go first. A list that is due while more requests than these wait is not asked for, and
+// the next comes when that is due. This holds for each page: if more wait when a further page is due, the pages that
+// have come are dropped with it, and the next list begins again with the first.
+constexpr std::size_t max_queued_lists = 4;
+constexpr double budget_share = 0.8; // of the rate that all controllers share, for this one
 constexpr const char* types_key = "types";
+constexpr double types_write_s = 1; // for the copy of the types, which nobody waits for
 
 } // namespace
 
+CloudClient::CloudClient(const Settings& settings, TimerQueue& timers, store::StateStore& store, Executor& executor,
+                         Host& host)
+    : settings_(settings), timers_(timers), store_(store), executor_(executor), host_(host),
+      budget_(settings.cloud_rps * budget_share, std::max(1.0, settings.cloud_rps)) {}
+
 void CloudClient::tick() {
     const double now = timers_.now();
     if (now >= next_types_)
@@ -28,7 +38,7 @@
     next_list_ = 0;
 }
 
-void CloudClient::request(std::function<void(bool)> ask) {
+void CloudClient::request(Ask ask) {
     queue_.push_back(std::move(ask));
     pump();
 }
@@ -46,34 +56,34 @@
 }
 
 void CloudClient::rent(const Rent& wanted) {
-    request([this, gen = generation_, wanted](bool go) {
-        auto done = [this, gen, go](Rented&& command) {
-            if (go)
+    request([this, generation = generation_, wanted](bool allowed) {
+        auto done = [this, generation, allowed](Rented&& command) {
+            if (allowed)
                 host_.cloud_answered(command.outcome == RentOutcome::rented ||
                                      command.outcome == RentOutcome::no_capacity);
-            if (gen != generation_)
+            if (generation != generation_)
                 return;
             const double delay = command.outcome == RentOutcome::rented ? 0 : settings_.report_s / 6;
-            timers_.after(delay, [this, gen, command = std::move(command)]() mutable {
-                if (gen == generation_)
+            timers_.after(delay, [this, generation, command = std::move(command)]() mutable {
+                if (generation == generation_)
                     host_.push(std::move(command));
             });
         };
-        if (!go)
+        if (!allowed)
             return done({wanted.claim, RentOutcome::failed, {}});
         executor_.rent(wanted, settings_.report_s * 2, done);
     });
 }
 
 void CloudClient::release(const Release& wanted) {
-    request([this, gen = generation_, wanted](bool go) {
-        auto done = [this, gen, go](Released&& command) {
-            if (go)
+    request([this, generation = generation_, wanted](bool allowed) {
+        auto done = [this, generation, allowed](Released&& command) {
+            if (allowed)
                 host_.cloud_answered(command.ok);
-            if (gen == generation_)
+            if (generation == generation_)
                 host_.push(std::move(command));
         };
-        if (!go)
+        if (!allowed)
             return done({wanted.machines, false});
         executor_.release(wanted, settings_.report_s * 2, done);
     });
@@ -86,26 +96,29 @@
         listing_.clear();
         listing_at_ = timers_.now();
     }
-    request([this, gen = generation_, since](bool go) {
-        if (!go)
+    request([this, generation = generation_, since](bool allowed) {
+        if (!allowed)
             return;
-        executor_.list(since, settings_.report_s * 2, [this, gen](std::optional<codec::MachinePage>&& page) {
+        executor_.list(since, settings_.report_s * 2, [this, generation](std::optional<codec::MachinePage>&& page) {
             host_.cloud_answered(page.has_value());
-            if (gen != generation_ || !page)
-                return;
-            std::string last;
-            for (auto& listed_machine : page->machines) {
-                last = listed_machine.id;
-                listing_.push_back(std::move(listed_machine));
-            }
-            if (page->more && !last.empty())
-                return list_machines(last);
-            host_.push(MachinesListed{std::move(listing_), listing_at_});
-            listing_.clear();
+            if (generation == generation_ && page)
+                add_page(std::move(*page));
         });
     });
 }
 
+void CloudClient::add_page(codec::MachinePage&& page) {
+    std::string last;
+    for (auto& machine : page.machines) {
+        last = machine.id;
+        listing_.push_back(std::move(machine));
+    }
+    if (page.more && !last.empty())
+        return list_machines(last);
+    host_.push(MachinesListed{std::move(listing_), listing_at_});
+    listing_.clear();
+}
+
 // The types come from the cloud; the leader keeps a copy in the store for nodes that start while
 // the cloud is in fault.
 void CloudClient::learn_types() {
@@ -116,16 +129,16 @@
         return;
     learning_types_ = true;
     if (!types_.empty())
-        return from_cloud();
+        return learn_types_from_cloud();
     store_.get(types_key, settings_.report_s / 2, [this](store::Answer&& answer) {
         if (answer.item)
             if (auto types = codec::machine_types(answer.item->value.dump()); types)
                 return learned(std::move(*types));
-        from_cloud();
+        learn_types_from_cloud();
     });
 }
 
-void CloudClient::from_cloud() {
+void CloudClient::learn_types_from_cloud() {
     executor_.types(settings_.report_s * 2, [this](std::optional<std::vector<MachineType>>&& types) {
         host_.cloud_answered(types.has_value());
         learning_types_ = false;
@@ -136,7 +149,7 @@
             spdlog::info("{} machine types known", types->size());
         learned(std::move(*types));
         if (first)
-            store_.transact({{types_key, 0}}, {{types_key, codec::types_to_json(types_), 0}}, 1,
+            store_.transact({{types_key, 0}}, {{types_key, codec::types_to_json(types_), 0}}, types_write_s,
                             [](store::Answer&&) {});
     });
 }
--- a/src/executor/http.cpp
+++ b/src/executor/http.cpp
@@ -1,27 +1,66 @@
 #include "heronshift/executor/http.hpp"
 
+#include "heronshift/codec.hpp"
+#include "heronshift/http_status.hpp"
+
+#include <utility>
+
 namespace heronshift {
 namespace {
 
 constexpr std::string_view no_capacity = "no capacity"; // in the cloud's answer: not an outage
 constexpr int max_listed = 500;
 
+// Connections, and requests that wait for one, to each address.
+constexpr std::size_t cloud_connections = 2, cloud_waiting = 16;
+constexpr std::size_t agent_connections = 1, agent_waiting = 4;
+constexpr std::size_t probe_connections = 1, probe_waiting = 1;
+
+// What the cloud's answer says of a rental that it did not make. A request that was surely not executed has failed.
+RentOutcome refused_outcome(const HttpReply& reply) {
+    switch (reply.status) {
+    case http_status::service_unavailable:
+        return reply.body.find(no_capacity) != std::string::npos ? RentOutcome::no_capacity : RentOutcome::failed;
+    case http_status::too_many_requests:
+    case http_status::bad_request:
+        return RentOutcome::failed;
+    case http_status::no_answer:
+        return reply.sent ? RentOutcome::unknown : RentOutcome::failed;
+    default:
+        return RentOutcome::unknown;
+    }
+}
+
+Rented rented_of(const std::string& claim, const HttpReply& reply) {
+    if (reply.status != http_status::ok)
+        return {claim, refused_outcome(reply), {}};
+    auto machines = codec::rented(reply.body);
+    if (!machines)
+        return {claim, RentOutcome::unknown, {}};
+    return {claim, RentOutcome::rented, std::move(*machines)};
+}
+
 } // namespace
 
+HttpExecutor::HttpExecutor(uv_loop_t* loop, const Endpoint& cloud, std::size_t max_agent_connections)
+    : cloud_addr_(cloud.str()), cloud_(loop, cloud_connections, cloud_waiting),
+      agents_(loop, agent_connections, agent_waiting, max_agent_connections),
+      probes_(loop, probe_connections, probe_waiting) {}
+
 void HttpExecutor::command(const SendOrders& effect, double timeout_s, std::function<void(OrdersAnswered&&)> done) {
     agents_.request(effect.addr, "POST", std::string(codec::path_commands),
                     codec::commands(effect.fencing_token, effect.agent_epoch, effect.orders), timeout_s,
                     [done = std::move(done), id = effect.machine, batch = effect.batch](HttpReply&& reply) {
-                        OrdersAnswered a{id, batch, reply.status, reply.sent, std::nullopt};
-                        if (reply.status == 200 || reply.status == 409)
-                            a.heartbeat = codec::heartbeat(reply.body);
-                        done(std::move(a));
+                        OrdersAnswered answer{id, batch, reply.status, reply.sent, std::nullopt};
+                        if (reply.status == http_status::ok || reply.status == http_status::conflict)
+                            answer.heartbeat = codec::heartbeat(reply.body);
+                        done(std::move(answer));
                     });
 }
 
 void HttpExecutor::probe(const std::string& addr, double timeout_s, std::function<void(std::optional<bool>)> done) {
     probes_.request(addr, "GET", std::string(codec::path_status), "", timeout_s,
-                    [done = std::move(done)](HttpReply&& reply) { done(reply.status == 200); });
+                    [done = std::move(done)](HttpReply&& reply) { done(reply.status == http_status::ok); });
 }
 
 void HttpExecutor::forward(const std::string& addr, std::string body, double timeout_s,
@@ -30,29 +69,15 @@
 }
 
 void HttpExecutor::rent(const Rent& ask, double timeout_s, std::function<void(Rented&&)> done) {
-    cloud_.request(cloud_at_, "POST", std::string(codec::path_rentals),
+    cloud_.request(cloud_addr_, "POST", std::string(codec::path_rentals),
                    codec::rental(ask.claim, ask.type, ask.zone, ask.spot, ask.count), timeout_s,
-                   [done = std::move(done), claim = ask.claim](HttpReply&& reply) {
-                       Rented command{claim, RentOutcome::unknown, {}};
-                       if (reply.status == 200) {
-                           if (auto list = codec::rented(reply.body); list) {
-                               command.outcome = RentOutcome::rented;
-                               command.machines = std::move(*list);
-                           }
-                       } else if (reply.status == 503 && reply.body.find(no_capacity) != std::string::npos) {
-                           command.outcome = RentOutcome::no_capacity;
-                       } else if (reply.status == 503 || reply.status == 429 || reply.status == 400 ||
-                                  (reply.status == 0 && !reply.sent)) {
-                           command.outcome = RentOutcome::failed;
-                       }
-                       done(std::move(command));
-                   });
+                   [done = std::move(done), claim = ask.claim](HttpReply&& reply) { done(rented_of(claim, reply)); });
 }
 
 void HttpExecutor::release(const Release& ask, double timeout_s, std::function<void(Released&&)> done) {
-    cloud_.request(cloud_at_, "POST", std::string(codec::path_release), codec::release(ask.machines), timeout_s,
+    cloud_.request(cloud_addr_, "POST", std::string(codec::path_release), codec::release(ask.machines), timeout_s,
                    [done = std::move(done), list = ask.machines](HttpReply&& reply) {
-                       done({list, reply.status == 200});
+                       done({list, reply.status == http_status::ok});
                    });
 }
 
@@ -61,15 +86,15 @@
     auto path = std::string(codec::path_rentals) + "?most=" + std::to_string(max_listed);
     if (!since.empty())
         path += "&since=" + since;
-    cloud_.request(cloud_at_, "GET", path, "", timeout_s, [done = std::move(done)](HttpReply&& reply) {
-        done(reply.status == 200 ? codec::machine_page(reply.body) : std::nullopt);
+    cloud_.request(cloud_addr_, "GET", path, "", timeout_s, [done = std::move(done)](HttpReply&& reply) {
+        done(reply.status == http_status::ok ? codec::machine_page(reply.body) : std::nullopt);
     });
 }
 
 void HttpExecutor::types(double timeout_s, std::function<void(std::optional<std::vector<MachineType>>&&)> done) {
-    cloud_.request(cloud_at_, "GET", std::string(codec::path_types), "", timeout_s,
+    cloud_.request(cloud_addr_, "GET", std::string(codec::path_types), "", timeout_s,
                    [done = std::move(done)](HttpReply&& reply) {
-                       done(reply.status == 200 ? codec::machine_types(reply.body) : std::nullopt);
+                       done(reply.status == http_status::ok ? codec::machine_types(reply.body) : std::nullopt);
                    });
 }
 
