--- a/include/heronshift/node/controller.hpp
+++ b/include/heronshift/node/controller.hpp
@@ -1,9 +1,4 @@
-// One controller without a loop of its own: the queue of commands for the core, and the parts that
-// commands come from and effects go to. Whoever drives it (Node on libuv; the tests' world) calls tick()
-// some thirty times in report_s, and wake() when wake_at() has come and after anything was handed in.
-//
-// Owns: the queue, the core while this node is the leader, the parts and their wiring. Decides nothing:
-// who may act is the leadership's, what may be done the cluster state's.
+// One controller without a loop of its own.
 #pragma once
 
 #include "heronshift/cloud/cloud_client.hpp"
@@ -22,13 +17,20 @@
 
 namespace heronshift {
 
+/// Wires the parts of a controller together: the queue of commands for the core, the core while this node is the
+/// leader, and the parts that commands come from and effects go to. It decides nothing: who may act is for the leader
+/// election to say, and what is done for the core.
+///
+/// Whoever drives it (Node on libuv, the simulation of the tests) calls tick() some thirty times in report_s, and
+/// wake() when wake_at() has come and after anything was handed in. Not synchronised: one thread, that of the loop.
 class Controller final : leadership::LeaderElection::Host,
                          gateway::Gateway::Host,
                          workers::HeartbeatHandler::Host,
                          cloud::CloudClient::Host,
                          membership::Membership::Host {
 public:
-    struct Parts { // all are needed
+    /// What it runs on. All are needed.
+    struct Parts {
         std::unique_ptr<store::StateStore> state;
         std::unique_ptr<Executor> executor;
         std::unique_ptr<Peers> peers;
@@ -36,21 +38,28 @@
     };
     Controller(Settings settings, Parts parts);
 
-    // Records what goes into the core from its next term on, see replay/command_log.hpp.
+    /// Records what goes into the core from its next term on, see replay/command_log.hpp.
     void record(std::unique_ptr<replay::CommandLog> log) {
         log_ = std::move(log);
     }
     void start();
-    void stop(); // resigns
+    /// Gives up the leadership.
+    void stop();
+    /// What each part does at intervals.
     void tick();
-    void wake(); // what has become due; then the core takes what has gathered
+    /// Does what has become due; then the core takes the commands that have gathered.
+    void wake();
+    /// When wake() is due next, in seconds of the clock; 0: at once; infinity: not by itself.
     [[nodiscard]] double wake_at() const;
-    std::function<void()> on_wake_at; // it may have become sooner
+    /// Called when wake_at() may have become sooner.
+    std::function<void()> on_wake_at;
+    /// Lets the core take the commands that have gathered and performs the effects that it asks for.
     void run_core();
 
-    // A request of a user or a worker; one that a peer sends, its path with /peer.
-    void serve(HttpRequest&& request, Responder res);
-    void serve_peer(HttpRequest&& request, Responder res);
+    /// A request of a user or a machine.
+    void serve(HttpRequest&& request, const Responder& res);
+    /// A request of another controller, its path with peer_prefix.
+    void serve_peer(HttpRequest&& request, const Responder& res);
 
     [[nodiscard]] const Settings& settings() const {
         return settings_;
@@ -61,11 +70,12 @@
     [[nodiscard]] store::StateStore& state() {
         return store_;
     }
-    // Until when, by its clock, this node may act if it hears nothing more; 0: it may not.
+    /// Until when, in seconds of its clock, this node may act if it hears nothing more; 0: it may not.
     [[nodiscard]] double active_until() const {
         return election_.active_until();
     }
-    [[nodiscard]] const Core* core() const { // while it is the leader
+    /// Null while it is not the leader.
+    [[nodiscard]] const Core* core() const {
         return core_.get();
     }
 
@@ -116,14 +126,17 @@
     void stored(JobStored&& command) override;
     void push(Command command) override;
 
-    void serve(HttpRequest&& request, Responder res, bool forwarded);
+    void serve(HttpRequest&& request, const Responder& res, bool forwarded);
+    void serve_health(const Responder& res) const;
+    [[nodiscard]] std::vector<Effect> step_core(std::vector<Command>& batch, double now);
+    void record_effects(const std::vector<Effect>& effects);
     void perform(Effect& effect);
     [[nodiscard]] std::string metrics() const;
 
     const Settings settings_;
     std::shared_ptr<const Clock> clock_;
     TimerQueue timers_;
-    metrics::Timings took_;
+    metrics::Timings timings_;
     membership::ObservedStore store_;
     std::unique_ptr<Executor> executor_;
     membership::ObservedPeers peers_;
@@ -134,7 +147,7 @@
     cloud::CloudClient cloud_;
 
     std::unique_ptr<Core> core_;
-    std::uint64_t life_ = 0; // of the core: answers for an earlier one are dropped
+    std::uint64_t core_generation_ = 0; // answers for an earlier core are dropped
     std::vector<Command> queue_;
     bool running_core_ = false;
     std::unique_ptr<replay::CommandLog> log_;
--- a/src/node/controller.cpp
+++ b/src/node/controller.cpp
@@ -1,5 +1,6 @@
 #include "heronshift/node/controller.hpp"
 
+#include "heronshift/http_status.hpp"
 #include "heronshift/overloaded.hpp"
 
 #include <algorithm>
@@ -10,13 +11,28 @@
 
 using gateway::retry_soon_s;
 
+namespace {
+
+spdlog::level::level_enum level_of(const LogLine& line) {
+    switch (line.level) {
+    case 0:
+        return spdlog::level::debug;
+    case 1:
+        return spdlog::level::info;
+    default:
+        return spdlog::level::warn;
+    }
+}
+
+} // namespace
+
 Controller::Controller(Settings settings, Parts parts)
     : settings_(std::move(settings)), clock_(std::move(parts.clock)), timers_(clock_), store_(std::move(parts.state)),
       executor_(std::move(parts.executor)), peers_(std::move(parts.peers)),
       members_(settings_, timers_, store_, *executor_, peers_, *this),
-      election_(settings_, timers_, store_, peers_, members_, took_, *this),
-      gateway_(settings_, timers_, store_, peers_, members_, took_, *this),
-      heartbeat_handler_(settings_, timers_, *executor_, peers_, members_, took_, *this),
+      election_(settings_, timers_, store_, peers_, members_, timings_, *this),
+      gateway_(settings_, timers_, store_, peers_, members_, timings_, *this),
+      heartbeat_handler_(settings_, timers_, *executor_, peers_, members_, timings_, *this),
       cloud_(settings_, timers_, store_, *executor_, *this) {
     store_.on_answer = [this](bool ok) { members_.store_answered(ok); };
     peers_.on_answer = [this](const std::string& name, bool ok) { members_.peer_answered(name, ok); };
@@ -68,7 +84,7 @@
 
 void Controller::leadership_acquired(std::uint64_t term, Snapshot&& stored) {
     const double at = timers_.now(), wall_at = timers_.wall();
-    ++life_;
+    ++core_generation_;
     queue_.clear();
     if (log_)
         log_->begin(settings_, term, stored, at, wall_at);
@@ -82,7 +98,7 @@
 }
 
 void Controller::leadership_lost() {
-    ++life_;
+    ++core_generation_;
     core_.reset();
     queue_.clear();
     cloud_.on_leadership_lost();
@@ -102,7 +118,7 @@
 void Controller::stored(JobStored&& command) {
     if (!core_)
         return;
-    took_.first_launches.known(command.spec.id, timers_.now());
+    timings_.first_launches.known(command.spec.id, timers_.now());
     push(std::move(command));
 }
 
@@ -115,39 +131,49 @@
     running_core_ = true;
     std::vector<Command> batch;
     batch.swap(queue_);
+    auto effects = step_core(batch, now);
+    // What the core has left of the batch goes before what has come meanwhile.
+    queue_.insert(queue_.begin(), std::make_move_iterator(batch.begin()), std::make_move_iterator(batch.end()));
+    const auto generation = core_generation_;
+    for (auto& effect : effects) {
+        if (generation != core_generation_)
+            break; // an effect before this one has ended the leadership
+        perform(effect);
+    }
+    running_core_ = false;
+    if (on_wake_at)
+        on_wake_at();
+}
+
+std::vector<Effect> Controller::step_core(std::vector<Command>& batch, double now) {
     const auto commands = batch.size();
     const double wall_now = timers_.wall();
     const bool may_act = election_.valid();
     if (log_)
         log_->commands(batch, now, wall_now, may_act);
     auto effects = core_->step(batch, now, wall_now, may_act);
-    if (log_) {
-        log_->effects(effects);
-        if (!log_->open()) {
-            spdlog::warn("the command log ends here: {}", log_->why());
-            log_.reset();
-        }
-    }
+    record_effects(effects);
     const double took = timers_.now() - now;
-    took_.step.add(took);
+    timings_.step.add(took);
     if (took > settings_.report_s / 100)
-        spdlog::debug("a step took {:.0f} ms for {} commands and {} effects", took * 1000, commands, effects.size());
-    queue_.insert(queue_.begin(), std::make_move_iterator(batch.begin()), std::make_move_iterator(batch.end()));
-    const auto life = life_;
-    for (auto& e : effects) {
-        if (life != life_)
-            break; // stepped down meanwhile
-        perform(e);
-    }
-    running_core_ = false;
-    if (on_wake_at)
-        on_wake_at();
+        spdlog::debug("slow step: {:.0f} ms, {} commands, {} effects", took * 1000, commands, effects.size());
+    return effects;
+}
+
+void Controller::record_effects(const std::vector<Effect>& effects) {
+    if (!log_)
+        return;
+    log_->effects(effects);
+    if (log_->open())
+        return;
+    spdlog::warn("command log ends: {}", log_->why());
+    log_.reset();
 }
 
 void Controller::perform(Effect& effect) {
-    const auto to_core = [this, life = life_](auto&& c) {
-        if (life == life_)
-            push(std::forward<decltype(c)>(c));
+    const auto to_core = [this, generation = core_generation_](auto&& command) {
+        if (generation == core_generation_)
+            push(std::forward<decltype(command)>(command));
     };
     std::visit(Overloaded{
                    [this](Commit& e) { election_.commit(std::move(e)); },
@@ -158,19 +184,14 @@
                    [this](Rent& e) { cloud_.rent(e); },
                    [this](Release& e) { cloud_.release(e); },
                    [this](Resign& e) { election_.resign(e.why); },
-                   [](LogLine& e) {
-                       spdlog::log(e.level == 0   ? spdlog::level::debug
-                                   : e.level == 1 ? spdlog::level::info
-                                                  : spdlog::level::warn,
-                                   "{}", e.text);
-                   },
+                   [](LogLine& e) { spdlog::log(level_of(e), "{}", e.text); },
                },
                effect);
 }
 
-void Controller::serve_peer(HttpRequest&& request, Responder res) {
+void Controller::serve_peer(HttpRequest&& request, const Responder& res) {
     if (!request.path.starts_with(peer_prefix))
-        return res.send(404, codec::error_answer("no such path"));
+        return res.send(http_status::not_found, codec::error_answer("no such path"));
     request.path.erase(0, std::string_view(peer_prefix).size());
     if (request.path == "/view")
         return members_.handle_view(request, res);
@@ -181,32 +202,35 @@
     if (request.path == "/relay")
         return heartbeat_handler_.forward(std::move(request), res);
     if (request.path == "/office") // for versions without views
-        return res.send(200, codec::Json{{"holder", election_.leader()}, {"term", election_.leader_term()}}.dump());
-    serve(std::move(request), std::move(res), true);
+        return res.send(http_status::ok,
+                        codec::Json{{"holder", election_.leader()}, {"term", election_.leader_term()}}.dump());
+    serve(std::move(request), res, true);
 }
 
-void Controller::serve(HttpRequest&& request, Responder res) {
-    ++took_.requests;
-    serve(std::move(request), std::move(res), false);
+void Controller::serve(HttpRequest&& request, const Responder& res) {
+    ++timings_.requests;
+    serve(std::move(request), res, false);
 }
 
-void Controller::serve(HttpRequest&& request, Responder res, bool forwarded) {
+void Controller::serve(HttpRequest&& request, const Responder& res, bool forwarded) {
     const std::string_view path = request.path;
     const bool get = request.method == "GET", post = request.method == "POST";
-    auto wrong_method = [&] { res.send(405, codec::error_answer("wrong method")); };
+    const auto wrong_method = [&] { res.send(http_status::method_not_allowed, codec::error_answer("wrong method")); };
     if (path == codec::path_heartbeat)
         return post ? heartbeat_handler_.handle_heartbeat(std::move(request), res, forwarded) : wrong_method();
-    if (path == codec::path_health) {
-        if (!get)
-            return wrong_method();
-        const bool can_serve = !types().empty() && members_.can_serve();
-        return can_serve ? res.send(200, "{}") : res.send(503, codec::not_now, retry_soon_s);
-    }
+    if (path == codec::path_health)
+        return get ? serve_health(res) : wrong_method();
     if (path == "/metrics")
-        return get ? res.send(200, metrics()) : wrong_method();
+        return get ? res.send(http_status::ok, metrics()) : wrong_method();
     if (path.starts_with(codec::path_jobs))
-        return gateway_.serve(std::move(request), std::move(res), forwarded);
-    res.send(404, codec::error_answer("no such path"));
+        return gateway_.serve(std::move(request), res, forwarded);
+    res.send(http_status::not_found, codec::error_answer("no such path"));
+}
+
+void Controller::serve_health(const Responder& res) const {
+    if (types().empty() || !members_.can_serve())
+        return res.send(http_status::service_unavailable, codec::not_now, retry_soon_s);
+    res.send(http_status::ok, "{}");
 }
 
 std::string Controller::zone_of(const std::string& machine) const {
@@ -231,17 +255,17 @@
     for (auto&& part : {election_.metrics(), members_.metrics()})
         values.insert(values.end(), part.begin(), part.end());
     values.push_back(
-        {"heronshift_relayed_total", "reports and orders passed on for others", static_cast<double>(took_.relayed)});
+        {"heronshift_relayed_total", "reports and orders passed on for others", static_cast<double>(timings_.relayed)});
     values.push_back({"heronshift_sent_by_others_total", "orders that another passed on for this controller",
-                      static_cast<double>(took_.relayed_by_others)});
-    values.push_back({"heronshift_requests_total", "from users and workers", static_cast<double>(took_.requests)});
-    values.push_back({"heronshift_refused_total", "requests sent away for now", static_cast<double>(took_.refused)});
-    return metrics::text(values, {{"heronshift_submit_seconds", "to store a job and answer", &took_.submit},
+                      static_cast<double>(timings_.relayed_by_others)});
+    values.push_back({"heronshift_requests_total", "from users and workers", static_cast<double>(timings_.requests)});
+    values.push_back({"heronshift_refused_total", "requests sent away for now", static_cast<double>(timings_.refused)});
+    return metrics::text(values, {{"heronshift_submit_seconds", "to store a job and answer", &timings_.submit},
                                   {"heronshift_first_launch_seconds",
-                                   "from when the holder knows a job to its first launch", &took_.launch},
-                                  {"heronshift_report_seconds", "to answer a report", &took_.heartbeat},
-                                  {"heronshift_commit_seconds", "to store a transaction", &took_.commit},
-                                  {"heronshift_step_seconds", "of decisions", &took_.step}});
+                                   "from when the holder knows a job to its first launch", &timings_.launch},
+                                  {"heronshift_report_seconds", "to answer a report", &timings_.heartbeat},
+                                  {"heronshift_commit_seconds", "to store a transaction", &timings_.commit},
+                                  {"heronshift_step_seconds", "of decisions", &timings_.step}});
 }
 
 } // namespace heronshift
