--- a/src/config.cpp
+++ b/src/config.cpp
@@ -1,8 +1,11 @@
 #include "heronshift/config.hpp"
 
+#include <algorithm>
 #include <cmath>
+#include <cstdlib>
 #include <fmt/format.h>
 #include <fstream>
+#include <iterator>
 #include <nlohmann/json.hpp>
 #include <set>
 #include <sstream>
@@ -15,7 +18,16 @@
 namespace {
 
 constexpr double lease_clock_drift = 0.002; // of steady clocks, four times what the protocol allows
+constexpr int max_port = 65535;
+constexpr int max_batch = 8;
+constexpr double max_count = 1e6;
+constexpr double min_gamma_of_alpha = 5; // "far above alpha"
+constexpr double min_begin_reports = 10; // begin-s, in intervals of heartbeats
+constexpr double max_begin_s = 86'400;
+constexpr double min_memory_mb = 16, min_fd_limit = 64, min_txn_ops = 4;
 
+// Reads fields of a TOML file and says where one is wrong, as SettingsError. `at` is the path of the table, with a dot
+// at its end, that messages name.
 class Reader {
 public:
     explicit Reader(std::string path) : path_(std::move(path)) {}
@@ -24,81 +36,100 @@
         throw SettingsError(fmt::format("{}: {}: {}", path_, field, what));
     }
 
-    std::string text(const toml::table& t, const std::string& at, const char* key) const {
-        const auto* n = t.get(key);
-        if (n == nullptr)
-            fail(at + key, "is missing");
-        auto v = n->value_exact<std::string>();
-        if (!v || v->empty())
+    std::string text(const toml::table& parent, const std::string& at, const char* key) const {
+        auto value = required(parent, at, key).value_exact<std::string>();
+        if (!value || value->empty())
             fail(at + key, "must be a non-empty string");
-        return *v;
+        return *value;
     }
 
-    double number(const toml::table& t, const std::string& at, const char* key, double least, bool open = false) const {
-        const auto* n = t.get(key);
-        if (n == nullptr)
-            fail(at + key, "is missing");
-        if (!n->is_number())
+    // open: min itself is too little.
+    double number(const toml::table& parent, const std::string& at, const char* key, double min,
+                  bool open = false) const {
+        const auto& node = required(parent, at, key);
+        if (!node.is_number())
             fail(at + key, "must be a number");
-        const double v = n->value<double>().value_or(NAN);
-        if (!std::isfinite(v))
+        const double value = node.value<double>().value_or(NAN);
+        if (!std::isfinite(value))
             fail(at + key, "must be finite");
-        if (v < least || (open && v <= least))
-            fail(at + key, fmt::format("must be {} {}", open ? "above" : "at least", least));
-        return v;
+        if (value < min || (open && value <= min))
+            fail(at + key, fmt::format("must be {} {}", open ? "above" : "at least", min));
+        return value;
     }
 
-    const toml::table& table(const toml::table& t, const std::string& at, const char* key) const {
-        const auto* n = t.get(key);
-        if (n == nullptr)
-            fail(at + key, "is missing");
-        if (!n->is_table())
+    const toml::table& table(const toml::table& parent, const std::string& at, const char* key) const {
+        const auto& node = required(parent, at, key);
+        if (!node.is_table())
             fail(at + key, "must be a table");
-        return *n->as_table();
+        return *node.as_table();
     }
 
-    template <class F> void each(const toml::table& t, const std::string& at, const char* key, F f) const {
-        const auto* n = t.get(key);
-        if (n == nullptr)
+    // Calls back with each table of an array and its path; the array may be missing.
+    template <class F> void each(const toml::table& parent, const std::string& at, const char* key, F callback) const {
+        const auto* node = parent.get(key);
+        if (node == nullptr)
             return;
-        if (!n->is_array())
+        if (!node->is_array())
             fail(at + key, "must be an array of tables");
         std::size_t i = 0;
-        for (const auto& e : *n->as_array()) {
+        for (const auto& element : *node->as_array()) {
             const auto where = fmt::format("{}{}[{}].", at, key, i++);
-            if (!e.is_table())
+            if (!element.is_table())
                 fail(where, "must be a table");
-            f(*e.as_table(), where);
+            callback(*element.as_table(), where);
+        }
+    }
+
+    // The strings of an array, which may be missing.
+    std::vector<std::string> texts(const toml::table& parent, const std::string& at, const char* key) const {
+        std::vector<std::string> out;
+        const auto* node = parent.get(key);
+        if (node == nullptr)
+            return out;
+        if (!node->is_array())
+            fail(at + key, "must be an array");
+        for (const auto& element : *node->as_array()) {
+            if (!element.is_string())
+                fail(at + key, "must hold strings");
+            out.push_back(**element.as_string());
         }
+        return out;
     }
 
-    Endpoint endpoint(const toml::table& t, const std::string& at, const char* key) const {
-        const auto s = text(t, at, key);
-        const auto colon = s.rfind(':');
+    Endpoint endpoint(const toml::table& parent, const std::string& at, const char* key) const {
+        const auto address = text(parent, at, key);
+        const auto colon = address.rfind(':');
         if (colon == std::string::npos || colon == 0)
             fail(at + key, "must be ADDRESS:PORT");
         int port = 0;
-        for (char c : s.substr(colon + 1)) {
-            if (c < '0' || c > '9' || port > 65535)
+        for (const char digit : address.substr(colon + 1)) {
+            if (digit < '0' || digit > '9' || port > max_port)
                 fail(at + key, "has a bad port");
-            port = port * 10 + (c - '0');
+            port = port * 10 + (digit - '0');
         }
-        if (port < 1 || port > 65535)
+        if (port < 1 || port > max_port)
             fail(at + key, "has a bad port");
-        return {s.substr(0, colon), port};
+        return {address.substr(0, colon), port};
     }
 
 private:
+    const toml::node& required(const toml::table& parent, const std::string& at, const char* key) const {
+        const auto* node = parent.get(key);
+        if (node == nullptr)
+            fail(at + key, "is missing");
+        return *node;
+    }
+
     std::string path_;
 };
 
-// One setting of the operators' file: (name value).
+// One setting of the operators' file: (name value). Exactly one of number, count and flag is set.
 struct OperatorField {
     const char* name;
     double OperatorSettings::*number = nullptr;
     int OperatorSettings::*count = nullptr;
     bool OperatorSettings::*flag = nullptr;
-    double least = 0;
+    double min = 0;
 };
 
 const OperatorField operator_fields[] = {
@@ -109,13 +140,13 @@
     {.name = "pull-back-cap", .count = &OperatorSettings::pull_back_cap},
     {.name = "reorder-cap", .count = &OperatorSettings::reorder_cap},
     {.name = "round-s", .number = &OperatorSettings::round_s},
-    {.name = "batch", .count = &OperatorSettings::batch, .least = 1},
+    {.name = "batch", .count = &OperatorSettings::batch, .min = 1},
     {.name = "headroom", .number = &OperatorSettings::headroom},
     {.name = "empty-s", .number = &OperatorSettings::empty_s},
     {.name = "begin-s", .number = &OperatorSettings::begin_s},
 };
 
-std::string slurp(const std::string& path) {
+std::string read_file(const std::string& path) {
     std::ifstream in(path, std::ios::binary);
     if (!in)
         throw SettingsError(path + ": cannot be read");
@@ -128,81 +159,104 @@
     return (e != nullptr && e->ty == SEXP_VALUE && e->val != nullptr) ? e->val : "";
 }
 
+[[noreturn]] void fail_field(const std::string& path, const std::string& name, const std::string& what) {
+    throw SettingsError(path + ": " + name + ": " + what);
+}
+
+double parse_number(const std::string& path, const OperatorField& field, const std::string& value) {
+    char* end = nullptr;
+    const double number = std::strtod(value.c_str(), &end);
+    if (value.empty() || *end != 0 || !std::isfinite(number))
+        fail_field(path, field.name, "must be a finite number");
+    if (number < field.min)
+        fail_field(path, field.name, fmt::format("must be at least {}", field.min));
+    if (field.count != nullptr && (number != std::floor(number) || number > max_count))
+        fail_field(path, field.name, "must be a whole number");
+    return number;
+}
+
 void apply(OperatorSettings& operators, const std::string& path, const std::string& name, const std::string& value) {
-    auto fail = [&](const std::string& what) { throw SettingsError(path + ": " + name + ": " + what); };
-    for (const auto& f : operator_fields) {
-        if (name != f.name)
-            continue;
-        if (f.flag != nullptr) {
-            if (value != "yes" && value != "no")
-                fail("must be yes or no");
-            operators.*f.flag = value == "yes";
-            return;
-        }
-        char* end = nullptr;
-        const double v = std::strtod(value.c_str(), &end);
-        if (value.empty() || *end != 0 || !std::isfinite(v))
-            fail("must be a finite number");
-        if (v < f.least)
-            fail(fmt::format("must be at least {}", f.least));
-        if (f.count != nullptr) {
-            if (v != std::floor(v) || v > 1e6)
-                fail("must be a whole number");
-            operators.*f.count = static_cast<int>(v);
-        } else {
-            operators.*f.number = v;
-        }
-        return;
+    const auto* field = std::find_if(std::begin(operator_fields), std::end(operator_fields),
+                                     [&](const OperatorField& known) { return name == known.name; });
+    if (field == std::end(operator_fields))
+        fail_field(path, name, "is not a known setting");
+    if (field->flag != nullptr) {
+        if (value != "yes" && value != "no")
+            fail_field(path, name, "must be yes or no");
+        operators.*field->flag = value == "yes";
+    } else if (field->count != nullptr) {
+        operators.*field->count = static_cast<int>(parse_number(path, *field, value));
+    } else {
+        operators.*field->number = parse_number(path, *field, value);
     }
-    fail("is not a known setting");
 }
 
-// Names and values in the order of the file.
-std::vector<std::pair<std::string, std::string>> operator_file(const std::string& path) {
-    auto text = slurp(path);
-    // Comments run from ; to the end of the line.
-    for (std::size_t i = 0; i < text.size(); ++i)
-        if (text[i] == ';')
-            while (i < text.size() && text[i] != '\n')
-                text[i++] = ' ';
+// Comments run from ; to the end of the line.
+void blank_comments(std::string& text) {
+    bool comment = false;
+    for (auto& c : text) {
+        comment = c != '\n' && (comment || c == ';');
+        if (comment)
+            c = ' ';
+    }
+}
+
+bool parentheses_match(const std::string& text) {
     long depth = 0;
-    for (char c : text) {
+    for (const char c : text) {
         depth += c == '(' ? 1 : c == ')' ? -1 : 0;
         if (depth < 0)
-            break;
+            return false;
+    }
+    return depth == 0;
+}
+
+// Owns what sfsexp has parsed, and the memory that it keeps.
+struct Expression {
+    sexp_t* root;
+    explicit Expression(std::string& text) : root(parse_sexp(text.data(), text.size())) {}
+    ~Expression() {
+        if (root != nullptr)
+            destroy_sexp(root);
+        sexp_cleanup();
     }
-    if (depth != 0)
+    Expression(const Expression&) = delete;
+    Expression& operator=(const Expression&) = delete;
+};
+
+struct NamedValue {
+    std::string name, value;
+};
+
+// The settings of an operators' file, in its order.
+std::vector<NamedValue> operator_file(const std::string& path) {
+    auto text = read_file(path);
+    blank_comments(text);
+    if (!parentheses_match(text))
         throw SettingsError(path + ": parentheses do not match");
-    sexp_t* root = parse_sexp(text.data(), text.size());
-    if (root == nullptr || root->ty != SEXP_LIST)
+    const Expression expression(text);
+    if (expression.root == nullptr || expression.root->ty != SEXP_LIST)
         throw SettingsError(path + ": not an S-expression");
-    struct Free {
-        sexp_t* s;
-        ~Free() {
-            destroy_sexp(s);
-            sexp_cleanup();
-        }
-    } freed{root};
-    if (atom(root->list) != "heronshift")
+    if (atom(expression.root->list) != "heronshift")
         throw SettingsError(path + ": must start with (heronshift");
-    std::vector<std::pair<std::string, std::string>> out;
+    std::vector<NamedValue> out;
     std::set<std::string> seen;
-    for (auto* e = root->list->next; e != nullptr; e = e->next) {
+    for (auto* e = expression.root->list->next; e != nullptr; e = e->next) {
         if (e->ty != SEXP_LIST)
-            throw SettingsError(path + ": " + atom(e) + ": must be (name value)");
+            fail_field(path, atom(e), "must be (name value)");
         const auto name = atom(e->list);
         const auto* value = e->list != nullptr ? e->list->next : nullptr;
         if (value == nullptr || value->next != nullptr)
-            throw SettingsError(fmt::format("{}: {}: must be (name value)", path, name));
+            fail_field(path, name, "must be (name value)");
         if (!seen.insert(name).second)
-            throw SettingsError(fmt::format("{}: {}: is given twice", path, name));
-        out.emplace_back(name, atom(value));
+            fail_field(path, name, "is given twice");
+        out.push_back({name, atom(value)});
     }
     return out;
 }
 
 toml::table toml_file(const std::string& path) {
-    slurp(path);
+    read_file(path); // says in our words that it cannot be read
     try {
         return toml::parse_file(path);
     } catch (const toml::parse_error& e) {
@@ -210,115 +264,151 @@
     }
 }
 
-} // namespace
-
-OperatorSettings load_operator_settings(const std::string& path, double report_s) {
-    OperatorSettings operators;
-    for (const auto& [name, value] : operator_file(path))
-        apply(operators, path, name, value);
-    auto need = [&](bool ok, const char* name, const char* what) {
-        if (!ok)
-            throw SettingsError(path + ": " + name + ": " + what);
-    };
-    need(operators.beta < operators.alpha, "beta", "must be below alpha");
-    need(operators.gamma >= 5 * operators.alpha, "gamma", "must be far above alpha (five times at least)");
-    need(operators.target_share <= 1, "target-share", "must be at most 1");
-    need(operators.round_s >= report_s, "round-s", "must be at least report_s");
-    need(operators.batch <= 8, "batch", "must be at most 8");
-    need(operators.begin_s >= 10 * report_s && operators.begin_s <= 86'400, "begin-s",
-         "must be from ten times report_s to a day");
-    return operators;
-}
+// The sections of the platform's file.
 
-Settings load_settings(const std::string& path) {
-    const auto t = toml_file(path);
-    const Reader r(path);
-    Settings settings;
-    settings.name = r.text(t, "", "host_name");
-    settings.zone = r.text(t, "", "zone");
-    settings.listen = r.endpoint(t, "", "bind");
-    settings.peer_listen = r.endpoint(t, "", "back");
+void read_peers(const Reader& reader, const toml::table& file, Settings& settings) {
     std::set<std::string> names{settings.name};
-    r.each(t, "", "others", [&](const toml::table& e, const std::string& at) {
-        settings.peers.push_back({r.text(e, at, "host_name"), r.text(e, at, "zone"), r.endpoint(e, at, "peer_addr")});
+    reader.each(file, "", "others", [&](const toml::table& entry, const std::string& at) {
+        settings.peers.push_back({reader.text(entry, at, "host_name"), reader.text(entry, at, "zone"),
+                                  reader.endpoint(entry, at, "peer_addr")});
         if (!names.insert(settings.peers.back().name).second)
-            r.fail(at + "host_name", "is given twice");
+            reader.fail(at + "host_name", "is given twice");
     });
-    const auto& ext = r.table(t, "", "external");
-    settings.cloud = r.endpoint(ext, "external.", "cloud");
-    settings.state = r.endpoint(ext, "external.", "state");
-    const auto& f = r.table(t, "", "facts");
-    if (const auto* z = f.get("zones"); z != nullptr) {
-        if (!z->is_array())
-            r.fail("facts.zones", "must be an array");
-        for (const auto& e : *z->as_array()) {
-            if (!e.is_string())
-                r.fail("facts.zones", "must hold strings");
-            settings.zones.push_back(**e.as_string());
-        }
-    }
-    settings.time_bound_s = r.number(f, "facts.", "time_bound_ms", 0) / 1000;
-    std::set<std::string> teams;
-    r.each(f, "facts.", "teams", [&](const toml::table& e, const std::string& at) {
+}
+
+void read_external(const Reader& reader, const toml::table& file, Settings& settings) {
+    const std::string at = "external.";
+    const auto& external = reader.table(file, "", "external");
+    settings.cloud = reader.endpoint(external, at, "cloud");
+    settings.state = reader.endpoint(external, at, "state");
+}
+
+void read_teams(const Reader& reader, const toml::table& facts, Settings& settings) {
+    std::set<std::string> names;
+    reader.each(facts, "facts.", "teams", [&](const toml::table& entry, const std::string& at) {
         TeamLimits limits;
-        limits.name = r.text(e, at, "name");
-        limits.cpus = r.number(e, at, "cpus", 0);
-        limits.cpus_max = r.number(e, at, "cpus_max", 0);
-        limits.gpus = r.number(e, at, "gpus", 0);
-        limits.gpus_max = r.number(e, at, "gpus_max", 0);
-        if (!teams.insert(limits.name).second)
-            r.fail(at + "name", "is given twice");
+        limits.name = reader.text(entry, at, "name");
+        limits.cpus = reader.number(entry, at, "cpus", 0);
+        limits.cpus_max = reader.number(entry, at, "cpus_max", 0);
+        limits.gpus = reader.number(entry, at, "gpus", 0);
+        limits.gpus_max = reader.number(entry, at, "gpus_max", 0);
+        if (!names.insert(limits.name).second)
+            reader.fail(at + "name", "is given twice");
         if (limits.cpus_max > 0 && limits.cpus > limits.cpus_max)
-            r.fail(at + "cpus", "is above cpus_max");
+            reader.fail(at + "cpus", "is above cpus_max");
         if (limits.gpus_max > 0 && limits.gpus > limits.gpus_max)
-            r.fail(at + "gpus", "is above gpus_max");
+            reader.fail(at + "gpus", "is above gpus_max");
         settings.teams.push_back(limits);
     });
-    r.each(f, "facts.", "objectives", [&](const toml::table& e, const std::string& at) {
+}
+
+void read_objectives(const Reader& reader, const toml::table& facts, Settings& settings) {
+    reader.each(facts, "facts.", "objectives", [&](const toml::table& entry, const std::string& at) {
         Objective objective;
-        objective.kind = r.text(e, at, "kind");
-        objective.job_class = e["class"].value_or(std::string());
-        objective.within_s = e["within_s"].value_or(0.0);
-        objective.share = e["share"].value_or(0.0);
-        objective.times = e["times"].value_or(0.0);
+        objective.kind = reader.text(entry, at, "kind");
+        objective.job_class = entry["class"].value_or(std::string());
+        objective.within_s = entry["within_s"].value_or(0.0);
+        objective.share = entry["share"].value_or(0.0);
+        objective.times = entry["times"].value_or(0.0);
         settings.objectives.push_back(objective);
     });
-    const auto& w = r.table(f, "facts.", "workers");
+}
+
+void read_workers(const Reader& reader, const toml::table& facts, Settings& settings) {
     const std::string at = "facts.workers.";
-    settings.report_s = r.number(w, at, "report_s", 0, true);
-    settings.lease_s = r.number(w, at, "lease_s", 0, true);
-    settings.gang_wait_s = r.number(w, at, "gang_wait_s", 0, true);
-    settings.gang_peer_s = r.number(w, at, "gang_peer_s", 0, true);
-    settings.cancel_s = r.number(w, at, "cancel_s", 0, true);
+    const auto& workers = reader.table(facts, "facts.", "workers");
+    settings.report_s = reader.number(workers, at, "report_s", 0, true);
+    settings.lease_s = reader.number(workers, at, "lease_s", 0, true);
+    settings.gang_wait_s = reader.number(workers, at, "gang_wait_s", 0, true);
+    settings.gang_peer_s = reader.number(workers, at, "gang_peer_s", 0, true);
+    settings.cancel_s = reader.number(workers, at, "cancel_s", 0, true);
     if (settings.lease_s < 2 * settings.report_s)
-        r.fail(at + "lease_s", "must be at least twice report_s");
+        reader.fail(at + "lease_s", "must be at least twice report_s");
     // A machine that no stop reaches keeps a cancelled task until its lease has run out, by its own clock.
     if (settings.cancel_s < settings.lease_s * (1 + lease_clock_drift))
-        r.fail(at + "cancel_s",
-               "must be longer than lease_s, which is how long a machine that cannot be reached goes on");
-    const auto& st = r.table(f, "facts.", "state");
-    settings.state_rps = r.number(st, "facts.state.", "rps", 0, true);
-    settings.state_write_rps = r.number(st, "facts.state.", "write_rps", 0, true);
-    settings.value_kb = r.number(st, "facts.state.", "value_kb", 1);
-    settings.txn_ops = static_cast<int>(r.number(st, "facts.state.", "txn_ops", 4));
+        reader.fail(at + "cancel_s",
+                    "must be longer than lease_s, which is how long a machine that cannot be reached goes on");
+}
+
+int read_txn_ops(const Reader& reader, const toml::table& table, const std::string& at) {
+    return static_cast<int>(reader.number(table, at, "txn_ops", min_txn_ops));
+}
+
+void read_state(const Reader& reader, const toml::table& facts, Settings& settings) {
+    const std::string at = "facts.state.";
+    const auto& state = reader.table(facts, "facts.", "state");
+    settings.state_rps = reader.number(state, at, "rps", 0, true);
+    settings.state_write_rps = reader.number(state, at, "write_rps", 0, true);
+    settings.value_kb = reader.number(state, at, "value_kb", 1);
+    settings.txn_ops = read_txn_ops(reader, state, at);
     // Lowered some time after an upgrade, without notice: what is written fits the smaller from the start.
-    if (st.contains("next")) {
-        const auto& next = r.table(st, "facts.state.", "next");
-        const std::string in = "facts.state.next.";
-        if (next.contains("write_rps"))
-            settings.state_write_rps = std::min(settings.state_write_rps, r.number(next, in, "write_rps", 0, true));
-        if (next.contains("value_kb"))
-            settings.value_kb = std::min(settings.value_kb, r.number(next, in, "value_kb", 1));
-        if (next.contains("txn_ops"))
-            settings.txn_ops = std::min(settings.txn_ops, static_cast<int>(r.number(next, in, "txn_ops", 4)));
-    }
-    const auto& c = r.table(f, "facts.", "cloud");
-    settings.cloud_rps = r.number(c, "facts.cloud.", "rps", 0, true);
-    settings.list_lag_s = r.number(c, "facts.cloud.", "list_lag_s", 0);
-    const auto& l = r.table(f, "facts.", "resources");
-    settings.cores = r.number(l, "facts.resources.", "cores", 0, true);
-    settings.memory_mb = r.number(l, "facts.resources.", "mem_mb", 16);
-    settings.fd_limit = static_cast<int>(r.number(l, "facts.resources.", "fd_limit", 64));
+    if (!state.contains("next"))
+        return;
+    const std::string in = "facts.state.next.";
+    const auto& next = reader.table(state, at, "next");
+    if (next.contains("write_rps"))
+        settings.state_write_rps = std::min(settings.state_write_rps, reader.number(next, in, "write_rps", 0, true));
+    if (next.contains("value_kb"))
+        settings.value_kb = std::min(settings.value_kb, reader.number(next, in, "value_kb", 1));
+    if (next.contains("txn_ops"))
+        settings.txn_ops = std::min(settings.txn_ops, read_txn_ops(reader, next, in));
+}
+
+void read_cloud(const Reader& reader, const toml::table& facts, Settings& settings) {
+    const std::string at = "facts.cloud.";
+    const auto& cloud = reader.table(facts, "facts.", "cloud");
+    settings.cloud_rps = reader.number(cloud, at, "rps", 0, true);
+    settings.list_lag_s = reader.number(cloud, at, "list_lag_s", 0);
+}
+
+void read_resources(const Reader& reader, const toml::table& facts, Settings& settings) {
+    const std::string at = "facts.resources.";
+    const auto& resources = reader.table(facts, "facts.", "resources");
+    settings.cores = reader.number(resources, at, "cores", 0, true);
+    settings.memory_mb = reader.number(resources, at, "mem_mb", min_memory_mb);
+    settings.fd_limit = static_cast<int>(reader.number(resources, at, "fd_limit", min_fd_limit));
+}
+
+} // namespace
+
+OperatorSettings load_operator_settings(const std::string& path, double report_s) {
+    OperatorSettings operators;
+    for (const auto& [name, value] : operator_file(path))
+        apply(operators, path, name, value);
+    const auto need = [&](bool ok, const char* name, const char* what) {
+        if (!ok)
+            fail_field(path, name, what);
+    };
+    need(operators.beta < operators.alpha, "beta", "must be below alpha");
+    need(operators.gamma >= min_gamma_of_alpha * operators.alpha, "gamma",
+         "must be far above alpha (five times at least)");
+    need(operators.target_share <= 1, "target-share", "must be at most 1");
+    need(operators.round_s >= report_s, "round-s", "must be at least report_s");
+    need(operators.batch <= max_batch, "batch", "must be at most 8");
+    need(operators.begin_s >= min_begin_reports * report_s && operators.begin_s <= max_begin_s, "begin-s",
+         "must be from ten times report_s to a day");
+    return operators;
+}
+
+Settings load_settings(const std::string& path) {
+    const auto file = toml_file(path);
+    const Reader reader(path);
+    Settings settings;
+    settings.name = reader.text(file, "", "host_name");
+    settings.zone = reader.text(file, "", "zone");
+    settings.listen = reader.endpoint(file, "", "bind");
+    settings.peer_listen = reader.endpoint(file, "", "back");
+    read_peers(reader, file, settings);
+    read_external(reader, file, settings);
+    const auto& facts = reader.table(file, "", "facts");
+    settings.zones = reader.texts(facts, "facts.", "zones");
+    settings.time_bound_s = reader.number(facts, "facts.", "time_bound_ms", 0) / 1000;
+    read_teams(reader, facts, settings);
+    read_objectives(reader, facts, settings);
+    read_workers(reader, facts, settings);
+    read_state(reader, facts, settings);
+    read_cloud(reader, facts, settings);
+    read_resources(reader, facts, settings);
     return settings;
 }
 
@@ -331,15 +421,15 @@
 std::string operators_as_json(const std::string& path) {
     auto out = nlohmann::json::object();
     for (const auto& [name, value] : operator_file(path)) {
-        const auto v = nlohmann::json::parse(value, nullptr, false);
-        out[name] = v.is_number() ? v : nlohmann::json(value);
+        const auto parsed = nlohmann::json::parse(value, nullptr, false);
+        out[name] = parsed.is_number() ? parsed : nlohmann::json(value);
     }
     return out.dump();
 }
 
 std::string describe(const Settings& settings) {
     std::string out;
-    auto line = [&](const std::string& k, const auto& v) { out += fmt::format("{} = {}\n", k, v); };
+    const auto line = [&](const std::string& name, const auto& value) { out += fmt::format("{} = {}\n", name, value); };
     line("host_name", settings.name);
     line("zone", settings.zone);
     line("bind", settings.listen.str());
@@ -357,13 +447,13 @@
     line("facts.state.value_kb", settings.value_kb);
     line("facts.state.txn_ops", settings.txn_ops);
     line("facts.cloud.rps", settings.cloud_rps);
-    for (const auto& f : operator_fields) {
-        if (f.number != nullptr)
-            line(f.name, settings.ops.*f.number);
-        else if (f.count != nullptr)
-            line(f.name, settings.ops.*f.count);
+    for (const auto& field : operator_fields) {
+        if (field.number != nullptr)
+            line(field.name, settings.ops.*field.number);
+        else if (field.count != nullptr)
+            line(field.name, settings.ops.*field.count);
         else
-            line(f.name, settings.ops.*f.flag ? "yes" : "no");
+            line(field.name, settings.ops.*field.flag ? "yes" : "no");
     }
     return out;
 }
