--- a/apps/heronshift/main.cpp
+++ b/apps/heronshift/main.cpp
@@ -1,6 +1,9 @@
-// The daemon: reads its settings and runs one controller until it is killed.
+// The program: the daemon, which runs one controller until it is killed, and the verbs for users and operators. Each
+// verb has a struct with its options, a function that declares them, and one that runs it and returns the exit code: 0
+// done, 1 failed, 2 wrong arguments or settings.
 #include "heronshift/cli/client.hpp"
 #include "heronshift/cli/schema.hpp"
+#include "heronshift/codec.hpp"
 #include "heronshift/config.hpp"
 #include "heronshift/local/emulator.hpp"
 #include "heronshift/local/local.hpp"
@@ -25,22 +28,33 @@
 
 namespace {
 
+namespace cli = heronshift::cli;
+namespace local = heronshift::local;
 namespace store = heronshift::store;
 
+constexpr int exit_ok = 0, exit_failed = 1, exit_usage = 2;
+constexpr double bytes_of_mb = 1e6;
+constexpr std::uint64_t shutdown_ms = 200;
+
+int usage_error(const std::string& what) {
+    std::cerr << "heronshift: " << what << "\n";
+    return exit_usage;
+}
+
 // One JSON object a line: time (RFC 3339, UTC), level, node if it is known by then, message.
 class JsonLines final : public spdlog::formatter {
 public:
     explicit JsonLines(std::string node) : node_(std::move(node)) {}
-    void format(const spdlog::details::log_msg& m, spdlog::memory_buf_t& out) override {
-        const auto since = m.time.time_since_epoch();
+    void format(const spdlog::details::log_msg& line, spdlog::memory_buf_t& out) override {
+        const auto since = line.time.time_since_epoch();
         const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(since).count();
-        const auto level = spdlog::level::to_string_view(m.level);
+        const auto level = spdlog::level::to_string_view(line.level);
         nlohmann::ordered_json json{{"time", fmt::format("{:%Y-%m-%dT%H:%M:%S}.{:03}Z",
                                                          fmt::gmtime(static_cast<std::time_t>(ms / 1000)), ms % 1000)},
                                     {"level", std::string(level.data(), level.size())}};
         if (!node_.empty())
             json["node"] = node_;
-        json["message"] = std::string(m.payload.data(), m.payload.size());
+        json["message"] = std::string(line.payload.data(), line.payload.size());
         const auto text = json.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace) + "\n";
         out.append(text.data(), text.data() + text.size());
     }
@@ -64,272 +78,382 @@
     spdlog::set_default_logger(std::move(log));
 }
 
-heronshift::Settings read(const std::string& config, const std::string& operators) {
-    auto settings = heronshift::load_settings(config);
-    if (!operators.empty())
-        settings.ops = heronshift::load_operator_settings(operators, settings.report_s);
+// --- the daemon, and the check of its settings ---
+
+struct DaemonOptions {
+    std::string config, operators;
+    std::string log_format = "text";
+    std::string command_log;
+    double command_log_mb = static_cast<double>(heronshift::replay::usual_size) / bytes_of_mb;
+    std::string state_file;
+};
+
+heronshift::Settings read_settings(const DaemonOptions& options) {
+    auto settings = heronshift::load_settings(options.config);
+    if (!options.operators.empty())
+        settings.ops = heronshift::load_operator_settings(options.operators, settings.report_s);
     return settings;
 }
 
-void hold_against(const std::string& file, const char* schema, std::string (*as_json)(const std::string&)) {
-    if (const auto why = heronshift::cli::violation(schema, as_json(file)); !why.empty())
+void check_against_schema(const std::string& file, const char* schema, std::string (*as_json)(const std::string&)) {
+    if (const auto why = cli::violation(schema, as_json(file)); !why.empty())
         throw heronshift::SettingsError(file + ": " + why);
 }
 
-int run(heronshift::Settings settings, std::unique_ptr<heronshift::replay::CommandLog> log,
-        const std::string& state_file) {
+void check_schemas(const DaemonOptions& options) {
+    check_against_schema(options.config, cli::settings_schema, heronshift::settings_as_json);
+    if (!options.operators.empty())
+        check_against_schema(options.operators, cli::operators_schema, heronshift::operators_as_json);
+}
+
+// Stops the node, and the loop a moment later: what is told to the store on the way out gets that long.
+void shut_down(uv_signal_t* signal, int /*number*/) {
+    spdlog::info("asked to end");
+    static_cast<heronshift::Node*>(signal->data)->stop();
+    static uv_timer_t end;
+    uv_timer_init(signal->loop, &end);
+    uv_timer_start(
+        &end, [](uv_timer_t* timer) { uv_stop(timer->loop); }, shutdown_ms, 0);
+}
+
+int run_node(const heronshift::Settings& settings, std::unique_ptr<heronshift::replay::CommandLog> log,
+             const std::string& state_file) {
     std::signal(SIGPIPE, SIG_IGN);
     auto* loop = uv_default_loop();
     heronshift::Node::Parts parts;
     if (!state_file.empty())
         parts.state = store::file_store(loop, state_file, settings.txn_ops, settings.value_kb);
-    heronshift::Node node(loop, std::move(settings), std::move(parts));
+    heronshift::Node node(loop, settings, std::move(parts));
     if (log)
         node.record(std::move(log));
-    if (const int e = node.start(); e != 0) {
-        spdlog::error("cannot listen: {}", uv_strerror(e));
-        return 1;
+    if (const int error = node.start(); error != 0) {
+        spdlog::error("cannot listen: {}", uv_strerror(error));
+        return exit_failed;
     }
-    uv_signal_t term;
-    uv_signal_init(loop, &term);
-    term.data = &node;
-    uv_signal_start(
-        &term,
-        [](uv_signal_t* sig, int) {
-            spdlog::info("asked to end");
-            static_cast<heronshift::Node*>(sig->data)->stop();
-            // What is told to the store on the way out gets a moment.
-            static uv_timer_t bye;
-            uv_timer_init(sig->loop, &bye);
-            uv_timer_start(
-                &bye, [](uv_timer_t* t) { uv_stop(t->loop); }, 200, 0);
-        },
-        SIGTERM);
+    uv_signal_t terminate;
+    uv_signal_init(loop, &terminate);
+    terminate.data = &node;
+    uv_signal_start(&terminate, shut_down, SIGTERM);
     uv_run(loop, UV_RUN_DEFAULT);
-    return 0;
+    return exit_ok;
 }
 
-// 0: this build decides the same; 1: it does not, and where; 2: the log cannot be read.
-int replay(const std::string& file, bool allow_cut) {
+int run_daemon(const DaemonOptions& options, bool check_only) {
+    if (options.config.empty())
+        return usage_error("--config is required");
     try {
-        const auto r = heronshift::replay::replay(file, allow_cut);
-        if (r.first) {
-            std::cout << fmt::format("{}:{}: term {}, at {:.3f} s: {}\n  here: {}\n", file, r.first->line,
-                                     r.first->term, r.first->now, r.first->what, r.first->got);
-            return 1;
+        if (check_only)
+            check_schemas(options);
+        const auto settings = read_settings(options);
+        set_up_log(options.log_format == "json", settings.name);
+        if (check_only) {
+            std::cout << heronshift::describe(settings);
+            return exit_ok;
         }
-        std::cout << fmt::format("the same: {} terms, {} batches, {} commands, {} effects{}\n", r.terms, r.batches,
-                                 r.commands, r.effects, r.cut ? "; the log is cut off after these" : "");
-        return 0;
+        std::unique_ptr<heronshift::replay::CommandLog> log;
+        if (!options.command_log.empty())
+            log = std::make_unique<heronshift::replay::CommandLog>(
+                options.command_log, static_cast<std::uint64_t>(options.command_log_mb * bytes_of_mb));
+        return run_node(settings, std::move(log), options.state_file);
+    } catch (const store::StoreError& error) {
+        return usage_error(std::string("--state-file: ") + error.what());
     } catch (const heronshift::replay::LogError& error) {
-        std::cerr << "heronshift: " << error.what() << "\n";
-        return 2;
+        return usage_error(std::string("--command-log: ") + error.what());
+    } catch (const heronshift::SettingsError& error) {
+        return usage_error(error.what());
     }
 }
 
-} // namespace
+// --- a platform on loopback ---
 
-// NOLINTNEXTLINE(bugprone-exception-escape): what is thrown here ends the program with its text
-int main(int argc, char** argv) {
-    CLI::App app{"heronshift, a cluster scheduler"};
-    std::string config, operators;
-    app.set_version_flag("--version", std::string("heronshift ") + heronshift::version);
-    app.add_option("--config", config, "the platform's settings (TOML)");
-    app.add_option("--operators", operators, "the operators' own settings (S-expressions), optional");
-    auto* check = app.add_subcommand("check", "validate the settings and print what is in force");
-    check->fallthrough();
-    std::string log_format = "text";
-    app.add_option("--log-format", log_format, "of stderr: text, or json with one object a line")
-        ->check(CLI::IsMember({"text", "json"}))
-        ->capture_default_str();
-    auto* serve = app.add_subcommand("serve", "run one controller until it is asked to end; so does no verb at all");
-    serve->fallthrough();
-    std::string command_log, replay_file, state_file, backup_from, backup_to;
-    double command_log_mb = static_cast<double>(heronshift::replay::usual_size) / 1e6;
-    bool allow_cut = false;
-    app.add_option("--command-log", command_log,
-                   "record what goes into the core and a digest of what comes out; .zst: compressed; -: stderr");
-    app.add_option("--command-log-mb", command_log_mb, "the record's bound, before compression")
-        ->check(CLI::Range(1.0, 1e6))
-        ->capture_default_str();
-    heronshift::local::LocalOptions local;
-    auto* local_verb = app.add_subcommand("local", "a platform on loopback to try it on: one command, no settings");
-    local_verb->add_option("--seconds", local.seconds, "in which jobs are submitted")
+CLI::App* add_local(CLI::App& app, local::LocalOptions& options) {
+    auto* verb = app.add_subcommand("local", "a platform on loopback to try it on: one command, no settings");
+    verb->add_option("--seconds", options.seconds, "in which jobs are submitted")
         ->check(CLI::Range(5.0, 3600.0))
         ->capture_default_str();
-    local_verb->add_option("--jobs", local.jobs, "how many, besides a pipeline of three")
+    verb->add_option("--jobs", options.jobs, "how many, besides a pipeline of three")
         ->check(CLI::Range(1, 2000))
         ->capture_default_str();
-    local_verb->add_option("--seed", local.seed, "of load and troubles")->capture_default_str();
-    local_verb->add_flag("--faults", local.faults, "kill, cut, hang and silence things now and then");
-    local_verb->add_option("--folder", local.folder, "for settings and logs");
-    local_verb
-        ->add_option("--serve-port", local.serve_port,
+    verb->add_option("--seed", options.seed, "of load and troubles")->capture_default_str();
+    verb->add_flag("--faults", options.faults, "kill, cut, hang and silence things now and then");
+    verb->add_option("--folder", options.folder, "for settings and logs");
+    verb->add_option("--serve-port", options.serve_port,
                      "stand-ins only: machines report to the scheduler of another program at this port")
         ->check(CLI::Range(1, 65535));
-    local_verb->add_flag("--stay", local.stay, "go on serving after the load, until interrupted");
-    auto* emulator = app.add_subcommand("stand-in", "one part of that platform, until interrupted");
-    emulator->require_subcommand(1);
-    std::string emulator_at;
+    verb->add_flag("--stay", options.stay, "go on serving after the load, until interrupted");
+    return verb;
+}
+
+struct EmulatorOptions {
+    std::string listen;
     store::Limits limits{200, 100, 24, 16};
-    heronshift::local::PlatformPlan cloud;
-    std::vector<std::string> workers_to;
-    auto* state_service = emulator->add_subcommand("state", "the state service, in memory");
-    auto* cloud_service = emulator->add_subcommand("cloud", "the cloud, with machines that pretend to run tasks");
-    for (auto* v : {state_service, cloud_service})
-        v->add_option("--listen", emulator_at, "ADDRESS:PORT; port 0: one that is free")->required();
-    state_service->add_option("--rps", limits.rps, "requests a second; 0: no limit")
+    local::PlatformPlan cloud;
+    std::vector<std::string> nodes; // NAME=ADDRESS:PORT
+};
+
+struct EmulatorVerbs {
+    CLI::App *emulator = nullptr, *state = nullptr, *cloud = nullptr;
+};
+
+void add_state_options(CLI::App& verb, store::Limits& limits) {
+    verb.add_option("--rps", limits.rps, "requests a second; 0: no limit")
         ->check(CLI::NonNegativeNumber)
         ->capture_default_str();
-    state_service->add_option("--write-rps", limits.write_rps, "changes a second; 0: no limit")
+    verb.add_option("--write-rps", limits.write_rps, "changes a second; 0: no limit")
         ->check(CLI::NonNegativeNumber)
         ->capture_default_str();
-    state_service->add_option("--txn-ops", limits.txn_ops, "changes in a transaction")
+    verb.add_option("--txn-ops", limits.txn_ops, "changes in a transaction")
         ->check(CLI::Range(1, 1000))
         ->capture_default_str();
-    state_service->add_option("--value-kb", limits.value_kb, "of a value")
-        ->check(CLI::Range(1.0, 64.0))
-        ->capture_default_str();
-    cloud_service->add_option("--node", workers_to, "a controller that machines report to, NAME=ADDRESS:PORT")
-        ->required();
-    cloud_service->add_option("--capacity", cloud.capacity, "machines of a type, zone and kind")
+    verb.add_option("--value-kb", limits.value_kb, "of a value")->check(CLI::Range(1.0, 64.0))->capture_default_str();
+}
+
+void add_cloud_options(CLI::App& verb, EmulatorOptions& options) {
+    auto& cloud = options.cloud;
+    verb.add_option("--node", options.nodes, "a controller that machines report to, NAME=ADDRESS:PORT")->required();
+    verb.add_option("--capacity", cloud.capacity, "machines of a type, zone and kind")
         ->check(CLI::Range(0, 1000))
         ->capture_default_str();
-    cloud_service->add_option("--report-s", cloud.workers.report_s)
-        ->check(CLI::Range(0.1, 60.0))
-        ->capture_default_str();
-    cloud_service->add_option("--lease-s", cloud.workers.lease_s)->check(CLI::Range(0.2, 600.0))->capture_default_str();
-    cloud_service->add_option("--seed", cloud.seed)->capture_default_str();
+    verb.add_option("--report-s", cloud.workers.report_s)->check(CLI::Range(0.1, 60.0))->capture_default_str();
+    verb.add_option("--lease-s", cloud.workers.lease_s)->check(CLI::Range(0.2, 600.0))->capture_default_str();
+    verb.add_option("--seed", cloud.seed)->capture_default_str();
+}
+
+EmulatorVerbs add_emulator(CLI::App& app, EmulatorOptions& options) {
+    EmulatorVerbs verbs;
+    verbs.emulator = app.add_subcommand("stand-in", "one part of that platform, until interrupted");
+    verbs.emulator->require_subcommand(1);
+    verbs.state = verbs.emulator->add_subcommand("state", "the state service, in memory");
+    verbs.cloud = verbs.emulator->add_subcommand("cloud", "the cloud, with machines that pretend to run tasks");
+    for (auto* verb : {verbs.state, verbs.cloud})
+        verb->add_option("--listen", options.listen, "ADDRESS:PORT; port 0: one that is free")->required();
+    add_state_options(*verbs.state, options.limits);
+    add_cloud_options(*verbs.cloud, options);
+    return verbs;
+}
+
+int run_emulator(const EmulatorVerbs& verbs, EmulatorOptions& options) {
+    try {
+        const auto at = local::address(options.listen);
+        if (verbs.state->parsed())
+            return local::run_state(at, options.limits);
+        for (const auto& node : options.nodes) {
+            const auto equals = node.find('=');
+            if (equals == std::string::npos || equals == 0)
+                throw heronshift::SettingsError("--node: " + node + ": must be NAME=ADDRESS:PORT");
+            options.cloud.workers.nodes.emplace_back(node.substr(0, equals),
+                                                     local::address(node.substr(equals + 1)).str());
+        }
+        return local::run_cloud(at, std::move(options.cloud));
+    } catch (const heronshift::SettingsError& error) {
+        return usage_error(error.what());
+    }
+}
+
+// --- for users ---
+
+struct UserOptions {
     std::vector<std::string> nodes;
-    std::string job_file, job_id, schema_name;
-    const auto user_verb = [&](const char* name, const char* what) {
-        auto* v = app.add_subcommand(name, what);
-        v->add_option("--node", nodes, "address of a controller, host:port; several are tried in turn")
-            ->required()
-            ->envname("HERONSHIFT_NODE");
-        return v;
-    };
-    auto* submit_verb = user_verb("submit", "submit a job; an id that is known gets its state");
-    submit_verb->add_option("FILE", job_file, "the job as JSON, - for standard input")->required();
-    auto* get_verb = user_verb("get", "the state of a job");
-    auto* cancel_verb = user_verb("cancel", "cancel a job and all that wait for it");
-    auto* watch_verb = user_verb("watch", "a line at each change, until the job is over");
-    for (auto* v : {get_verb, cancel_verb, watch_verb})
-        v->add_option("ID", job_id, "such as wk-000412")->required();
-    auto* schema_verb = app.add_subcommand("schema", "print a JSON Schema");
-    schema_verb->add_option("NAME", schema_name, "submission, settings or operators")
+    std::string job_file, job_id;
+};
+
+struct UserVerbs {
+    CLI::App *submit = nullptr, *get = nullptr, *cancel = nullptr, *watch = nullptr;
+};
+
+CLI::App* add_user_verb(CLI::App& app, UserOptions& options, const char* name, const char* what) {
+    auto* verb = app.add_subcommand(name, what);
+    verb->add_option("--node", options.nodes, "address of a controller, host:port; several are tried in turn")
+        ->required()
+        ->envname("HERONSHIFT_NODE");
+    return verb;
+}
+
+UserVerbs add_user_verbs(CLI::App& app, UserOptions& options) {
+    UserVerbs verbs;
+    verbs.submit = add_user_verb(app, options, "submit", "submit a job; an id that is known gets its state");
+    verbs.submit->add_option("FILE", options.job_file, "the job as JSON, - for standard input")->required();
+    verbs.get = add_user_verb(app, options, "get", "the state of a job");
+    verbs.cancel = add_user_verb(app, options, "cancel", "cancel a job and all that wait for it");
+    verbs.watch = add_user_verb(app, options, "watch", "a line at each change, until the job is over");
+    for (auto* verb : {verbs.get, verbs.cancel, verbs.watch})
+        verb->add_option("ID", options.job_id, "such as wk-000412")->required();
+    return verbs;
+}
+
+int run_submit(const UserOptions& options) {
+    std::ifstream file;
+    if (options.job_file != "-")
+        file.open(options.job_file, std::ios::binary);
+    std::istream& in = options.job_file == "-" ? std::cin : file;
+    const std::string job(std::istreambuf_iterator<char>(in), {});
+    if (!in && !in.eof())
+        return usage_error(options.job_file + ": cannot be read");
+    if (const auto why = cli::violation(cli::submission_schema, job); !why.empty())
+        return usage_error(options.job_file + ": " + why);
+    return cli::submit(options.nodes, job);
+}
+
+int run_for_job(const UserVerbs& verbs, const UserOptions& options) {
+    if (!heronshift::codec::valid_job_id(options.job_id))
+        return usage_error("ID: must have the form wk-000412");
+    if (verbs.get->parsed())
+        return cli::get(options.nodes, options.job_id);
+    if (verbs.cancel->parsed())
+        return cli::cancel(options.nodes, options.job_id);
+    return cli::watch(options.nodes, options.job_id);
+}
+
+// --- for operators ---
+
+CLI::App* add_schema(CLI::App& app, std::string& name) {
+    auto* verb = app.add_subcommand("schema", "print a JSON Schema");
+    verb->add_option("NAME", name, "submission, settings or operators")
         ->required()
         ->check(CLI::IsMember({"submission", "settings", "operators"}));
-    app.add_option("--state-file", state_file, "keep state in this file (SQLite) instead of the state service");
-    auto* backup_verb = app.add_subcommand("backup", "copy a state file, also while it is in use");
-    backup_verb->add_option("FILE", backup_from, "the state file")->required();
-    backup_verb->add_option("TO", backup_to, "the copy, which must not exist")->required();
-    auto* replay_verb = app.add_subcommand("replay", "run a command log again and name the first difference");
-    replay_verb->add_option("FILE", replay_file, "a command log")->required();
-    replay_verb->add_flag("--allow-cut", allow_cut, "accept a log whose writer was killed");
+    return verb;
+}
+
+int run_schema(const std::string& name) {
+    std::cout << (name == "submission" ? cli::submission_schema
+                  : name == "settings" ? cli::settings_schema
+                                       : cli::operators_schema);
+    return exit_ok;
+}
+
+struct BackupOptions {
+    std::string from, to;
+};
+
+CLI::App* add_backup(CLI::App& app, BackupOptions& options) {
+    auto* verb = app.add_subcommand("backup", "copy a state file, also while it is in use");
+    verb->add_option("FILE", options.from, "the state file")->required();
+    verb->add_option("TO", options.to, "the copy, which must not exist")->required();
+    return verb;
+}
+
+int run_backup(const BackupOptions& options) {
     try {
-        app.parse(argc, argv);
-    } catch (const CLI::ParseError& error) {
-        if (error.get_exit_code() == 0)
-            return app.exit(error); // help and version
-        std::cerr << "heronshift: " << error.what() << "\n";
-        return 2;
-    }
-    if (schema_verb->parsed()) {
-        namespace cli = heronshift::cli;
-        std::cout << (schema_name == "submission" ? cli::submission_schema
-                      : schema_name == "settings" ? cli::settings_schema
-                                                  : cli::operators_schema);
-        return 0;
-    }
-    if (submit_verb->parsed()) {
-        std::string job;
-        std::ifstream file;
-        if (job_file != "-")
-            file.open(job_file, std::ios::binary);
-        std::istream& in = job_file == "-" ? std::cin : file;
-        job.assign(std::istreambuf_iterator<char>(in), {});
-        if (!in && !in.eof()) {
-            std::cerr << "heronshift: " << job_file << ": cannot be read\n";
-            return 2;
-        }
-        if (const auto why = heronshift::cli::violation(heronshift::cli::submission_schema, job); !why.empty()) {
-            std::cerr << "heronshift: " << job_file << ": " << why << "\n";
-            return 2;
-        }
-        return heronshift::cli::submit(nodes, job);
-    }
-    for (const auto& [verb, run_verb] :
-         {std::pair{get_verb, &heronshift::cli::get}, std::pair{cancel_verb, &heronshift::cli::cancel},
-          std::pair{watch_verb, &heronshift::cli::watch}}) {
-        if (!verb->parsed())
-            continue;
-        if (!heronshift::codec::valid_job_id(job_id)) {
-            std::cerr << "heronshift: ID: must have the form wk-000412\n";
-            return 2;
-        }
-        return run_verb(nodes, job_id);
-    }
-    if (emulator->parsed()) {
-        namespace local_ns = heronshift::local;
-        try {
-            const auto at = local_ns::address(emulator_at);
-            if (state_service->parsed())
-                return local_ns::run_state(at, limits);
-            for (const auto& n : workers_to) {
-                const auto eq = n.find('=');
-                if (eq == std::string::npos || eq == 0)
-                    throw heronshift::SettingsError("--node: " + n + ": must be NAME=ADDRESS:PORT");
-                cloud.workers.nodes.emplace_back(n.substr(0, eq), local_ns::address(n.substr(eq + 1)).str());
-            }
-            return local_ns::run_cloud(at, std::move(cloud));
-        } catch (const heronshift::SettingsError& error) {
-            std::cerr << "heronshift: " << error.what() << "\n";
-            return 2;
-        }
-    }
-    if (local_verb->parsed())
-        return heronshift::local::run_local(local);
-    if (backup_verb->parsed()) {
-        try {
-            store::back_up(backup_from, backup_to);
-            return 0;
-        } catch (const store::StoreError& error) {
-            std::cerr << "heronshift: " << error.what() << "\n";
-            return 2;
-        }
-    }
-    if (replay_verb->parsed())
-        return replay(replay_file, allow_cut);
-    if (config.empty()) {
-        std::cerr << "heronshift: --config is required\n";
-        return 2;
+        store::back_up(options.from, options.to);
+        return exit_ok;
+    } catch (const store::StoreError& error) {
+        return usage_error(error.what());
     }
+}
+
+struct ReplayOptions {
+    std::string file;
+    bool allow_cut = false;
+};
+
+CLI::App* add_replay(CLI::App& app, ReplayOptions& options) {
+    auto* verb = app.add_subcommand("replay", "run a command log again and name the first difference");
+    verb->add_option("FILE", options.file, "a command log")->required();
+    verb->add_flag("--allow-cut", options.allow_cut, "accept a log whose writer was killed");
+    return verb;
+}
+
+// exit_ok: this build decides the same; exit_failed: it does not, and where; exit_usage: the log cannot be read.
+int run_replay(const ReplayOptions& options) {
     try {
-        if (check->parsed()) {
-            hold_against(config, heronshift::cli::settings_schema, heronshift::settings_as_json);
-            if (!operators.empty())
-                hold_against(operators, heronshift::cli::operators_schema, heronshift::operators_as_json);
+        const auto result = heronshift::replay::replay(options.file, options.allow_cut);
+        if (result.first) {
+            const auto& first = *result.first;
+            std::cout << fmt::format("{}:{}: term {}, at {:.3f} s: {}\n  here: {}\n", options.file, first.line,
+                                     first.term, first.now, first.what, first.got);
+            return exit_failed;
         }
-        auto s = read(config, operators);
-        set_up_log(log_format == "json", s.name);
-        if (check->parsed()) {
-            std::cout << heronshift::describe(s);
-            return 0;
-        }
-        std::unique_ptr<heronshift::replay::CommandLog> log;
-        if (!command_log.empty())
-            log = std::make_unique<heronshift::replay::CommandLog>(command_log,
-                                                                   static_cast<std::uint64_t>(command_log_mb * 1e6));
-        return run(std::move(s), std::move(log), state_file);
-    } catch (const store::StoreError& error) {
-        std::cerr << "heronshift: --state-file: " << error.what() << "\n";
-        return 2;
+        std::cout << fmt::format("the same: {} terms, {} batches, {} commands, {} effects{}\n", result.terms,
+                                 result.batches, result.commands, result.effects,
+                                 result.cut ? "; the log is cut off after these" : "");
+        return exit_ok;
     } catch (const heronshift::replay::LogError& error) {
-        std::cerr << "heronshift: --command-log: " << error.what() << "\n";
-        return 2;
-    } catch (const heronshift::SettingsError& error) {
-        std::cerr << "heronshift: " << error.what() << "\n";
-        return 2;
+        return usage_error(error.what());
+    }
+}
+
+// --- all of them ---
+
+struct Options {
+    DaemonOptions daemon;
+    local::LocalOptions local;
+    EmulatorOptions emulator;
+    UserOptions user;
+    std::string schema_name;
+    BackupOptions backup;
+    ReplayOptions replay;
+};
+
+struct Verbs {
+    CLI::App *check = nullptr, *local = nullptr, *schema = nullptr, *backup = nullptr, *replay = nullptr;
+    EmulatorVerbs emulator;
+    UserVerbs user;
+};
+
+// Options and verbs stand in the help in the order in which they are declared.
+CLI::App* add_daemon(CLI::App& app, DaemonOptions& options) {
+    app.set_version_flag("--version", std::string("heronshift ") + heronshift::version);
+    app.add_option("--config", options.config, "the platform's settings (TOML)");
+    app.add_option("--operators", options.operators, "the operators' own settings (S-expressions), optional");
+    auto* check = app.add_subcommand("check", "validate the settings and print what is in force");
+    check->fallthrough();
+    app.add_option("--log-format", options.log_format, "of stderr: text, or json with one object a line")
+        ->check(CLI::IsMember({"text", "json"}))
+        ->capture_default_str();
+    auto* serve = app.add_subcommand("serve", "run one controller until it is asked to end; so does no verb at all");
+    serve->fallthrough();
+    app.add_option("--command-log", options.command_log,
+                   "record what goes into the core and a digest of what comes out; .zst: compressed; -: stderr");
+    app.add_option("--command-log-mb", options.command_log_mb, "the record's bound, before compression")
+        ->check(CLI::Range(1.0, 1e6))
+        ->capture_default_str();
+    app.add_option("--state-file", options.state_file, "keep state in this file (SQLite) instead of the state service");
+    return check;
+}
+
+Verbs add_verbs(CLI::App& app, Options& options) {
+    Verbs verbs;
+    verbs.check = add_daemon(app, options.daemon);
+    verbs.local = add_local(app, options.local);
+    verbs.emulator = add_emulator(app, options.emulator);
+    verbs.user = add_user_verbs(app, options.user);
+    verbs.schema = add_schema(app, options.schema_name);
+    verbs.backup = add_backup(app, options.backup);
+    verbs.replay = add_replay(app, options.replay);
+    return verbs;
+}
+
+int run(const Verbs& verbs, Options& options) {
+    if (verbs.schema->parsed())
+        return run_schema(options.schema_name);
+    if (verbs.user.submit->parsed())
+        return run_submit(options.user);
+    if (verbs.user.get->parsed() || verbs.user.cancel->parsed() || verbs.user.watch->parsed())
+        return run_for_job(verbs.user, options.user);
+    if (verbs.emulator.emulator->parsed())
+        return run_emulator(verbs.emulator, options.emulator);
+    if (verbs.local->parsed())
+        return local::run_local(options.local);
+    if (verbs.backup->parsed())
+        return run_backup(options.backup);
+    if (verbs.replay->parsed())
+        return run_replay(options.replay);
+    return run_daemon(options.daemon, verbs.check->parsed());
+}
+
+} // namespace
+
+// NOLINTNEXTLINE(bugprone-exception-escape): what is thrown here ends the program with its text
+int main(int argc, char** argv) {
+    CLI::App app{"heronshift, a cluster scheduler"};
+    Options options;
+    const auto verbs = add_verbs(app, options);
+    try {
+        app.parse(argc, argv);
+    } catch (const CLI::ParseError& error) {
+        if (error.get_exit_code() == 0)
+            return app.exit(error); // help and version
+        return usage_error(error.what());
     }
+    return run(verbs, options);
 }
