--- a/include/heronshift/store/engine.hpp
+++ b/include/heronshift/store/engine.hpp
@@ -24,8 +24,8 @@
 // For follow. Changes come at write_rps whatever the number of machines: at 40 a second a reader may lag by 250 s.
 // One that lags further is answered 410 and reads all keys again.
 inline constexpr std::size_t kept_changes = 10'000;
-// most_items and most_page bound a page; who lists goes on with the next until there is no more.
-inline constexpr std::size_t max_key = 200, max_txn = 64 * 1024, max_page = 512 * 1024, max_items = 1000;
+// max_items and max_page bound a page; who lists goes on with the next until there is no more.
+inline constexpr std::size_t max_key = 200, max_txn = 64UL * 1024, max_page = 512UL * 1024, max_items = 1000;
 inline constexpr std::int64_t min_lease_ms = 100, max_lease_ms = 600'000;
 
 // The data cannot be used, or not now: which file, and why.
