--- a/tests/test_scheduler.cpp
+++ b/tests/test_scheduler.cpp
@@ -45,7 +45,9 @@
 
     Embedded() {
         uv_loop_init(&loop);
-        file = ::testing::TempDir() + ::testing::UnitTest::GetInstance()->current_test_info()->name() + ".state";
+        // With the process, since several runs may share a machine.
+        file = fmt::format("{}{}.{}.state", ::testing::TempDir(),
+                           ::testing::UnitTest::GetInstance()->current_test_info()->name(), getpid());
         remove();
         local::PlatformPlan plan;
         plan.types = {{"m8", {8, 0, 32}, 20, 1, 1, 0.3, 0.1, {"a"}}};
