--- a/include/heronshift/node/node.hpp
+++ b/include/heronshift/node/node.hpp
@@ -35,8 +35,8 @@
         wake();
     }
     /// A user's request from inside this process, answered as one that came over the network.
-    void call(HttpRequest&& request, Responder res) {
-        controller_.serve(std::move(request), std::move(res));
+    void call(HttpRequest&& request, const Responder& res) {
+        controller_.serve(std::move(request), res);
     }
     /// Calls back once on the loop, in delay_s seconds, if the node still lives.
     void after(double delay_s, std::function<void()> callback) {
