--- a/src/scheduling/batch_assignment.cpp
+++ b/src/scheduling/batch_assignment.cpp
@@ -7,6 +7,12 @@
 #include <map>
 
 namespace heronshift::placement {
+namespace {
+
+constexpr double min_task_size = 1e-9; // a task without memory has size 0, by which nothing can be divided
+constexpr double rounding = 1e-6;      // amounts are decimal numbers, whose quotients may lie just below a whole one
+
+} // namespace
 
 double pool_gain(const Payoff& payoff, double on_pool, double tasks, double target) {
     if (tasks <= 0)
@@ -17,52 +23,59 @@
 double task_size(const Resources& each, const Resources& pool) {
     if (pool.cpus <= 0 || pool.memory_gb <= 0)
         return 1;
-    return std::max(1e-9, std::sqrt(each.cpus / pool.cpus * each.memory_gb / pool.memory_gb));
+    return std::max(min_task_size, std::sqrt(each.cpus / pool.cpus * each.memory_gb / pool.memory_gb));
+}
+
+double fit_count(const Resources& each, const Resources& room) {
+    double count = room.cpus / each.cpus;
+    if (each.memory_gb > 0)
+        count = std::min(count, room.memory_gb / each.memory_gb);
+    if (each.gpus > 0)
+        count = std::min(count, room.gpus / each.gpus);
+    return std::floor(count + rounding);
 }
 
 double fragmentation(const Resources& free, const Resources& whole, const Resources& shape) {
     if (shape.cpus <= 0 || whole.cpus <= 0)
         return 0;
-    double fit = free.cpus / shape.cpus;
-    if (shape.memory_gb > 0)
-        fit = std::min(fit, free.memory_gb / shape.memory_gb);
-    if (shape.gpus > 0)
-        fit = std::min(fit, free.gpus / shape.gpus);
-    const double used = std::max(0.0, std::floor(fit + 1e-6)) * shape.cpus;
+    const double used = std::max(0.0, fit_count(shape, free)) * shape.cpus;
     return std::max(0.0, free.cpus - used) / whole.cpus;
 }
 
 namespace {
 
-constexpr double never = -std::numeric_limits<double>::infinity();
-constexpr double per_task = 1e9; // one more task outweighs any cost
+constexpr double unreachable = -std::numeric_limits<double>::infinity(); // the value of a state that no way leads to
+constexpr double task_value = 1e9; // of one more task placed, in seconds: it outweighs any cost
 
-// The dynamic program over bins. A state says how many tasks of each group are placed so far, in mixed radix.
+// The dynamic program over the bins, one after the other. A state says how many tasks of each group are placed so far.
+// It is written as one number in mixed radix, with a digit for each group. What a bin takes is a number of the same
+// form, so that the state after it is the sum of the two.
 class Matcher {
 public:
     Matcher(const std::vector<Group>& groups, const std::vector<Bin>& bins, const Resources& shape)
         : groups_(groups), bins_(bins), shape_(shape) {
         list_digits();
-        best_.assign(states_, never);
+        best_.assign(states_, unreachable);
         best_[0] = 0;
         taken_.resize(bins.size() * states_);
     }
-    std::vector<std::vector<int>> run() {
-        for (std::size_t b = 0; b < bins_.size(); ++b)
-            try_bin(b);
-        return plan();
+    [[nodiscard]] Assignment run() {
+        for (std::size_t bin = 0; bin < bins_.size(); ++bin)
+            try_bin(bin);
+        return trace_back();
     }
 
 private:
-    struct Choice { // so many tasks of each group in one bin
+    // So many tasks of each group in one bin, and what that adds to the value.
+    struct Choice {
         std::size_t code;
         double value;
     };
-    // Bins with the same room and costs have the same choices. Where those last changed nothing, and nothing
-    // has changed since, they change nothing again: of many empty machines only a few have to be tried.
-    struct Alike {
+    // The choices of all bins with the same room and costs. Where those last improved nothing, and no state has become
+    // better since, they improve nothing again: of many empty machines only a few have to be tried.
+    struct AlikeBins {
         std::vector<Choice> choices;
-        std::uint64_t useless_at = 0; // the version of best_
+        std::uint64_t useless_at = 0; // the version of best_ that they could not improve
     };
 
     void list_digits() {
@@ -71,111 +84,138 @@
             states_ *= static_cast<std::size_t>(group.count) + 1;
         digits_.resize(states_ * width_);
         std::size_t step = 1;
-        for (std::size_t g = 0; g < width_; ++g) {
-            const auto radix = static_cast<std::size_t>(groups_[g].count) + 1;
-            for (std::size_t s = 0; s < states_; ++s)
-                digits_[s * width_ + g] = static_cast<int>(s / step % radix);
+        for (std::size_t group = 0; group < width_; ++group) {
+            const auto radix = static_cast<std::size_t>(groups_[group].count) + 1;
+            for (std::size_t state = 0; state < states_; ++state)
+                digits_[state * width_ + group] = static_cast<int>(state / step % radix);
             step *= radix;
         }
     }
 
-    [[nodiscard]] std::vector<Choice> list_choices(std::size_t b) const {
+    [[nodiscard]] int digit(std::size_t state, std::size_t group) const {
+        return digits_[state * width_ + group];
+    }
+
+    [[nodiscard]] bool is_allowed(std::size_t code, std::size_t bin) const {
+        for (std::size_t group = 0; group < width_; ++group)
+            if (digit(code, group) > 0 && groups_[group].cost[bin] < 0)
+                return false;
+        return true;
+    }
+
+    [[nodiscard]] Resources need_of(std::size_t code) const {
+        Resources need;
+        for (std::size_t group = 0; group < width_; ++group)
+            if (const int count = digit(code, group); count > 0)
+                need += groups_[group].each * count;
+        return need;
+    }
+
+    // What the tasks are worth there, without the fragmentation.
+    [[nodiscard]] double value_of(std::size_t code, std::size_t bin) const {
+        double value = 0;
+        for (std::size_t group = 0; group < width_; ++group)
+            if (const int count = digit(code, group); count > 0)
+                value += count * (task_value - groups_[group].cost[bin]);
+        return value;
+    }
+
+    [[nodiscard]] std::vector<Choice> list_choices(std::size_t at) const {
         std::vector<Choice> choices;
-        const auto& bin = bins_[b];
+        const auto& bin = bins_[at];
         const double before = fragmentation(bin.free, bin.whole, shape_);
         for (std::size_t code = 1; code < states_; ++code) {
-            Choice c{code, 0};
-            Resources need;
-            bool allowed = true;
-            for (std::size_t g = 0; g < width_ && allowed; ++g) {
-                const int n = digits_[code * width_ + g];
-                if (n == 0)
-                    continue;
-                allowed = groups_[g].cost[b] >= 0;
-                need += groups_[g].each * n;
-                c.value += n * (per_task - groups_[g].cost[b]);
-            }
-            if (!allowed || !need.fits(bin.free))
+            if (!is_allowed(code, at))
+                continue;
+            const auto need = need_of(code);
+            if (!need.fits(bin.free))
                 continue;
-            c.value -= fragmentation(bin.free - need, bin.whole, shape_) - before;
-            choices.push_back(c);
+            const double added = fragmentation(bin.free - need, bin.whole, shape_) - before;
+            choices.push_back({code, value_of(code, at) - added});
         }
         return choices;
     }
 
-    Alike& alike(std::size_t b) {
-        const auto& [free, whole] = bins_[b];
+    [[nodiscard]] AlikeBins& alike_bins(std::size_t bin) {
+        const auto& [free, whole] = bins_[bin];
         key_.assign({free.cpus, free.gpus, free.memory_gb, whole.cpus, whole.gpus, whole.memory_gb});
         for (const auto& group : groups_)
-            key_.push_back(group.cost[b]);
-        const auto [it, fresh] = alike_.try_emplace(key_);
+            key_.push_back(group.cost[bin]);
+        const auto [found, fresh] = alike_.try_emplace(key_);
         if (fresh)
-            it->second.choices = list_choices(b);
-        return it->second;
+            found->second.choices = list_choices(bin);
+        return found->second;
     }
 
-    [[nodiscard]] bool fits_beside(std::size_t state, std::size_t code) const {
-        for (std::size_t g = 0; g < width_; ++g)
-            if (digits_[state * width_ + g] + digits_[code * width_ + g] > groups_[g].count)
+    // Whether no group has fewer tasks than the state and the choice have of it together.
+    [[nodiscard]] bool are_enough(std::size_t state, std::size_t code) const {
+        for (std::size_t group = 0; group < width_; ++group)
+            if (digit(state, group) + digit(code, group) > groups_[group].count)
                 return false;
         return true;
     }
 
-    void try_bin(std::size_t b) {
-        auto& a = alike(b);
-        if (a.choices.empty() || a.useless_at == version_)
-            return;
-        next_ = best_;
-        bool changed = false;
-        for (std::size_t s = 0; s < states_; ++s) {
-            if (best_[s] == never)
+    // Improves next_ by what the bin can take after one state. Returns whether it did.
+    bool extend(std::size_t state, const std::vector<Choice>& choices, std::size_t bin) {
+        bool improved = false;
+        for (const auto& choice : choices) {
+            const auto reached = state + choice.code;
+            if (reached >= states_ || best_[state] + choice.value <= next_[reached] || !are_enough(state, choice.code))
                 continue;
-            for (const auto& c : a.choices) {
-                const auto to = s + c.code;
-                if (to >= states_ || best_[s] + c.value <= next_[to] || !fits_beside(s, c.code))
-                    continue;
-                next_[to] = best_[s] + c.value;
-                taken_[b * states_ + to] = static_cast<std::int16_t>(c.code);
-                changed = true;
-            }
+            next_[reached] = best_[state] + choice.value;
+            taken_[bin * states_ + reached] = static_cast<std::int16_t>(choice.code);
+            improved = true;
         }
-        if (changed) {
-            best_.swap(next_);
-            ++version_;
-        } else {
-            a.useless_at = version_;
+        return improved;
+    }
+
+    void try_bin(std::size_t bin) {
+        auto& alike = alike_bins(bin);
+        if (alike.choices.empty() || alike.useless_at == version_)
+            return;
+        next_ = best_;
+        bool improved = false;
+        for (std::size_t state = 0; state < states_; ++state)
+            if (best_[state] != unreachable && extend(state, alike.choices, bin))
+                improved = true;
+        if (!improved) {
+            alike.useless_at = version_;
+            return;
         }
+        best_.swap(next_);
+        ++version_;
     }
 
-    // Back from the best state: what each bin took.
-    [[nodiscard]] std::vector<std::vector<int>> plan() const {
-        std::vector<std::vector<int>> out(width_, std::vector<int>(bins_.size()));
+    // From the best state back to the first: what each bin took.
+    [[nodiscard]] Assignment trace_back() const {
+        Assignment assignment(width_, std::vector<int>(bins_.size()));
         auto state = static_cast<std::size_t>(std::max_element(best_.begin(), best_.end()) - best_.begin());
-        for (std::size_t b = bins_.size(); b-- > 0;) {
-            const auto code = static_cast<std::size_t>(taken_[b * states_ + state]);
-            for (std::size_t g = 0; g < width_; ++g)
-                out[g][b] = digits_[code * width_ + g];
+        for (std::size_t bin = bins_.size(); bin-- > 0;) {
+            const auto code = static_cast<std::size_t>(taken_[bin * states_ + state]);
+            for (std::size_t group = 0; group < width_; ++group)
+                assignment[group][bin] = digit(code, group);
             state -= code;
         }
-        return out;
+        return assignment;
     }
 
     const std::vector<Group>& groups_;
     const std::vector<Bin>& bins_;
     const Resources& shape_;
-    std::size_t width_ = 0, states_ = 1;
-    std::vector<int> digits_; // of each state, by group
-    std::vector<double> best_, next_;
+    std::size_t width_ = 0;           // digits of a state, one for each group
+    std::size_t states_ = 1;          // how many there are
+    std::vector<int> digits_;         // of each state, by group
+    std::vector<double> best_;        // the highest value of each state after the bins tried so far
+    std::vector<double> next_;        // the same with the bin that is being tried
     std::uint64_t version_ = 1;       // of best_
-    std::vector<std::int16_t> taken_; // by bin and state
-    std::map<std::vector<double>, Alike> alike_;
-    std::vector<double> key_;
+    std::vector<std::int16_t> taken_; // by bin and state: what the bin took on the best way there
+    std::map<std::vector<double>, AlikeBins> alike_;
+    std::vector<double> key_; // of alike_; kept for its memory
 };
 
 } // namespace
 
-std::vector<std::vector<int>> match_batch(const std::vector<Group>& groups, const std::vector<Bin>& bins,
-                                          const Resources& shape) {
+Assignment match_batch(const std::vector<Group>& groups, const std::vector<Bin>& bins, const Resources& shape) {
     return Matcher(groups, bins, shape).run();
 }
 
--- a/tests/test_placement.cpp
+++ b/tests/test_placement.cpp
@@ -1,8 +1,11 @@
+// The payoff, fragmentation and the assignment of batches.
 #include "heronshift/scheduling/batch_assignment.hpp"
 
 #include <algorithm>
 #include <gtest/gtest.h>
 #include <random>
+#include <utility>
+#include <vector>
 
 namespace heronshift::placement {
 namespace {
@@ -21,6 +24,14 @@
     EXPECT_NEAR(task_size({4, 0, 16}, {64, 0, 64}), 0.125, 1e-9);
 }
 
+TEST(FitCount, IsTheScarcestResource) {
+    EXPECT_EQ(fit_count({4, 0, 4}, {32, 0, 100}), 8);
+    EXPECT_EQ(fit_count({4, 0, 4}, {32, 0, 11}), 2);
+    EXPECT_EQ(fit_count({4, 1, 4}, {32, 1, 100}), 1);
+    EXPECT_EQ(fit_count({0.1, 0, 0}, {0.3, 0, 0}), 3); // though the quotient is 2.9999...
+    EXPECT_LT(fit_count({4, 0, 4}, {-1, 0, 100}), 0);
+}
+
 TEST(Fragmentation, IsTheRoomThatTheShapeCannotUse) {
     EXPECT_DOUBLE_EQ(fragmentation({8, 0, 100}, {32, 0, 100}, {4, 0, 4}), 0);
     EXPECT_DOUBLE_EQ(fragmentation({6, 0, 100}, {32, 0, 100}, {4, 0, 4}), 2.0 / 32);
@@ -90,55 +101,92 @@
     }
 }
 
-// The dynamic program over every bin, without what match_batch() passes over: alike bins that change nothing.
-std::vector<std::vector<int>> match_with_every_bin(const std::vector<Group>& groups, const std::vector<Bin>& bins,
-                                                   const Resources& shape) {
-    std::vector<int> step(groups.size());
-    int states = 1;
-    for (std::size_t g = 0; g < groups.size(); ++g) {
-        step[g] = states;
-        states *= groups[g].count + 1;
+// The dynamic program over every bin, without what match_batch() passes over: alike bins that change nothing. A state
+// says in mixed radix how many tasks of each group are placed, a code how many of them go to one bin.
+class EveryBinMatcher {
+public:
+    EveryBinMatcher(const std::vector<Group>& groups, const std::vector<Bin>& bins, const Resources& shape)
+        : groups_(groups), bins_(bins), shape_(shape) {
+        for (const auto& group : groups) {
+            steps_.push_back(states_);
+            states_ *= static_cast<std::size_t>(group.count) + 1;
+        }
+        best_.assign(states_, unreachable);
+        best_[0] = 0;
     }
-    const auto digit = [&](int state, std::size_t g) { return state / step[g] % (groups[g].count + 1); };
-    const auto at = [](int state) { return static_cast<std::size_t>(state); };
-    std::vector<double> best(at(states), -1e300);
-    best[0] = 0;
-    std::vector<std::vector<int>> taken(bins.size(), std::vector<int>(at(states)));
-    for (std::size_t b = 0; b < bins.size(); ++b) {
-        auto next = best;
-        for (int from = 0; from < states; ++from)
-            for (int code = 1; code < states && best[at(from)] > -1e299; ++code) {
-                double value = 0;
-                Resources need;
-                bool allowed = true;
-                for (std::size_t g = 0; g < groups.size(); ++g) {
-                    const int n = digit(code, g);
-                    allowed = allowed && digit(from, g) + n <= groups[g].count && (n == 0 || groups[g].cost[b] >= 0);
-                    need += groups[g].each * n;
-                    if (n > 0)
-                        value += n * (1e9 - groups[g].cost[b]);
-                }
-                if (!allowed || !need.fits(bins[b].free))
+    Assignment run() {
+        for (std::size_t bin = 0; bin < bins_.size(); ++bin)
+            try_bin(bin);
+        return trace_back();
+    }
+
+private:
+    static constexpr double unreachable = -1e300;
+    static constexpr double task_value = 1e9;
+
+    [[nodiscard]] int digit(std::size_t state, std::size_t group) const {
+        return static_cast<int>(state / steps_[group] % (static_cast<std::size_t>(groups_[group].count) + 1));
+    }
+    [[nodiscard]] bool is_allowed(std::size_t state, std::size_t code, std::size_t bin) const {
+        Resources need;
+        for (std::size_t group = 0; group < groups_.size(); ++group) {
+            const int count = digit(code, group);
+            if (digit(state, group) + count > groups_[group].count || (count > 0 && groups_[group].cost[bin] < 0))
+                return false;
+            need += groups_[group].each * count;
+        }
+        return need.fits(bins_[bin].free);
+    }
+    [[nodiscard]] double value_of(std::size_t code, std::size_t bin) const {
+        const auto& [free, whole] = bins_[bin];
+        double value = 0;
+        Resources need;
+        for (std::size_t group = 0; group < groups_.size(); ++group) {
+            const int count = digit(code, group);
+            need += groups_[group].each * count;
+            if (count > 0)
+                value += count * (task_value - groups_[group].cost[bin]);
+        }
+        return value - (fragmentation(free - need, whole, shape_) - fragmentation(free, whole, shape_));
+    }
+    void try_bin(std::size_t bin) {
+        auto next = best_;
+        auto& taken = taken_.emplace_back(states_);
+        for (std::size_t state = 0; state < states_; ++state) {
+            if (best_[state] == unreachable)
+                continue;
+            for (std::size_t code = 1; code < states_; ++code) {
+                if (!is_allowed(state, code, bin))
                     continue;
-                value -= fragmentation(bins[b].free - need, bins[b].whole, shape) -
-                         fragmentation(bins[b].free, bins[b].whole, shape);
-                if (best[at(from)] + value > next[at(from + code)]) {
-                    next[at(from + code)] = best[at(from)] + value;
-                    taken[b][at(from + code)] = code;
+                const double value = best_[state] + value_of(code, bin);
+                if (value > next[state + code]) {
+                    next[state + code] = value;
+                    taken[state + code] = code;
                 }
             }
-        best = next;
+        }
+        best_ = std::move(next);
     }
-    std::vector<std::vector<int>> out(groups.size(), std::vector<int>(bins.size()));
-    int state = static_cast<int>(std::max_element(best.begin(), best.end()) - best.begin());
-    for (std::size_t b = bins.size(); b-- > 0;) {
-        const int code = taken[b][at(state)];
-        for (std::size_t g = 0; g < groups.size(); ++g)
-            out[g][b] = digit(code, g);
-        state -= code;
+    [[nodiscard]] Assignment trace_back() const {
+        Assignment assignment(groups_.size(), std::vector<int>(bins_.size()));
+        auto state = static_cast<std::size_t>(std::max_element(best_.begin(), best_.end()) - best_.begin());
+        for (std::size_t bin = bins_.size(); bin-- > 0;) {
+            const auto code = taken_[bin][state];
+            for (std::size_t group = 0; group < groups_.size(); ++group)
+                assignment[group][bin] = digit(code, group);
+            state -= code;
+        }
+        return assignment;
     }
-    return out;
-}
+
+    const std::vector<Group>& groups_;
+    const std::vector<Bin>& bins_;
+    const Resources& shape_;
+    std::vector<std::size_t> steps_; // of each group's digit
+    std::size_t states_ = 1;
+    std::vector<double> best_;
+    std::vector<std::vector<std::size_t>> taken_; // by bin and state
+};
 
 TEST(Batch, PassesOverAlikeBinsWithoutAnotherResult) {
     std::mt19937 rng(11);
@@ -167,7 +215,7 @@
                 groups[g].cost.push_back(costs[g][kind]);
         }
         const Resources shape{1.5, 0, 2};
-        EXPECT_EQ(match_batch(groups, bins, shape), match_with_every_bin(groups, bins, shape));
+        EXPECT_EQ(match_batch(groups, bins, shape), EveryBinMatcher(groups, bins, shape).run());
     }
 }
 
