--- a/src/scheduling/placement.cpp
+++ b/src/scheduling/placement.cpp
@@ -1,68 +1,39 @@
-// Placement, see placement.hpp.
 #include "heronshift/scheduling/placement.hpp"
-#include "heronshift/scheduling/batch_assignment.hpp"
+#include "waiting_jobs.hpp"
 
 #include <algorithm>
-#include <cmath>
-#include <fmt/format.h>
+#include <set>
 #include <tuple>
 
 namespace heronshift::scheduling {
 namespace {
 
-constexpr double begin_share = 0.5; // of the time in which each job should begin
-constexpr double good_place_s = 18; // cost of a place that is good enough not to look further
+constexpr double begin_share = 0.5;   // of the time in which each job should begin: then a task of it goes first
+constexpr double good_place_s = 18;   // cost of a place that is good enough not to look further
+constexpr int placements_a_pass = 64; // so that heartbeats and users are not kept waiting
+constexpr double replica_looks = 6;   // how often room for replicas may be asked for in one interval of heartbeats
+constexpr double task_looks = 2;      // the same for other tasks
+constexpr double pool_offset_s = 1;   // the cost of a place without any gain in payoff: costs stay above zero
 
-} // namespace
-
-// The paper's edge: what stays. Here, the ordinary machines that have been up longest, in all zones
-// alike, as many as the services need with some to spare; all others are overflow, which is to
-// become empty and go back.
-void Placement::choose_pool() {
-    Resources need, largest;
-    for (const auto& [id, job] : cluster_.jobs)
-        if (job->spec.shape == Shape::service && job->final == Final::none && !job->waits) {
-            need += job->spec.each * job->spec.tasks;
-            largest.cpus = std::max(largest.cpus, job->spec.each.cpus);
-            largest.memory_gb = std::max(largest.memory_gb, job->spec.each.memory_gb);
-        }
-    need = need * (1 + settings_.ops.headroom) + largest * static_cast<double>(settings_.zones.size());
-    std::map<int, std::vector<const Machine*>> by_zone;
-    std::vector<const Machine*> pool;
-    std::size_t total = 0;
-    for (const auto& [id, machine] : cluster_.machines) {
-        if (machine->spot || machine->status != Status::up || machine->bad || machine->releasing || machine->type < 0 ||
-            machine->zone < 0)
-            continue;
-        if (cluster_.types[static_cast<std::size_t>(machine->type)].room.gpus > 0)
-            continue;
-        by_zone[machine->zone].push_back(machine.get());
-        ++total;
-    }
-    for (auto& [z, list] : by_zone)
-        // By age, which the list tells every leader alike: ids are in the order of creation, and here those of
-        // one length are sorted already.
-        std::stable_sort(list.begin(), list.end(),
-                         [](const Machine* x, const Machine* y) { return x->id.size() < y->id.size(); });
-    for (std::size_t k = 0; k < total; ++k)
-        for (auto& [z, list] : by_zone) {
-            if (k >= list.size())
-                continue;
-            if (need.cpus <= 0 || need.memory_gb <= 0)
-                break;
-            pool.push_back(list[k]);
-            need -= list[k]->whole;
-        }
-    proposals_.set_pool(pool, largest);
+bool has_zone_rules(const JobSpec& spec) {
+    return spec.spread || spec.one_zone;
 }
 
+} // namespace
+
 // On ordinary machines what may use nothing else goes first, whatever its rank, until the others' aims are in
 // danger: with most room on spot machines, those would fill the few ordinary ones as well.
 bool Placement::left_to_others(const Machine& machine, const Job& job) const {
     return ordinary_waits_ && job.spec.spot && plain(machine);
 }
 
-// The machines with room for a task where it is wise to place it now.
+// Whether a task of the job could go there if other work left the machine.
+bool Placement::may_have_room(const Machine& machine, const Job& job) const {
+    return job.spec.each.fits(machine.whole - machine.firm) && usable(cluster_, machine, job) &&
+           !left_to_others(machine, job) && !is_kept_for_another(cluster_, machine, job);
+}
+
+// The machines with room for a task where it is wise to place it now, by their positions in the index.
 std::vector<std::uint32_t> Placement::find_room(const Job& job) const {
     const bool leave_plain = ordinary_waits_ && job.spec.spot;
     return index_.find(job, leave_plain ? RoomIndex::PlainMachines::left_out : RoomIndex::PlainMachines::included);
@@ -88,20 +59,25 @@
     return first != nullptr && first != &job ? 0 : cluster_.quota_room(job);
 }
 
-// Small work goes first, so that most jobs are home in time; a large one might wait for ever. From a day on which
-// the largest array, as big as its team's whole limit, began after 396 s. One task of each that has waited for half
-// the time goes before all others; where there is no room or the team's limit is used up, both are kept for it.
-void Placement::begin_waiting(const std::vector<const Job*>& jobs) {
-    first_of_team_.assign(cluster_.teams.size(), nullptr);
+// Arrays that have waited for half of the time in which they should begin, the oldest first.
+std::vector<const Job*> Placement::late_jobs(const std::vector<const Job*>& jobs) const {
     std::vector<const Job*> late;
     for (const auto* job : jobs)
         if (job->spec.shape == Shape::array && job->live == 0 && job->done == 0 && job->team >= 0 &&
             cluster_.now - job->ready > begin_share * settings_.ops.begin_s)
             late.push_back(job);
-    std::sort(late.begin(), late.end(), [](const Job* a, const Job* b) {
-        return std::tie(a->ready, a->spec.id) < std::tie(b->ready, b->spec.id);
+    std::sort(late.begin(), late.end(), [](const Job* one, const Job* other) {
+        return std::tie(one->ready, one->spec.id) < std::tie(other->ready, other->spec.id);
     });
-    for (const auto* job : late) {
+    return late;
+}
+
+// Small work goes first, so that most jobs are home in time; a large job might wait for ever, above all if it is as
+// large as its team's limit. So one task of each late job goes before all others. Where there is no room or the team's
+// limit is used up, both are kept for it.
+void Placement::begin_waiting(const std::vector<const Job*>& jobs) {
+    first_of_team_.assign(cluster_.teams.size(), nullptr);
+    for (const auto* job : late_jobs(jobs)) {
         auto& first = first_of_team_[static_cast<std::size_t>(job->team)];
         if (first != nullptr)
             continue;
@@ -109,142 +85,175 @@
             first = job;
             continue;
         }
-        if (place_batch({job}, 1, 1e18) > 0 || cluster_.now < job->room_until)
+        if (place_batch({job}, 1, no_cost_limit) > 0 || cluster_.now < job->room_until)
             continue;
-        proposals_.room_asked(*job, cluster_.now + settings_.report_s / 2);
-        await_room(*job, 1, 1e18, Priority::critical);
+        proposals_.room_asked(*job, cluster_.now + settings_.report_s / task_looks);
+        await_room(*job, 1, never_s, Priority::critical);
     }
 }
 
-// The payoff of one more task on the pool counts before everything but the number.
+// The payoff of one more task on the pool (docs/design.md, equations 2 to 5) counts before everything but the number of
+// tasks placed: a gain of gamma, that of the task that reaches the target, lowers the cost by a second.
 double Placement::batch_cost(const PlacementCost& cost_of, const Machine& machine, const Job& job) const {
     const double cost = cost_of(machine);
     if (!machine.pool || job.spec.shape != Shape::service)
         return cost;
     const placement::Payoff payoff{settings_.ops.alpha, settings_.ops.beta, settings_.ops.gamma};
     const double gain = placement::pool_gain(payoff, job.on_pool, job.spec.tasks, settings_.ops.target_share);
-    return std::max(0.0, cost + 1 - gain / settings_.ops.gamma);
+    return std::max(0.0, cost + pool_offset_s - gain / settings_.ops.gamma);
+}
+
+bool Placement::has_limit(const Job& job) const {
+    const auto& limits = cluster_.teams[static_cast<std::size_t>(job.team)].limits;
+    return limits.cpus_max > 0 || limits.gpus_max > 0;
 }
 
-// New tasks go in batches of at most eight, without moves, placing the most, none above the cap.
-int Placement::place_batch(const std::vector<const Job*>& batch, int most, double cap) {
-    std::vector<placement::Group> groups;
-    std::map<int, int> team_left;
-    int left = most;
-    std::vector<const Job*> jobs;
-    for (auto* job : batch) {
+// At most so many tasks of the jobs, in their order. Of a team with a limit only the first job takes part, since what
+// the others may still have is known only after it.
+Placement::Batch Placement::choose_batch(const std::vector<const Job*>& jobs, int max_tasks) {
+    Batch batch;
+    std::set<int> limited_teams;
+    for (const auto* job : jobs) {
         proposals_.drop_settled(*job, true);
-        // Of one team only the first may use up its limit.
-        if (team_left.contains(job->team))
+        if (limited_teams.contains(job->team))
             continue;
-        const int n = std::min({left, static_cast<int>(job->pending.size()), quota_left(*job)});
-        if (n <= 0)
+        const int count = std::min({max_tasks, static_cast<int>(job->pending.size()), quota_left(*job)});
+        if (count <= 0)
             continue;
-        const auto& limits = cluster_.teams[static_cast<std::size_t>(job->team)].limits;
-        if (limits.cpus_max > 0 || limits.gpus_max > 0)
-            team_left[job->team] = 0;
-        groups.push_back({job->spec.each, n, {}});
-        jobs.push_back(job);
-        left -= n;
-        if (left == 0)
+        if (has_limit(*job))
+            limited_teams.insert(job->team);
+        batch.groups.push_back({job->spec.each, count, {}});
+        batch.jobs.push_back(job);
+        max_tasks -= count;
+        if (max_tasks == 0)
             break;
     }
-    if (groups.empty())
-        return 0;
-    std::vector<std::vector<std::uint32_t>> rooms;
-    std::vector<std::uint32_t> positions; // of all of them
-    for (const auto* job : jobs) {
-        rooms.push_back(find_room(*job));
-        positions.insert(positions.end(), rooms.back().begin(), rooms.back().end());
+    return batch;
+}
+
+Placement::BatchMachines Placement::find_machines(const Batch& batch) const {
+    BatchMachines machines;
+    auto& positions = machines.positions;
+    for (const auto* job : batch.jobs) {
+        const auto& found = machines.by_job.emplace_back(find_room(*job));
+        positions.insert(positions.end(), found.begin(), found.end());
     }
-    if (positions.empty())
-        return 0;
     std::sort(positions.begin(), positions.end());
     positions.erase(std::unique(positions.begin(), positions.end()), positions.end());
-    std::vector<placement::Bin> bins;
-    std::vector<const Machine*> machines;
-    for (const auto p : positions) {
-        const auto* machine = index_.machines()[p];
-        machines.push_back(machine);
-        bins.push_back({machine->whole - machine->used, machine->whole});
+    for (const auto position : positions) {
+        const auto* machine = index_.machines()[position];
+        machines.bins.push_back({machine->whole - machine->used, machine->whole});
     }
-    for (std::size_t g = 0; g < groups.size(); ++g) {
-        groups[g].cost.assign(bins.size(), -1);
-        auto allowed = rooms[g].begin();
-        const PlacementCost cost_of(cluster_, *jobs[g]);
-        for (std::size_t b = 0; b < bins.size() && allowed != rooms[g].end(); ++b) {
-            if (positions[b] != *allowed)
-                continue;
-            ++allowed;
-            const double cost = batch_cost(cost_of, *machines[b], *jobs[g]);
-            if (cost < cap)
-                groups[g].cost[b] = cost;
+    return machines;
+}
+
+// Sets what a task of each job costs on each machine where it may go at a cost below the limit.
+void Placement::set_costs(Batch& batch, const BatchMachines& machines, double cost_limit) const {
+    for (std::size_t group = 0; group < batch.groups.size(); ++group) {
+        auto& costs = batch.groups[group].cost;
+        costs.assign(machines.bins.size(), placement::not_allowed);
+        const auto& job = *batch.jobs[group];
+        const PlacementCost cost_of(cluster_, job);
+        auto bin = machines.positions.begin();
+        for (const auto position : machines.by_job[group]) {
+            bin = std::lower_bound(bin, machines.positions.end(), position);
+            const double cost = batch_cost(cost_of, *index_.machines()[position], job);
+            if (cost < cost_limit)
+                costs[static_cast<std::size_t>(bin - machines.positions.begin())] = cost;
         }
     }
-    const auto plan = placement::match_batch(groups, bins, cluster_.common_shape);
+}
+
+// New tasks go in batches, without moves, placing as many as can be (docs/design.md, algorithm 1), none at a cost of
+// the limit or above. Returns how many were placed.
+int Placement::place_batch(const std::vector<const Job*>& jobs, int max_tasks, double cost_limit) {
+    auto batch = choose_batch(jobs, max_tasks);
+    if (batch.jobs.empty())
+        return 0;
+    const auto machines = find_machines(batch);
+    if (machines.positions.empty())
+        return 0;
+    set_costs(batch, machines, cost_limit);
+    const auto plan = placement::match_batch(batch.groups, machines.bins, cluster_.common_shape);
     int placed = 0;
-    for (std::size_t g = 0; g < groups.size(); ++g)
-        for (std::size_t b = 0; b < bins.size(); ++b)
-            for (int k = 0; k < plan[g][b]; ++k, ++placed)
-                place(*jobs[g], *machines[b]);
+    for (std::size_t group = 0; group < batch.jobs.size(); ++group)
+        for (std::size_t bin = 0; bin < machines.bins.size(); ++bin)
+            for (int count = 0; count < plan[group][bin]; ++count, ++placed)
+                place(*batch.jobs[group], *index_.machines()[machines.positions[bin]]);
     return placed;
 }
 
-// Jobs with zone rules: task by task, since each placement changes where the next may go.
-int Placement::place_single(const Job& job, double cap) {
+// The machine with room where a task costs least, below the limit; none if there is none.
+const Machine* Placement::cheapest_machine(const Job& job, double cost_limit) const {
+    const Machine* cheapest = nullptr;
+    const PlacementCost cost_of(cluster_, job);
+    for (const auto position : find_room(job)) {
+        const auto* machine = index_.machines()[position];
+        const auto free = machine->whole - machine->used;
+        double cost = cost_of(*machine);
+        if (job.spec.spread)
+            cost += job.zone_live[static_cast<std::size_t>(machine->zone)];
+        cost += placement::fragmentation(free - job.spec.each, machine->whole, cluster_.common_shape);
+        if (cost < cost_limit) {
+            cost_limit = cost;
+            cheapest = machine;
+        }
+    }
+    return cheapest;
+}
+
+// Jobs with zone rules: each placement changes where the next task may go. Returns how many were placed.
+int Placement::place_one_by_one(const Job& job, double cost_limit) {
     int placed = 0;
     while (!job.pending.empty() && quota_left(job) > 0) {
         proposals_.drop_settled(job, false);
         if (job.pending.empty())
             break;
-        const Machine* best = nullptr;
-        double best_cost = cap;
-        const PlacementCost cost_of(cluster_, job);
-        for (const auto p : find_room(job)) {
-            const auto* machine = index_.machines()[p];
-            const auto free = machine->whole - machine->used;
-            double cost = cost_of(*machine);
-            if (job.spec.spread)
-                cost += job.zone_live[static_cast<std::size_t>(machine->zone)];
-            cost += placement::fragmentation(free - job.spec.each, machine->whole, cluster_.common_shape);
-            if (cost < best_cost) {
-                best_cost = cost;
-                best = machine;
-            }
-        }
-        if (best == nullptr)
+        const auto* machine = cheapest_machine(job, cost_limit);
+        if (machine == nullptr)
             break;
-        place(job, *best);
+        place(job, *machine);
         ++placed;
     }
     return placed;
 }
 
-// Replicas last: a good place, on the pool and with the image at hand, is worth stopping a little
-// work of lower rank for, where what is free would make them wait longer.
+// Places all replicas that find a place at a cost below the limit. Returns how many.
+int Placement::place_replicas(const Job& job, double cost_limit) {
+    if (has_zone_rules(job.spec))
+        return place_one_by_one(job, cost_limit);
+    int placed = 0;
+    while (true) {
+        const int in_batch = place_batch({&job}, settings_.ops.batch, cost_limit);
+        if (in_batch <= 0)
+            return placed;
+        placed += in_batch;
+    }
+}
+
+// What the best free place costs, on machines left to others too.
+double Placement::cheapest_free_place(const Job& job) const {
+    double lowest = no_cost_limit;
+    const PlacementCost cost_of(cluster_, job);
+    for (const auto position : index_.find(job, RoomIndex::PlainMachines::included))
+        lowest = std::min(lowest, cost_of(*index_.machines()[position]));
+    return lowest;
+}
+
+// Replicas last: a good place, on the pool and with the image at hand, is worth stopping a little work of lower rank
+// for, where what is free would make them wait longer.
 int Placement::place_service(const Job& job) {
-    auto place = [&](double cap) {
-        if (job.spec.spread || job.spec.one_zone)
-            return place_single(job, cap);
-        int placed = 0, n = 0;
-        while ((n = place_batch({&job}, settings_.ops.batch, cap)) > 0)
-            placed += n;
-        return placed;
-    };
-    int placed = place(good_place_s);
+    int placed = place_replicas(job, good_place_s);
     if (job.pending.empty() || quota_left(job) <= 0)
         return placed;
     if (cluster_.now < job.room_until && job.good_room)
-        return placed; // being made
-    double free_cost = 1e18;
-    const PlacementCost cost_of(cluster_, job);
-    for (const auto p : index_.find(job, RoomIndex::PlainMachines::included))
-        free_cost = std::min(free_cost, cost_of(*index_.machines()[p]));
+        return placed; // good room is being made
+    const double free_cost = cheapest_free_place(job);
     proposals_.good_room(job, cluster_.now >= job.room_until && make_room(job, free_cost) > 0);
     if (job.good_room)
-        proposals_.room_asked(job, cluster_.now + settings_.report_s / 6);
+        proposals_.room_asked(job, cluster_.now + settings_.report_s / replica_looks);
     else
-        placed += place(1e18);
+        placed += place_replicas(job, no_cost_limit);
     return placed;
 }
 
@@ -255,6 +264,8 @@
 }
 
 void Placement::schedule() {
+    // While a damaged record may have named any task nothing is placed (docs/safety.md, 5; the test
+    // ADamagedRecordKeepsItsMachineOccupiedUntilItIsProven).
     if (cluster_.types.empty() || cluster_.unproven())
         return;
     proposals_.mark_guarantees();
@@ -268,15 +279,17 @@
         return job->spec.shape == Shape::array && !job->spec.spot && quota_left(*job) > 0;
     });
     proposals_.set_common_shape(shape);
+    place_jobs(jobs);
+}
+
+// Places tasks of the jobs in their order, as many as one pass may.
+void Placement::place_jobs(const std::vector<const Job*>& jobs) {
     std::vector<NoRoom> failed;
-    int budget = 64; // placements a pass, so that beats and users are not kept waiting
-    for (std::size_t k = 0; k < jobs.size() && budget > 0; ++k) {
-        const auto& job = *jobs[k];
-        const bool hopeless =
-            job.priority > Priority::high && // room may have been made for those
-            std::any_of(failed.begin(), failed.end(), [&](const NoRoom& f) { return covers(f, job); });
-        if (!hopeless)
-            budget -= place_waiting(jobs, k, budget);
+    int budget = placements_a_pass;
+    for (std::size_t at = 0; at < jobs.size() && budget > 0; ++at) {
+        const auto& job = *jobs[at];
+        if (!is_hopeless(job, failed))
+            budget -= place_waiting(jobs, at, budget);
         if (job.pending.empty() || job.live == job.spec.tasks)
             continue;
         if (budget <= 0)
@@ -288,47 +301,66 @@
         proposals_.request_pass();
 }
 
+// Whether a smaller task has found no place in this pass. For urgent jobs room may have been made all the same.
+bool Placement::is_hopeless(const Job& job, const std::vector<NoRoom>& failed) const {
+    return job.priority > Priority::high &&
+           std::any_of(failed.begin(), failed.end(), [&](const NoRoom& no_room) { return covers(no_room, job); });
+}
+
 // If a smaller task found no place, a larger one won't.
-bool Placement::covers(const NoRoom& f, const Job& job) const {
-    const bool no_less = f.spot ? job.spec.spot || !ordinary_waits_ : !job.spec.spot;
-    return f.each.fits(job.spec.each) && no_less;
+bool Placement::covers(const NoRoom& no_room, const Job& job) const {
+    const bool no_more_places = no_room.spot ? job.spec.spot || !ordinary_waits_ : !job.spec.spot;
+    return no_room.each.fits(job.spec.each) && no_more_places;
 }
 
-// What is covered already adds nothing: only the smallest are kept.
+// Notes that no more tasks of the job find room. What is covered already adds nothing: only the smallest are kept.
 void Placement::note_no_room(std::vector<NoRoom>& list, const Job& job) const {
     const auto& spec = job.spec;
-    const bool anywhere = spec.types.empty() && spec.zone.empty() && !spec.spread && !spec.one_zone;
+    const bool anywhere = spec.types.empty() && spec.zone.empty() && !has_zone_rules(spec);
     if (!anywhere || spec.shape == Shape::gang || quota_left(job) <= 0)
         return;
-    const auto known = [&](const NoRoom& f) {
-        return f.spot == spec.spot && f.each.cpus <= spec.each.cpus && f.each.gpus <= spec.each.gpus &&
-               f.each.memory_gb <= spec.each.memory_gb;
+    const auto is_no_larger = [&spec](const NoRoom& no_room) {
+        return no_room.spot == spec.spot && no_room.each.cpus <= spec.each.cpus &&
+               no_room.each.gpus <= spec.each.gpus && no_room.each.memory_gb <= spec.each.memory_gb;
     };
-    if (std::none_of(list.begin(), list.end(), known))
+    if (std::none_of(list.begin(), list.end(), is_no_larger))
         list.push_back({spec.each, spec.spot});
 }
 
-// Places what it can of the job at that place of the list, and of those that share a batch with it.
+// The job at that place of the list and those after it of the same priority, enough of them to fill a batch.
+std::vector<const Job*> Placement::jobs_in_batch(const std::vector<const Job*>& jobs, std::size_t at) const {
+    const auto& job = *jobs[at];
+    std::vector<const Job*> batch{&job};
+    std::size_t tasks = job.pending.size();
+    for (std::size_t next = at + 1; next < jobs.size() && tasks < static_cast<std::size_t>(settings_.ops.batch);
+         ++next) {
+        const auto& other = *jobs[next];
+        if (other.spec.shape == Shape::gang || has_zone_rules(other.spec) || other.priority != job.priority)
+            break;
+        batch.push_back(&other);
+        tasks += other.pending.size();
+    }
+    return batch;
+}
+
+// Places what it can of the job at that place of the list, and of those that share a batch with it. Returns how many
+// tasks were placed.
 int Placement::place_waiting(const std::vector<const Job*>& jobs, std::size_t at, int budget) {
     const auto& job = *jobs[at];
     if (job.spec.shape == Shape::gang)
         return place_gang(job) ? static_cast<int>(job.spec.tasks) : 0;
     if (job.spec.shape == Shape::service)
         return place_service(job);
-    if (job.spec.spread || job.spec.one_zone)
-        return place_single(job, 1e18);
-    std::vector<const Job*> batch{&job};
-    std::size_t total = job.pending.size();
-    for (std::size_t i = at + 1; i < jobs.size() && total < static_cast<std::size_t>(settings_.ops.batch); ++i) {
-        const auto& spec = jobs[i]->spec;
-        if (spec.shape == Shape::gang || spec.spread || spec.one_zone || jobs[i]->priority != job.priority)
+    if (has_zone_rules(job.spec))
+        return place_one_by_one(job, no_cost_limit);
+    const auto batch = jobs_in_batch(jobs, at);
+    int placed = 0;
+    while (placed < budget) {
+        const int in_batch = place_batch(batch, settings_.ops.batch, no_cost_limit);
+        if (in_batch <= 0)
             break;
-        batch.push_back(jobs[i]);
-        total += jobs[i]->pending.size();
+        placed += in_batch;
     }
-    int placed = 0, n = 0;
-    while (placed < budget && (n = place_batch(batch, settings_.ops.batch, 1e18)) > 0)
-        placed += n;
     return placed;
 }
 
@@ -336,12 +368,12 @@
 void Placement::ask_for_room(const Job& job) {
     if (job.spec.shape == Shape::gang || job.priority > Priority::high || cluster_.now < job.room_until)
         return;
-    proposals_.room_asked(job, cluster_.now + settings_.report_s / 2);
+    proposals_.room_asked(job, cluster_.now + settings_.report_s / task_looks);
     const double left = job.ready + patience_s(cluster_, job) - cluster_.now;
     if (left > 0)
         await_room(job, static_cast<int>(job.spec.tasks), left, job.priority);
     else
-        make_room(job, 1e18);
+        make_room(job, no_cost_limit);
 }
 
 } // namespace heronshift::scheduling
--- /dev/null
+++ b/src/scheduling/pool_choice.cpp
@@ -0,0 +1,77 @@
+// Placement's part that chooses the pool, which the paper calls the edge: the machines that stay.
+#include "heronshift/scheduling/placement.hpp"
+
+#include <algorithm>
+#include <map>
+
+namespace heronshift::scheduling {
+namespace {
+
+using MachinesByZone = std::map<int, std::vector<const Machine*>>;
+
+// What all replicas need together, and the largest of them.
+struct ReplicaNeed {
+    Resources all, largest;
+};
+
+ReplicaNeed replica_need(const ClusterData& cluster) {
+    ReplicaNeed need;
+    for (const auto& [id, job] : cluster.jobs) {
+        const auto& spec = job->spec;
+        if (spec.shape != Shape::service || job->final != Final::none || job->waits)
+            continue;
+        need.all += spec.each * spec.tasks;
+        need.largest.cpus = std::max(need.largest.cpus, spec.each.cpus);
+        need.largest.memory_gb = std::max(need.largest.memory_gb, spec.each.memory_gb);
+    }
+    return need;
+}
+
+bool may_be_pool(const ClusterData& cluster, const Machine& machine) {
+    return !machine.spot && machine.status == Status::up && !machine.bad && !machine.releasing && machine.type >= 0 &&
+           machine.zone >= 0 && cluster.types[static_cast<std::size_t>(machine.type)].room.gpus <= 0;
+}
+
+// The machines that may be pool, in each zone the oldest first. The age is read from the ids, which are in the order of
+// creation and the same for every leader; ids of one length are sorted already.
+MachinesByZone pool_candidates(const ClusterData& cluster) {
+    MachinesByZone by_zone;
+    for (const auto& [id, machine] : cluster.machines)
+        if (may_be_pool(cluster, *machine))
+            by_zone[machine->zone].push_back(machine.get());
+    for (auto& [zone, machines] : by_zone)
+        std::stable_sort(machines.begin(), machines.end(),
+                         [](const Machine* one, const Machine* other) { return one->id.size() < other->id.size(); });
+    return by_zone;
+}
+
+// Takes machines from all zones in turn until the need is met.
+std::vector<const Machine*> take_in_turn(const MachinesByZone& by_zone, Resources need) {
+    std::vector<const Machine*> taken;
+    std::size_t max_in_zone = 0;
+    for (const auto& [zone, machines] : by_zone)
+        max_in_zone = std::max(max_in_zone, machines.size());
+    for (std::size_t turn = 0; turn < max_in_zone; ++turn)
+        for (const auto& [zone, machines] : by_zone) {
+            if (need.cpus <= 0 || need.memory_gb <= 0)
+                return taken;
+            if (turn >= machines.size())
+                continue;
+            taken.push_back(machines[turn]);
+            need -= machines[turn]->whole;
+        }
+    return taken;
+}
+
+} // namespace
+
+// The ordinary machines that have been up longest, in all zones alike, as many as the services need, with the headroom
+// of the settings and one replica to spare for each zone. All others are overflow, which is to become empty and go
+// back.
+void Placement::choose_pool() {
+    const auto [all, largest] = replica_need(cluster_);
+    const auto need = all * (1 + settings_.ops.headroom) + largest * static_cast<double>(settings_.zones.size());
+    proposals_.set_pool(take_in_turn(pool_candidates(cluster_), need), largest);
+}
+
+} // namespace heronshift::scheduling
--- a/src/scheduling/room_index.cpp
+++ b/src/scheduling/room_index.cpp
@@ -1,4 +1,3 @@
-// The index of free room, see room_index.hpp.
 #include "heronshift/scheduling/room_index.hpp"
 
 #include <algorithm>
@@ -7,12 +6,14 @@
 namespace heronshift::scheduling {
 namespace {
 
-constexpr double rounding = 1e-9; // sums in another order than usable() has them; find() asks that again
-const Resources no_room{-1e18, -1e18, -1e18};
+// The index sums amounts in another order than usable() does. So much more room, in each unit, makes up for the
+// rounding; find() asks usable() in the end.
+constexpr double rounding = 1e-9;
+constexpr double nothing_fits = -1e18; // below any need
+const Resources no_room{nothing_fits, nothing_fits, nothing_fits};
 
-Resources larger_of_each(const Resources& resources, const Resources& b) {
-    return {std::max(resources.cpus, b.cpus), std::max(resources.gpus, b.gpus),
-            std::max(resources.memory_gb, b.memory_gb)};
+Resources larger_of_each(const Resources& one, const Resources& other) {
+    return {std::max(one.cpus, other.cpus), std::max(one.gpus, other.gpus), std::max(one.memory_gb, other.memory_gb)};
 }
 
 } // namespace
@@ -21,15 +22,15 @@
     leaves_ = std::bit_ceil(std::max<std::size_t>(rooms.size(), 1));
     nodes_.assign(2 * leaves_, no_room);
     std::copy(rooms.begin(), rooms.end(), nodes_.begin() + static_cast<std::ptrdiff_t>(leaves_));
-    for (std::size_t n = leaves_; n-- > 1;)
-        nodes_[n] = larger_of_each(nodes_[2 * n], nodes_[2 * n + 1]);
+    for (std::size_t node = leaves_; node-- > 1;)
+        nodes_[node] = larger_of_each(nodes_[2 * node], nodes_[2 * node + 1]);
 }
 
 void RoomTree::set(std::size_t at, const Resources& room) {
-    std::size_t n = leaves_ + at;
-    nodes_[n] = room;
-    for (n /= 2; n >= 1; n /= 2)
-        nodes_[n] = larger_of_each(nodes_[2 * n], nodes_[2 * n + 1]);
+    std::size_t node = leaves_ + at;
+    nodes_[node] = room;
+    for (node /= 2; node >= 1; node /= 2)
+        nodes_[node] = larger_of_each(nodes_[2 * node], nodes_[2 * node + 1]);
 }
 
 void RoomTree::find(const Resources& need, std::vector<std::uint32_t>& found) const {
@@ -48,15 +49,6 @@
     find_below(2 * node + 1, need, found);
 }
 
-// The part of usable() that is the same for all jobs.
-bool RoomIndex::takes_work(const Machine& machine) const {
-    if (machine.status != Status::up || machine.draining || machine.bad || machine.releasing || machine.retiring ||
-        machine.type < 0 || machine.zone < 0 || !machine.proven || machine.inbound_unreachable())
-        return false;
-    return cluster_.now >= machine.avoid_until &&
-           cluster_.now <= machine.last_heartbeat_at + 1.5 * cluster_.settings.report_s;
-}
-
 bool RoomIndex::is_reserved(const Machine& machine) const {
     return machine.reserved_for != nullptr && cluster_.now < machine.reserved_until;
 }
@@ -69,7 +61,8 @@
     if (is_reserved(machine) || cluster_.now < machine.slow_until)
         return no_room;
     const auto free = machine.whole - machine.used;
-    return machine.pool ? free - cluster_.service_shape * 2 + Resources{rounding, rounding, rounding} : free;
+    return machine.pool ? free - cluster_.service_shape * kept_replicas + Resources{rounding, rounding, rounding}
+                        : free;
 }
 
 void RoomIndex::rebuild() {
@@ -82,7 +75,7 @@
         group.task_rooms.clear();
     }
     for (const auto& [id, machine] : cluster_.machines) {
-        if (!takes_work(*machine))
+        if (!takes_work(cluster_, *machine))
             continue;
         const auto at = static_cast<std::uint32_t>(machines_.size());
         machines_.push_back(machine.get());
@@ -105,9 +98,9 @@
 }
 
 std::size_t RoomIndex::position(const Machine& machine) const {
-    const auto it = std::lower_bound(machines_.begin(), machines_.end(), &machine,
-                                     [](const Machine* a, const Machine* b) { return a->id < b->id; });
-    return it != machines_.end() && *it == &machine ? static_cast<std::size_t>(it - machines_.begin()) : none;
+    const auto found = std::lower_bound(machines_.begin(), machines_.end(), &machine,
+                                        [](const Machine* one, const Machine* other) { return one->id < other->id; });
+    return found != machines_.end() && *found == &machine ? static_cast<std::size_t>(found - machines_.begin()) : none;
 }
 
 void RoomIndex::update(const Machine& machine) {
@@ -115,7 +108,7 @@
     if (found == none)
         return;
     const auto at = static_cast<std::uint32_t>(found);
-    std::erase_if(reserved_, [at](const Reservation& r) { return r.machine == at; });
+    std::erase_if(reserved_, [at](const Reservation& reservation) { return reservation.machine == at; });
     note_reservation(machine, at);
     const auto& place = places_[found];
     place.group->for_services.set(place.member, service_room(machine));
@@ -132,14 +125,14 @@
 }
 
 void RoomIndex::find_reserved(const Job& job, PlainMachines which, std::vector<std::uint32_t>& found) const {
-    for (const auto& r : reserved_) {
-        if (r.job != &job && job.priority >= r.priority)
+    for (const auto& reservation : reserved_) {
+        if (reservation.job != &job && job.priority >= reservation.priority)
             continue;
-        const auto& machine = *machines_[r.machine];
+        const auto& machine = *machines_[reservation.machine];
         if (which == PlainMachines::left_out && plain(machine))
             continue;
         if (job.spec.each.fits(machine.whole - machine.used))
-            found.push_back(r.machine);
+            found.push_back(reservation.machine);
     }
 }
 
@@ -150,12 +143,12 @@
             continue;
         members.clear();
         (job.spec.shape == Shape::service ? group.for_services : group.for_tasks).find(job.spec.each, members);
-        for (const auto i : members)
-            positions.push_back(group.members[i]);
+        for (const auto member : members)
+            positions.push_back(group.members[member]);
     }
     find_reserved(job, which, positions);
     std::sort(positions.begin(), positions.end());
-    std::erase_if(positions, [&](std::uint32_t p) { return !usable(cluster_, *machines_[p], job); });
+    std::erase_if(positions, [&](std::uint32_t position) { return !usable(cluster_, *machines_[position], job); });
     return positions;
 }
 
--- /dev/null
+++ b/src/scheduling/waiting_jobs.cpp
@@ -0,0 +1,73 @@
+#include "waiting_jobs.hpp"
+
+#include <algorithm>
+
+namespace heronshift::scheduling {
+namespace {
+
+constexpr double patience_of_aim = 0.5;    // of the aim for the first start
+constexpr double patience_of_slack = 0.25; // of the time that is left beyond the run before the job is due
+constexpr double aged_begins = 2;          // times in which a job should begin: who still waits then goes by age
+
+// A job that waits, with its place among those of the same priority. Among equals the job with the least work left
+// goes first, since that brings the most jobs home in time. Large ones begin in time all the same
+// (Placement::begin_waiting), and who has waited twice as long as that goes first, the oldest before all.
+struct WaitingJob {
+    const Job* job;
+    double rank;
+};
+
+double rank_of(const ClusterData& cluster, const Job& job) {
+    const double waited = cluster.now - job.ready;
+    const bool aged = waited > aged_begins * cluster.settings.ops.begin_s;
+    return aged ? -waited : cluster.work_left(job);
+}
+
+bool goes_before(const WaitingJob& one, const WaitingJob& other) {
+    const auto &a = *one.job, &b = *other.job;
+    // What may take the place of others goes first, or it would stop them and lose the room.
+    if (a.priority != b.priority)
+        return a.priority < b.priority;
+    if (a.guaranteed != b.guaranteed)
+        return a.guaranteed;
+    if (one.rank != other.rank)
+        return one.rank < other.rank;
+    if (a.ready != b.ready)
+        return a.ready < b.ready;
+    return a.spec.id < b.spec.id;
+}
+
+} // namespace
+
+std::vector<const Job*> waiting_jobs(const ClusterData& cluster, Resources& shape) {
+    std::vector<WaitingJob> waiting;
+    std::size_t max_tasks = 0;
+    for (const auto& [id, job] : cluster.jobs) {
+        if (job->final != Final::none || job->pending.empty() || cluster.now < job->not_before)
+            continue;
+        waiting.push_back({job.get(), rank_of(cluster, *job)});
+        if (job->pending.size() > max_tasks) {
+            max_tasks = job->pending.size();
+            shape = job->spec.each;
+        }
+    }
+    std::sort(waiting.begin(), waiting.end(), goes_before);
+    std::vector<const Job*> jobs;
+    jobs.reserve(waiting.size());
+    for (const auto& entry : waiting)
+        jobs.push_back(entry.job);
+    return jobs;
+}
+
+double patience_s(const ClusterData& cluster, const Job& job) {
+    double patience = never_s;
+    for (const auto& objective : cluster.settings.objectives)
+        if (objective.kind == "wait" && objective.job_class == job.spec.job_class)
+            patience = std::min(patience, objective.within_s * patience_of_aim);
+    const double due = cluster.due_at(job);
+    if (due >= 0)
+        patience = std::min(patience, (due - job.ready - estimated_run_s(cluster, job)) * patience_of_slack);
+    return patience < never_s ? std::max(patience, 0.0) : cluster.settings.report_s;
+}
+
+} // namespace heronshift::scheduling
