--- /dev/null
+++ b/src/scheduling/fleet_log.cpp
@@ -0,0 +1,80 @@
+// Autoscaler's part that tells operators what there is.
+#include "heronshift/scheduling/autoscaler.hpp"
+
+#include <fmt/format.h>
+
+namespace heronshift::scheduling {
+namespace {
+
+// The machines of one type, spot machines apart.
+struct KindCount {
+    int up = 0, booting = 0, pool = 0, empty = 0;
+    double cpus = 0;                                        // of those that are up
+    double service_cpus = 0, gang_cpus = 0, array_cpus = 0; // in use there
+};
+
+void count_tasks(const Machine& machine, KindCount& kind) {
+    for (const auto& entry : machine.entries) {
+        const auto& spec = entry->job->spec;
+        if (spec.shape == Shape::service)
+            kind.service_cpus += spec.each.cpus;
+        else if (spec.shape == Shape::gang)
+            kind.gang_cpus += spec.each.cpus;
+        else
+            kind.array_cpus += spec.each.cpus;
+    }
+}
+
+void add_machine(const Machine& machine, KindCount& kind) {
+    kind.booting += machine.status == Status::booting;
+    if (machine.status != Status::up)
+        return;
+    ++kind.up;
+    kind.pool += machine.pool;
+    kind.empty += machine.entries.empty();
+    kind.cpus += machine.whole.cpus;
+    count_tasks(machine, kind);
+}
+
+} // namespace
+
+void Autoscaler::log_fleet() {
+    log_kinds();
+    log_phases();
+    log_waiting();
+}
+
+void Autoscaler::log_kinds() {
+    std::map<std::string, KindCount> kinds;
+    for (const auto& [id, machine] : cluster_.machines)
+        add_machine(*machine, kinds[machine->type_name + (machine->spot ? " (spot)" : "")]);
+    for (const auto& [name, kind] : kinds)
+        proposals_.log(
+            0,
+            fmt::format("fleet: {}: {} up ({} pool, {} empty), {} booting, of {:.0f} CPUs {:.0f} in services, {:.0f} "
+                        "in gangs, {:.0f} in arrays",
+                        name, kind.up, kind.pool, kind.empty, kind.booting, kind.cpus, kind.service_cpus,
+                        kind.gang_cpus, kind.array_cpus));
+}
+
+void Autoscaler::log_phases() {
+    std::map<Phase, std::size_t> phases;
+    for (const auto& [id, machine] : cluster_.machines)
+        for (const auto& entry : machine->entries)
+            ++phases[entry->phase];
+    proposals_.log(
+        0, fmt::format("tasks: {} placed, {} being stored, {} to be sent, {} sent, {} fetching, {} waiting, {} running",
+                       phases[Phase::intent], phases[Phase::storing], phases[Phase::stored], phases[Phase::sent],
+                       phases[Phase::fetching], phases[Phase::waiting], phases[Phase::running]));
+}
+
+void Autoscaler::log_waiting() {
+    std::map<Priority, std::size_t> waiting;
+    for (const auto& [id, job] : cluster_.jobs)
+        if (job->final == Final::none)
+            waiting[job->priority] += job->pending.size();
+    for (const auto& [priority, tasks] : waiting)
+        proposals_.log(0, fmt::format("waiting: {} tasks of rank {}", tasks, static_cast<int>(priority)));
+}
+
+} // namespace heronshift::scheduling
--- /dev/null
+++ b/src/scheduling/returning.cpp
@@ -0,0 +1,96 @@
+// Autoscaler's part that gives machines back.
+#include "heronshift/scheduling/autoscaler.hpp"
+
+#include <fmt/format.h>
+
+namespace heronshift::scheduling {
+namespace {
+
+constexpr double max_boots = 5;            // times its boot time, besides a lease: a machine never comes up after that
+constexpr double lost_leases = 2;          // after so many a lost machine is not expected to come back
+constexpr double unreachable_leases = 1.5; // after so many a machine that does not hear the leader goes back ...
+constexpr double cut_off_leases = 4;       // ... or if its zone is cut off from the leader, which is worth waiting for
+constexpr double max_unreachable_share = 0.05; // of a zone's machines: if more do not hear the leader, it is cut off
+constexpr double chance_unreachable = 1;       // machine that may be so by chance in the smallest zone
+
+} // namespace
+
+Autoscaler::ReachabilityByZone Autoscaler::reachability_by_zone() const {
+    ReachabilityByZone by_zone;
+    for (const auto& [id, machine] : cluster_.machines) {
+        auto& zone = by_zone[machine->zone];
+        zone.unreachable += machine->inbound_unreachable();
+        zone.up += machine->status == Status::up;
+    }
+    return by_zone;
+}
+
+// A machine that does not hear the leader keeps its tasks for no longer than a lease and can be given no others.
+bool Autoscaler::inbound_unreachable_for_long(const Machine& machine, const ReachabilityByZone& by_zone) const {
+    if (!machine.inbound_unreachable())
+        return false;
+    const auto& zone = by_zone.at(machine.zone);
+    const bool cut_off = zone.unreachable > chance_unreachable + max_unreachable_share * zone.up;
+    const double leases = cut_off ? cut_off_leases : unreachable_leases;
+    return cluster_.now - machine.inbound_unreachable_since > leases * settings_.lease_s;
+}
+
+bool Autoscaler::never_came_up(const Machine& machine) const {
+    if (machine.status != Status::booting)
+        return false;
+    const double boot_s =
+        machine.type >= 0 ? cluster_.types[static_cast<std::size_t>(machine.type)].boot_s : settings_.lease_s;
+    return cluster_.now - machine.known_since > max_boots * boot_s + settings_.lease_s;
+}
+
+bool Autoscaler::is_lost_for_good(const Machine& machine) const {
+    return machine.status == Status::lost && machine.entries.empty() &&
+           (machine.bad || cluster_.now - machine.lease_started_at > lost_leases * settings_.lease_s);
+}
+
+bool Autoscaler::is_empty_and_unwanted(const Machine& machine) const {
+    if (machine.status != Status::up || !machine.entries.empty())
+        return false;
+    if (machine.bad)
+        return true;
+    const bool empty_for_long = settings_.ops.empty_s > 0 && cluster_.now - machine.empty_since > settings_.ops.empty_s;
+    // A new leader first hears what runs where, and a batch in flight may bring a task.
+    const bool surely_empty = !machine.draining && machine.empty_since >= 0 && machine.batch == 0 &&
+                              cluster_.now - cluster_.started > settings_.report_s;
+    return surely_empty && (machine.retiring || empty_for_long);
+}
+
+bool Autoscaler::should_go_back(const Machine& machine, const ReachabilityByZone& by_zone) const {
+    if (!machine.entries.empty() && !machine.presumed_dead)
+        return false;
+    return machine.releasing || machine.presumed_dead || never_came_up(machine) || is_lost_for_good(machine) ||
+           is_empty_and_unwanted(machine) || inbound_unreachable_for_long(machine, by_zone);
+}
+
+void Autoscaler::stop_all_on(const Machine& machine) {
+    for (const auto& entry : machine.entries)
+        proposals_.stop(*entry, drain_time_s(entry->job->spec));
+}
+
+void Autoscaler::return_machines() {
+    std::vector<std::string> returned;
+    const auto by_zone = reachability_by_zone();
+    for (const auto& [id, machine] : cluster_.machines) {
+        if (returned.size() >= max_returned)
+            break;
+        if (machine->release_asked || cluster_.now < machine->release_retry)
+            continue;
+        if (machine->bad && machine->status == Status::up)
+            stop_all_on(*machine);
+        if (!should_go_back(*machine, by_zone))
+            continue;
+        proposals_.give_back(*machine);
+        returned.push_back(id);
+    }
+    if (returned.empty())
+        return;
+    proposals_.log(1, fmt::format("returning {} machines, {} first", returned.size(), returned.front()));
+    proposals_.release(std::move(returned));
+}
+
+} // namespace heronshift::scheduling
