--- a/src/scheduling/rebalancer.cpp
+++ b/src/scheduling/rebalancer.cpp
@@ -1,164 +1,210 @@
-// Rounds, see rounds.hpp.
 #include "heronshift/scheduling/rebalancer.hpp"
 #include "heronshift/scheduling/batch_assignment.hpp"
 
 #include <algorithm>
-#include <cmath>
-#include <fmt/format.h>
 
 namespace heronshift::scheduling {
 namespace {
 
-// Beyond the paper's caps, which are for a cluster of a dozen machines: of all replicas, a round.
-constexpr double moved_share = 0.004;
-constexpr double start_counts_s = 31; // stopped by command sooner, a task does not count as started
+constexpr double moved_share =
+    0.004; // of all replicas, a round: beyond the paper's caps, which are for a dozen machines
+constexpr double start_counts_s = 31; // a task that is stopped by command sooner does not count as started for its user
+constexpr double young_task_s = 60;   // since it was placed: a task of an array has not lost much then
+constexpr double leaving_factor = 2;  // of the rank on machines that are to become empty, which cost until they are
+constexpr std::size_t fragmented_machines = 3; // the paper's: looked at in a round
+constexpr int max_looked_at = 30;              // the paper's: tasks looked at in a round
+constexpr double clear_fall = 2; // times the task's share of the machine: by less fragmentation is not worth a move
+
+// A task to be pulled back, and what that gains for its size.
+struct RankedTask {
+    double rank;
+    const Entry* entry;
+};
+
+bool is_fuller(const Machine* one, const Machine* other) {
+    return one->used.cpus > other->used.cpus;
+}
+
+bool is_emptier(const Machine* one, const Machine* other) {
+    return one->used.cpus < other->used.cpus;
+}
 
 } // namespace
 
-// A place for one task that moves: room beyond what this round has planned there, and the image at
-// hand, so that the task is not away for long.
-const Machine* Rebalancer::place_to_move(const Entry& entry, const std::vector<const Machine*>& to,
-                                         Planned& planned) const {
-    for (auto* machine : to) {
-        if (machine == entry.machine || !usable(cluster_, *machine, *entry.job) ||
-            !machine->has_image(entry.job->image))
+// The image has to be at hand, so that the task is not away for long.
+bool Rebalancer::may_move_to(const Machine& machine, const Entry& entry) const {
+    return &machine != &*entry.machine && usable(cluster_, machine, *entry.job) && machine.has_image(entry.job->image);
+}
+
+// Finds a place for one task on the first machine with room beyond what this round has planned there, and plans it.
+// False if there is none.
+bool Rebalancer::reserve_place(const Entry& entry, const Machines& machines, PlannedRoom& planned) const {
+    const auto& each = entry.job->spec.each;
+    for (const auto* machine : machines) {
+        if (!may_move_to(*machine, entry))
             continue;
         auto& taken = planned[machine];
-        if (!(entry.job->spec.each + taken).fits(machine->whole - machine->used))
+        if (!(each + taken).fits(machine->whole - machine->used))
             continue;
-        taken += entry.job->spec.each;
-        return machine;
+        taken += each;
+        return true;
     }
-    return nullptr;
+    return false;
 }
 
 void Rebalancer::move_away(const Entry& entry) {
-    proposals_.move_away(entry, entry.job->spec.checkpoint_s > 0 ? entry.job->spec.save_s + 1 : 0);
+    proposals_.move_away(entry, drain_time_s(entry.job->spec));
 }
 
-// Only service tasks, or tasks of no gang that are under a minute old, are moved; and none before
-// its start counts for its user.
+// Only service tasks, or tasks of no gang that are under a minute old, are moved; and none before its start counts for
+// its user.
 bool Rebalancer::movable(const Entry& entry) const {
-    return !entry.stop && entry.phase == Phase::running && cluster_.now - entry.running_at > start_counts_s &&
-           entry.job->final == Final::none &&
-           (entry.job->spec.shape == Shape::service ||
-            (entry.job->spec.shape == Shape::array && cluster_.now - entry.placed_at < 60));
+    if (entry.stop || entry.phase != Phase::running || cluster_.now - entry.running_at <= start_counts_s ||
+        entry.job->final != Final::none)
+        return false;
+    const auto shape = entry.job->spec.shape;
+    return shape == Shape::service || (shape == Shape::array && cluster_.now - entry.placed_at < young_task_s);
 }
 
-// Pull-back from overflow to the pool, then reordering, both capped.
-void Rebalancer::rebalance() {
-    if (cluster_.types.empty())
-        return;
-    // Room for urgent work that waits comes first.
+bool Rebalancer::is_movable_replica(const Entry& entry) const {
+    return movable(entry) && entry.job->spec.shape == Shape::service;
+}
+
+bool Rebalancer::is_urgent_work_waiting() const {
+    return std::any_of(cluster_.jobs.begin(), cluster_.jobs.end(), [](const auto& entry) {
+        const Job& job = *entry.second;
+        return job.final == Final::none && !job.pending.empty() && job.priority <= Priority::high;
+    });
+}
+
+// How many moves the number of replicas allows beyond the caps of the settings.
+int Rebalancer::extra_moves() const {
     double replicas = 0;
-    for (const auto& [id, job] : cluster_.jobs) {
-        if (job->final != Final::none)
-            continue;
-        if (!job->pending.empty() && job->priority <= Priority::high)
-            return;
-        if (job->spec.shape == Shape::service)
+    for (const auto& [id, job] : cluster_.jobs)
+        if (job->final == Final::none && job->spec.shape == Shape::service)
             replicas += job->live;
-    }
-    const int more = static_cast<int>(replicas * moved_share);
-    Resources pool;
-    std::vector<const Machine*> pool_machines, others, leaving;
+    return static_cast<int>(replicas * moved_share);
+}
+
+Rebalancer::Fleet Rebalancer::sort_fleet() const {
+    Fleet fleet;
     for (const auto& [id, machine] : cluster_.machines) {
         if (!serves(cluster_, *machine))
             continue;
         if (machine->retiring)
-            leaving.push_back(machine.get());
+            fleet.leaving.push_back(machine.get());
         else if (machine->pool)
-            pool_machines.push_back(machine.get());
-        else if (machine->whole.gpus <= 0 && !machine->spot)
-            others.push_back(machine.get());
+            fleet.pool.push_back(machine.get());
+        else if (plain(*machine))
+            fleet.others.push_back(machine.get());
         if (machine->pool)
-            pool += machine->whole;
+            fleet.pool_size += machine->whole;
     }
-    const auto fullest = [](const Machine* a, const Machine* b) { return a->used.cpus > b->used.cpus; };
-    std::stable_sort(pool_machines.begin(), pool_machines.end(), fullest);
-    std::stable_sort(others.begin(), others.end(), fullest);
-    Planned planned;
-    if (settings_.ops.pull_back_cap > 0)
-        pull_back(pool_machines, pool, settings_.ops.pull_back_cap + more, planned);
-    if (settings_.ops.reorder_cap > 0) {
-        auto to = pool_machines;
-        to.insert(to.end(), others.begin(), others.end());
-        reorder(pool_machines, leaving, to, settings_.ops.reorder_cap + more, planned);
+    std::stable_sort(fleet.pool.begin(), fleet.pool.end(), is_fuller);
+    std::stable_sort(fleet.others.begin(), fleet.others.end(), is_fuller);
+    return fleet;
+}
+
+void Rebalancer::rebalance() {
+    if (cluster_.types.empty() || is_urgent_work_waiting())
+        return;
+    const auto& caps = settings_.ops;
+    const int extra = extra_moves();
+    auto fleet = sort_fleet();
+    Round round;
+    if (caps.pull_back_cap > 0) {
+        round.moves_left = caps.pull_back_cap + extra;
+        pull_back(fleet, round);
+    }
+    if (caps.reorder_cap > 0) {
+        round.moves_left = caps.reorder_cap + extra;
+        auto targets = fleet.pool;
+        targets.insert(targets.end(), fleet.others.begin(), fleet.others.end());
+        std::stable_sort(fleet.leaving.begin(), fleet.leaving.end(), is_emptier);
+        empty_leaving(fleet.leaving, targets, round);
+        defragment(std::move(fleet.pool), round);
     }
 }
 
-void Rebalancer::pull_back(const std::vector<const Machine*>& pool_machines, const Resources& pool, int cap,
-                           Planned& planned) {
+// The gain in payoff over the size of the task (docs/design.md, equations 10 and 11).
+double Rebalancer::pull_back_rank(const Entry& entry, const Resources& pool_size) const {
     const placement::Payoff payoff{settings_.ops.alpha, settings_.ops.beta, settings_.ops.gamma};
-    std::vector<std::pair<double, const Entry*>> list;
+    const auto& job = *entry.job;
+    const double gain = placement::pool_gain(payoff, job.on_pool, job.spec.tasks, settings_.ops.target_share);
+    return gain / placement::task_size(job.spec.each, pool_size) * (entry.machine->retiring ? leaving_factor : 1);
+}
+
+// Moves replicas from overflow to the pool, the highest rank first.
+void Rebalancer::pull_back(const Fleet& fleet, Round& round) {
+    std::vector<RankedTask> tasks;
     for (const auto& [id, machine] : cluster_.machines) {
         if (machine->status != Status::up || machine->pool)
             continue;
-        for (const auto& entry : machine->entries) {
-            if (!movable(*entry) || entry->job->spec.shape != Shape::service)
-                continue;
-            const double gain =
-                placement::pool_gain(payoff, entry->job->on_pool, entry->job->spec.tasks, settings_.ops.target_share);
-            // From a machine that is to become empty first: it costs until it is.
-            list.emplace_back(gain / placement::task_size(entry->job->spec.each, pool) * (machine->retiring ? 2 : 1),
-                              entry.get());
-        }
+        for (const auto& entry : machine->entries)
+            if (is_movable_replica(*entry))
+                tasks.push_back({pull_back_rank(*entry, fleet.pool_size), entry.get()});
     }
-    std::stable_sort(list.begin(), list.end(), [](const auto& a, const auto& b) { return a.first > b.first; });
-    for (const auto& [score, e] : list) {
-        if (cap <= 0)
+    std::stable_sort(tasks.begin(), tasks.end(),
+                     [](const RankedTask& one, const RankedTask& other) { return one.rank > other.rank; });
+    for (const auto& task : tasks) {
+        if (round.moves_left <= 0)
             return;
-        if (place_to_move(*e, pool_machines, planned) == nullptr)
+        if (!reserve_place(*task.entry, fleet.pool, round.planned))
             continue;
-        move_away(*e);
-        --cap;
+        move_away(*task.entry);
+        --round.moves_left;
     }
 }
 
-// The machines that are to become empty are the most fragmented of all: what they cost is wasted
-// until their last replica is gone. Then the paper's: the three most fragmented machines of the
-// pool, at most 30 tasks looked at.
-void Rebalancer::reorder(std::vector<const Machine*>& pool_machines, std::vector<const Machine*>& leaving,
-                         const std::vector<const Machine*>& to, int cap, Planned& planned) {
-    std::stable_sort(leaving.begin(), leaving.end(),
-                     [](const Machine* machine, const Machine* b) { return machine->used.cpus < b->used.cpus; });
-    for (auto* m : leaving)
-        for (const auto& entry : m->entries) {
-            if (cap <= 0)
+// The machines that are to become empty are the most fragmented of all: what they cost is wasted until their last
+// replica is gone.
+void Rebalancer::empty_leaving(const Machines& leaving, const Machines& targets, Round& round) {
+    for (const auto* machine : leaving)
+        for (const auto& entry : machine->entries) {
+            if (round.moves_left <= 0)
                 return;
-            if (!movable(*entry) || entry->job->spec.shape != Shape::service ||
-                place_to_move(*entry, to, planned) == nullptr)
+            if (!is_movable_replica(*entry) || !reserve_place(*entry, targets, round.planned))
                 continue;
             move_away(*entry);
-            --cap;
+            --round.moves_left;
         }
-    auto frag = [&](const Machine& m, const Resources& extra) {
-        return placement::fragmentation(m.whole - m.used + extra, m.whole, cluster_.common_shape);
-    };
-    std::sort(pool_machines.begin(), pool_machines.end(),
-              [&](const Machine* machine, const Machine* b) { return frag(*machine, {}) > frag(*b, {}); });
-    int looked = 0;
-    for (std::size_t k = 0; k < pool_machines.size() && k < 3; ++k) {
-        auto& from = *pool_machines[k];
+}
+
+// The fragmentation of a machine if so much more of it were free.
+double Rebalancer::fragmentation_with(const Machine& machine, const Resources& freed) const {
+    return placement::fragmentation(machine.whole - machine.used + freed, machine.whole, cluster_.common_shape);
+}
+
+// Whether a move makes the fragmentation of both machines together fall clearly.
+bool Rebalancer::lowers_fragmentation(const Entry& entry, const Machine& from, const Machine& to) const {
+    const auto& each = entry.job->spec.each;
+    const double before = fragmentation_with(from, {}) + fragmentation_with(to, {});
+    const double after = fragmentation_with(from, each) + fragmentation_with(to, each * -1);
+    return before - after >= clear_fall * each.cpus / from.whole.cpus;
+}
+
+// Moves tasks away from the most fragmented machines of the pool, as the paper does.
+void Rebalancer::defragment(Machines pool, Round& round) {
+    std::sort(pool.begin(), pool.end(), [this](const Machine* one, const Machine* other) {
+        return fragmentation_with(*one, {}) > fragmentation_with(*other, {});
+    });
+    int looked_at = 0;
+    for (std::size_t at = 0; at < std::min(pool.size(), fragmented_machines); ++at) {
+        const auto& from = *pool[at];
         for (const auto& entry : from.entries) {
-            if (cap <= 0 || looked >= 30)
+            if (round.moves_left <= 0 || looked_at >= max_looked_at)
                 return;
             if (!movable(*entry))
                 continue;
-            ++looked;
-            for (auto* other : pool_machines) {
-                const auto& each = entry->job->spec.each;
-                if (other == &from || !usable(cluster_, *other, *entry->job) ||
-                    !each.fits(other->whole - other->used) || !other->has_image(entry->job->image))
-                    continue;
-                const double before = frag(from, {}) + frag(*other, {});
-                const double after = frag(from, each) + frag(*other, each * -1);
-                if (before - after < 2 * each.cpus / from.whole.cpus)
-                    continue; // a clear fall only
-                move_away(*entry);
-                --cap;
-                break;
-            }
+            ++looked_at;
+            const bool better_elsewhere = std::any_of(pool.begin(), pool.end(), [&](const Machine* to) {
+                return may_move_to(*to, *entry) && entry->job->spec.each.fits(to->whole - to->used) &&
+                       lowers_fragmentation(*entry, from, *to);
+            });
+            if (!better_elsewhere)
+                continue;
+            move_away(*entry);
+            --round.moves_left;
         }
     }
 }
