--- a/include/heronshift/persistence/intents.hpp
+++ b/include/heronshift/persistence/intents.hpp
@@ -1,6 +1,8 @@
-// What the store holds of placements and progress: a ring of records, each naming launches by
-// machine, and a few records of which tasks are done. Texts, since JSON objects would be three times
-// as long and every byte is written again when its record comes round.
+/// The text of write-ahead intent records and of done tasks.
+///
+/// Text rather than JSON objects, which would be three times as long: every byte is written again when its
+/// record is. One line for a machine: "MACHINE ZONE AGENT-EPOCH" and then its tasks, "JOB/FIRST-LAST:ATTEMPT" or
+/// "JOB/INDEX:ATTEMPT"; "-" stands for an unknown zone.
 #pragma once
 
 #include <cstdint>
@@ -10,26 +12,24 @@
 
 namespace heronshift::intents {
 
-// One task that may be on a machine from the moment its record is stored.
+/// One task that may be on a machine from the moment its record is stored.
 struct Intent {
-    std::string machine, zone;
+    std::string machine, zone; ///< The zone is empty where it is unknown.
     std::uint64_t agent_epoch = 0;
     std::string job;
-    std::uint32_t index = 0;
+    std::uint32_t index = 0; ///< Of the task in its job.
     std::uint64_t attempt = 0;
     friend bool operator==(const Intent&, const Intent&) = default;
 };
 
-// Writes one record line by line: a machine, its zone and agent epoch, then its tasks, neighbours of one
-// attempt as a range. Give the tasks of a machine one after the other.
+/// Encodes one record line by line; neighbouring tasks of one attempt become a range. The tasks of a machine must
+/// be added one after the other.
 class Writer {
 public:
     void add(std::string_view machine, std::string_view zone, std::uint64_t agent_epoch, std::string_view job,
              std::uint32_t index, std::uint64_t attempt);
-    [[nodiscard]] std::size_t size() const {
-        return text_.size() + 64;
-    }
-    std::string take();
+    /// The text; the writer is empty then.
+    [[nodiscard]] std::string take();
 
 private:
     void end_range();
@@ -39,18 +39,22 @@
     bool open_ = false;
 };
 
+/// What a record said, as far as it can be read.
 struct Read {
     std::vector<Intent> intents;
-    std::vector<std::string> unproven; // machines whose line is damaged: they may hold anything
-    bool damaged = false;              // and lines that do not even name a machine
+    std::vector<std::string> unproven; ///< Machines whose line is damaged: they may hold any task.
+    bool damaged = false;              ///< There are lines that do not even name a machine.
 };
-Read read(std::string_view text);
+/// Decodes a record. A line is read up to its first damaged task; its machine is then unproven as well.
+[[nodiscard]] Read read(std::string_view text);
 
-// Done tasks as ranges, "0-3,7"; what does not fit into the given length is left out.
-std::string ranges_of(const std::vector<bool>& bits, std::size_t max_bytes);
-template <class F> void each_in_ranges(std::string_view text, F f);
-bool parse_range(std::string_view& text, std::uint32_t& first, std::uint32_t& last);
+/// Set bits as ranges, "0-3,7"; what does not fit into max_bytes is left out.
+[[nodiscard]] std::string ranges_of(const std::vector<bool>& bits, std::size_t max_bytes);
+/// Takes the next range off the front of the text. False at its end, and where it is malformed or beyond
+/// codec::max_tasks.
+[[nodiscard]] bool parse_range(std::string_view& text, std::uint32_t& first, std::uint32_t& last);
 
+/// Calls f for each index in the ranges, up to the first malformed one.
 template <class F> void each_in_ranges(std::string_view text, F f) {
     std::uint32_t first = 0, last = 0;
     while (parse_range(text, first, last))
--- /dev/null
+++ b/include/heronshift/persistence/layout.hpp
@@ -0,0 +1,79 @@
+/// Keys of the store's records of jobs and of the cluster.
+///
+/// Two other keys, of the leader election, are not of this layout (src/leadership). The values are encoded
+/// and decoded by heronshift/codec.hpp (jobs and final states) and by src/persistence/stored_records.hpp (the
+/// rest). Prefixes, and the contents below them, are part of stored data: a new content needs a new prefix,
+/// and what a version no longer writes stays readable.
+///
+/// | prefix | key           | content                                              | written by                       |
+/// |--------|---------------|------------------------------------------------------|----------------------------------|
+/// | j/     | j/JOB         | a job: specification, times, final state             | the node it is submitted to; the |
+/// |        |               |                                                      | leader when it is ready or final |
+/// | f/     | f/JOB         | the final state of a job, never changed or removed   | the leader                       |
+/// | i/     | i/NUMBER      | write-ahead intents: which tasks may be on which     | the leader, before it sends the  |
+/// |        |               | machines                                             | launches                         |
+/// | q/     | q/0 to q/63   | the done tasks of a share of the jobs                | the leader                       |
+/// | c/     | c/NUMBER      | which images a share of the machines holds (a hint)  | the leader                       |
+/// | l/     | l/0           | rates that a leader has measured (a hint)            | the leader                       |
+/// | p/     | p/0 to p/15   | as q/, fewer and longer records                      | versions before q/; only read    |
+/// | m/     | m/MACHINE     | which tasks may be on this machine                   | versions before i/; read, then   |
+/// | d/     | d/JOB         | the done tasks of a job and its final state          | removed                          |
+///
+/// Since which version: all of j/, f/, i/, q/, c/ and l/ are in 0.1.0, the only numbered version so far. Within it,
+/// i/ and p/ replaced m/ and d/, then q/ replaced p/ when jobs got dependencies; l/ came later and may be missing.
+#pragma once
+
+#include <cstddef>
+#include <optional>
+#include <string>
+#include <string_view>
+
+namespace heronshift::persistence {
+
+inline constexpr std::string_view job_prefix = "j/";
+inline constexpr std::string_view final_prefix = "f/";
+inline constexpr std::string_view intent_prefix = "i/";
+inline constexpr std::string_view progress_prefix = "q/";
+inline constexpr std::string_view image_prefix = "c/";
+inline constexpr std::string_view learned_prefix = "l/";
+inline constexpr std::string_view previous_progress_prefix = "p/"; ///< Read only.
+inline constexpr std::string_view earlier_machine_prefix = "m/";   ///< Read, then removed.
+inline constexpr std::string_view earlier_job_prefix = "d/";       ///< Read, then removed.
+
+inline constexpr std::size_t first_intent_records = 32; ///< More are added when these fill up.
+inline constexpr std::size_t progress_records = 64;     ///< Fixed: jobs are spread over them by a hash.
+
+[[nodiscard]] inline std::string record_key(std::string_view prefix, std::string_view name) {
+    std::string key(prefix);
+    key += name;
+    return key;
+}
+[[nodiscard]] inline std::string job_key(std::string_view job) {
+    return record_key(job_prefix, job);
+}
+[[nodiscard]] inline std::string final_key(std::string_view job) {
+    return record_key(final_prefix, job);
+}
+[[nodiscard]] inline std::string intent_key(std::size_t number) {
+    return record_key(intent_prefix, std::to_string(number));
+}
+[[nodiscard]] inline std::string progress_key(std::size_t number) {
+    return record_key(progress_prefix, std::to_string(number));
+}
+[[nodiscard]] inline std::string image_key(std::size_t number) {
+    return record_key(image_prefix, std::to_string(number));
+}
+[[nodiscard]] inline std::string learned_key() {
+    return record_key(learned_prefix, "0");
+}
+
+/// The number in the key of an intent or image record. Empty if there is none, or one so large that no
+/// leader wrote it.
+[[nodiscard]] std::optional<std::size_t> record_number(const std::string& key);
+
+/// What follows the prefix of a key.
+[[nodiscard]] inline std::string name_in_key(const std::string& key) {
+    return key.substr(job_prefix.size()); // all prefixes are of one length
+}
+
+} // namespace heronshift::persistence
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -1,6 +1,7 @@
 #include "heronshift/gateway/gateway.hpp"
 
 #include "heronshift/memory_share.hpp"
+#include "heronshift/persistence/layout.hpp"
 
 #include <algorithm>
 #include <fmt/format.h>
@@ -11,6 +12,8 @@
 
 using codec::error_answer;
 using codec::not_now;
+using persistence::final_key;
+using persistence::job_key;
 
 // Look-ups under way: those that the budget of reads lets begin while one waits for its three reads in vain. So the
 // budget binds first, and the same happens then: 503 with Retry-After.
@@ -169,18 +172,19 @@
         found.known = final || answer.status == 404;
         return found.known;
     };
-    store_.get("f/" + id, settings_.report_s / 3, [this, id, final_of, end = std::move(end)](store::Answer&& first) {
+    const auto key = final_key(id);
+    store_.get(key, settings_.report_s / 3, [this, id, final_of, end = std::move(end)](store::Answer&& first) {
         Found found;
         // A damaged one may be told by what is left of the job's record.
         if (!final_of(first, found) ? first.status != 200 : !found.status.empty())
             return end(std::move(found));
         reads_.spend(timers_.now(), 2);
-        store_.get("j/" + id, settings_.report_s / 3, [this, id, final_of, end](store::Answer&& r) {
+        store_.get(job_key(id), settings_.report_s / 3, [this, id, final_of, end](store::Answer&& r) {
             Found g;
             g.job = std::move(r.item);
             if (r.status != 404 && !g.job)
                 return end({});
-            store_.get("f/" + id, settings_.report_s / 3,
+            store_.get(final_key(id), settings_.report_s / 3,
                        [final_of, end, g = std::move(g)](store::Answer&& last) mutable {
                            if (!final_of(last, g) && last.status == 200 && g.job)
                                if (const auto j = codec::stored_job(g.job->value, 0); j && !j->final.empty()) {
@@ -409,9 +413,9 @@
 void Gateway::store_job(const Open& submission) {
     const double at = timers_.wall(), began = timers_.now();
     const auto& id = submission->spec.id;
-    const std::vector<codec::Guard> guards{{"j/" + id, 0}, {"f/" + id, 0}};
+    const std::vector<codec::Guard> guards{{job_key(id), 0}, {final_key(id), 0}};
     const std::vector<codec::Write> writes{
-        {"j/" + id, codec::to_record({submission->spec, at, -1, !submission->spec.dependencies.empty(), {}}), 0}};
+        {job_key(id), codec::to_record({submission->spec, at, -1, !submission->spec.dependencies.empty(), {}}), 0}};
     // Where the store does not answer this node, another may still be served within the user's time.
     const double patience = submission->forwarded ? settings_.report_s / 2 : settings_.report_s / 10;
     store_.transact(guards, writes, patience, [this, submission, at, began](store::Answer&& answer) {
--- /dev/null
+++ b/src/persistence/image_hints.cpp
@@ -0,0 +1,124 @@
+#include "image_hints.hpp"
+
+#include "heronshift/persistence/layout.hpp"
+
+#include "stored_records.hpp"
+
+#include <algorithm>
+#include <unordered_map>
+#include <utility>
+
+namespace heronshift {
+namespace {
+
+// Estimated bytes of a record: what surrounds it, a machine, an image in a machine's list and an image's own entry.
+constexpr std::size_t bytes_of_record = 40, bytes_around_machine = 8, bytes_of_index = 4, bytes_around_image = 28;
+
+// Collects machines into one record, as long as it stays below the given length.
+class RecordBuilder {
+public:
+    RecordBuilder(const std::vector<const std::string*>& names, const std::vector<double>& sizes_gb,
+                  std::size_t max_bytes)
+        : names_(names), sizes_gb_(sizes_gb), max_bytes_(max_bytes) {}
+
+    // False if there is no room for it.
+    bool add(const cluster::Machine& machine) {
+        const auto more = bytes_of(machine);
+        if (size_ + more > max_bytes_)
+            return false;
+        size_ += more;
+        std::vector<std::size_t> held;
+        for (const auto& cached : machine.images)
+            if (cached.ready)
+                held.push_back(index_of(cached.image));
+        if (!held.empty())
+            record_.held.emplace_back(machine.id, std::move(held));
+        return true;
+    }
+    [[nodiscard]] const persistence::ImageRecord& record() const {
+        return record_;
+    }
+    [[nodiscard]] std::size_t size() const {
+        return size_;
+    }
+
+private:
+    [[nodiscard]] std::size_t bytes_of(const cluster::Machine& machine) const {
+        auto bytes = machine.id.size() + bytes_around_machine;
+        for (const auto& cached : machine.images) {
+            if (!cached.ready)
+                continue;
+            bytes += bytes_of_index;
+            if (!indices_.contains(cached.image))
+                bytes += names_[static_cast<std::size_t>(cached.image)]->size() + bytes_around_image;
+        }
+        return bytes;
+    }
+    std::size_t index_of(int image) {
+        const auto [at, fresh] = indices_.emplace(image, record_.images.size());
+        const auto i = static_cast<std::size_t>(image);
+        if (fresh)
+            record_.images.push_back(persistence::ImageRecord::Image{*names_[i], sizes_gb_[i]});
+        return at->second;
+    }
+
+    const std::vector<const std::string*>& names_;
+    const std::vector<double>& sizes_gb_;
+    std::size_t max_bytes_, size_ = bytes_of_record;
+    std::unordered_map<int, std::size_t> indices_; // of images in the record
+    persistence::ImageRecord record_;
+};
+
+} // namespace
+
+// By the cluster's number of the image.
+std::vector<const std::string*> ClusterRecords::ImageHints::image_names() const {
+    std::vector<const std::string*> names(cluster_.view().image_gb.size());
+    for (const auto& [name, id] : cluster_.image_ids_)
+        names[static_cast<std::size_t>(id)] = &name;
+    return names;
+}
+
+void ClusterRecords::ImageHints::collect(persistence::TransactionBuilder& transaction) {
+    const auto& data = cluster_.view();
+    if (data.now < next_write_at_ || data.machines.empty() || transaction.full(limits_.max_writes / 2))
+        return;
+    next_write_at_ = data.now + 2 * settings_.report_s;
+    const auto names = image_names();
+    RecordBuilder builder(names, data.image_gb, limits_.max_record_bytes);
+    auto it = next_record_ == 0 ? data.machines.begin() : data.machines.upper_bound(after_machine_);
+    for (; it != data.machines.end() && builder.add(*it->second); ++it)
+        after_machine_ = it->first;
+    const auto number = next_record_++;
+    if (it == data.machines.end())
+        begin_anew();
+    transaction.put(persistence::image_key(number), persistence::encode_images(builder.record()), builder.size());
+}
+
+// All machines are written. Records beyond the last one are from a time when the cluster was larger.
+void ClusterRecords::ImageHints::begin_anew() {
+    for (auto number = next_record_; number < records_; ++number)
+        obsolete_records_.add(persistence::image_key(number));
+    records_ = next_record_;
+    next_record_ = 0;
+}
+
+void ClusterRecords::ImageHints::load(const std::vector<codec::Item>& items) {
+    for (const auto& item : items)
+        load_record(item);
+}
+
+void ClusterRecords::ImageHints::load_record(const codec::Item& item) {
+    if (const auto number = persistence::record_number(item.key); number)
+        records_ = std::max(records_, *number + 1);
+    const auto record = persistence::decode_images(item.value);
+    std::vector<int> ids; // of the cluster, by the index in the record
+    for (const auto& image : record.images)
+        ids.push_back(image ? cluster_.image_id(image->name, image->size_gb) : -1);
+    for (const auto& [machine, indices] : record.held)
+        for (const auto index : indices)
+            if (ids[index] >= 0)
+                cluster_.image_hints_[machine].push_back(ids[index]);
+}
+
+} // namespace heronshift
--- /dev/null
+++ b/src/persistence/intent_records.cpp
@@ -0,0 +1,324 @@
+#include "intent_records.hpp"
+
+#include "heronshift/persistence/layout.hpp"
+
+#include "stored_records.hpp"
+
+#include <algorithm>
+#include <fmt/format.h>
+#include <utility>
+
+namespace heronshift {
+
+using cluster::Entry;
+using cluster::Phase;
+
+namespace {
+
+constexpr double max_carried_share = 0.25; // of a record: what is written again together with new intents
+constexpr std::size_t few_unrecorded = 16; // all of them are written at once, in whatever order
+
+// A third of a line is the zone, and a task without rules about zones may as well be in an unknown one.
+bool zone_matters(const Entry& entry) {
+    return entry.job->spec.spread || entry.job->spec.one_zone;
+}
+
+// An intent is not stored before the job's record says that the job no longer waits for dependencies (invariant 14).
+bool may_record(const Entry& entry) {
+    return entry.job->ready_recorded || entry.job->final != cluster::Final::none;
+}
+
+// Tasks of a machine next to each other, and in that those of a job and an attempt, so that they become ranges.
+bool precedes(const Entry& a, const Entry& b) {
+    if (a.machine != b.machine)
+        return a.machine->id < b.machine->id;
+    if (a.agent_epoch != b.agent_epoch)
+        return a.agent_epoch < b.agent_epoch;
+    if (zone_matters(a) != zone_matters(b))
+        return zone_matters(a);
+    if (a.job != b.job)
+        return a.job->spec.id < b.job->spec.id;
+    if (a.attempt != b.attempt)
+        return a.attempt < b.attempt;
+    return a.index < b.index;
+}
+
+std::string text_of(std::vector<Entry*> entries) {
+    std::sort(entries.begin(), entries.end(), [](const Entry* a, const Entry* b) { return precedes(*a, *b); });
+    intents::Writer writer;
+    for (const auto* entry : entries)
+        writer.add(entry->machine->id, zone_matters(*entry) ? entry->machine->zone_name : "", entry->agent_epoch,
+                   entry->job->spec.id, entry->index, entry->attempt);
+    return writer.take();
+}
+
+} // namespace
+
+ClusterRecords::IntentRecords::IntentRecords(cluster::ClusterState& cluster, const Settings& settings,
+                                             const StoreLimits& limits, ObsoleteRecords& obsolete)
+    : cluster_(cluster), settings_(settings), limits_(limits), obsolete_records_(obsolete),
+      records_(persistence::first_intent_records) {}
+
+void ClusterRecords::IntentRecords::add(Entry& entry) {
+    put(entry, no_record);
+}
+
+void ClusterRecords::IntentRecords::remove(Entry& entry) {
+    leave(entry);
+    if (entry.slot >= 0)
+        ++records_[static_cast<std::size_t>(entry.slot)].obsolete;
+    if (entry.carried_from >= 0)
+        ++records_[static_cast<std::size_t>(entry.carried_from)].obsolete;
+}
+
+std::vector<Entry*>& ClusterRecords::IntentRecords::list_of(int record) {
+    return record < 0 ? unrecorded_ : records_[static_cast<std::size_t>(record)].entries;
+}
+
+void ClusterRecords::IntentRecords::put(Entry& entry, int record) {
+    auto& list = list_of(record);
+    entry.slot = record;
+    entry.at_slot = list.size();
+    list.push_back(&entry);
+}
+
+void ClusterRecords::IntentRecords::leave(Entry& entry) {
+    auto& list = list_of(entry.slot);
+    list[entry.at_slot] = list.back();
+    list[entry.at_slot]->at_slot = entry.at_slot;
+    list.pop_back();
+}
+
+void ClusterRecords::IntentRecords::move(Entry& entry, int record) {
+    leave(entry);
+    put(entry, record);
+}
+
+void ClusterRecords::IntentRecords::collect(persistence::TransactionBuilder& transaction) {
+    if (unrecorded_.size() > few_unrecorded)
+        order_by_urgency();
+    while (!transaction.full(1) && any_recordable())
+        if (!write_record(transaction, emptiest_record()))
+            break;
+    rewrite_one_obsolete(transaction);
+}
+
+bool ClusterRecords::IntentRecords::any_recordable() const {
+    return std::any_of(unrecorded_.begin(), unrecorded_.end(), [](const Entry* entry) { return may_record(*entry); });
+}
+
+// Where the store takes fewer intents than there are: the most urgent and the oldest first. They are taken from the
+// end.
+void ClusterRecords::IntentRecords::order_by_urgency() {
+    std::stable_sort(unrecorded_.begin(), unrecorded_.end(), [](const Entry* a, const Entry* b) {
+        if (a->job->priority != b->job->priority)
+            return a->job->priority > b->job->priority;
+        return a->placed_at > b->placed_at;
+    });
+    for (std::size_t i = 0; i < unrecorded_.size(); ++i)
+        unrecorded_[i]->at_slot = i;
+}
+
+bool ClusterRecords::IntentRecords::in_flight(std::size_t number) const {
+    return std::find(in_flight_.begin(), in_flight_.end(), number) != in_flight_.end();
+}
+
+// Estimated from the share of the intents last written that is still live.
+double ClusterRecords::IntentRecords::live_bytes(const Record& record) const {
+    return static_cast<double>(record.size * record.entries.size()) /
+           static_cast<double>(std::max<std::size_t>(1, record.written));
+}
+
+// The record with the fewest live bytes has most room. Records in turn would each carry on the intents of services,
+// which stay for good, and half of every write would be what the store holds already. A new record is added where all
+// are too full.
+std::size_t ClusterRecords::IntentRecords::emptiest_record() {
+    auto best = records_.size();
+    double least = static_cast<double>(limits_.max_record_bytes) * max_carried_share;
+    for (std::size_t number = 0; number < records_.size(); ++number) {
+        const double live = live_bytes(records_[number]);
+        if (live >= least || in_flight(number))
+            continue;
+        least = live;
+        best = number;
+        if (live <= 0)
+            break;
+    }
+    if (best == records_.size())
+        records_.emplace_back();
+    return best;
+}
+
+// Writes what is still live of a record and, as far as there is room, new intents and some of the oversized record.
+// False if the live intents alone do not fit any more.
+bool ClusterRecords::IntentRecords::write_record(persistence::TransactionBuilder& transaction, std::size_t number) {
+    auto& record = records_[number];
+    auto text = text_of(record.entries);
+    if (text.size() > limits_.max_record_bytes) {
+        oversized_ = number;
+        return false;
+    }
+    if (oversized_ == number)
+        oversized_.reset();
+    auto size = text.size();
+    const auto before = record.entries.size();
+    take_unrecorded(number, size);
+    take_from_oversized(number, size);
+    if (record.entries.size() != before)
+        text = text_of(record.entries);
+    size = text.size();
+    transaction.put(persistence::intent_key(number), persistence::encode_intents(std::move(text)), size);
+    record.obsolete = 0;
+    record.size = size;
+    record.written = record.entries.size();
+    in_flight_.push_back(number);
+    return true;
+}
+
+// Moves an entry into the record. False if it may not fit: it is counted as a line of its own, which is its longest
+// form.
+bool ClusterRecords::IntentRecords::take(Entry& entry, std::size_t number, std::size_t& size) {
+    size += text_of({&entry}).size() + 2;
+    if (size > limits_.max_record_bytes)
+        return false;
+    move(entry, static_cast<int>(number));
+    return true;
+}
+
+void ClusterRecords::IntentRecords::take_unrecorded(std::size_t number, std::size_t& size) {
+    for (std::size_t i = unrecorded_.size(); i-- > 0;) {
+        auto& entry = *unrecorded_[i];
+        if (!may_record(entry))
+            continue;
+        if (!take(entry, number, size))
+            return;
+        if (entry.phase == Phase::intent)
+            entry.phase = Phase::storing;
+    }
+}
+
+// Until the transaction is applied the oversized record names these intents too, so that none is ever missing from the
+// store (invariant 18; LongRecordsAreCarriedOnWithoutAGap).
+void ClusterRecords::IntentRecords::take_from_oversized(std::size_t number, std::size_t& size) {
+    if (!oversized_)
+        return;
+    auto& from = records_[*oversized_].entries;
+    while (!from.empty()) {
+        auto& entry = *from.back();
+        if (!take(entry, number, size))
+            break;
+        entry.carried_from = static_cast<int>(*oversized_);
+    }
+    if (from.empty())
+        oversized_.reset();
+}
+
+// A record that names what is long gone would keep its place after a failover. When there is time, one is written
+// again.
+void ClusterRecords::IntentRecords::rewrite_one_obsolete(persistence::TransactionBuilder& transaction) {
+    const auto now = cluster_.view().now;
+    if (now < next_rewrite_at_ || transaction.full(limits_.max_writes / 2) || any_recordable())
+        return;
+    const auto count = records_.size();
+    for (std::size_t n = 0; n < count; ++n) {
+        const auto number = next_rewritten_;
+        const bool worth = records_[number].obsolete > 0 || oversized_;
+        const bool written = worth && !in_flight(number) && write_record(transaction, number);
+        next_rewritten_ = (number + 1) % count;
+        if (!written)
+            continue;
+        next_rewrite_at_ = now + settings_.report_s / 10;
+        return;
+    }
+}
+
+void ClusterRecords::IntentRecords::committed(bool applied) {
+    for (const auto number : std::exchange(in_flight_, {})) {
+        const auto entries = records_[number].entries; // a copy, since entries may leave the record
+        for (auto* entry : entries)
+            settle(*entry, applied);
+        if (!applied)
+            ++records_[number].obsolete;
+    }
+}
+
+void ClusterRecords::IntentRecords::settle(Entry& entry, bool applied) {
+    if (const int from = std::exchange(entry.carried_from, no_record); from >= 0) {
+        if (applied)
+            ++records_[static_cast<std::size_t>(from)].obsolete;
+        else
+            move(entry, from);
+    } else if (applied) {
+        entry.recorded = true;
+    } else if (!entry.recorded) {
+        move(entry, no_record);
+    }
+    if (entry.phase != Phase::storing)
+        return;
+    entry.phase = applied ? Phase::stored : Phase::intent;
+    if (applied)
+        cluster_.want_orders(*entry.machine);
+}
+
+void ClusterRecords::IntentRecords::load(const std::vector<codec::Item>& items) {
+    for (const auto& item : items)
+        load_record(item);
+}
+
+void ClusterRecords::IntentRecords::load_record(const codec::Item& item) {
+    const auto number = persistence::record_number(item.key);
+    const auto stored = persistence::decode_intents(item.value);
+    if (number && *number >= records_.size())
+        records_.resize(*number + 1);
+    for (const auto& intent : stored.content.intents)
+        load_intent(intent, number ? static_cast<int>(*number) : no_record);
+    for (const auto& machine : stored.content.unproven)
+        hold_unproven(machine);
+    if (stored.content.damaged)
+        hold_unproven("");
+    if (!number) {
+        obsolete_records_.add(item.key);
+        return;
+    }
+    auto& record = records_[*number];
+    record.obsolete += 1; // so that it is written again before long, whatever it named
+    record.size = stored.size;
+    record.written = std::max<std::size_t>(1, stored.content.intents.size());
+}
+
+void ClusterRecords::IntentRecords::load_intent(const intents::Intent& intent, int record) {
+    auto* job = cluster_.find_job(intent.job);
+    // The record of a job goes only when none of its tasks is left anywhere.
+    if (job == nullptr || intent.index >= job->tasks.size())
+        return;
+    auto& machine = cluster_.learn_machine(intent.machine, "", "", intent.zone, false);
+    machine.agent_epoch = std::max(machine.agent_epoch, intent.agent_epoch);
+    // The leader before may have answered this machine until this one took over, so the lease counts from now.
+    machine.lease_started_at = cluster_.data_.now;
+    machine.status = cluster::Status::up;
+    for (const auto& entry : machine.entries)
+        if (entry->job == job && entry->index == intent.index && entry->attempt == intent.attempt)
+            return;
+    auto& entry = cluster_.add_entry(machine, *job, intent.index, intent.attempt);
+    entry.phase = Phase::sent;
+    entry.recorded = record >= 0;
+    // Only a heartbeat that has seen a token of this term proves anything: one from before the launch may arrive late,
+    // and there is no count of this machine's heartbeats to tell (invariant 5;
+    // AfterAFailoverOnlyAHeartbeatThatHasSeenOurTermClearsAnIntent).
+    entry.fencing_token = (cluster_.data_.term << cluster::token_counter_bits) - 1;
+    entry.agent_epoch = intent.agent_epoch;
+    move(entry, record);
+}
+
+void ClusterRecords::IntentRecords::hold_unproven(const std::string& machine) {
+    cluster_.log(2, fmt::format("a damaged record{}{}", machine.empty() ? "" : " of machine ", machine));
+    cluster_.data_.unproven_until = cluster_.data_.now + cluster_.lease_expiry_s();
+    cluster_.data_.unproven_machines.insert(machine);
+    if (machine.empty())
+        return;
+    auto& learned = cluster_.learn_machine(machine, "", "", "", false);
+    learned.lease_started_at = cluster_.data_.now;
+    learned.status = cluster::Status::up;
+}
+
+} // namespace heronshift
--- /dev/null
+++ b/src/persistence/learned_rates.hpp
@@ -0,0 +1,30 @@
+/// Rates that a leader has measured, for the next one.
+#pragma once
+
+#include "heronshift/persistence/cluster_records.hpp"
+
+#include "transaction_builder.hpp"
+
+namespace heronshift {
+
+/// How much work comes in, how far estimates are off and how many spot machines are lost. Without it the next leader
+/// gives back machines that it needs a moment later (WhatALeaderLearnedGoesToTheNext). Written now and then; a write
+/// that is refused is not repeated.
+class ClusterRecords::LearnedRates {
+public:
+    LearnedRates(cluster::ClusterState& cluster, const Settings& settings, const StoreLimits& limits)
+        : cluster_(cluster), settings_(settings), limits_(limits) {}
+
+    void collect(persistence::TransactionBuilder& transaction);
+    void load(const std::vector<codec::Item>& items, double wall);
+
+private:
+    void load_record(const codec::Item& item, double wall);
+
+    cluster::ClusterState& cluster_;
+    const Settings& settings_;
+    const StoreLimits& limits_;
+    double next_write_at_ = 0;
+};
+
+} // namespace heronshift
--- /dev/null
+++ b/src/persistence/obsolete_records.hpp
@@ -0,0 +1,42 @@
+/// Keys of records that mean nothing any more, to be removed.
+#pragma once
+
+#include "heronshift/persistence/cluster_records.hpp"
+
+#include "transaction_builder.hpp"
+
+#include <deque>
+#include <string>
+#include <utility>
+#include <vector>
+
+namespace heronshift {
+
+/// Records of earlier layouts and those that a larger cluster needed. Removing them is not urgent.
+class ClusterRecords::ObsoleteRecords {
+public:
+    void add(std::string key) {
+        keys_.push_back(std::move(key));
+    }
+    void collect(persistence::TransactionBuilder& transaction) {
+        while (!keys_.empty() && !transaction.full(1)) {
+            transaction.erase(keys_.front());
+            in_flight_.push_back(std::move(keys_.front()));
+            keys_.pop_front();
+        }
+    }
+    void committed(bool applied) {
+        for (auto& key : std::exchange(in_flight_, {}))
+            if (!applied)
+                keys_.push_back(std::move(key));
+    }
+    void forget_in_flight() {
+        in_flight_.clear();
+    }
+
+private:
+    std::deque<std::string> keys_;
+    std::vector<std::string> in_flight_;
+};
+
+} // namespace heronshift
--- /dev/null
+++ b/src/persistence/ready_records.cpp
@@ -0,0 +1,41 @@
+#include "ready_records.hpp"
+
+#include "heronshift/persistence/layout.hpp"
+
+#include <utility>
+
+namespace heronshift {
+namespace {
+
+constexpr std::size_t usual_record_bytes = 600;
+
+} // namespace
+
+void ClusterRecords::ReadyRecords::collect(persistence::TransactionBuilder& transaction) {
+    const auto& data = cluster_.view();
+    while (!jobs_.empty() && !transaction.full(1)) {
+        auto* job = jobs_.front();
+        jobs_.pop_front();
+        if (job->final != cluster::Final::none)
+            continue;
+        codec::StoredJob record;
+        record.spec = job->spec;
+        record.spec.dependencies.clear();
+        record.at = data.wall - (data.now - job->submitted);
+        record.ready = data.wall - (data.now - job->ready);
+        transaction.put(persistence::job_key(record.spec.id), codec::to_record(record), usual_record_bytes);
+        job->ready_recorded = true;
+        in_flight_.push_back(job);
+    }
+}
+
+void ClusterRecords::ReadyRecords::committed(bool applied) {
+    for (auto* job : std::exchange(in_flight_, {})) {
+        if (applied)
+            continue;
+        job->ready_recorded = false;
+        jobs_.push_back(job);
+    }
+}
+
+} // namespace heronshift
--- /dev/null
+++ b/src/persistence/record_kinds.hpp
@@ -0,0 +1,40 @@
+/// All record kinds of the cluster, together.
+#pragma once
+
+#include "final_states.hpp"
+#include "image_hints.hpp"
+#include "intent_records.hpp"
+#include "learned_rates.hpp"
+#include "obsolete_records.hpp"
+#include "progress_records.hpp"
+#include "ready_records.hpp"
+
+#include <vector>
+
+namespace heronshift {
+
+struct ClusterRecords::Kinds {
+    Kinds(cluster::ClusterState& cluster, const Settings& settings, const StoreLimits& limits,
+          std::vector<Effect>& effects)
+        : ready(cluster), finals(cluster, effects, ready), intents(cluster, settings, limits, obsolete),
+          progress(cluster, settings, limits), images(cluster, settings, limits, obsolete),
+          learned(cluster, settings, limits) {}
+
+    void forget_in_flight() {
+        ready.forget_in_flight();
+        finals.forget_in_flight();
+        obsolete.forget_in_flight();
+        intents.forget_in_flight();
+        progress.forget_in_flight();
+    }
+
+    ReadyRecords ready;
+    FinalStates finals;
+    ObsoleteRecords obsolete;
+    IntentRecords intents;
+    ProgressRecords progress;
+    ImageHints images;
+    LearnedRates learned;
+};
+
+} // namespace heronshift
--- /dev/null
+++ b/src/persistence/stored_records.cpp
@@ -0,0 +1,190 @@
+#include "stored_records.hpp"
+
+#include "heronshift/persistence/layout.hpp"
+
+#include <algorithm>
+#include <charconv>
+#include <cmath>
+#include <fmt/format.h>
+
+namespace heronshift::persistence {
+
+using codec::Json;
+
+namespace {
+
+// Intent records grow in number with the tasks on machines: 60,000 on 6,000 machines take some 200 of 15 KiB, or
+// 5,000 of the smallest size (min_record_bytes in cluster_records.cpp). A larger number was not written by a leader:
+// what its record names counts all the same, and the record is removed once that is stored elsewhere.
+constexpr std::size_t max_record_number = 100'000;
+
+// Names of fields: stored data, never to be changed.
+constexpr const char* field_intents = "t";
+constexpr const char* field_image_names = "names";
+constexpr const char* field_images_held = "held";
+constexpr const char* field_written_at = "at";
+constexpr const char* field_offered_load = "offered";
+constexpr const char* field_offered_ordinary = "offeredOrdinary";
+constexpr const char* field_ran = "ran";
+constexpr const char* field_estimated = "estimated";
+constexpr const char* field_spot_losses = "spotLosses";
+constexpr const char* field_earlier_tasks = "tasks";
+constexpr const char* field_earlier_zone = "yard";
+constexpr const char* field_earlier_agent_epoch = "tenure";
+constexpr const char* field_earlier_done = "done";
+constexpr const char* field_earlier_final = "final";
+
+std::optional<ImageRecord::Image> decode_image(const Json& json) {
+    const bool good = json.is_array() && json.size() == 2 && json[0].is_string() && json[1].is_number();
+    if (!good)
+        return {};
+    return ImageRecord::Image{json[0].get<std::string>(), json[1].get<double>()};
+}
+
+std::vector<std::size_t> decode_held(const Json& list, const ImageRecord& record) {
+    std::vector<std::size_t> out;
+    for (const auto& json : list) {
+        if (!json.is_number_unsigned())
+            continue;
+        const auto index = json.get<std::size_t>();
+        if (index < record.images.size() && record.images[index])
+            out.push_back(index);
+    }
+    return out;
+}
+
+// A measured quantity; below zero: missing or of no use.
+double quantity(const Json& value, const char* name) {
+    constexpr double limit = 1e12;
+    const auto it = value.is_object() ? value.find(name) : value.end();
+    const double number = it != value.end() && it->is_number() ? it->get<double>() : -1;
+    return std::isfinite(number) && number >= 0 && number < limit ? number : -1;
+}
+
+} // namespace
+
+std::optional<std::size_t> record_number(const std::string& key) {
+    const auto prefix = intent_prefix.size();
+    if (key.size() <= prefix)
+        return {};
+    std::size_t number = 0;
+    const auto* end = key.data() + key.size();
+    const auto [parsed, error] = std::from_chars(key.data() + prefix, end, number);
+    if (error != std::errc() || parsed != end || number > max_record_number)
+        return {};
+    return number;
+}
+
+Json encode_intents(std::string text) {
+    return Json{{field_intents, std::move(text)}};
+}
+
+IntentRecord decode_intents(const Json& value) {
+    IntentRecord record;
+    if (!value.is_object() || !value.contains(field_intents) || !value[field_intents].is_string()) {
+        record.content.damaged = true;
+        return record;
+    }
+    const auto& text = value[field_intents].get_ref<const std::string&>();
+    record.content = intents::read(text);
+    record.size = text.size();
+    return record;
+}
+
+Json encode_progress(std::vector<JobProgress> jobs) {
+    auto value = Json::object();
+    for (auto& progress : jobs)
+        value[progress.job] = std::move(progress.done);
+    return value;
+}
+
+std::vector<JobProgress> decode_progress(const Json& value) {
+    std::vector<JobProgress> out;
+    if (!value.is_object())
+        return out;
+    for (const auto& [job, done] : value.items())
+        if (done.is_string())
+            out.push_back({job, done.get<std::string>()});
+    return out;
+}
+
+Json encode_images(const ImageRecord& record) {
+    auto names = Json::array();
+    for (const auto& image : record.images)
+        names.push_back({image->name, image->size_gb});
+    auto held = Json::object();
+    for (const auto& [machine, indices] : record.held)
+        held[machine] = indices;
+    return Json{{field_image_names, std::move(names)}, {field_images_held, std::move(held)}};
+}
+
+ImageRecord decode_images(const Json& value) {
+    ImageRecord record;
+    if (!value.is_object() || !value.contains(field_image_names) || !value.contains(field_images_held))
+        return record;
+    const auto& names = value[field_image_names];
+    const auto& held = value[field_images_held];
+    if (!names.is_array() || !held.is_object())
+        return record;
+    for (const auto& name : names)
+        record.images.push_back(decode_image(name));
+    for (const auto& [machine, list] : held.items())
+        if (list.is_array())
+            record.held.emplace_back(machine, decode_held(list, record));
+    return record;
+}
+
+Json encode_learned(const LearnedRecord& record) {
+    return Json{{field_written_at, record.written_at},
+                {field_offered_load, record.offered_load},
+                {field_offered_ordinary, record.offered_ordinary},
+                {field_ran, record.ran_s},
+                {field_estimated, record.estimated_s},
+                {field_spot_losses, record.spot_losses}};
+}
+
+std::optional<LearnedRecord> decode_learned(const Json& value) {
+    LearnedRecord record;
+    record.written_at = quantity(value, field_written_at);
+    record.offered_load = quantity(value, field_offered_load);
+    record.offered_ordinary = std::max(0.0, quantity(value, field_offered_ordinary));
+    record.ran_s = quantity(value, field_ran);
+    record.estimated_s = quantity(value, field_estimated);
+    record.spot_losses = quantity(value, field_spot_losses);
+    if (record.written_at < 0 || record.offered_load < 0 || record.ran_s <= 0 || record.estimated_s <= 0 ||
+        record.spot_losses < 0)
+        return {};
+    return record;
+}
+
+EarlierMachineRecord decode_earlier_machine(const std::string& machine, const Json& value) {
+    EarlierMachineRecord record;
+    if (!value.is_object() || !value.contains(field_earlier_tasks) || !value[field_earlier_tasks].is_array()) {
+        record.damaged = true;
+        return record;
+    }
+    const auto text = [&](const char* name) {
+        return value.contains(name) && value[name].is_string() ? value[name].get<std::string>() : std::string();
+    };
+    const auto number = [&](const char* name) {
+        return value.contains(name) && value[name].is_number_integer() ? value[name].get<std::uint64_t>() : 0;
+    };
+    const auto head = fmt::format("{} {} {} ", machine, text(field_earlier_zone), number(field_earlier_agent_epoch));
+    for (const auto& task : value[field_earlier_tasks]) {
+        const auto line = task.is_string() ? head + task.get<std::string>() : std::string();
+        auto read = intents::read(line);
+        record.damaged = record.damaged || read.intents.size() != 1;
+        for (auto& intent : read.intents)
+            record.intents.push_back(std::move(intent));
+    }
+    return record;
+}
+
+std::optional<EarlierJobRecord> decode_earlier_job(const Json& value) {
+    if (!value.is_object())
+        return {};
+    return EarlierJobRecord{value.value(field_earlier_done, std::string()),
+                            value.value(field_earlier_final, std::string())};
+}
+
+} // namespace heronshift::persistence
--- a/tests/test_golden_records.cpp
+++ b/tests/test_golden_records.cpp
@@ -4,6 +4,7 @@
 #include "machines.hpp"
 
 #include "heronshift/core/core.hpp"
+#include "heronshift/persistence/intents.hpp"
 #include "heronshift/store/file_data.hpp"
 
 #include <cmath>
