--- a/src/codec/cloud.cpp
+++ b/src/codec/cloud.cpp
@@ -1,42 +1,48 @@
-// The cloud: machine types, rentals, releases and the list of machines.
+// Messages of the cloud: machine types, rentals, releases and the list of machines.
 #include "fields.hpp"
 
 #include <fmt/format.h>
 
 namespace heronshift::codec {
 
-using fields::count;
-using fields::field;
-using fields::flag;
-using fields::number;
-using fields::text;
+namespace {
 
-std::optional<std::vector<MachineType>> machine_types(std::string_view body) {
-    const auto json = parse(body);
+constexpr double usual_boot_s = 60; // where the list does not say it
+constexpr std::uint64_t max_rental = 50;
+
+std::optional<MachineType> read_type(const Json& json) {
     if (!json.is_object())
         return {};
-    const auto* list = field(json, "flavors");
-    if (list == nullptr || !list->is_array())
+    MachineType type;
+    type.name = text(json, words::name);
+    type.room = {number(json, words::cpus), number(json, words::gpus), number(json, words::memory_gb)};
+    type.cache_gb = number(json, words::cache_gb);
+    type.fetch_gb_per_s = number(json, words::fetch_gb_per_s, 1);
+    type.price = number(json, words::price);
+    type.spot_price = number(json, words::spot_price, type.price);
+    type.boot_s = number(json, words::boot_s, usual_boot_s);
+    if (const auto* zones = array_field(json, words::zones); zones != nullptr)
+        for (const auto& zone : *zones)
+            if (zone.is_string())
+                type.zones.push_back(zone.get<std::string>());
+    if (type.name.empty() || !(type.room.cpus > 0) || !(type.fetch_gb_per_s > 0))
+        return {};
+    return type;
+}
+
+} // namespace
+
+std::optional<std::vector<MachineType>> machine_types(std::string_view body) {
+    const auto json = parse(body);
+    const auto* list = array_field(json, words::machine_types);
+    if (list == nullptr)
         return {};
     std::vector<MachineType> out;
-    for (const auto& e : *list) {
-        if (!e.is_object())
-            return {};
-        MachineType type;
-        type.name = text(e, "name");
-        type.room = {number(e, "cpus"), number(e, "accelerators"), number(e, "memGb")};
-        type.cache_gb = number(e, "cacheGb");
-        type.fetch_gb_per_s = number(e, "fetchGbPerS", 1);
-        type.price = number(e, "rate");
-        type.spot_price = number(e, "lowPrice", type.price);
-        type.boot_s = number(e, "bootS", 60);
-        if (const auto* z = field(e, "yards"); z != nullptr && z->is_array())
-            for (const auto& zone : *z)
-                if (zone.is_string())
-                    type.zones.push_back(zone.get<std::string>());
-        if (type.name.empty() || !(type.room.cpus > 0) || !(type.fetch_gb_per_s > 0))
+    for (const auto& entry : *list) {
+        auto type = read_type(entry);
+        if (!type)
             return {};
-        out.push_back(std::move(type));
+        out.push_back(std::move(*type));
     }
     if (out.empty())
         return {};
@@ -46,87 +52,91 @@
 Json types_to_json(const std::vector<MachineType>& types) {
     Json list = Json::array();
     for (const auto& type : types)
-        list.push_back({{"name", type.name},
-                        {"cpus", type.room.cpus},
-                        {"accelerators", type.room.gpus},
-                        {"memGb", type.room.memory_gb},
-                        {"cacheGb", type.cache_gb},
-                        {"fetchGbPerS", type.fetch_gb_per_s},
-                        {"rate", type.price},
-                        {"lowPrice", type.spot_price},
-                        {"bootS", type.boot_s},
-                        {"yards", type.zones}});
-    return {{"flavors", list}};
+        list.push_back({{words::name, type.name},
+                        {words::cpus, type.room.cpus},
+                        {words::gpus, type.room.gpus},
+                        {words::memory_gb, type.room.memory_gb},
+                        {words::cache_gb, type.cache_gb},
+                        {words::fetch_gb_per_s, type.fetch_gb_per_s},
+                        {words::price, type.price},
+                        {words::spot_price, type.spot_price},
+                        {words::boot_s, type.boot_s},
+                        {words::zones, type.zones}});
+    return {{words::machine_types, list}};
 }
 
-std::string rental(const std::string& claim, const std::string& type, const std::string& zone, bool spot, int n) {
-    return Json{{"claim", claim}, {"flavor", type}, {"yard", zone}, {"standby", spot}, {"number", n}}.dump();
+std::string rental(const std::string& claim, const std::string& type, const std::string& zone, bool spot, int count) {
+    return Json{{words::claim, claim},
+                {words::machine_type, type},
+                {words::zone, zone},
+                {words::spot, spot},
+                {words::count, count}}
+        .dump();
 }
 
 std::optional<std::vector<std::string>> rented(std::string_view body) {
     const auto json = parse(body);
-    if (!json.is_object())
-        return {};
-    const auto* list = field(json, "hosts");
-    if (list == nullptr || !list->is_array())
+    const auto* list = array_field(json, words::machines);
+    if (list == nullptr)
         return {};
-    std::vector<std::string> out;
-    for (const auto& e : *list) {
-        if (!e.is_string())
+    std::vector<std::string> machines;
+    for (const auto& machine : *list) {
+        if (!machine.is_string())
             return {};
-        out.push_back(e.get<std::string>());
+        machines.push_back(machine.get<std::string>());
     }
-    return out;
+    return machines;
 }
 
 std::string release(const std::vector<std::string>& machines) {
-    return Json{{"hosts", machines}}.dump();
+    return Json{{words::machines, machines}}.dump();
 }
 
 std::optional<MachinePage> machine_page(std::string_view body) {
     const auto json = parse(body);
-    if (!json.is_object())
-        return {};
-    const auto* list = field(json, "hosts");
-    if (list == nullptr || !list->is_array())
+    const auto* list = array_field(json, words::machines);
+    if (list == nullptr)
         return {};
-    MachinePage p;
-    p.more = flag(json, "more");
-    for (const auto& e : *list) {
-        if (!e.is_object())
+    MachinePage page;
+    page.more = flag(json, words::more);
+    for (const auto& entry : *list) {
+        if (!entry.is_object())
             return {};
-        ListedMachine listed_machine{text(e, "id"),     text(e, "addr"),    text(e, "flavor"), text(e, "yard"),
-                                     text(e, "status"), flag(e, "standby"), number(e, "ageS")};
-        if (listed_machine.id.empty())
+        ListedMachine machine{text(entry, words::id),     text(entry, words::address), text(entry, words::machine_type),
+                              text(entry, words::zone),   text(entry, words::status),  flag(entry, words::spot),
+                              number(entry, words::age_s)};
+        if (machine.id.empty())
             return {};
-        p.machines.push_back(std::move(listed_machine));
+        page.machines.push_back(std::move(machine));
     }
-    return p;
+    return page;
 }
 
 std::optional<RentalRequest> rental_request(std::string_view body) {
     const auto json = parse(body);
     if (!json.is_object())
         return {};
-    RentalRequest r{text(json, "claim"), text(json, "flavor"), text(json, "yard"), flag(json, "standby"), 0};
-    std::uint64_t n = 0;
-    if (r.claim.empty() || r.type.empty() || r.zone.empty() || !count(json, "number", n) || n < 1 || n > 50)
+    RentalRequest request{text(json, words::claim), text(json, words::machine_type), text(json, words::zone),
+                          flag(json, words::spot), 0};
+    std::uint64_t count_of_machines = 0;
+    if (request.claim.empty() || request.type.empty() || request.zone.empty() ||
+        !count(json, words::count, count_of_machines) || count_of_machines < 1 || count_of_machines > max_rental)
         return {};
-    r.count = static_cast<int>(n);
-    return r;
+    request.count = static_cast<int>(count_of_machines);
+    return request;
 }
 
-std::string to_body(const MachinePage& p) {
+std::string to_body(const MachinePage& page) {
     auto list = Json::array();
-    for (const auto& listed_machine : p.machines)
-        list.push_back({{"id", listed_machine.id},
-                        {"addr", listed_machine.addr},
-                        {"flavor", listed_machine.type},
-                        {"yard", listed_machine.zone},
-                        {"standby", listed_machine.spot},
-                        {"status", listed_machine.status},
-                        {"ageS", listed_machine.age_s}});
-    return Json{{"hosts", std::move(list)}, {"more", p.more}}.dump();
+    for (const auto& machine : page.machines)
+        list.push_back({{words::id, machine.id},
+                        {words::address, machine.addr},
+                        {words::machine_type, machine.type},
+                        {words::zone, machine.zone},
+                        {words::spot, machine.spot},
+                        {words::status, machine.status},
+                        {words::age_s, machine.age_s}});
+    return Json{{words::machines, std::move(list)}, {words::more, page.more}}.dump();
 }
 
 } // namespace heronshift::codec
--- a/src/codec/fields.hpp
+++ b/src/codec/fields.hpp
@@ -1,39 +1,50 @@
-// Tolerant readers of single JSON fields, shared by the parts of the codec.
+/// Readers of single JSON fields, for the decoders of this folder. They take any JSON value; one that is no object has
+/// no fields. None of them throws.
 #pragma once
 
 #include "heronshift/codec.hpp"
 
-namespace heronshift::codec::fields {
+#include "words.hpp"
 
-// The field of that name; null if it is missing or null.
-inline const Json* field(const Json& json, const char* name) {
+namespace heronshift::codec {
+
+/// The field of that name; null if it is missing or null.
+[[nodiscard]] inline const Json* field(const Json& json, const char* name) {
     const auto it = json.find(name);
     return it == json.end() || it->is_null() ? nullptr : &*it;
 }
 
-// The text, number or flag of that name; the fallback (false) where it is missing or of another kind.
-inline std::string text(const Json& json, const char* name, std::string fallback = {}) {
-    const auto* f = field(json, name);
-    return f != nullptr && f->is_string() ? f->get<std::string>() : fallback;
+/// The array of that name; null if it is missing or of another kind.
+[[nodiscard]] inline const Json* array_field(const Json& json, const char* name) {
+    const auto* found = field(json, name);
+    return found != nullptr && found->is_array() ? found : nullptr;
+}
+
+/// The string of that name; empty where it is missing or of another kind.
+[[nodiscard]] inline std::string text(const Json& json, const char* name) {
+    const auto* found = field(json, name);
+    return found != nullptr && found->is_string() ? found->get<std::string>() : std::string();
 }
 
-inline bool flag(const Json& json, const char* name) {
-    const auto* f = field(json, name);
-    return f != nullptr && f->is_boolean() && f->get<bool>();
+/// The flag of that name; false where it is missing or of another kind.
+[[nodiscard]] inline bool flag(const Json& json, const char* name) {
+    const auto* found = field(json, name);
+    return found != nullptr && found->is_boolean() && found->get<bool>();
 }
 
-inline double number(const Json& json, const char* name, double fallback = 0) {
-    const auto* f = field(json, name);
-    return f != nullptr && f->is_number() ? f->get<double>() : fallback;
+/// The number of that name; the fallback where it is missing or of another kind.
+[[nodiscard]] inline double number(const Json& json, const char* name, double fallback = 0) {
+    const auto* found = field(json, name);
+    return found != nullptr && found->is_number() ? found->get<double>() : fallback;
 }
 
-// False where it is no unsigned integer; then the value is left as it was.
+/// False where it is no unsigned integer; then the value is left as it was.
 inline bool count(const Json& json, const char* name, std::uint64_t& out) {
-    const auto* f = field(json, name);
-    if (f == nullptr || !f->is_number_unsigned())
+    const auto* found = field(json, name);
+    if (found == nullptr || !found->is_number_unsigned())
         return false;
-    out = f->get<std::uint64_t>();
+    out = found->get<std::uint64_t>();
     return true;
 }
 
-} // namespace heronshift::codec::fields
+} // namespace heronshift::codec
--- a/src/codec/jobs.cpp
+++ b/src/codec/jobs.cpp
@@ -8,164 +8,150 @@
 
 namespace heronshift::codec {
 
-using fields::count;
-using fields::field;
-using fields::flag;
-using fields::number;
-using fields::text;
-
 namespace {
 
+constexpr std::size_t max_text = 200; // bytes of a name in a submission
+constexpr double max_number = 1e12;
+
 // Reads a submission field by field; the first complaint is kept.
-struct FieldReader {
-    const Json& j;
-    std::string error;
+class FieldReader {
+public:
+    explicit FieldReader(const Json& json) : json_(json) {}
 
+    [[nodiscard]] const std::string& error() const {
+        return error_;
+    }
     void complain(const char* name, const char* what) {
-        if (error.empty())
-            error = fmt::format("{}: {}", name, what);
+        if (error_.empty())
+            error_ = fmt::format("{}: {}", name, what);
+    }
+    // The field of that name; null if it is missing, which is a complaint where it is required.
+    const Json* find(const char* name, bool required) {
+        const auto* found = field(json_, name);
+        if (found == nullptr && required)
+            complain(name, "is missing");
+        return found;
     }
-    std::string text(const char* name, bool required, std::size_t most = 200) {
-        const auto* json = field(j, name);
-        if (json == nullptr) {
-            if (required)
-                complain(name, "is missing");
+    std::string text(const char* name, bool required) {
+        const auto* found = find(name, required);
+        if (found == nullptr)
             return {};
-        }
-        if (!json->is_string())
+        if (!found->is_string())
             return complain(name, "must be a string"), std::string();
-        auto s = json->get<std::string>();
-        if (s.size() > most)
+        auto value = found->get<std::string>();
+        if (value.size() > max_text)
             complain(name, "is too long");
-        if (required && s.empty())
+        if (required && value.empty())
             complain(name, "must not be empty");
-        return s;
+        return value;
     }
     double number(const char* name, bool required, double fallback, bool positive = false) {
-        const auto* json = field(j, name);
-        if (json == nullptr) {
-            if (required)
-                complain(name, "is missing");
+        const auto* found = find(name, required);
+        if (found == nullptr)
             return fallback;
-        }
-        if (!json->is_number())
+        if (!found->is_number())
             return complain(name, "must be a number"), fallback;
-        const double v = json->get<double>();
-        if (!std::isfinite(v) || v < 0 || v > 1e12)
+        const double value = found->get<double>();
+        if (!std::isfinite(value) || value < 0 || value > max_number)
             complain(name, "is out of range");
-        else if (positive && v <= 0)
+        else if (positive && value <= 0)
             complain(name, "must be above 0");
-        return v;
+        return value;
     }
     bool flag(const char* name) {
-        const auto* json = field(j, name);
-        if (json == nullptr)
+        const auto* found = find(name, false);
+        if (found == nullptr)
             return false;
-        if (!json->is_boolean())
+        if (!found->is_boolean())
             return complain(name, "must be true or false"), false;
-        return json->get<bool>();
+        return found->get<bool>();
+    }
+    // One of the words of an enumeration.
+    template <class Enum, std::size_t n>
+    void word(const char* name, const words::Word<Enum> (&table)[n], const char* otherwise, Enum& out) {
+        if (const auto value = words::value_of(table, text(name, true)); value)
+            out = *value;
+        else
+            complain(name, otherwise);
     }
-};
 
-std::optional<Shape> shape_of(const std::string& s) {
-    if (s == "array")
-        return Shape::array;
-    if (s == "gang")
-        return Shape::gang;
-    if (s == "daemon")
-        return Shape::service;
-    return {};
-}
-const char* name_of(Shape s) {
-    return s == Shape::array ? "array" : s == Shape::gang ? "gang" : "daemon";
-}
-std::optional<Priority> priority_of(const std::string& s) {
-    if (s == "critical")
-        return Priority::critical;
-    if (s == "high")
-        return Priority::high;
-    if (s == "normal")
-        return Priority::normal;
-    if (s == "low")
-        return Priority::low;
-    return {};
-}
-const char* name_of(Priority r) {
-    return r == Priority::critical ? "critical"
-           : r == Priority::high   ? "high"
-           : r == Priority::normal ? "normal"
-                                   : "low";
-}
+private:
+    const Json& json_;
+    std::string error_;
+};
 
 // False if it is no list of job ids. Repeats count once.
 bool read_dependencies(const Json& json, std::vector<std::string>& out) {
-    const auto* f = field(json, "waitsOn");
-    if (f == nullptr)
+    const auto* list = field(json, words::dependencies);
+    if (list == nullptr)
         return true;
-    if (!f->is_array())
+    if (!list->is_array())
         return false;
     std::set<std::string_view> seen;
-    for (const auto& e : *f) {
-        if (!e.is_string() || !valid_job_id(e.get_ref<const std::string&>()))
+    for (const auto& entry : *list) {
+        if (!entry.is_string() || !valid_job_id(entry.get_ref<const std::string&>()))
             return false;
-        const auto& id = e.get_ref<const std::string&>();
+        const auto& id = entry.get_ref<const std::string&>();
         if (seen.insert(id).second)
             out.push_back(id);
     }
     return true;
 }
 
-std::variant<JobSpec, Invalid> read_spec(const Json& json) {
-    FieldReader r{json, {}};
-    JobSpec spec;
-    spec.dependencies_damaged = !read_dependencies(json, spec.dependencies);
-    spec.id = r.text("id", true);
-    if (r.error.empty() && !valid_job_id(spec.id))
-        r.complain("id", "must have the form wk-000412");
-    spec.job_class = r.text("jobclass", true);
-    spec.team = r.text("owner", true);
-    if (const auto shape = shape_of(r.text("shape", true)); shape)
-        spec.shape = *shape;
+void read_task_count(FieldReader& reader, const Json& json, JobSpec& spec) {
+    if (reader.find(words::tasks, true) == nullptr)
+        return;
+    std::uint64_t tasks = 0;
+    if (count(json, words::tasks, tasks) && tasks >= 1 && tasks <= max_tasks)
+        spec.tasks = static_cast<std::uint32_t>(tasks);
     else
-        r.complain("shape", "must be array, gang or daemon");
-    if (const auto priority = priority_of(r.text("rank", true)); priority)
-        spec.priority = *priority;
-    else
-        r.complain("rank", "must be critical, high, normal or low");
-    if (std::uint64_t n = 0; field(json, "shards") == nullptr)
-        r.complain("shards", "is missing");
-    else if (!count(json, "shards", n) || n < 1 || n > max_tasks)
-        r.complain("shards", "must be a whole number from 1 to 100000");
-    else
-        spec.tasks = static_cast<std::uint32_t>(n);
-    spec.each.cpus = r.number("cpus", true, 0, true);
-    spec.each.gpus = r.number("accelerators", false, 0);
-    spec.each.memory_gb = r.number("memGb", true, 0, true);
-    spec.image = r.text("bundle", true);
-    spec.image_gb = r.number("imageGb", true, 0);
-    if (const auto* f = field(json, "flavors"); f != nullptr) {
-        if (!f->is_array())
-            r.complain("flavors", "must be an array of strings");
+        reader.complain(words::tasks, "must be a whole number from 1 to 100000");
+}
+
+void read_machine_types(FieldReader& reader, JobSpec& spec) {
+    const auto* list = reader.find(words::machine_types, false);
+    if (list == nullptr)
+        return;
+    if (!list->is_array())
+        return reader.complain(words::machine_types, "must be an array of strings");
+    for (const auto& name : *list) {
+        if (name.is_string())
+            spec.types.push_back(name.get<std::string>());
         else
-            for (const auto& e : *f) {
-                if (!e.is_string())
-                    r.complain("flavors", "must be an array of strings");
-                else
-                    spec.types.push_back(e.get<std::string>());
-            }
-        if (f->is_array() && f->empty())
-            r.complain("flavors", "must not be empty");
+            reader.complain(words::machine_types, "must be an array of strings");
     }
-    spec.zone = r.text("yard", false);
-    spec.one_zone = r.flag("together");
-    spec.spread = r.flag("scatter");
-    spec.spot = r.flag("standby");
-    spec.estimate_s = r.number("expectedS", false, 0);
-    spec.checkpoint_s = r.number("snapshotEveryS", false, 0);
-    spec.save_s = r.number("snapshotS", false, 0);
-    spec.deadline_s = r.number("dueS", false, -1);
-    if (!r.error.empty())
-        return Invalid{r.error};
+    if (list->empty())
+        reader.complain(words::machine_types, "must not be empty");
+}
+
+std::variant<JobSpec, Invalid> read_spec(const Json& json) {
+    FieldReader reader(json);
+    JobSpec spec;
+    spec.dependencies_damaged = !read_dependencies(json, spec.dependencies);
+    spec.id = reader.text(words::id, true);
+    if (reader.error().empty() && !valid_job_id(spec.id))
+        reader.complain(words::id, "must have the form wk-000412");
+    spec.job_class = reader.text(words::job_class, true);
+    spec.team = reader.text(words::team, true);
+    reader.word(words::shape, words::shapes, "must be array, gang or daemon", spec.shape);
+    reader.word(words::priority, words::priorities, "must be critical, high, normal or low", spec.priority);
+    read_task_count(reader, json, spec);
+    spec.each.cpus = reader.number(words::cpus, true, 0, true);
+    spec.each.gpus = reader.number(words::gpus, false, 0);
+    spec.each.memory_gb = reader.number(words::memory_gb, true, 0, true);
+    spec.image = reader.text(words::image, true);
+    spec.image_gb = reader.number(words::image_gb, true, 0);
+    read_machine_types(reader, spec);
+    spec.zone = reader.text(words::zone, false);
+    spec.one_zone = reader.flag(words::one_zone);
+    spec.spread = reader.flag(words::spread);
+    spec.spot = reader.flag(words::spot);
+    spec.estimate_s = reader.number(words::estimate_s, false, 0);
+    spec.checkpoint_s = reader.number(words::checkpoint_s, false, 0);
+    spec.save_s = reader.number(words::save_s, false, 0);
+    spec.deadline_s = reader.number(words::deadline_s, false, -1);
+    if (!reader.error().empty())
+        return Invalid{reader.error()};
     return spec;
 }
 
@@ -190,113 +176,115 @@
         return Invalid{"not JSON"};
     if (!json.is_object())
         return Invalid{"not an object"};
-    auto r = read_spec(json);
-    if (const auto* spec = std::get_if<JobSpec>(&r); spec != nullptr && spec->dependencies_damaged)
+    auto result = read_spec(json);
+    if (const auto* spec = std::get_if<JobSpec>(&result); spec != nullptr && spec->dependencies_damaged)
         return Invalid{"waitsOn: must be a list of job ids"};
-    return r;
+    return result;
 }
 
 Json to_json(const JobSpec& spec) {
-    Json json{{"id", spec.id},
-              {"jobclass", spec.job_class},
-              {"owner", spec.team},
-              {"shape", name_of(spec.shape)},
-              {"rank", name_of(spec.priority)},
-              {"shards", spec.tasks},
-              {"cpus", spec.each.cpus},
-              {"memGb", spec.each.memory_gb},
-              {"bundle", spec.image},
-              {"imageGb", spec.image_gb}};
+    Json json{{words::id, spec.id},
+              {words::job_class, spec.job_class},
+              {words::team, spec.team},
+              {words::shape, words::word_of(words::shapes, spec.shape)},
+              {words::priority, words::word_of(words::priorities, spec.priority)},
+              {words::tasks, spec.tasks},
+              {words::cpus, spec.each.cpus},
+              {words::memory_gb, spec.each.memory_gb},
+              {words::image, spec.image},
+              {words::image_gb, spec.image_gb}};
     if (spec.each.gpus > 0)
-        json["accelerators"] = spec.each.gpus;
+        json[words::gpus] = spec.each.gpus;
     if (!spec.types.empty())
-        json["flavors"] = spec.types;
+        json[words::machine_types] = spec.types;
     if (!spec.zone.empty())
-        json["yard"] = spec.zone;
+        json[words::zone] = spec.zone;
     if (spec.one_zone)
-        json["together"] = true;
+        json[words::one_zone] = true;
     if (spec.spread)
-        json["scatter"] = true;
+        json[words::spread] = true;
     if (spec.spot)
-        json["standby"] = true;
+        json[words::spot] = true;
     if (spec.estimate_s > 0)
-        json["expectedS"] = spec.estimate_s;
+        json[words::estimate_s] = spec.estimate_s;
     if (spec.checkpoint_s > 0)
-        json["snapshotEveryS"] = spec.checkpoint_s;
+        json[words::checkpoint_s] = spec.checkpoint_s;
     if (spec.save_s > 0)
-        json["snapshotS"] = spec.save_s;
+        json[words::save_s] = spec.save_s;
     if (spec.deadline_s >= 0)
-        json["dueS"] = spec.deadline_s;
+        json[words::deadline_s] = spec.deadline_s;
     if (!spec.dependencies.empty())
-        json["waitsOn"] = spec.dependencies;
+        json[words::dependencies] = spec.dependencies;
     return json;
 }
 
 std::optional<JobSpec> spec_from_store(const Json& json) {
     if (!json.is_object())
         return {};
-    auto r = read_spec(json);
-    if (auto* spec = std::get_if<JobSpec>(&r))
+    auto result = read_spec(json);
+    if (auto* spec = std::get_if<JobSpec>(&result))
         return std::move(*spec);
     return {};
 }
 
 Json to_record(const StoredJob& stored_job) {
-    Json json{{stored_job.waits ? "chain" : "spec", to_json(stored_job.spec)}, {"at", stored_job.at}};
+    Json json{{stored_job.waits ? words::waiting_spec : words::spec, to_json(stored_job.spec)},
+              {words::submitted_at, stored_job.at}};
     if (stored_job.ready >= 0 && !stored_job.waits)
-        json["ready"] = stored_job.ready;
+        json[words::ready_at] = stored_job.ready;
     if (!stored_job.final.empty())
-        json["final"] = stored_job.final;
+        json[words::final_state] = stored_job.final;
     return json;
 }
 
 std::optional<StoredJob> stored_job(const Json& value, double wall) {
     if (!value.is_object())
         return {};
-    StoredJob j;
-    const auto* spec = field(value, "spec");
+    StoredJob job;
+    const auto* spec = field(value, words::spec);
     if (spec == nullptr) {
-        spec = field(value, "chain");
-        j.waits = true;
+        spec = field(value, words::waiting_spec);
+        job.waits = true;
     }
     if (spec == nullptr)
         return {};
-    auto s = spec_from_store(*spec);
-    if (!s)
+    auto decoded = spec_from_store(*spec);
+    if (!decoded)
         return {};
-    j.spec = std::move(*s);
-    j.at = number(value, "at", wall);
-    j.ready = number(value, "ready", -1);
-    j.final = text(value, "final");
-    return j;
+    job.spec = std::move(*decoded);
+    job.at = number(value, words::submitted_at, wall);
+    job.ready = number(value, words::ready_at, -1);
+    job.final = text(value, words::final_state);
+    return job;
 }
 
 JobSpec remains_of(const JobSpec& spec) {
-    JobSpec r;
-    r.id = spec.id;
-    r.job_class = r.image = "-";
-    r.team = spec.team;
-    r.shape = spec.shape;
-    r.priority = spec.priority;
-    r.tasks = spec.tasks;
-    r.each = spec.each;
-    return r;
+    JobSpec remains;
+    remains.id = spec.id;
+    remains.job_class = remains.image = "-";
+    remains.team = spec.team;
+    remains.shape = spec.shape;
+    remains.priority = spec.priority;
+    remains.tasks = spec.tasks;
+    remains.each = spec.each;
+    return remains;
 }
 
 Json final_record(std::string_view status, Shape shape) {
-    Json json{{"s", status}};
+    Json json{{words::final_status, status}};
     if (shape == Shape::service)
-        json["shape"] = name_of(shape);
+        json[words::shape] = words::word_of(words::shapes, shape);
     return json;
 }
 
 std::optional<StoredFinal> stored_final(const Json& value) {
     if (!value.is_object())
         return {};
-    StoredFinal f{text(value, "s"), text(value, "shape") == name_of(Shape::service)};
-    if (f.status != status_done && f.status != status_cancelled)
+    StoredFinal final{text(value, words::final_status),
+                      text(value, words::shape) == words::word_of(words::shapes, Shape::service)};
+    if (final.status != status_done && final.status != status_cancelled)
         return {};
-    return f;
+    return final;
 }
 
 std::string job_answer(const std::string& id, std::string_view status) {
@@ -315,12 +303,12 @@
     const auto json = parse(body);
     if (!json.is_object())
         return {};
-    JobAnswer a{text(json, "id"), text(json, "status"), 0, 0};
-    if (a.id.empty() || a.status.empty())
+    JobAnswer answer{text(json, words::id), text(json, words::status), 0, 0};
+    if (answer.id.empty() || answer.status.empty())
         return {};
-    count(json, "done", a.done);
-    count(json, "running", a.running);
-    return a;
+    count(json, words::done, answer.done);
+    count(json, words::running, answer.running);
+    return answer;
 }
 
 } // namespace heronshift::codec
--- a/src/codec/store.cpp
+++ b/src/codec/store.cpp
@@ -1,223 +1,236 @@
-// The state service: items, transactions, leases and watches, both as client and as emulator.
+// Messages of the store: items, transactions, leases and watches; the client's side and the server's.
 #include "fields.hpp"
 
 #include <fmt/format.h>
 
 namespace heronshift::codec {
 
-using fields::count;
-using fields::field;
-using fields::flag;
-using fields::number;
-using fields::text;
-
 std::string txn(const std::vector<Guard>& guards, const std::vector<Write>& writes) {
-    Json json = Json::array(), w = Json::array();
+    auto guard_list = Json::array();
     for (const auto& guard : guards)
-        json.push_back({{"k", guard.key}, {"stamp", guard.mod_revision}});
+        guard_list.push_back({{words::key, guard.key}, {words::mod_revision, guard.mod_revision}});
+    auto write_list = Json::array();
     for (const auto& write : writes) {
         if (!write.value) {
-            w.push_back({{"delete", write.key}});
+            write_list.push_back({{words::erase, write.key}});
             continue;
         }
-        Json e{{"set", write.key}, {"data", *write.value}};
+        Json put{{words::put, write.key}, {words::value, *write.value}};
         if (write.lease != 0)
-            e["lease"] = write.lease;
-        w.push_back(std::move(e));
+            put[words::lease] = write.lease;
+        write_list.push_back(std::move(put));
     }
-    Json j{{"guards", std::move(json)}};
+    Json json{{words::guards, std::move(guard_list)}};
     if (!writes.empty())
-        j["writes"] = std::move(w);
-    return j.dump();
+        json[words::writes] = std::move(write_list);
+    return json.dump();
 }
 
 std::optional<std::uint64_t> revision_of(std::string_view body) {
     const auto json = parse(body);
-    std::uint64_t e = 0;
-    if (!json.is_object() || !count(json, "epoch", e))
+    std::uint64_t revision = 0;
+    if (!count(json, words::revision, revision))
         return {};
-    return e;
+    return revision;
 }
 
 std::optional<std::vector<std::string>> failed_guards(std::string_view body) {
     const auto json = parse(body);
-    if (!json.is_object())
-        return {};
-    const auto* list = field(json, "failed");
-    if (list == nullptr || !list->is_array())
+    const auto* list = array_field(json, words::failed_guards);
+    if (list == nullptr)
         return {};
-    std::vector<std::string> out;
-    for (const auto& e : *list)
-        if (e.is_string())
-            out.push_back(e.get<std::string>());
-    return out;
+    std::vector<std::string> keys;
+    for (const auto& key : *list)
+        if (key.is_string())
+            keys.push_back(key.get<std::string>());
+    return keys;
 }
 
 namespace {
 std::optional<Item> read_item(const Json& json, const char* key_name) {
     if (!json.is_object())
         return {};
-    Item i;
-    i.key = text(json, key_name);
-    if (i.key.empty() || !count(json, "stamp", i.mod_revision))
+    Item item;
+    item.key = text(json, key_name);
+    if (item.key.empty() || !count(json, words::mod_revision, item.mod_revision))
         return {};
-    if (const auto* v = field(json, "data"); v != nullptr)
-        i.value = *v;
-    count(json, "lease", i.lease);
-    return i;
+    if (const auto* value = field(json, words::value); value != nullptr)
+        item.value = *value;
+    count(json, words::lease, item.lease);
+    return item;
 }
 } // namespace
 
 std::optional<Item> item(std::string_view body) {
-    return read_item(parse(body), "k");
+    return read_item(parse(body), words::key);
 }
 
 std::optional<Page> page(std::string_view body) {
     const auto json = parse(body);
     if (!json.is_object())
         return {};
-    const auto* list = field(json, "entries");
-    Page p;
-    if (list == nullptr || !list->is_array() || !count(json, "epoch", p.revision))
+    const auto* list = field(json, words::items);
+    Page page;
+    if (list == nullptr || !list->is_array() || !count(json, words::revision, page.revision))
         return {};
-    p.more = flag(json, "more");
-    for (const auto& e : *list) {
-        auto i = read_item(e, "k");
-        if (!i)
+    page.more = flag(json, words::more);
+    for (const auto& entry : *list) {
+        auto item = read_item(entry, words::key);
+        if (!item)
             return {};
-        p.items.push_back(std::move(*i));
+        page.items.push_back(std::move(*item));
     }
-    return p;
+    return page;
 }
 
 std::optional<Page> events(std::string_view body) {
     const auto json = parse(body);
     if (!json.is_object())
         return {};
-    const auto* list = field(json, "events");
-    Page p;
-    if (!count(json, "epoch", p.revision))
+    const auto* list = field(json, words::changes);
+    Page page;
+    if (!count(json, words::revision, page.revision))
         return {};
     if (list == nullptr)
-        return p;
+        return page;
     if (!list->is_array())
         return {};
-    for (const auto& e : *list) {
-        const bool gone = e.is_object() && e.contains("delete");
-        auto i = read_item(e, gone ? "delete" : "set");
-        if (!i)
+    for (const auto& entry : *list) {
+        const bool gone = entry.is_object() && entry.contains(words::erase);
+        auto item = read_item(entry, gone ? words::erase : words::put);
+        if (!item)
             return {};
-        i->deleted = gone;
-        p.items.push_back(std::move(*i));
+        item->deleted = gone;
+        page.items.push_back(std::move(*item));
     }
-    return p;
+    return page;
 }
 
 std::string lease_request(double ttl_s) {
-    return Json{{"ttlMs", static_cast<std::uint64_t>(ttl_s * 1000)}}.dump();
+    return Json{{words::ttl_ms, static_cast<std::uint64_t>(ttl_s * 1000)}}.dump();
 }
 
 std::optional<std::uint64_t> lease_of(std::string_view body) {
     const auto json = parse(body);
-    std::uint64_t h = 0;
-    if (!json.is_object() || !count(json, "lease", h))
+    std::uint64_t lease = 0;
+    if (!count(json, words::lease, lease))
         return {};
-    return h;
+    return lease;
 }
 
 namespace {
-Json item_json(const Item& i) {
-    Json json{{"k", i.key}, {"data", i.value}, {"stamp", i.mod_revision}};
-    if (i.lease != 0)
-        json["lease"] = i.lease;
+Json item_json(const Item& item) {
+    Json json{{words::key, item.key}, {words::value, item.value}, {words::mod_revision, item.mod_revision}};
+    if (item.lease != 0)
+        json[words::lease] = item.lease;
     return json;
 }
 } // namespace
 
-std::string item_answer(const Item& i) {
-    return item_json(i).dump();
+std::string item_answer(const Item& item) {
+    return item_json(item).dump();
 }
 
-std::string page_answer(const Page& p) {
+std::string page_answer(const Page& page) {
     auto list = Json::array();
-    for (const auto& i : p.items)
-        list.push_back(item_json(i));
-    return Json{{"entries", std::move(list)}, {"more", p.more}, {"epoch", p.revision}}.dump();
+    for (const auto& item : page.items)
+        list.push_back(item_json(item));
+    return Json{{words::items, std::move(list)}, {words::more, page.more}, {words::revision, page.revision}}.dump();
 }
 
-std::string events_answer(const Page& p) {
+std::string events_answer(const Page& page) {
     auto list = Json::array();
-    for (const auto& i : p.items) {
-        if (i.deleted)
-            list.push_back({{"delete", i.key}, {"stamp", i.mod_revision}});
+    for (const auto& item : page.items) {
+        if (item.deleted)
+            list.push_back({{words::erase, item.key}, {words::mod_revision, item.mod_revision}});
         else
-            list.push_back({{"set", i.key}, {"data", i.value}, {"stamp", i.mod_revision}});
+            list.push_back(
+                {{words::put, item.key}, {words::value, item.value}, {words::mod_revision, item.mod_revision}});
     }
-    return Json{{"epoch", p.revision}, {"events", std::move(list)}}.dump();
+    return Json{{words::revision, page.revision}, {words::changes, std::move(list)}}.dump();
 }
 
 std::string revision_answer(std::uint64_t revision) {
-    return Json{{"epoch", revision}}.dump();
+    return Json{{words::revision, revision}}.dump();
 }
 
 std::string failed_answer(const std::vector<std::string>& failed, std::uint64_t revision) {
-    return Json{{"failed", failed}, {"epoch", revision}}.dump();
+    return Json{{words::failed_guards, failed}, {words::revision, revision}}.dump();
 }
 
 std::string lease_answer(std::uint64_t lease) {
-    return Json{{"lease", lease}}.dump();
+    return Json{{words::lease, lease}}.dump();
 }
 
-std::optional<TxnRequest> txn_request(std::string_view body) {
-    const auto json = parse(body);
+namespace {
+
+std::optional<Guard> read_guard(const Json& json) {
+    Guard guard;
+    if (!json.is_object() || !count(json, words::mod_revision, guard.mod_revision))
+        return {};
+    guard.key = text(json, words::key);
+    return guard;
+}
+
+std::optional<Write> read_write(const Json& json) {
     if (!json.is_object())
         return {};
-    TxnRequest t;
-    if (const auto* list = field(json, "guards"); list != nullptr) {
-        if (!list->is_array())
-            return {};
-        for (const auto& e : *list) {
-            Guard guard;
-            if (!e.is_object() || !count(e, "stamp", guard.mod_revision))
-                return {};
-            guard.key = text(e, "k");
-            t.guards.push_back(std::move(guard));
-        }
+    Write write;
+    if (json.contains(words::erase)) {
+        write.key = text(json, words::erase);
+        return write;
     }
-    if (const auto* list = field(json, "writes"); list != nullptr) {
-        if (!list->is_array())
-            return {};
-        for (const auto& e : *list) {
-            if (!e.is_object())
-                return {};
-            Write write;
-            if (e.contains("delete")) {
-                write.key = text(e, "delete");
-            } else {
-                if (!e.contains("data"))
-                    return {};
-                write.key = text(e, "set");
-                write.value = e["data"];
-                if (e.contains("lease") && !count(e, "lease", write.lease))
-                    return {};
-            }
-            t.writes.push_back(std::move(write));
-        }
+    if (!json.contains(words::value))
+        return {};
+    write.key = text(json, words::put);
+    write.value = json[words::value];
+    if (json.contains(words::lease) && !count(json, words::lease, write.lease))
+        return {};
+    return write;
+}
+
+// A missing list has no members. False if it is no list, or one of its members is malformed.
+template <class T>
+bool read_list(const Json& json, const char* name, std::optional<T> (*read)(const Json&), std::vector<T>& out) {
+    const auto* list = field(json, name);
+    if (list == nullptr)
+        return true;
+    if (!list->is_array())
+        return false;
+    for (const auto& member : *list) {
+        auto value = read(member);
+        if (!value)
+            return false;
+        out.push_back(std::move(*value));
     }
-    return t;
+    return true;
+}
+
+} // namespace
+
+std::optional<TxnRequest> txn_request(std::string_view body) {
+    const auto json = parse(body);
+    if (!json.is_object())
+        return {};
+    TxnRequest request;
+    if (!read_list(json, words::guards, read_guard, request.guards) ||
+        !read_list(json, words::writes, read_write, request.writes))
+        return {};
+    return request;
 }
 
 std::optional<std::int64_t> ttl_ms_of(std::string_view body) {
+    constexpr std::uint64_t max_ttl_ms = 1'000'000'000;
     const auto json = parse(body);
-    std::uint64_t n = 0;
-    if (!json.is_object() || !count(json, "ttlMs", n) || n > 1'000'000'000)
+    std::uint64_t ttl_ms = 0;
+    if (!json.is_object() || !count(json, words::ttl_ms, ttl_ms) || ttl_ms > max_ttl_ms)
         return {};
-    return static_cast<std::int64_t>(n);
+    return static_cast<std::int64_t>(ttl_ms);
 }
 
 std::string store_error(std::string_view body) {
     const auto json = parse(body);
-    return json.is_object() ? text(json, "error") : std::string();
+    return json.is_object() ? text(json, words::error) : std::string();
 }
 
 } // namespace heronshift::codec
--- /dev/null
+++ b/src/codec/words.hpp
@@ -0,0 +1,149 @@
+/// The words of the wire, each with the term that the program uses for it.
+///
+/// The names on the wire were given by the services that this scheduler talks to and never change. Encoders and
+/// decoders take them from here; only the format strings of frequent answers (orders and job answers) spell some of
+/// them out.
+#pragma once
+
+#include "heronshift/types.hpp"
+
+#include <cstddef>
+#include <optional>
+#include <string_view>
+
+namespace heronshift::codec::words {
+
+// Names of fields, all messages.
+inline constexpr const char* id = "id";
+inline constexpr const char* status = "status";
+inline constexpr const char* error = "error"; // what is wrong, in an answer
+inline constexpr const char* more = "more";   // another page follows
+
+// Machines and their types.
+inline constexpr const char* machine = "host";
+inline constexpr const char* machines = "hosts";
+inline constexpr const char* address = "addr";
+inline constexpr const char* machine_type = "flavor";
+inline constexpr const char* machine_types = "flavors"; // of a job: those it may run on
+inline constexpr const char* zone = "yard";             // availability zone
+inline constexpr const char* zones = "yards";
+inline constexpr const char* spot = "standby"; // machine that the cloud may take back; of a job: may run on one
+inline constexpr const char* age_s = "ageS";
+inline constexpr const char* name = "name";
+inline constexpr const char* cpus = "cpus";
+inline constexpr const char* gpus = "accelerators";
+inline constexpr const char* memory_gb = "memGb";
+inline constexpr const char* cache_gb = "cacheGb"; // for images
+inline constexpr const char* fetch_gb_per_s = "fetchGbPerS";
+inline constexpr const char* price = "rate";
+inline constexpr const char* spot_price = "lowPrice";
+inline constexpr const char* boot_s = "bootS";
+inline constexpr const char* claim = "claim"; // idempotency key of a rental
+inline constexpr const char* count = "number";
+
+// Workers.
+inline constexpr const char* agent_epoch = "tenure"; // grows with each start of the agent
+inline constexpr const char* counter = "counter";    // of heartbeats in one agent epoch
+inline constexpr const char* fencing_token = "fence";
+inline constexpr const char* notice_s = "evictionInS"; // until the cloud takes the machine back
+inline constexpr const char* task = "shard";           // "JOB/INDEX"
+inline constexpr const char* tasks = "shards";         // of a job: how many; of a heartbeat: the list
+inline constexpr const char* attempt = "try";
+inline constexpr const char* exit_cause = "exitCause";
+inline constexpr const char* saved = "stored"; // a checkpoint was saved
+inline constexpr const char* orders = "orders";
+inline constexpr const char* verb = "verb";
+inline constexpr const char* drain_s = "drainS";
+inline constexpr const char* reports_to = "reportsTo"; // the node that takes the heartbeats: a redirect
+
+// Jobs.
+inline constexpr const char* job_class = "jobclass";
+inline constexpr const char* team = "owner";
+inline constexpr const char* shape = "shape";
+inline constexpr const char* priority = "rank";
+inline constexpr const char* image = "bundle";
+inline constexpr const char* image_gb = "imageGb";
+inline constexpr const char* one_zone = "together"; // all tasks in one zone
+inline constexpr const char* spread = "scatter";    // tasks in different zones
+inline constexpr const char* estimate_s = "expectedS";
+inline constexpr const char* checkpoint_s = "snapshotEveryS"; // interval between checkpoints
+inline constexpr const char* save_s = "snapshotS";            // duration of a checkpoint
+inline constexpr const char* deadline_s = "dueS";             // after submission
+inline constexpr const char* dependencies = "waitsOn";
+inline constexpr const char* done = "done";       // numbers of tasks
+inline constexpr const char* running = "running"; // as done
+
+// Records of jobs and final states.
+inline constexpr const char* spec = "spec";
+inline constexpr const char* waiting_spec = "chain"; // of a job that waits for its dependencies, see StoredJob
+inline constexpr const char* submitted_at = "at";
+inline constexpr const char* ready_at = "ready";
+inline constexpr const char* final_state = "final";
+inline constexpr const char* final_status = "s";
+
+// The store.
+inline constexpr const char* key = "k";
+inline constexpr const char* mod_revision = "stamp";
+inline constexpr const char* value = "data";
+inline constexpr const char* put = "set";      // the key of a write; in a change: the key that was written
+inline constexpr const char* erase = "delete"; // the key of a deletion
+inline constexpr const char* lease = "lease";
+inline constexpr const char* ttl_ms = "ttlMs"; // of a lease
+inline constexpr const char* revision = "epoch";
+inline constexpr const char* guards = "guards"; // conditions of a transaction
+inline constexpr const char* writes = "writes";
+inline constexpr const char* failed_guards = "failed";
+inline constexpr const char* items = "entries";
+inline constexpr const char* changes = "events";
+
+// Values of enumerations.
+template <class Enum> struct Word {
+    Enum value;
+    std::string_view word;
+};
+inline constexpr Word<Shape> shapes[] = {
+    {Shape::array, "array"},
+    {Shape::gang, "gang"},
+    {Shape::service, "daemon"},
+};
+inline constexpr Word<Priority> priorities[] = {
+    {Priority::critical, "critical"},
+    {Priority::high, "high"},
+    {Priority::normal, "normal"},
+    {Priority::low, "low"},
+};
+inline constexpr Word<TaskState> task_states[] = {
+    {TaskState::fetching, "fetching"},                                // its image
+    {TaskState::waiting, "gathering"},                                // for the other tasks of its gang
+    {TaskState::running, "running"},   {TaskState::saving, "saving"}, // a checkpoint
+    {TaskState::ended, "ended"},
+};
+inline constexpr Word<ExitCause> exit_causes[] = {
+    {ExitCause::done, "done"},        {ExitCause::stopped, "stopped"},
+    {ExitCause::peers, "mates_gone"}, // another task of its gang has ended
+    {ExitCause::alone, "incomplete"}, // its gang did not become complete in time
+    {ExitCause::error, "error"},      {ExitCause::no_room, "no_room"},
+    {ExitCause::busy, "in_use"},      {ExitCause::unknown, "unknown"},
+};
+inline constexpr Word<Verb> verbs[] = {
+    {Verb::launch, "launch"}, {Verb::stop, "stop"}, {Verb::reap, "reap"}, // forget a task that has ended
+};
+
+/// The word of a value. One that is in no table (ExitCause::none) gets the last word of the table.
+template <class Enum, std::size_t count_of_words>
+[[nodiscard]] constexpr std::string_view word_of(const Word<Enum> (&table)[count_of_words], Enum value) {
+    for (const auto& entry : table)
+        if (entry.value == value)
+            return entry.word;
+    return table[count_of_words - 1].word;
+}
+/// The value of a word; empty for an unknown one.
+template <class Enum, std::size_t count_of_words>
+[[nodiscard]] constexpr std::optional<Enum> value_of(const Word<Enum> (&table)[count_of_words], std::string_view word) {
+    for (const auto& entry : table)
+        if (entry.word == word)
+            return entry.value;
+    return {};
+}
+
+} // namespace heronshift::codec::words
