--- a/src/persistence/intents.cpp
+++ b/src/persistence/intents.cpp
@@ -8,14 +8,18 @@
 namespace heronshift::intents {
 namespace {
 
-template <class N> bool take_number(std::string_view& text, N& out) {
-    const auto [p, ec] = std::from_chars(text.data(), text.data() + text.size(), out);
-    if (ec != std::errc() || p == text.data())
+constexpr std::string_view unknown_zone = "-";
+
+// Takes a number off the front of the text; false if there is none.
+template <class Number> bool take_number(std::string_view& text, Number& out) {
+    const auto [parsed, error] = std::from_chars(text.data(), text.data() + text.size(), out);
+    if (error != std::errc() || parsed == text.data())
         return false;
-    text.remove_prefix(static_cast<std::size_t>(p - text.data()));
+    text.remove_prefix(static_cast<std::size_t>(parsed - text.data()));
     return true;
 }
 
+// Takes what stands before the next separator off the front of the text, and the separator.
 std::string_view next_word(std::string_view& text, char separator) {
     const auto at = text.find(separator);
     const auto word = text.substr(0, at);
@@ -23,26 +27,39 @@
     return word;
 }
 
-// "wk-000412/3-7:1234"
-bool read_tasks(std::string_view word, const Intent& on, std::vector<Intent>& out) {
+// "JOB/FIRST-LAST:ATTEMPT" on the machine of `line`; false if it is malformed.
+bool read_tasks(std::string_view word, const Intent& line, std::vector<Intent>& out) {
     const auto slash = word.find('/');
     const auto colon = word.rfind(':');
     if (slash == std::string_view::npos || colon == std::string_view::npos || colon < slash)
         return false;
-    Intent i = on;
-    i.job = word.substr(0, slash);
+    Intent intent = line;
+    intent.job = word.substr(0, slash);
     auto range = word.substr(slash + 1, colon - slash - 1);
     auto attempt = word.substr(colon + 1);
     std::uint32_t first = 0, last = 0;
-    if (!codec::valid_job_id(i.job) || !parse_range(range, first, last) || !range.empty())
+    if (!codec::valid_job_id(intent.job) || !parse_range(range, first, last) || !range.empty())
         return false;
-    if (!take_number(attempt, i.attempt) || !attempt.empty())
+    if (!take_number(attempt, intent.attempt) || !attempt.empty())
         return false;
-    for (i.index = first; i.index <= last; ++i.index)
-        out.push_back(i);
+    for (intent.index = first; intent.index <= last; ++intent.index)
+        out.push_back(intent);
     return true;
 }
 
+// One machine and its tasks; false if any of it is malformed. `machine` has what could be read of the machine.
+bool read_line(std::string_view line, Intent& machine, std::vector<Intent>& out) {
+    machine.machine = next_word(line, ' ');
+    machine.zone = next_word(line, ' ');
+    if (machine.zone == unknown_zone)
+        machine.zone.clear();
+    auto agent_epoch = next_word(line, ' ');
+    bool good = take_number(agent_epoch, machine.agent_epoch) && agent_epoch.empty() && !line.empty();
+    while (good && !line.empty())
+        good = read_tasks(next_word(line, ' '), machine, out);
+    return good;
+}
+
 } // namespace
 
 void Writer::end_range() {
@@ -64,7 +81,7 @@
     if (!same_machine) {
         if (!text_.empty())
             text_ += '\n';
-        text_ += fmt::format("{} {} {}", machine, zone.empty() ? "-" : zone, agent_epoch);
+        text_ += fmt::format("{} {} {}", machine, zone.empty() ? unknown_zone : zone, agent_epoch);
         machine_ = machine;
         zone_ = zone;
         agent_epoch_ = agent_epoch;
@@ -82,26 +99,17 @@
 }
 
 Read read(std::string_view text) {
-    Read r;
+    Read result;
     while (!text.empty()) {
-        auto line = next_word(text, '\n');
-        Intent on;
-        on.machine = next_word(line, ' ');
-        on.zone = next_word(line, ' ');
-        if (on.zone == "-")
-            on.zone.clear();
-        auto agent_epoch = next_word(line, ' ');
-        bool good = take_number(agent_epoch, on.agent_epoch) && agent_epoch.empty() && !line.empty();
-        while (good && !line.empty())
-            good = read_tasks(next_word(line, ' '), on, r.intents);
-        if (good)
+        Intent machine;
+        if (read_line(next_word(text, '\n'), machine, result.intents))
             continue;
-        if (on.machine.empty())
-            r.damaged = true;
+        if (machine.machine.empty())
+            result.damaged = true;
         else
-            r.unproven.push_back(on.machine);
+            result.unproven.push_back(machine.machine);
     }
-    return r;
+    return result;
 }
 
 bool parse_range(std::string_view& text, std::uint32_t& first, std::uint32_t& last) {
@@ -119,21 +127,22 @@
 }
 
 std::string ranges_of(const std::vector<bool>& bits, std::size_t max_bytes) {
+    constexpr std::size_t max_range_bytes = 14; // a separator and two indices below codec::max_tasks
     std::string out;
-    for (std::size_t i = 0; i < bits.size();) {
-        if (!bits[i]) {
-            ++i;
+    for (std::size_t first = 0; first < bits.size();) {
+        if (!bits[first]) {
+            ++first;
             continue;
         }
-        std::size_t j = i;
-        while (j + 1 < bits.size() && bits[j + 1])
-            ++j;
-        if (out.size() + 14 > max_bytes)
-            break; // what is left out is only run again
+        std::size_t last = first;
+        while (last + 1 < bits.size() && bits[last + 1])
+            ++last;
+        if (out.size() + max_range_bytes > max_bytes)
+            break;
         if (!out.empty())
             out += ',';
-        out += i == j ? std::to_string(i) : fmt::format("{}-{}", i, j);
-        i = j + 1;
+        out += first == last ? std::to_string(first) : fmt::format("{}-{}", first, last);
+        first = last + 1;
     }
     return out;
 }
