--- a/src/codec/fields.hpp
+++ b/src/codec/fields.hpp
@@ -6,6 +6,8 @@
 
 #include "words.hpp"
 
+#include <utility>
+
 namespace heronshift::codec {
 
 /// The field of that name; null if it is missing or null.
@@ -47,4 +49,23 @@
     return true;
 }
 
+/// Appends the members of the list of that name, each as read() decodes it; a missing list has none.
+/// False if it is no list, or read() returns nothing for a member.
+template <class T>
+[[nodiscard]] bool read_list(const Json& json, const char* name, std::optional<T> (*read)(const Json&),
+                             std::vector<T>& out) {
+    const auto* list = field(json, name);
+    if (list == nullptr)
+        return true;
+    if (!list->is_array())
+        return false;
+    for (const auto& member : *list) {
+        auto value = read(member);
+        if (!value)
+            return false;
+        out.push_back(std::move(*value));
+    }
+    return true;
+}
+
 } // namespace heronshift::codec
--- a/src/codec/store.cpp
+++ b/src/codec/store.cpp
@@ -189,23 +189,6 @@
     return write;
 }
 
-// A missing list has no members. False if it is no list, or one of its members is malformed.
-template <class T>
-bool read_list(const Json& json, const char* name, std::optional<T> (*read)(const Json&), std::vector<T>& out) {
-    const auto* list = field(json, name);
-    if (list == nullptr)
-        return true;
-    if (!list->is_array())
-        return false;
-    for (const auto& member : *list) {
-        auto value = read(member);
-        if (!value)
-            return false;
-        out.push_back(std::move(*value));
-    }
-    return true;
-}
-
 } // namespace
 
 std::optional<TxnRequest> txn_request(std::string_view body) {
--- a/src/codec/workers.cpp
+++ b/src/codec/workers.cpp
@@ -58,17 +58,8 @@
         return {};
     count(json, words::fencing_token, heartbeat.fencing_token);
     heartbeat.notice_s = number(json, words::notice_s, -1);
-    const auto* tasks = field(json, words::tasks);
-    if (tasks == nullptr)
-        return heartbeat;
-    if (!tasks->is_array())
+    if (!read_list(json, words::tasks, read_task, heartbeat.tasks))
         return {};
-    for (const auto& entry : *tasks) {
-        auto task = read_task(entry);
-        if (!task)
-            return {};
-        heartbeat.tasks.push_back(std::move(*task));
-    }
     return heartbeat;
 }
 
@@ -163,17 +154,8 @@
         orders.fencing_token = value;
     if (std::uint64_t value = 0; count(json, words::agent_epoch, value))
         orders.agent_epoch = value;
-    const auto* list = field(json, words::orders);
-    if (list == nullptr)
-        return orders;
-    if (!list->is_array())
+    if (!read_list(json, words::orders, read_order, orders.list))
         return {};
-    for (const auto& entry : *list) {
-        auto order = read_order(entry);
-        if (!order)
-            return {};
-        orders.list.push_back(std::move(*order));
-    }
     return orders;
 }
 
