--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -2,6 +2,7 @@
 
 #include "heronshift/http_status.hpp"
 #include "heronshift/memory_share.hpp"
+#include "heronshift/persistence/layout.hpp"
 
 #include <algorithm>
 #include <fmt/format.h>
@@ -11,6 +12,8 @@
 namespace {
 
 using codec::error_answer;
+using persistence::final_key;
+using persistence::job_key;
 using codec::not_now;
 
 // Look-ups under way: those that the budget of reads lets begin while one waits for its three reads in vain. So the
@@ -33,13 +36,6 @@
     return entries_in_share(settings.memory_mb, refused_memory_share, job_bytes);
 }
 
-// The store's keys of a job: its record, and its final state.
-std::string job_key(const std::string& id) {
-    return "j/" + id;
-}
-std::string final_key(const std::string& id) {
-    return "f/" + id;
-}
 
 void try_later(const Responder& res) {
     res.send(http_status::service_unavailable, not_now, retry_soon_s);
