--- a/include/heronshift/membership/membership.hpp
+++ b/include/heronshift/membership/membership.hpp
@@ -1,21 +1,22 @@
-// Which links of this controller work, and what the peers last said of theirs.
-//
-// Owns: a Link for the state service, the cloud, every peer and the workers of every zone; the newest view
-// of each peer with its age; a few addresses of machines to ask. May call the peers, the store and the
-// executor, for exchanges and probes only; what the leadership and the core know it asks its Host. Everything
-// here is a hint: nothing that a rule hangs on is decided by it, a wrong or stale view costs time.
+/// @file
+/// Which links of this controller work, and what its peers last said of theirs. Everything here is a hint: no safety
+/// rule depends on it, a wrong or outdated view only costs time.
 #pragma once
 
 #include "heronshift/config.hpp"
 #include "heronshift/executor/executor.hpp"
+#include "heronshift/membership/eligibility.hpp"
+#include "heronshift/membership/link_health.hpp"
 #include "heronshift/membership/peer_view.hpp"
+#include "heronshift/membership/peer_views.hpp"
+#include "heronshift/membership/relay_choice.hpp"
+#include "heronshift/membership/zone_health.hpp"
 #include "heronshift/metrics/metrics.hpp"
 #include "heronshift/peers/peers.hpp"
 #include "heronshift/store/store.hpp"
 #include "heronshift/timer_queue.hpp"
 
-#include <compare>
-#include <functional>
+#include <cstdint>
 #include <map>
 #include <optional>
 #include <string>
@@ -23,140 +24,131 @@
 
 namespace heronshift::membership {
 
-// How well a controller could be the leader; greater is a better candidate. First the store, then workers that it
-// reaches itself, then those it reaches through another controller, then the cloud.
-struct Eligibility {
-    int store = 0, zones = 0, zones_by_others = 0, cloud = 0;
-    auto operator<=>(const Eligibility&) const = default;
-};
-std::string describe(const Eligibility& eligibility);
-
+/// Collects evidence about the links to the state service, the cloud, the peers and the workers of each zone, exchanges
+/// views with the peers, probes what has been quiet, and answers the questions of the other parts about all this. Used
+/// on the loop's thread only; it must outlive the requests that it has sent.
 class Membership {
 public:
+    /// What it asks of the controller that it belongs to.
     class Host {
     public:
         virtual ~Host() = default;
+        /// The leader as far as this node knows; empty: none is known.
         [[nodiscard]] virtual const std::string& leader() const = 0;
         [[nodiscard]] virtual std::uint64_t leader_term() const = 0;
-        [[nodiscard]] virtual bool sees_leader() const = 0; // the store told this node who holds it
+        /// Whether the store itself told this node who the leader is.
+        [[nodiscard]] virtual bool sees_leader() const = 0;
+        /// Whether this node is the leader and may act.
         [[nodiscard]] virtual bool is_active_leader() const = 0;
+        /// Since when it has been the leader; seconds on the monotonic clock.
         [[nodiscard]] virtual double active_since() const = 0;
-        // Machines by zone that should report to this node; while it acts.
+        /// How many machines should report to this node, by zone; asked only while it is the active leader.
         [[nodiscard]] virtual std::map<std::string, std::size_t> machines_by_zone() const = 0;
     };
+    /// Keeps all references.
     Membership(const Settings& settings, TimerQueue& timers, store::StateStore& store, Executor& executor, Peers& peers,
                Host& host);
 
+    /// Does what is due: judges silence, probes, exchanges views. To be called often: the shortest interval in it is a
+    /// thirtieth of report_s.
     void tick();
-    // Evidence from those who use the links.
+    /// Answers POST /peer/view: takes the peer's view, replies with this node's; 400 for what is not a view.
+    void handle_view(const HttpRequest& request, const Responder& res);
+
+    /// Evidence from those who use the links: whether a request was answered.
     void store_answered(bool ok);
     void cloud_answered(bool ok);
     void peer_answered(const std::string& name, bool ok);
-    void heartbeat_received(const std::string& zone, const std::string& addr); // from the machine itself
-    void heartbeat_relayed(const std::string& zone, const std::string& addr);  // through another controller
+    /// A machine's heartbeat came from the machine itself.
+    void heartbeat_received(const std::string& zone, const std::string& addr);
+    /// A machine's heartbeat came through another controller.
+    void heartbeat_relayed(const std::string& zone, const std::string& addr);
+    /// A machine answered a request.
     void machine_answered() {
         last_worker_heartbeat_at_ = timers_.now();
     }
-    void handle_view(const HttpRequest& request, const Responder& res); // POST /peer/view
 
-    // What is thought of this node's own links.
+    /// What is concluded about this node's own links; unknown for names that are not in the settings.
     [[nodiscard]] Reachability store() const {
-        return store_.reach();
+        return store_link_.reach();
     }
     [[nodiscard]] Reachability zone(const std::string& name) const;
     [[nodiscard]] bool any_zone_lost() const;
     [[nodiscard]] bool all_zones_lost() const;
     [[nodiscard]] Reachability peer(const std::string& name) const;
-    // The last sign of any worker, whichever way it came.
+    /// The last sign of any worker, direct or relayed, in seconds on the monotonic clock; `never` (below zero): none.
     [[nodiscard]] double last_worker_heartbeat_at() const {
         return last_worker_heartbeat_at_;
     }
 
-    // Of the others. Alive: its view came a short while ago.
-    [[nodiscard]] bool alive(const std::string& name) const;
-    // All others are alive, and none of them reaches workers and store.
+    /// Whether all peers are known by fresh views, and none of them could lead.
     [[nodiscard]] bool no_better_candidate() const;
-    [[nodiscard]] bool has_any_link() const; // with the store or any other controller
-    // The fittest of those alive, if it is surely a better candidate than this node.
+    /// Whether this node reaches the store or hears from any other controller.
+    [[nodiscard]] bool has_any_link() const;
+    /// The best of the peers with fresh views, if it is surely a better candidate than this node.
     [[nodiscard]] std::optional<std::string> better_candidate() const;
+    /// This node's eligibility; links that nothing is known about count as working.
     [[nodiscard]] Eligibility own_eligibility() const;
+    /// A peer's eligibility as far as it is sure; none at all without a fresh view of it.
     [[nodiscard]] Eligibility eligibility(const std::string& peer) const;
-    // A peer that reaches the store and is reached from here: the one named, if it is one of them.
-    [[nodiscard]] std::optional<std::string> with_store(const std::string& rather) const;
-    // While the store does not answer this node: a peer that it has answered since.
+    /// For how long this node leaves a free leadership to others, in seconds.
+    [[nodiscard]] double candidacy_delay_s() const;
+    /// While the store does not answer this node: a peer that it has answered since.
     [[nodiscard]] std::optional<std::string> served_instead() const;
-    // A peer that reaches the workers of a zone and is reached from here.
+    /// Who is the leader by what a peer was told by the store; none: no peer says so.
+    using ReportedLeader = membership::ReportedLeader;
+    [[nodiscard]] std::optional<ReportedLeader> reported_leader() const;
+
+    /// A peer that reaches the store and is reached from here: the preferred one, if it is among them.
+    [[nodiscard]] std::optional<std::string> with_store(const std::string& preferred) const;
+    /// A peer that reaches the workers of a zone and is reached from here; they take turns.
     [[nodiscard]] std::optional<std::string> relay_to(const std::string& zone);
-    // Whether a worker of this zone should report to the leader itself: so unless the leader says it
-    // does not hear them.
+    /// Whether a worker of this zone should report to the leader itself.
     [[nodiscard]] bool leader_reaches(const std::string& leader, const std::string& zone) const;
-    // For how long this node leaves an leadership that it sees free to others.
-    [[nodiscard]] double candidacy_delay_s() const;
-    // Can do something for users: by itself or through another, or nobody can.
+    /// Whether this node can do something for users, by itself or through another.
     [[nodiscard]] bool can_serve() const;
-    // Who is the leader by what a peer was told by the store; none: nobody says so.
-    struct ReportedLeader {
-        std::string leader;
-        std::uint64_t term = 0;
-    };
-    [[nodiscard]] std::optional<ReportedLeader> reported_leader() const;
 
+    /// The links' states and counts of what was done, for monitoring.
     [[nodiscard]] std::vector<metrics::Value> metrics() const;
 
 private:
-    struct Zone {
-        explicit Zone(const Settings& settings);
-        LinkHealth in, out; // reports that should come; requests that should be answered
-        double last_heartbeat_at = -1, relayed_at = -1,
-               trusted_at = -1; // a heartbeat of its own; another's; taken for well again
-        struct Sample {
-            std::string addr;
-            double at = 0;
-        };
-        std::vector<Sample> samples;
-        std::size_t next_sample = 0;
-        int probes = 0, answered = 0; // of the round under way
-    };
-    struct PeerState {
-        explicit PeerState(const Settings& settings);
-        LinkHealth link;
-        PeerView view;
-        double at = -1;                      // when the view came; below zero: never
-        double store_at = -1, cloud_at = -1; // not before this those answered it last; below zero: nobody knows
-        bool asking = false;
-    };
-    [[nodiscard]] PeerView own_view() const;
-    [[nodiscard]] Eligibility eligibility(const PeerView& view, bool doubt) const;
-    [[nodiscard]] Eligibility eligibility(const PeerState& peer) const;
-    [[nodiscard]] bool since_lost(double at, const LinkHealth& mine) const;
-    [[nodiscard]] Reachability reach(const Zone& zone) const;
-    void reset_inbound_health(Zone& zone);
-    void remember(Zone& zone, const std::string& addr);
-    [[nodiscard]] bool fresh(const PeerState& peer) const;
-    void receive_view(PeerView&& view);
-    void exchange();
+    void check_silence();
     void probe();
-    void probe_zone(const std::string& name, Zone& zone);
-    void probed(const std::string& zone, bool& any, std::optional<bool> ok);
-    void watch_silence();
-    void changed(const std::string& what, Reachability to);
-    Zone* find_zone(const std::string& name);
+    void probe_store();
+    void probe_zone(const std::string& name, ZoneHealth& zone);
+    void probe_cloud();
+    void announce_change_of_leader();
+    [[nodiscard]] bool exchange_is_due(double now) const;
+    void exchange();
+    void handle_view_reply(const std::string& name, double sent_at, const HttpReply& reply);
+    void receive_view(PeerView&& view);
+    void learn_machines(const PeerView& view);
+    void link_changed(const std::string& target, Reachability state);
+
+    [[nodiscard]] PeerView own_view() const;
+    [[nodiscard]] std::vector<const PeerView*> all_views(const PeerView& own) const;
+    [[nodiscard]] Eligibility sure_eligibility(const PeerState& peer, const std::vector<const PeerView*>& views) const;
+    [[nodiscard]] Reachability reach(const ZoneHealth& zone) const;
+    ZoneHealth* find_zone(const std::string& name);
 
     const Settings& settings_;
     TimerQueue& timers_;
-    store::StateStore& state_;
+    store::StateStore& state_store_;
     Executor& executor_;
-    Peers& peers_;
+    Peers& peer_clients_;
     Host& host_;
-    LinkHealth store_, cloud_;
-    double store_asked_at_ = -1, last_worker_heartbeat_at_ = -1;
-    std::map<std::string, Zone> zones_;
-    std::map<std::string, PeerState> peer_states_;
-    double next_exchange_ = 0, next_probe_ = 0, next_silence_ = 0, next_cloud_ = 0;
-    bool asking_store_ = false, exchange_soon_ = false;
-    bool was_active_leader_ = false; // when the others were last told
-    std::size_t turn_ = 0;           // among those that could relay
-    std::uint64_t exchanges_ = 0, probes_ = 0, changes_ = 0;
+
+    LinkHealth store_link_, cloud_link_;
+    std::map<std::string, ZoneHealth> zones_;
+    PeerViews peers_;
+    RelayChoice relays_;
+    double store_answered_at_ = never, last_worker_heartbeat_at_ = never;
+
+    double next_exchange_ = 0, next_probe_ = 0, next_silence_check_ = 0, next_cloud_probe_ = 0;
+    bool store_probe_pending_ = false;
+    bool exchange_soon_ = false;     // there is something that the peers should know
+    bool was_active_leader_ = false; // when the peers were last told
+    std::uint64_t exchanges_ = 0, probes_ = 0, link_changes_ = 0;
 };
 
 } // namespace heronshift::membership
--- a/include/heronshift/membership/peer_view.hpp
+++ b/include/heronshift/membership/peer_view.hpp
@@ -1,5 +1,6 @@
-// What one controller says of its links to another, and its words on the way: POST /peer/view, JSON. What
-// a reader does not know it leaves out, and what it misses it takes for unknown.
+/// @file
+/// What one controller tells another of its links and of the leadership: POST /peer/view, JSON. Fields that a reader
+/// does not know are ignored, and missing ones count as unknown, so that versions can be mixed.
 #pragma once
 
 #include "heronshift/membership/link_health.hpp"
@@ -13,26 +14,39 @@
 
 namespace heronshift::membership {
 
+/// The path that views are posted to.
 inline constexpr const char* peer_view = "/peer/view";
-// Machines of a zone that are asked whether they answer: a sample, no larger for a larger fleet. One answer shows that
-// the zone can be reached.
-inline constexpr std::size_t max_samples = 4;
 
+/// The view of one controller.
 struct PeerView {
+    /// The sender's name.
     std::string node;
-    double sent = 0; // by the sender's wall clock, seconds since 1970
+    /// When it was sent, by the sender's wall clock, in seconds since 1970.
+    double sent = 0;
+    /// Whether the sender reaches the state service and the cloud.
     Reachability store = Reachability::unknown, cloud = Reachability::unknown;
-    double store_s = -1, cloud_s = -1;         // since those last answered, when this was said; below zero: not said
-    std::map<std::string, Reachability> zones; // their workers
-    std::map<std::string, Reachability> peers; // who answers this node
-    std::map<std::string, std::vector<std::string>> machines; // addresses of some that were heard of lately, by zone
-    // The leadership: who holds it by what the store told this node itself (sees_office), or by hearsay.
+    /// How long before `sent` those last answered it, in seconds; none: never, or not said.
+    std::optional<double> store_s, cloud_s;
+    /// Whether the sender reaches the workers of each zone.
+    std::map<std::string, Reachability> zones;
+    /// Which controllers answer the sender.
+    std::map<std::string, Reachability> peers;
+    /// Addresses of some machines that were heard of lately, by zone.
+    std::map<std::string, std::vector<std::string>> machines;
+    /// The leader and its term: as the store told the sender itself if sees_leader is set, else by hearsay.
     std::string leader;
     std::uint64_t term = 0;
-    bool sees_leader = false, is_active_leader = false;
+    bool sees_leader = false;
+    /// Whether the sender is the leader and may act.
+    bool is_active_leader = false;
 };
 
+/// Whether the sender reaches the workers of one zone; unknown if the view does not say.
+[[nodiscard]] Reachability zone_reach(const PeerView& view, const std::string& zone);
+
+/// The view as the body of a request or an answer.
 std::string to_body(const PeerView& view);
-std::optional<PeerView> view(std::string_view body); // none: not one
+/// Reads such a body; none: it is not a view. What exceeds the bounds on names and lists is dropped.
+std::optional<PeerView> view(std::string_view body);
 
 } // namespace heronshift::membership
--- /dev/null
+++ b/src/membership/eligibility.cpp
@@ -0,0 +1,88 @@
+#include "heronshift/membership/eligibility.hpp"
+
+#include <algorithm>
+#include <fmt/format.h>
+
+namespace heronshift::membership {
+namespace {
+
+// A share of report_s: an answer that was under way when an outage began may take so long.
+constexpr double answer_heartbeats = 1.0 / 10;
+// A share of lease_s: how long a leadership is left to a better candidate.
+constexpr double candidacy_delay_leases = 1.0 / 4;
+// A share of report_s: the head start of each equal candidate that comes earlier by name.
+constexpr double stagger_heartbeats = 1.0 / 40;
+
+// Whether the candidate could go through the controller of the other view to the zone.
+bool relays_for(const PeerView& candidate, const PeerView& other, const std::string& zone) {
+    const auto link = candidate.peers.find(other.node);
+    return other.node != candidate.node && zone_reach(other, zone) == Reachability::reachable &&
+           link != candidate.peers.end() && link->second == Reachability::reachable;
+}
+
+} // namespace
+
+std::string describe(const Eligibility& eligibility) {
+    return fmt::format("store {}, zones {}, through others {}", eligibility.store, eligibility.zones,
+                       eligibility.zones_by_others);
+}
+
+Eligibility evaluate(const PeerView& candidate, const std::vector<const PeerView*>& all_views,
+                     const std::vector<std::string>& zones, UnknownLinks unknown_links) {
+    const auto counts = [unknown_links](Reachability reachability) {
+        return reachability == Reachability::reachable ||
+               (unknown_links == UnknownLinks::as_reachable && reachability == Reachability::unknown);
+    };
+    Eligibility out;
+    out.store = counts(candidate.store) ? 1 : 0;
+    // The cloud is asked for only while the leader cannot reach it, so it is unknown to most.
+    out.cloud = candidate.cloud != Reachability::unreachable ? 1 : 0;
+    for (const auto& zone : zones) {
+        if (counts(zone_reach(candidate, zone)))
+            ++out.zones;
+        else if (std::any_of(all_views.begin(), all_views.end(),
+                             [&](const PeerView* other) { return relays_for(candidate, *other, zone); }))
+            ++out.zones_by_others;
+    }
+    return out;
+}
+
+bool could_lead(const Eligibility& eligibility) {
+    return eligibility.store != 0 && eligibility.zones + eligibility.zones_by_others != 0;
+}
+
+bool answered_since_lost(std::optional<double> answered_at, const LinkHealth& own_link, double report_s) {
+    if (!own_link.lost())
+        return true;
+    const auto failing_since = own_link.failing_since();
+    return answered_at && failing_since && *answered_at > *failing_since + answer_heartbeats * report_s;
+}
+
+std::optional<std::string> best_above(const Eligibility& own, const std::vector<Candidate>& peers) {
+    std::optional<std::string> best;
+    auto highest = own;
+    for (const auto& peer : peers)
+        if (peer.eligibility > highest) {
+            highest = peer.eligibility;
+            best = peer.name;
+        }
+    return best;
+}
+
+double candidacy_delay_s(const Settings& settings, const Eligibility& own, const std::vector<Candidate>& peers,
+                         bool no_better_candidate) {
+    const double yield_s = candidacy_delay_leases * settings.lease_s;
+    int equal_before = 0;
+    for (const auto& peer : peers) {
+        if (peer.eligibility > own)
+            return yield_s;
+        if (peer.eligibility == own && peer.name < settings.name)
+            ++equal_before;
+    }
+    const bool reaches_no_worker = own.zones + own.zones_by_others == 0 && !settings.zones.empty();
+    if (reaches_no_worker && !no_better_candidate)
+        return yield_s;
+    return equal_before * stagger_heartbeats * settings.report_s;
+}
+
+} // namespace heronshift::membership
--- a/src/membership/link_health.cpp
+++ b/src/membership/link_health.cpp
@@ -4,25 +4,26 @@
 
 namespace heronshift::membership {
 
-bool LinkHealth::worked(double now) {
-    worked_at_ = now;
-    failures_ = 0;
-    if (back_since_ < 0)
-        back_since_ = now;
+bool LinkHealth::record_success(double now) {
+    succeeded_at_ = now;
+    failures_in_row_ = 0;
+    if (!succeeding_since_)
+        succeeding_since_ = now;
     // What was lost has to work for a while: else every flap would move the leadership or the workers.
-    if (reach_ == Reachability::unreachable && now - back_since_ < thresholds_.back_s)
+    if (lost() && now - *succeeding_since_ < thresholds_.min_recovery_s)
         return false;
     return std::exchange(reach_, Reachability::reachable) == Reachability::unreachable;
 }
 
-bool LinkHealth::failed(double now) {
+bool LinkHealth::record_failure(double now) {
     failed_at_ = now;
-    back_since_ = -1;
-    if (failures_++ == 0)
-        first_failed_ = now;
-    if (reach_ == Reachability::unreachable || failures_ < thresholds_.failures)
+    succeeding_since_.reset();
+    if (failures_in_row_++ == 0)
+        failing_since_ = now;
+    if (lost() || failures_in_row_ < thresholds_.min_failures)
         return false;
-    if (now - (worked_at_ < 0 ? first_failed_ : worked_at_) < thresholds_.lost_s)
+    const double outage_since = succeeded_at_ ? *succeeded_at_ : *failing_since_;
+    if (now - outage_since < thresholds_.min_outage_s)
         return false;
     reach_ = Reachability::unreachable;
     return true;
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -7,340 +7,303 @@
 namespace heronshift::membership {
 namespace {
 
-// Ratios to report_s, in which each machine reports once, give or take a quarter.
-constexpr double exchange_heartbeats = 1.0 / 3, exchange_wait = 1.0 / 4, soon = 1.0 / 30;
-constexpr double fresh_heartbeats = 1; // a view older than three exchanges says nothing
-constexpr double probe_heartbeats = 1.0 / 2, probe_wait = 1.0 / 4;
-constexpr double store_heartbeats = 1.0 / 3; // without an answer: it is asked
-constexpr double silence_heartbeats = 1.5;   // without a heartbeat of a zone's machines: it is cut off
-constexpr double silence_small_fleet_heartbeats = 2.5;
-constexpr double samples_leases = 2; // how long an address is worth asking
-constexpr double candidacy_delay_leases =
-    1.0 / 4; // an leadership that a a better candidate one should take is left to it for so long
-constexpr double stagger_heartbeats = 1.0 / 40;
-constexpr double answer_heartbeats = 1.0 / 10; // an answer that was under way when an outage began may take so long
-constexpr std::size_t min_machines_to_judge = 4;
-constexpr int probes_a_round = 2;
+// Shares of report_s, in which each machine reports once, give or take a quarter.
+constexpr double exchange_heartbeats = 1.0 / 3;         // between two exchanges of views
+constexpr double urgent_exchange_heartbeats = 1.0 / 30; // the same where something has changed
+constexpr double exchange_timeout_heartbeats = 1.0 / 4;
+constexpr double probe_heartbeats = 1.0 / 2; // between two rounds of probes
+constexpr double probe_timeout_heartbeats = 1.0 / 4;
+constexpr double store_quiet_heartbeats = 1.0 / 3; // without an answer of the store: it is probed
+constexpr double silence_checks_per_heartbeat = 10;
+// A share of lease_s.
+constexpr double cloud_probe_leases = 1.0 / 2;
 
-FailureThresholds store_patience(const Settings& settings) {
-    return {settings.report_s / 4, 2, settings.report_s / 4};
-}
-FailureThresholds peer_patience(const Settings& settings) {
-    return {settings.report_s / 2, 2, settings.report_s / 4};
+constexpr int http_ok = 200;
+constexpr int http_bad_request = 400;
+
+FailureThresholds service_thresholds(const Settings& settings) {
+    return {.min_outage_s = settings.report_s / 4, .min_failures = 2, .min_recovery_s = settings.report_s / 4};
 }
-FailureThresholds zone_patience(const Settings& settings) {
-    return {settings.report_s, 2, settings.report_s};
+
+bool record(LinkHealth& link, bool ok, double now) {
+    return ok ? link.record_success(now) : link.record_failure(now);
 }
 
-FailureThresholds silence_patience(const Settings& settings) {
-    return {0, 1, settings.report_s / 2}; // the silence itself is what lasted
+// The names of links in log lines and metrics.
+constexpr const char* store_target = "state";
+constexpr const char* cloud_target = "cloud";
+std::string peer_target(const std::string& name) {
+    return "controller " + name;
+}
+std::string zone_target(const std::string& name) {
+    return "workers " + name;
 }
 
 const char* to_text(Reachability reachability) {
-    return reachability == Reachability::reachable     ? "works"
-           : reachability == Reachability::unreachable ? "lost"
-                                                       : "not known";
+    switch (reachability) {
+    case Reachability::reachable:
+        return "reachable";
+    case Reachability::unreachable:
+        return "unreachable";
+    case Reachability::unknown:
+        break;
+    }
+    return "unknown";
 }
 
-} // namespace
-
-std::string describe(const Eligibility& eligibility) {
-    return fmt::format("store {}, zones {}, through others {}", eligibility.store, eligibility.zones,
-                       eligibility.zones_by_others);
+metrics::Value link_metric(Reachability reachability, const std::string& target) {
+    const double value = reachability == Reachability::reachable     ? 1.0
+                         : reachability == Reachability::unreachable ? 0.0
+                                                                     : 0.5;
+    return {
+        "heronshift_link", "whether this controller reaches it: 1 yes, 0 no, 0.5 not known", value, {{"to", target}}};
 }
 
-Membership::Zone::Zone(const Settings& settings) : in(silence_patience(settings)), out(zone_patience(settings)) {}
-Membership::PeerState::PeerState(const Settings& settings) : link(peer_patience(settings)) {}
+} // namespace
 
 Membership::Membership(const Settings& settings, TimerQueue& timers, store::StateStore& store, Executor& executor,
                        Peers& peers, Host& host)
-    : settings_(settings), timers_(timers), state_(store), executor_(executor), peers_(peers), host_(host),
-      store_(store_patience(settings)), cloud_(store_patience(settings)) {
-    for (const auto& z : settings.zones)
-        zones_.emplace(z, settings);
-    for (const auto& peer : settings.peers)
-        peer_states_.emplace(peer.name, settings);
+    : settings_(settings), timers_(timers), state_store_(store), executor_(executor), peer_clients_(peers), host_(host),
+      store_link_(service_thresholds(settings)), cloud_link_(service_thresholds(settings)), peers_(settings),
+      relays_(peers_) {
+    for (const auto& zone : settings.zones)
+        zones_.emplace(zone, settings);
 }
 
-Membership::Zone* Membership::find_zone(const std::string& name) {
+ZoneHealth* Membership::find_zone(const std::string& name) {
     const auto it = zones_.find(name);
     return it == zones_.end() ? nullptr : &it->second;
 }
 
 // --- evidence ---
 
-void Membership::changed(const std::string& what, Reachability to) {
-    ++changes_;
+void Membership::link_changed(const std::string& target, Reachability state) {
+    ++link_changes_;
     exchange_soon_ = true; // the others should know
-    spdlog::info("link to {}: {}", what, to_text(to));
+    spdlog::info("link changed target=\"{}\" state={}", target, to_text(state));
 }
 
 void Membership::store_answered(bool ok) {
     const double now = timers_.now();
-    store_asked_at_ = now;
-    if (ok ? store_.worked(now) : store_.failed(now))
-        changed("the state service", store_.reach());
+    store_answered_at_ = now;
+    if (record(store_link_, ok, now))
+        link_changed(store_target, store_link_.reach());
 }
 
 void Membership::cloud_answered(bool ok) {
-    const double now = timers_.now();
-    if (ok ? cloud_.worked(now) : cloud_.failed(now))
-        changed("the cloud", cloud_.reach());
+    if (record(cloud_link_, ok, timers_.now()))
+        link_changed(cloud_target, cloud_link_.reach());
 }
 
 void Membership::peer_answered(const std::string& name, bool ok) {
-    const auto it = peer_states_.find(name);
-    if (it == peer_states_.end())
-        return;
-    auto& link = it->second.link;
-    if (ok ? link.worked(timers_.now()) : link.failed(timers_.now()))
-        changed("controller " + name, link.reach());
+    auto* peer = peers_.find(name);
+    if (peer != nullptr && record(peer->link, ok, timers_.now()))
+        link_changed(peer_target(name), peer->link.reach());
 }
 
 void Membership::heartbeat_received(const std::string& zone, const std::string& addr) {
     const double now = timers_.now();
     last_worker_heartbeat_at_ = now;
-    auto* z = find_zone(zone);
-    if (z == nullptr)
-        return;
-    z->last_heartbeat_at = now;
-    if (z->in.worked(now))
-        changed(fmt::format("workers in {}", zone), reach(*z));
-    remember(*z, addr);
+    auto* health = find_zone(zone);
+    if (health != nullptr && health->record_heartbeat(addr, now))
+        link_changed(zone_target(zone), reach(*health));
 }
 
 void Membership::heartbeat_relayed(const std::string& zone, const std::string& addr) {
-    last_worker_heartbeat_at_ = timers_.now();
-    auto* z = find_zone(zone);
-    if (z == nullptr)
-        return;
-    z->relayed_at = last_worker_heartbeat_at_;
-    remember(*z, addr);
-}
-
-// The same few for as long as they report: connections to them are kept. (Where relayed heartbeats did not
-// count, the machines that were asked had long been given back, and their zone was taken for lost.)
-void Membership::remember(Zone& zone, const std::string& addr) {
     const double now = timers_.now();
-    for (auto& x : zone.samples)
-        if (x.addr == addr) {
-            x.at = now;
-            return;
-        }
-    if (zone.samples.size() < max_samples)
-        return zone.samples.push_back({addr, now});
-    for (auto& x : zone.samples)
-        if (now - x.at > silence_heartbeats * settings_.report_s) {
-            x = {addr, now};
-            return;
-        }
+    last_worker_heartbeat_at_ = now;
+    if (auto* health = find_zone(zone); health != nullptr)
+        health->record_relayed_heartbeat(addr, now);
 }
 
-// --- what goes out ---
+// --- scheduled work ---
 
 void Membership::tick() {
     const double now = timers_.now();
-    if (now >= next_silence_) {
-        next_silence_ = now + settings_.report_s / 10;
-        watch_silence();
+    if (now >= next_silence_check_) {
+        next_silence_check_ = now + settings_.report_s / silence_checks_per_heartbeat;
+        check_silence();
     }
     if (now >= next_probe_ && !settings_.peers.empty()) {
         next_probe_ = now + probe_heartbeats * settings_.report_s;
         probe();
     }
-    // Those that the store does not serve learn only from this who is the leader now.
-    if (const bool is_active_leader = host_.is_active_leader(); is_active_leader != was_active_leader_) {
-        was_active_leader_ = is_active_leader;
-        exchange_soon_ = true;
-    }
-    if (now >= next_exchange_ ||
-        (exchange_soon_ && now >= next_exchange_ - (exchange_heartbeats - soon) * settings_.report_s)) {
+    announce_change_of_leader();
+    if (exchange_is_due(now)) {
         next_exchange_ = now + exchange_heartbeats * settings_.report_s;
         exchange_soon_ = false;
         exchange();
     }
 }
 
-// While this node acts, machines should report to it; where none does, it is cut off from them. Those that
-// report through another were told to: their silence here says nothing, so what was thought of it is tried
-// anew once requests are answered again, and after a lease in any case.
-void Membership::watch_silence() {
+// Peers that the store does not serve learn only from this who is the leader now.
+void Membership::announce_change_of_leader() {
+    const bool is_active_leader = host_.is_active_leader();
+    if (is_active_leader == was_active_leader_)
+        return;
+    was_active_leader_ = is_active_leader;
+    exchange_soon_ = true;
+}
+
+bool Membership::exchange_is_due(double now) const {
+    const double head_start_s = (exchange_heartbeats - urgent_exchange_heartbeats) * settings_.report_s;
+    return now >= next_exchange_ || (exchange_soon_ && now >= next_exchange_ - head_start_s);
+}
+
+// While this node is the active leader, machines should report to it; where none does, it is cut off from them.
+void Membership::check_silence() {
     if (!host_.is_active_leader())
         return;
-    const double now = timers_.now();
-    const auto by_zone = host_.machines_by_zone();
+    const auto machines_by_zone = host_.machines_by_zone();
     for (auto& [name, zone] : zones_) {
-        const auto there = by_zone.find(name);
-        const auto machines = there == by_zone.end() ? 0 : there->second;
-        if (machines == 0) {
-            zone.samples.clear(); // given back: that they are silent says nothing
-            continue;
+        const auto it = machines_by_zone.find(name);
+        const auto machines = it == machines_by_zone.end() ? 0 : it->second;
+        switch (zone.check_silence(machines, host_.active_since(), timers_.now())) {
+        case ZoneHealth::SilenceCheck::lost:
+            link_changed(zone_target(name), Reachability::unreachable);
+            break;
+        case ZoneHealth::SilenceCheck::inbound_reset:
+            exchange_soon_ = true;
+            break;
+        case ZoneHealth::SilenceCheck::unchanged:
+            break;
         }
-        if (zone.in.lost() && now - zone.in.failed_at() > settings_.lease_s)
-            reset_inbound_health(zone);
-        const double patience = machines < min_machines_to_judge ? silence_small_fleet_heartbeats : silence_heartbeats;
-        const double since = std::max({zone.last_heartbeat_at, zone.relayed_at, zone.trusted_at, host_.active_since()});
-        if (now - since < patience * settings_.report_s)
-            continue;
-        if (zone.in.failed(now))
-            changed(fmt::format("workers in {}", name), Reachability::unreachable);
     }
 }
 
-void Membership::reset_inbound_health(Zone& zone) {
-    zone.in = LinkHealth(silence_patience(settings_));
-    zone.trusted_at = timers_.now();
-    exchange_soon_ = true;
-}
-
 void Membership::probe() {
-    const double now = timers_.now();
-    if (!asking_store_ && now - store_asked_at_ >= store_heartbeats * settings_.report_s) {
-        asking_store_ = true;
-        state_.get("office", settings_.report_s / 4, [this](store::Answer&&) { asking_store_ = false; });
-    }
+    probe_store();
     for (auto& [name, zone] : zones_)
         probe_zone(name, zone);
-    // The cloud's calls are few: the others look only when it is the leader that cannot.
-    const auto h = peer_states_.find(host_.leader());
-    if (h == peer_states_.end() || !fresh(h->second) || h->second.view.cloud != Reachability::unreachable ||
-        now < next_cloud_)
-        return;
-    next_cloud_ = now + settings_.lease_s / 2;
-    executor_.types(settings_.report_s,
-                    [this](std::optional<std::vector<MachineType>>&& types) { cloud_answered(types.has_value()); });
+    probe_cloud();
 }
 
-void Membership::probe_zone(const std::string& name, Zone& zone) {
-    const double now = timers_.now();
-    std::erase_if(zone.samples, [&](const auto& x) { return now - x.at > samples_leases * settings_.lease_s; });
-    // Machines that were given back answer nobody: where others report, those that do not are not asked. (The
-    // leadership was handed on, its zone of two machines taken for lost.)
-    const auto silent = [&](const auto& x) { return now - x.at > silence_heartbeats * settings_.report_s; };
-    if (!std::all_of(zone.samples.begin(), zone.samples.end(), silent))
-        std::erase_if(zone.samples, silent);
-    if (zone.probes > zone.answered || zone.samples.empty())
+// Any key will do: the answer counts through store_answered, like those to all other calls.
+void Membership::probe_store() {
+    if (store_probe_pending_ || timers_.now() - store_answered_at_ < store_quiet_heartbeats * settings_.report_s)
         return;
-    zone.probes = zone.answered = 0;
-    const auto n = std::min<std::size_t>(probes_a_round, zone.samples.size());
-    auto any = std::make_shared<bool>(false);
-    zone.probes = static_cast<int>(n);
-    for (std::size_t i = 0; i < n; ++i) {
+    store_probe_pending_ = true;
+    state_store_.get("office", probe_timeout_heartbeats * settings_.report_s,
+                     [this](store::Answer&&) { store_probe_pending_ = false; });
+}
+
+void Membership::probe_zone(const std::string& name, ZoneHealth& zone) {
+    for (const auto& address : zone.start_probe_round(timers_.now())) {
         ++probes_;
-        executor_.probe(zone.samples[zone.next_sample++ % zone.samples.size()].addr, probe_wait * settings_.report_s,
-                        [this, name, any](std::optional<bool> ok) { probed(name, *any, ok); });
+        executor_.probe(address, probe_timeout_heartbeats * settings_.report_s,
+                        [this, &name, &zone](std::optional<bool> answered) {
+                            if (zone.finish_probe(answered, timers_.now()))
+                                link_changed(zone_target(name), reach(zone));
+                        });
     }
 }
 
-// A round in which nobody answers has failed.
-void Membership::probed(const std::string& zone, bool& any, std::optional<bool> ok) {
-    auto* z = find_zone(zone);
+// Calls to the cloud are few: the others look only when it is the leader that cannot reach it.
+void Membership::probe_cloud() {
     const double now = timers_.now();
-    any = any || ok.value_or(false);
-    bool turned = false;
-    if (ok.value_or(false)) {
-        turned = z->out.worked(now);
-        if (turned)
-            reset_inbound_health(*z);
-    }
-    if (++z->answered == z->probes && !any && ok.has_value())
-        turned = z->out.failed(now);
-    if (turned)
-        changed(fmt::format("workers in {}", zone), reach(*z));
+    const auto* leader = peers_.find_fresh(host_.leader(), now);
+    if (leader == nullptr || leader->view.cloud != Reachability::unreachable || now < next_cloud_probe_)
+        return;
+    next_cloud_probe_ = now + cloud_probe_leases * settings_.lease_s;
+    executor_.types(settings_.report_s,
+                    [this](std::optional<std::vector<MachineType>>&& types) { cloud_answered(types.has_value()); });
 }
 
+// --- views ---
+
 PeerView Membership::own_view() const {
+    const double now = timers_.now();
+    const auto age_of_success = [now](const LinkHealth& link) {
+        const auto at = link.succeeded_at();
+        return at ? std::optional(now - *at) : std::nullopt;
+    };
     PeerView view;
     view.node = settings_.name;
     view.sent = timers_.wall();
-    view.store = store_.reach();
-    view.cloud = cloud_.reach();
-    const auto since = [now = timers_.now()](const LinkHealth& link) {
-        return link.worked_at() < 0 ? -1 : now - link.worked_at();
-    };
-    view.store_s = since(store_);
-    view.cloud_s = since(cloud_);
-    for (const auto& [name, zone] : zones_)
+    view.store = store_link_.reach();
+    view.cloud = cloud_link_.reach();
+    view.store_s = age_of_success(store_link_);
+    view.cloud_s = age_of_success(cloud_link_);
+    for (const auto& [name, zone] : zones_) {
         view.zones[name] = reach(zone);
-    for (const auto& [name, peer] : peer_states_)
+        if (auto machines = zone.machines_to_share(now); !machines.empty())
+            view.machines[name] = std::move(machines);
+    }
+    for (const auto& [name, peer] : peers_.all())
         view.peers[name] = peer.link.reach();
     view.leader = host_.leader();
     view.term = host_.leader_term();
     view.sees_leader = host_.sees_leader();
     view.is_active_leader = host_.is_active_leader();
-    for (const auto& [name, zone] : zones_)
-        for (const auto& x : zone.samples)
-            if (timers_.now() - x.at < settings_.lease_s)
-                view.machines[name].push_back(x.addr);
     return view;
 }
 
 void Membership::exchange() {
     const auto body = to_body(own_view());
-    for (auto& [name, peer] : peer_states_) {
-        if (peer.asking)
+    for (auto& [name, peer] : peers_.all()) {
+        if (peer.exchange_pending)
             continue;
-        peer.asking = true;
+        peer.exchange_pending = true;
         ++exchanges_;
-        peers_.request(Lane::control, name, "POST", peer_view, body, exchange_wait * settings_.report_s,
-                       [this, name = name, sent = timers_.now()](HttpReply&& reply) {
-                           auto& to = peer_states_.at(name);
-                           to.asking = false;
-                           if (reply.status != 200)
-                               return;
-                           auto v = view(reply.body);
-                           if (!v || v->node != name)
-                               return;
-                           // An answer was made after its question was sent, however long it took to come.
-                           if (v->store_s >= 0)
-                               to.store_at = std::max(to.store_at, sent - v->store_s);
-                           if (v->cloud_s >= 0)
-                               to.cloud_at = std::max(to.cloud_at, sent - v->cloud_s);
-                           receive_view(std::move(*v));
-                       });
+        peer_clients_.request(Lane::control, name, "POST", peer_view, body,
+                              exchange_timeout_heartbeats * settings_.report_s,
+                              [this, name = name, sent_at = timers_.now()](HttpReply&& reply) {
+                                  handle_view_reply(name, sent_at, reply);
+                              });
     }
 }
 
+void Membership::handle_view_reply(const std::string& name, double sent_at, const HttpReply& reply) {
+    auto& peer = *peers_.find(name);
+    peer.exchange_pending = false;
+    if (reply.status != http_ok)
+        return;
+    auto received = view(reply.body);
+    if (!received || received->node != name)
+        return;
+    // The reply was made after its request was sent, however long it took to come: these are lower bounds.
+    const auto note_answer = [sent_at](std::optional<double>& answered_at, std::optional<double> age_s) {
+        if (age_s)
+            answered_at = std::max(answered_at.value_or(sent_at - *age_s), sent_at - *age_s);
+    };
+    note_answer(peer.store_answered_at, received->store_s);
+    note_answer(peer.cloud_answered_at, received->cloud_s);
+    receive_view(std::move(*received));
+}
+
 void Membership::handle_view(const HttpRequest& request, const Responder& res) {
-    auto v = view(request.body);
-    if (!v)
-        return res.send(400, codec::error_answer("not a view"));
-    receive_view(std::move(*v));
-    res.send(200, to_body(own_view()));
+    auto received = view(request.body);
+    if (!received)
+        return res.send(http_bad_request, codec::error_answer("not a view"));
+    receive_view(std::move(*received));
+    res.send(http_ok, to_body(own_view()));
 }
 
 void Membership::receive_view(PeerView&& view) {
-    const auto it = peer_states_.find(view.node);
-    if (it == peer_states_.end())
+    auto* peer = peers_.find(view.node);
+    if (peer == nullptr)
         return;
-    // One that was held up on the way is as old as it is; clocks differ by the bound of the settings.
-    const double late = std::max(0.0, timers_.wall() - view.sent - 2 * settings_.time_bound_s);
-    const double now = timers_.now();
-    if (now - late < it->second.at)
+    const double made_at = view_made_at(view.sent, timers_.wall(), timers_.now(), settings_.time_bound_s);
+    if (made_at < peer->view_made_at)
+        return; // overtaken by a newer one
+    learn_machines(view);
+    peer->view = std::move(view);
+    peer->view_made_at = made_at;
+}
+
+// The active leader hears the machines itself.
+void Membership::learn_machines(const PeerView& view) {
+    if (host_.is_active_leader())
         return;
-    for (const auto& [name, list] : view.machines) {
-        auto* zone = find_zone(name);
-        if (zone == nullptr || list.empty() || host_.is_active_leader() ||
-            !(view.is_active_leader || zone->samples.empty()))
-            continue;
-        // What others only remember is used, but not handed on: it would never grow old.
-        const double at = view.is_active_leader ? now : now - settings_.lease_s;
-        zone->samples.clear();
-        for (const auto& addr : list)
-            zone->samples.push_back({addr, at});
-    }
-    it->second.view = std::move(view);
-    it->second.at = now - late;
+    for (const auto& [name, addresses] : view.machines)
+        if (auto* zone = find_zone(name); zone != nullptr)
+            zone->learn_machines(addresses, view.is_active_leader, timers_.now());
 }
 
-// --- what is thought ---
+// --- conclusions about this node's links ---
 
-Reachability Membership::reach(const Zone& zone) const {
-    if (zone.out.lost() || (host_.is_active_leader() && zone.in.lost()))
-        return Reachability::unreachable;
-    const bool any = zone.out.reach() == Reachability::reachable ||
-                     (host_.is_active_leader() && zone.in.reach() == Reachability::reachable);
-    return any ? Reachability::reachable : Reachability::unknown;
+Reachability Membership::reach(const ZoneHealth& zone) const {
+    return zone.reach(host_.is_active_leader());
 }
 
 Reachability Membership::zone(const std::string& name) const {
@@ -350,197 +313,128 @@
 
 bool Membership::any_zone_lost() const {
     return std::any_of(zones_.begin(), zones_.end(),
-                       [this](const auto& z) { return reach(z.second) == Reachability::unreachable; });
+                       [this](const auto& entry) { return reach(entry.second) == Reachability::unreachable; });
 }
 
 bool Membership::all_zones_lost() const {
     return std::all_of(zones_.begin(), zones_.end(),
-                       [this](const auto& z) { return reach(z.second) == Reachability::unreachable; });
+                       [this](const auto& entry) { return reach(entry.second) == Reachability::unreachable; });
 }
 
 Reachability Membership::peer(const std::string& name) const {
-    const auto it = peer_states_.find(name);
-    return it == peer_states_.end() ? Reachability::unknown : it->second.link.reach();
-}
-
-bool Membership::fresh(const PeerState& peer) const {
-    return peer.at >= 0 && timers_.now() - peer.at < fresh_heartbeats * settings_.report_s;
-}
-
-bool Membership::alive(const std::string& name) const {
-    const auto it = peer_states_.find(name);
-    return it != peer_states_.end() && fresh(it->second);
-}
-
-bool Membership::no_better_candidate() const {
-    return std::all_of(peer_states_.begin(), peer_states_.end(), [this](const auto& o) {
-        if (!fresh(o.second))
-            return false;
-        const auto x = eligibility(o.second.view, true);
-        return x.store == 0 || x.zones + x.zones_by_others == 0;
-    });
+    const auto* peer = peers_.find(name);
+    return peer == nullptr ? Reachability::unknown : peer->link.reach();
 }
 
 bool Membership::has_any_link() const {
-    return !store_.lost() ||
-           std::any_of(peer_states_.begin(), peer_states_.end(), [this](const auto& o) { return fresh(o.second); });
+    return !store_link_.lost() || peers_.any_fresh(timers_.now());
 }
 
-// With doubt, what is not known counts as reached.
-Eligibility Membership::eligibility(const PeerView& view, bool doubt) const {
-    const auto counts = [doubt](Reachability reachability) {
-        return reachability == Reachability::reachable || (doubt && reachability == Reachability::unknown);
-    };
-    Eligibility out;
-    out.store = counts(view.store);
-    out.cloud = view.cloud != Reachability::unreachable; // asked for only when the leader cannot reach it
-    for (const auto& z : settings_.zones) {
-        const auto of = [&z](const PeerView& x) {
-            const auto r = x.zones.find(z);
-            return r == x.zones.end() ? Reachability::unknown : r->second;
-        };
-        if (counts(of(view))) {
-            ++out.zones;
-            continue;
-        }
-        const auto by = [&](const std::string& name, const PeerView& x) {
-            const auto link = view.peers.find(name);
-            return name != view.node && of(x) == Reachability::reachable && link != view.peers.end() &&
-                   link->second == Reachability::reachable;
-        };
-        bool any = view.node != settings_.name && by(settings_.name, own_view());
-        for (const auto& [name, peer] : peer_states_)
-            any = any || (fresh(peer) && by(name, peer.view));
-        out.zones_by_others += any;
-    }
-    return out;
+// Where the others are there and have no store either, it is an outage, in which everybody waits. Where nobody can be
+// asked, this node may be the only one that is cut off.
+bool Membership::can_serve() const {
+    return host_.is_active_leader() || has_any_link();
 }
 
-// Whether somebody else got an answer after this node's own link had begun to fail. From a day on which the
-// leader resigned in an outage of the store: the last view of a peer, 0.6 s old, said it was there.
-bool Membership::since_lost(double at, const LinkHealth& mine) const {
-    return !mine.lost() || at > mine.failing_since() + answer_heartbeats * settings_.report_s;
+// --- candidates for the leadership ---
+
+std::vector<const PeerView*> Membership::all_views(const PeerView& own) const {
+    auto views = peers_.fresh_views(timers_.now());
+    views.push_back(&own);
+    return views;
 }
 
-// Surely so: what others reach counts only if that is newer than the failure here.
-Eligibility Membership::eligibility(const PeerState& peer) const {
-    auto out = eligibility(peer.view, false);
-    if (!since_lost(peer.store_at, store_))
-        out.store = 0;
-    if (!since_lost(peer.cloud_at, cloud_))
-        out.cloud = 0;
-    return out;
+// What a peer reaches counts only if that is newer than the failure here.
+Eligibility Membership::sure_eligibility(const PeerState& peer, const std::vector<const PeerView*>& views) const {
+    auto eligibility = evaluate(peer.view, views, settings_.zones, UnknownLinks::as_unreachable);
+    if (!answered_since_lost(peer.store_answered_at, store_link_, settings_.report_s))
+        eligibility.store = 0;
+    if (!answered_since_lost(peer.cloud_answered_at, cloud_link_, settings_.report_s))
+        eligibility.cloud = 0;
+    return eligibility;
 }
 
 Eligibility Membership::own_eligibility() const {
-    return eligibility(own_view(), true);
+    const auto own = own_view();
+    return evaluate(own, all_views(own), settings_.zones, UnknownLinks::as_reachable);
 }
 
 Eligibility Membership::eligibility(const std::string& peer) const {
-    const auto it = peer_states_.find(peer);
-    return it == peer_states_.end() || !fresh(it->second) ? Eligibility{} : eligibility(it->second);
+    const auto* state = peers_.find_fresh(peer, timers_.now());
+    if (state == nullptr)
+        return {};
+    const auto own = own_view();
+    return sure_eligibility(*state, all_views(own));
 }
 
-std::optional<std::string> Membership::better_candidate() const {
-    std::optional<std::string> best;
-    auto most = own_eligibility();
-    for (const auto& [name, peer] : peer_states_) {
-        if (!fresh(peer))
-            continue;
-        if (const auto x = eligibility(peer); x > most) {
-            most = x;
-            best = name;
-        }
-    }
-    return best;
+bool Membership::no_better_candidate() const {
+    if (!peers_.all_fresh(timers_.now()))
+        return false;
+    const auto own = own_view();
+    const auto views = all_views(own);
+    return std::none_of(peers_.all().begin(), peers_.all().end(), [&](const auto& entry) {
+        return could_lead(evaluate(entry.second.view, views, settings_.zones, UnknownLinks::as_reachable));
+    });
 }
 
-double Membership::candidacy_delay_s() const {
-    const auto mine = own_eligibility();
-    const double yield = candidacy_delay_leases * settings_.lease_s;
-    int before = 0; // as fit as this node, and earlier by name
-    for (const auto& [name, peer] : peer_states_) {
-        if (!fresh(peer))
-            continue;
-        const auto x = eligibility(peer.view, true);
-        if (x > mine)
-            return yield;
-        before += x == mine && name < settings_.name;
-    }
-    // Unreachable inbound, and not all the others are known to be no better.
-    if (mine.zones + mine.zones_by_others == 0 && !settings_.zones.empty() && !no_better_candidate())
-        return yield;
-    return before * stagger_heartbeats * settings_.report_s;
+std::optional<std::string> Membership::better_candidate() const {
+    const auto own = own_view();
+    const auto views = all_views(own);
+    std::vector<Candidate> candidates;
+    for (const auto& [name, peer] : peers_.all())
+        if (peers_.is_fresh(peer, timers_.now()))
+            candidates.push_back({name, sure_eligibility(peer, views)});
+    return best_above(evaluate(own, views, settings_.zones, UnknownLinks::as_reachable), candidates);
 }
 
-std::optional<std::string> Membership::with_store(const std::string& rather) const {
-    std::optional<std::string> out;
-    for (const auto& [name, peer] : peer_states_) {
-        if (!fresh(peer) || peer.link.lost() || peer.view.store != Reachability::reachable)
-            continue;
-        if (!out || name == rather)
-            out = name;
-    }
-    return out;
+double Membership::candidacy_delay_s() const {
+    const auto own = own_view();
+    const auto views = all_views(own);
+    std::vector<Candidate> candidates;
+    for (const auto* view : peers_.fresh_views(timers_.now()))
+        candidates.push_back({view->node, evaluate(*view, views, settings_.zones, UnknownLinks::as_reachable)});
+    return membership::candidacy_delay_s(settings_, evaluate(own, views, settings_.zones, UnknownLinks::as_reachable),
+                                         candidates, no_better_candidate());
 }
 
 std::optional<std::string> Membership::served_instead() const {
-    for (const auto& [name, peer] : peer_states_)
-        if (fresh(peer) && peer.view.store == Reachability::reachable && store_.lost() &&
-            since_lost(peer.store_at, store_))
+    if (!store_link_.lost())
+        return {};
+    for (const auto& [name, peer] : peers_.all())
+        if (peers_.is_fresh(peer, timers_.now()) && peer.view.store == Reachability::reachable &&
+            answered_since_lost(peer.store_answered_at, store_link_, settings_.report_s))
             return name;
     return {};
 }
 
-std::optional<std::string> Membership::relay_to(const std::string& zone) {
-    std::vector<const std::string*> ways;
-    for (const auto& [name, peer] : peer_states_) {
-        if (!fresh(peer) || peer.link.lost())
-            continue;
-        if (const auto r = peer.view.zones.find(zone);
-            r != peer.view.zones.end() && r->second == Reachability::reachable)
-            ways.push_back(&name);
-    }
-    if (ways.empty())
-        return {};
-    return *ways[turn_++ % ways.size()];
+std::optional<Membership::ReportedLeader> Membership::reported_leader() const {
+    return peers_.reported_leader(timers_.now());
 }
 
-bool Membership::leader_reaches(const std::string& leader, const std::string& zone) const {
-    const auto it = peer_states_.find(leader);
-    if (it == peer_states_.end() || !fresh(it->second))
-        return true; // nothing is known to be better
-    const auto r = it->second.view.zones.find(zone);
-    return r == it->second.view.zones.end() || r->second != Reachability::unreachable;
+// --- other ways ---
+
+std::optional<std::string> Membership::with_store(const std::string& preferred) const {
+    return relays_.to_store(preferred, timers_.now());
 }
 
-bool Membership::can_serve() const {
-    // The others are there and have no store either: an outage, in which everybody waits. Where nobody
-    // can be asked, this node may be the only one that is cut off.
-    return host_.is_active_leader() || has_any_link();
+std::optional<std::string> Membership::relay_to(const std::string& zone) {
+    return relays_.to_zone(zone, timers_.now());
 }
 
-std::optional<Membership::ReportedLeader> Membership::reported_leader() const {
-    std::optional<ReportedLeader> out;
-    for (const auto& [name, peer] : peer_states_)
-        if (fresh(peer) && (peer.view.sees_leader || peer.view.is_active_leader) &&
-            (!out || peer.view.term > out->term))
-            out = ReportedLeader{peer.view.leader, peer.view.term};
-    return out;
+bool Membership::leader_reaches(const std::string& leader, const std::string& zone) const {
+    return relays_.leader_reaches(leader, zone, timers_.now());
 }
 
+// --- monitoring ---
+
 std::vector<metrics::Value> Membership::metrics() const {
-    const auto of = [](Reachability reachability) {
-        return reachability == Reachability::reachable ? 1.0 : reachability == Reachability::unreachable ? 0.0 : 0.5;
-    };
-    constexpr const char* help = "whether this controller reaches it: 1 yes, 0 no, 0.5 not known";
-    std::vector<metrics::Value> out{{"heronshift_link", help, of(store_.reach()), {{"to", "state"}}},
-                                    {"heronshift_link", help, of(cloud_.reach()), {{"to", "cloud"}}}};
-    for (const auto& [name, peer] : peer_states_)
-        out.push_back({"heronshift_link", help, of(peer.link.reach()), {{"to", "controller " + name}}});
+    std::vector<metrics::Value> out{link_metric(store_link_.reach(), store_target),
+                                    link_metric(cloud_link_.reach(), cloud_target)};
+    for (const auto& [name, peer] : peers_.all())
+        out.push_back(link_metric(peer.link.reach(), peer_target(name)));
     for (const auto& [name, zone] : zones_)
-        out.push_back({"heronshift_link", help, of(reach(zone)), {{"to", "workers " + name}}});
-    out.push_back({"heronshift_link_changes_total", "links lost or found", static_cast<double>(changes_)});
+        out.push_back(link_metric(reach(zone), zone_target(name)));
+    out.push_back({"heronshift_link_changes_total", "links lost or found", static_cast<double>(link_changes_)});
     out.push_back({"heronshift_views_sent_total", "to other controllers", static_cast<double>(exchanges_)});
     out.push_back({"heronshift_probes_total", "of machines", static_cast<double>(probes_)});
     return out;
--- a/src/membership/peer_view.cpp
+++ b/src/membership/peer_view.cpp
@@ -1,73 +1,126 @@
 #include "heronshift/membership/peer_view.hpp"
 
 #include "heronshift/codec.hpp"
+#include "heronshift/membership/machine_samples.hpp"
 
 namespace heronshift::membership {
 namespace {
 
 using codec::Json;
 
-// Of each list, whatever a peer says: zones and controllers, of which there are a handful for any number of machines.
-// What is beyond counts as not said.
+// Bounds on what comes from outside. There is a handful of zones and controllers for any number of machines; entries
+// beyond the bound count as not said.
 constexpr std::size_t max_entries = 64;
+constexpr std::size_t max_name_length = 128;
 
-// Bounds on what comes from outside: names are short.
-constexpr std::size_t longest_name = 128;
+// A time that is not known, as it is written.
+constexpr double no_age = -1;
 
-const char* to_text(Reachability reachability) {
-    return reachability == Reachability::reachable     ? "works"
-           : reachability == Reachability::unreachable ? "lost"
-                                                       : "unknown";
-}
+constexpr std::string_view text_reachable = "works", text_unreachable = "lost", text_unknown = "unknown";
 
-Reachability reach(const Json& json) {
-    if (!json.is_string())
-        return Reachability::unknown;
-    const auto& s = json.get_ref<const std::string&>();
-    return s == "works" ? Reachability::reachable : s == "lost" ? Reachability::unreachable : Reachability::unknown;
+std::string_view to_text(Reachability reachability) {
+    switch (reachability) {
+    case Reachability::reachable:
+        return text_reachable;
+    case Reachability::unreachable:
+        return text_unreachable;
+    case Reachability::unknown:
+        break;
+    }
+    return text_unknown;
 }
 
-Json to_json(const std::map<std::string, Reachability>& all) {
+Json to_json(const std::map<std::string, Reachability>& links) {
     auto out = Json::object();
-    for (const auto& [name, reachability] : all)
+    for (const auto& [name, reachability] : links)
         out[name] = to_text(reachability);
     return out;
 }
 
-template <class F> void each(const Json& json, const char* field, F f) {
+bool is_name(const Json& json) {
+    return json.is_string() && json.get_ref<const std::string&>().size() <= max_name_length;
+}
+
+Reachability read_reach(const Json& json) {
+    if (!json.is_string())
+        return Reachability::unknown;
+    const auto& text = json.get_ref<const std::string&>();
+    return text == text_reachable     ? Reachability::reachable
+           : text == text_unreachable ? Reachability::unreachable
+                                      : Reachability::unknown;
+}
+
+Reachability read_reach(const Json& json, const char* field) {
+    const auto it = json.find(field);
+    return it != json.end() ? read_reach(*it) : Reachability::unknown;
+}
+
+std::optional<double> read_number(const Json& json, const char* field) {
+    const auto it = json.find(field);
+    return it != json.end() && it->is_number() ? std::optional(it->get<double>()) : std::nullopt;
+}
+
+std::optional<double> read_age(const Json& json, const char* field) {
+    const auto age = read_number(json, field);
+    return age && *age >= 0 ? age : std::nullopt;
+}
+
+std::string read_name(const Json& json, const char* field) {
+    const auto it = json.find(field);
+    return it != json.end() && is_name(*it) ? it->get<std::string>() : "";
+}
+
+bool read_flag(const Json& json, const char* field) {
+    const auto it = json.find(field);
+    return it != json.end() && it->is_boolean() && it->get<bool>();
+}
+
+// Calls visit(name, value) for each entry of an object, within the bounds.
+template <class Visit> void for_each_entry(const Json& json, const char* field, Visit visit) {
     const auto it = json.find(field);
     if (it == json.end() || !it->is_object())
         return;
-    std::size_t n = 0;
+    std::size_t entries = 0;
     for (const auto& [name, value] : it->items()) {
-        if (++n > max_entries)
+        if (++entries > max_entries)
             return;
-        if (name.size() <= longest_name)
-            f(name, value);
+        if (name.size() <= max_name_length)
+            visit(name, value);
     }
 }
 
-std::string text(const Json& json, const char* field) {
-    const auto it = json.find(field);
-    return it != json.end() && it->is_string() && it->get_ref<const std::string&>().size() <= longest_name
-               ? it->get<std::string>()
-               : "";
+std::map<std::string, Reachability> read_links(const Json& json, const char* field) {
+    std::map<std::string, Reachability> out;
+    for_each_entry(json, field, [&](const std::string& name, const Json& value) { out[name] = read_reach(value); });
+    return out;
 }
 
-bool flag(const Json& json, const char* field) {
-    const auto it = json.find(field);
-    return it != json.end() && it->is_boolean() && it->get<bool>();
+std::map<std::string, std::vector<std::string>> read_machines(const Json& json, const char* field) {
+    std::map<std::string, std::vector<std::string>> out;
+    for_each_entry(json, field, [&](const std::string& zone, const Json& list) {
+        if (!list.is_array())
+            return;
+        for (const auto& address : list)
+            if (is_name(address) && out[zone].size() < max_samples)
+                out[zone].push_back(address.get<std::string>());
+    });
+    return out;
 }
 
 } // namespace
 
+Reachability zone_reach(const PeerView& view, const std::string& zone) {
+    const auto it = view.zones.find(zone);
+    return it == view.zones.end() ? Reachability::unknown : it->second;
+}
+
 std::string to_body(const PeerView& view) {
     return Json{{"node", view.node},
                 {"sent", view.sent},
                 {"store", to_text(view.store)},
-                {"storeS", view.store_s},
+                {"storeS", view.store_s.value_or(no_age)},
                 {"cloud", to_text(view.cloud)},
-                {"cloudS", view.cloud_s},
+                {"cloudS", view.cloud_s.value_or(no_age)},
                 {"zones", to_json(view.zones)},
                 {"peers", to_json(view.peers)},
                 {"machines", view.machines},
@@ -82,38 +135,24 @@
     const auto json = codec::parse(body);
     if (!json.is_object())
         return {};
-    PeerView v;
-    v.node = text(json, "node");
-    if (v.node.empty())
+    PeerView view;
+    view.node = read_name(json, "node");
+    if (view.node.empty())
         return {};
-    const auto number = [&](const char* name, double& into) {
-        if (const auto t = json.find(name); t != json.end() && t->is_number())
-            into = t->get<double>();
-    };
-    number("sent", v.sent);
-    number("storeS", v.store_s);
-    number("cloudS", v.cloud_s);
-    const auto field = [&](const char* name) {
-        return json.contains(name) ? reach(json[name]) : Reachability::unknown;
-    };
-    v.store = field("store");
-    v.cloud = field("cloud");
-    each(json, "zones", [&](const std::string& name, const Json& r) { v.zones[name] = reach(r); });
-    each(json, "peers", [&](const std::string& name, const Json& r) { v.peers[name] = reach(r); });
-    each(json, "machines", [&](const std::string& zone, const Json& list) {
-        if (!list.is_array())
-            return;
-        for (const auto& a : list)
-            if (a.is_string() && a.get_ref<const std::string&>().size() <= longest_name &&
-                v.machines[zone].size() < max_samples)
-                v.machines[zone].push_back(a.get<std::string>());
-    });
-    v.leader = text(json, "holder");
-    if (const auto t = json.find("term"); t != json.end() && t->is_number_unsigned())
-        v.term = t->get<std::uint64_t>();
-    v.sees_leader = flag(json, "seesOffice");
-    v.is_active_leader = flag(json, "acts");
-    return v;
+    view.sent = read_number(json, "sent").value_or(0);
+    view.store = read_reach(json, "store");
+    view.cloud = read_reach(json, "cloud");
+    view.store_s = read_age(json, "storeS");
+    view.cloud_s = read_age(json, "cloudS");
+    view.zones = read_links(json, "zones");
+    view.peers = read_links(json, "peers");
+    view.machines = read_machines(json, "machines");
+    view.leader = read_name(json, "holder");
+    if (const auto term = json.find("term"); term != json.end() && term->is_number_unsigned())
+        view.term = term->get<std::uint64_t>();
+    view.sees_leader = read_flag(json, "seesOffice");
+    view.is_active_leader = read_flag(json, "acts");
+    return view;
 }
 
 } // namespace heronshift::membership
--- /dev/null
+++ b/src/membership/zone_health.cpp
@@ -0,0 +1,103 @@
+#include "heronshift/membership/zone_health.hpp"
+
+#include <algorithm>
+
+namespace heronshift::membership {
+namespace {
+
+// A few machines may well be silent together without the zone being cut off: they are given more time.
+constexpr std::size_t small_fleet_machines = 4;
+constexpr double small_fleet_silence_heartbeats = 2.5;
+constexpr std::size_t probes_per_round = 2;
+
+// The silence itself is what lasted, so one look is enough.
+FailureThresholds inbound_thresholds(const Settings& settings) {
+    return {.min_outage_s = 0, .min_failures = 1, .min_recovery_s = settings.report_s / 2};
+}
+
+FailureThresholds outbound_thresholds(const Settings& settings) {
+    return {.min_outage_s = settings.report_s, .min_failures = 2, .min_recovery_s = settings.report_s};
+}
+
+} // namespace
+
+ZoneHealth::ZoneHealth(const Settings& settings)
+    : settings_(settings), inbound_(inbound_thresholds(settings)), outbound_(outbound_thresholds(settings)),
+      samples_(settings) {}
+
+void ZoneHealth::note_sign(double now) {
+    silent_since_ = std::max(silent_since_.value_or(now), now);
+}
+
+void ZoneHealth::reset_inbound(double now) {
+    inbound_ = LinkHealth(inbound_thresholds(settings_));
+    note_sign(now);
+}
+
+bool ZoneHealth::record_heartbeat(const std::string& address, double now) {
+    note_sign(now);
+    samples_.heard_from(address, now);
+    return inbound_.record_success(now);
+}
+
+void ZoneHealth::record_relayed_heartbeat(const std::string& address, double now) {
+    note_sign(now);
+    samples_.heard_from(address, now);
+}
+
+ZoneHealth::SilenceCheck ZoneHealth::check_silence(std::size_t machines, double active_since, double now) {
+    if (machines == 0) {
+        samples_.clear(); // released: that they are silent says nothing
+        return SilenceCheck::unchanged;
+    }
+    auto result = SilenceCheck::unchanged;
+    if (inbound_.lost() && now - inbound_.failed_at().value_or(now) > settings_.lease_s) {
+        reset_inbound(now);
+        result = SilenceCheck::inbound_reset;
+    }
+    const double patience = machines < small_fleet_machines ? small_fleet_silence_heartbeats : silence_heartbeats;
+    const double since = std::max(silent_since_.value_or(active_since), active_since);
+    if (now - since < patience * settings_.report_s)
+        return result;
+    return inbound_.record_failure(now) ? SilenceCheck::lost : result;
+}
+
+std::vector<std::string> ZoneHealth::start_probe_round(double now) {
+    samples_.drop_stale(now);
+    if (probes_sent_ > probes_finished_ || samples_.empty())
+        return {};
+    auto addresses = samples_.take_turn(probes_per_round);
+    probes_sent_ = addresses.size();
+    probes_finished_ = 0;
+    round_answered_ = false;
+    return addresses;
+}
+
+bool ZoneHealth::finish_probe(std::optional<bool> answered, double now) {
+    ++probes_finished_;
+    if (answered.value_or(false)) {
+        round_answered_ = true;
+        const bool recovered = outbound_.record_success(now);
+        if (recovered)
+            reset_inbound(now);
+        return recovered;
+    }
+    const bool round_failed = probes_finished_ == probes_sent_ && !round_answered_ && answered.has_value();
+    return round_failed && outbound_.record_failure(now);
+}
+
+void ZoneHealth::learn_machines(const std::vector<std::string>& addresses, bool from_active_leader, double now) {
+    if (addresses.empty() || !(from_active_leader || samples_.empty()))
+        return;
+    samples_.replace(addresses, from_active_leader ? now : now - settings_.lease_s);
+}
+
+Reachability ZoneHealth::reach(bool is_active_leader) const {
+    if (outbound_.lost() || (is_active_leader && inbound_.lost()))
+        return Reachability::unreachable;
+    const bool reached = outbound_.reach() == Reachability::reachable ||
+                         (is_active_leader && inbound_.reach() == Reachability::reachable);
+    return reached ? Reachability::reachable : Reachability::unknown;
+}
+
+} // namespace heronshift::membership
