--- a/examples/stand_ins.sh
+++ b/examples/stand_ins.sh
@@ -50,5 +50,5 @@
 export HERONSHIFT_NODE="127.0.0.1:$user"
 "$heronshift" submit "$work/job.json"
 "$heronshift" watch wk-000001 | tail -1 | grep '"status":"done"'
-grep -q '"level":"info","node":"alone","message":"took office, term 1"' "$work/log"
+grep -q '"level":"info","node":"alone","message":"became leader term=1"' "$work/log"
 echo "the daemon ran it"
--- a/include/heronshift/leadership/leader_election.hpp
+++ b/include/heronshift/leadership/leader_election.hpp
@@ -1,128 +1,158 @@
-// Leadership: one key of the store, held under a store lease, names the leader; a second key, the round,
-// counts terms and transactions and outlives the store lease. See docs/safety.md.
-//
-// Owns: who is thought to be the leader, this controller's hold and leader lease, the term, the round's
-// count and the transactions on the way. May call the store, the peers, membership (for who is a better candidate: a
-// hint) and what follows the records; never a user, a machine or the core: what it has to say goes to its
-// Host. Knows nothing of what users
-// ask and nothing of what a transaction is about.
+/// @file
+/// Leadership of the cluster: one key of the store, held under a store lease, names the leader; a second one counts
+/// terms and transactions and outlives the store lease (invariants 1 to 3 of docs/safety.md).
+///
+/// ElectionStateMachine decides; LeaderElection performs what it asks for: calls of the store, requests to peers,
+/// timers. It holds the transactions of the term and the reading of the stored state, and reports to its Host. It takes
+/// no decisions about jobs, users or machines.
 #pragma once
 
 #include "heronshift/config.hpp"
-#include "heronshift/leadership/leader_lease.hpp"
+#include "heronshift/http.hpp"
+#include "heronshift/leadership/election_state_machine.hpp"
 #include "heronshift/leadership/state_loader.hpp"
 #include "heronshift/leadership/transaction_queue.hpp"
 #include "heronshift/membership/membership.hpp"
 #include "heronshift/messages.hpp"
+#include "heronshift/metrics/metrics.hpp"
 #include "heronshift/peers/peers.hpp"
 #include "heronshift/store/store.hpp"
 #include "heronshift/timer_queue.hpp"
-#include "heronshift/token_bucket.hpp"
 
+#include <cstddef>
+#include <cstdint>
 #include <functional>
-#include <map>
-#include <memory>
 #include <string>
+#include <vector>
 
 namespace heronshift::leadership {
 
+/// All functions are called on the loop's thread. Nothing throws on a failure of the store or of peers.
 class LeaderElection {
 public:
+    /// Whom the leadership serves. Called on the loop's thread.
     class Host {
     public:
         virtual ~Host() = default;
-        // This node is the leader and all that the store holds has been read.
+        /// This node is the leader and all that the store holds has been read.
         virtual void leadership_acquired(std::uint64_t term, Snapshot&& stored) = 0;
-        virtual void leadership_lost() = 0; // it is not ours any more: all that was under way is void
-        virtual void jobs_stored_by_others(std::vector<codec::StoredJob>&& jobs) = 0; // stored by others, meanwhile
+        /// This node is not the leader any more: all that was under way is void.
+        virtual void leadership_lost() = 0;
+        /// Other nodes have accepted these jobs since.
+        virtual void jobs_stored_by_others(std::vector<codec::StoredJob>&& jobs) = 0;
+        /// The oldest transaction that was sent has this outcome.
         virtual void committed(TxnOutcome outcome) = 0;
-        virtual std::size_t machines_up() const = 0; // that should be heard from
+        /// How many machines should send heartbeats.
+        virtual std::size_t machines_up() const = 0;
     };
+
+    /// Keeps the references.
     LeaderElection(const Settings& settings, TimerQueue& timers, store::StateStore& store, Peers& peers,
-                   const membership::Membership& members, metrics::Timings& became_leader, Host& host);
+                   const membership::Membership& members, metrics::Timings& timings, Host& host);
 
     void start();
+    /// To be called often, some sixty times a heartbeat interval or more.
     void tick();
+    /// Steps down, so that another node can take over at once.
     void stop();
-    void commit(Commit effect) {
-        transactions_.send(std::move(effect));
-    }
-    void resign(const std::string& why) {
-        resign(why, {});
+    /// Sends a transaction of this term; its outcome comes by Host::committed.
+    void commit(Commit commit) {
+        transactions_.send(std::move(commit));
     }
+    /// Steps down since a worker has seen a fencing token above those of this term; `why` is for the log.
+    void resign(const std::string& why);
 
-    // This node may act as leader at this moment.
+    /// This node may act as leader at this moment.
     [[nodiscard]] bool valid() const {
-        return role_ == Role::is_leader && leader_lease_.valid(timers_.now());
+        return machine_.valid(timers_.now());
     }
+    /// This node is the leader; whether it may act is what valid() says.
     [[nodiscard]] bool is_leader() const {
-        return role_ == Role::is_leader;
+        return machine_.is_leader();
     }
-    [[nodiscard]] bool is_acquiring() const { // it is being taken: soon this node acts, or another does
-        return role_ == Role::acquiring || role_ == Role::loading;
+    /// The leadership is being taken: soon this node acts, or another does.
+    [[nodiscard]] bool is_acquiring() const {
+        return machine_.role() == ElectionStateMachine::Role::acquiring ||
+               machine_.role() == ElectionStateMachine::Role::loading;
     }
-    // Until when, by the clock, it may if it hears nothing more; 0: it may not.
+    /// Until when, by the monotonic clock, this node may act if it hears nothing more; 0: it may not.
     [[nodiscard]] double active_until() const {
-        return is_leader() ? leader_lease_.until() : 0;
+        return machine_.active_until();
     }
-    [[nodiscard]] const std::string& leader() const { // as far as this node knows; may be empty
-        return leader_;
+    /// The leader as far as this node knows; may be empty.
+    [[nodiscard]] const std::string& leader() const {
+        return machine_.leader();
     }
     [[nodiscard]] std::uint64_t leader_term() const {
-        return leader_term_;
+        return machine_.leader_term();
     }
-    [[nodiscard]] bool sees_leader() const { // the store told it to this node, a short while ago
-        return valid() ||
-               (role_ == Role::follower && seen_at_ >= 0 && timers_.now() - seen_at_ < 2 * settings_.report_s &&
-                members_.store() != membership::Reachability::unreachable);
+    /// The store told this node a short while ago who the leader is.
+    [[nodiscard]] bool sees_leader() const {
+        return machine_.sees_leader(timers_.now());
     }
+    /// When this node's newest term began, by the monotonic clock.
     [[nodiscard]] double acquired_at() const {
-        return acquired_at_;
+        return machine_.acquired_at();
     }
     [[nodiscard]] std::vector<metrics::Value> metrics() const;
 
-    // What peers ask.
+    /// POST /peer/promise. This node reads the leader's record first: that tells whether the store is down or only the
+    /// peer is cut off from it.
     void handle_extension_vote_request(const HttpRequest& request, const Responder& res);
+    /// POST /peer/take. Such a request may come minutes late or twice: the store lease that it names is ended only if
+    /// the leader's record still names all of the request, and a lease that has ended never comes back.
     void handle_takeover_request(const HttpRequest& request, const Responder& res);
 
 private:
-    enum class Role : std::uint8_t { follower, acquiring, loading, is_leader };
-    void watch_leader_key();
-    void watch_leader_key_after(double delay_s);
-    void handle_leader_read(const store::Answer& answer);
-    void learn_leader_from_peers();
-    void acquire();
-    void acquire_failed();
-    void claim(std::uint64_t term, std::uint64_t term_counter_revision);
-    void became_leader();
-    void renew();
-    void extension_vote_refused(const std::string& peer, double sent, const std::string& answer);
-    void resign_to_served_peer();
-    void consider_better_candidates();
-    void resign_if_store_unavailable();
-    [[nodiscard]] bool hears_no_worker(double t) const;
-    void resign(const std::string& why, const std::vector<std::string>& successors);
-    void offer_leadership(const std::string& body, std::vector<std::string> to);
+    // The hints come from membership and the host.
+    class Hints final : public LinkHints {
+    public:
+        Hints(const membership::Membership& members, const Host& host) : members_(members), host_(host) {}
+        [[nodiscard]] bool store_reachable() const override;
+        [[nodiscard]] bool all_zones_lost() const override;
+        [[nodiscard]] double last_worker_heartbeat_at() const override;
+        [[nodiscard]] std::size_t machines_up() const override;
+        [[nodiscard]] double candidacy_delay_s() const override;
+        [[nodiscard]] std::optional<std::string> better_candidate() const override;
+        [[nodiscard]] bool no_better_candidate() const override;
+        [[nodiscard]] std::optional<std::string> served_instead() const override;
+        [[nodiscard]] std::optional<membership::Membership::ReportedLeader> reported_leader() const override;
+        [[nodiscard]] membership::Eligibility own_eligibility() const override;
+        [[nodiscard]] membership::Eligibility eligibility(const std::string& peer) const override;
+
+    private:
+        const membership::Membership& members_;
+        const Host& host_;
+    };
+
+    void perform(ElectionActions actions);
+    void perform(std::uint64_t epoch, const ReadLeader& action);
+    void perform(std::uint64_t epoch, const FollowLeader& action);
+    void perform(std::uint64_t epoch, const WatchLeaderAfter& action);
+    void perform(std::uint64_t epoch, const RevokePreviousLease& action);
+    void perform(std::uint64_t epoch, const CreateStoreLease& action);
+    void perform(std::uint64_t epoch, const ReadTermCounter& action);
+    void perform(std::uint64_t epoch, const ClaimLeadership& action);
+    void perform(std::uint64_t epoch, const BeginTerm& action);
+    void perform(std::uint64_t epoch, const EndTerm& action);
+    void perform(std::uint64_t epoch, const RevokeStoreLease& action);
+    void perform(std::uint64_t epoch, const RenewStoreLease& action);
+    void perform(std::uint64_t epoch, const RequestExtensionVotes& action);
+    void perform(std::uint64_t epoch, const CheckServedPeersAfter& action);
+    void perform(std::uint64_t epoch, const OfferTakeover& action);
+    void offer_takeover(const std::string& body, std::vector<std::string> successors, double timeout_s);
+    void answer_takeover(const TakeoverRequest& request, const store::Answer& answer, const Responder& res);
+    void accept_takeover(const Responder& res);
 
     const Settings& settings_;
     TimerQueue& timers_;
     store::StateStore& store_;
     Peers& peers_;
-    const membership::Membership& members_;
     Host& host_;
-    LeaderLease leader_lease_;
+    Hints hints_;
+    ElectionStateMachine machine_;
     StateLoader state_loader_;
     TransactionQueue transactions_;
-    Role role_ = Role::follower;
-    std::string leader_;
-    std::uint64_t leader_term_ = 0, store_lease_ = 0, term_ = 0;
-    std::uint64_t generation_ = 0; // of what this node is to the leadership: late answers of an earlier one are dropped
-    double store_lease_requested_at_ = 0, next_renew_ = 0, acquired_at_ = 0, next_look_ = 0;
-    double seen_at_ = -1, known_at_ = -1, free_since_ = -1, better_candidate_since_ = -1; // below zero: not so
-    double failed_renewal_sent_ = -1;            // the newest renewal that was refused, or not answered in time
-    std::map<std::string, double> served_peers_; // by the store, as they said themselves: when they were asked
-    bool extended_by_votes_ = false;             // by extension votes, said once a term
-    std::uint64_t acquisitions_ = 0, handovers_ = 0, resignations_without_workers_ = 0;
 };
 
 } // namespace heronshift::leadership
--- a/include/heronshift/leadership/transaction_queue.hpp
+++ b/include/heronshift/leadership/transaction_queue.hpp
@@ -1,55 +1,70 @@
-// The transactions of one term. Each guards the leadership and continues the round's count, so that each
-// makes all earlier ones that are still under way fail.
-//
-// Owns: the stamps of leadership and round, the round's count. May call the store only.
+/// @file
+/// The transactions of one term. Each guards the leader's record and the term counter and raises the counter, so that
+/// each makes all earlier ones that are still under way fail (invariant 2 of docs/safety.md).
 #pragma once
 
 #include "heronshift/config.hpp"
+#include "heronshift/leadership/leader_records.hpp"
+#include "heronshift/leadership/resignation.hpp"
 #include "heronshift/messages.hpp"
 #include "heronshift/metrics/timings.hpp"
 #include "heronshift/store/store.hpp"
 #include "heronshift/timer_queue.hpp"
 
+#include <cstdint>
 #include <functional>
 
 namespace heronshift::leadership {
 
-inline constexpr const char* leader_key = "office";
-inline constexpr const char* term_counter_key = "round";
-
+/// Sends one transaction at a time and settles its outcome. All functions and callbacks run on the loop's thread; a
+/// failure of the store is an outcome and throws nothing.
 class TransactionQueue {
 public:
-    struct Ends { // of a transaction, and of the term that it shows to be over
-        std::function<void(TxnOutcome)> done;
-        std::function<void(const std::string& why)> over;
-        std::function<bool()> valid; // whether the node may act; not asked while it waits for answers
+    /// What the queue reports and asks.
+    struct Callbacks {
+        /// The transaction's outcome is known.
+        std::function<void(TxnOutcome)> committed;
+        /// A transaction has shown that the term is over.
+        std::function<void(ResignReason)> term_over;
+        /// Whether this node may act as leader. Not asked while the queue waits for answers.
+        std::function<bool()> valid;
     };
-    TransactionQueue(const Settings& settings, TimerQueue& timers, store::StateStore& store,
-                     metrics::Timings& became_leader, Ends ends)
-        : settings_(settings), timers_(timers), store_(store), took_(became_leader), ends_(std::move(ends)) {}
 
-    void begin(std::uint64_t term, std::uint64_t mod_revision) {
-        ++generation_;
-        term_ = term, leader_key_revision_ = term_counter_revision_ = mod_revision, count_ = 0;
-    }
+    /// Keeps the references. The time that transactions take is counted in `timings`.
+    TransactionQueue(const Settings& settings, TimerQueue& timers, store::StateStore& store, metrics::Timings& timings,
+                     Callbacks callbacks)
+        : settings_(settings), timers_(timers), store_(store), timings_(timings), callbacks_(std::move(callbacks)) {}
+
+    /// Begins a term; `revision` is the one in which its claim wrote both records.
+    void begin(std::uint64_t term, std::uint64_t revision);
+    /// Ends the term: outcomes that are still open are reported to nobody.
     void stop() {
-        ++generation_;
+        ++epoch_;
     }
-    void send(Commit effect) {
-        send(std::move(effect), 0);
+    /// Sends a transaction; the one before must have been reported by Callbacks::committed.
+    void send(Commit commit) {
+        send(std::move(commit), 0);
     }
 
 private:
-    void send(Commit effect, int tries);
-    void resolve(Commit effect, int tries);
-    void applied(std::uint64_t mod_revision);
+    void send(Commit commit, int tries);
+    void handle_answer(Commit commit, int tries, const store::Answer& answer);
+    void report_refusal(TxnOutcome outcome);
+    void resolve(Commit commit, int tries);
+    void resolve_later(Commit commit, int tries);
+    void settle(Commit commit, int tries, const TermCounter& counter, std::uint64_t revision);
+    void applied(std::uint64_t revision);
 
     const Settings& settings_;
     TimerQueue& timers_;
     store::StateStore& store_;
-    metrics::Timings& took_;
-    Ends ends_;
-    std::uint64_t generation_ = 0, term_ = 0, leader_key_revision_ = 0, term_counter_revision_ = 0, count_ = 0;
+    metrics::Timings& timings_;
+    Callbacks callbacks_;
+    std::uint64_t epoch_ = 0; // of the term: answers to calls of an earlier one are dropped
+    std::uint64_t term_ = 0;
+    std::uint64_t leader_key_revision_ = 0;
+    std::uint64_t term_counter_revision_ = 0;
+    std::uint64_t transactions_ = 0; // of this term that were applied
 };
 
 } // namespace heronshift::leadership
--- /dev/null
+++ b/src/leadership/candidate_policy.cpp
@@ -0,0 +1,66 @@
+#include "heronshift/leadership/candidate_policy.hpp"
+
+#include <algorithm>
+
+namespace heronshift::leadership {
+namespace {
+
+// In heartbeat intervals (report_s):
+constexpr double silent_workers_heartbeats = 2;     // without a heartbeat of any worker
+constexpr double lost_zones_heartbeats = 1.5;       // the same if no zone answers requests either
+constexpr double steady_candidate_heartbeats = 0.5; // for so long a candidate must have been better
+// In worker leases (lease_s):
+constexpr double no_heartbeat_yet_leases = 0.5; // without a heartbeat in this term
+constexpr double inactive_leases = 0.5;         // for so long the leader may be one that may not act
+// In lengths of the store lease:
+constexpr double refused_ttls = 0.7;      // since the last renewal
+constexpr double served_news_ttls = 0.25; // a peer that was served longer ago is no successor
+
+} // namespace
+
+std::optional<Resignation> CandidatePolicy::decide(const LeaderObservation& leader) {
+    const bool candidate = leader.store_reachable && leader.better_candidate;
+    if (!candidate)
+        better_candidate_since_ = -1;
+    else if (better_candidate_since_ < 0)
+        better_candidate_since_ = leader.now;
+    if (candidate && leader.now - better_candidate_since_ > steady_candidate_heartbeats * settings_.report_s &&
+        (leader.workers_silent || leader.now - leader.acquired_at > settings_.lease_s))
+        return Resignation{ResignReason::better_candidate, {*leader.better_candidate}, {}};
+    // Where all others are known to be no better, this node stays.
+    if (leader.workers_silent && leader.store_reachable && !candidate && !leader.no_better_candidate)
+        return Resignation{ResignReason::no_worker_heartbeats, {}, {}};
+    return std::nullopt;
+}
+
+bool CandidatePolicy::workers_silent(const WorkerObservation& workers) const {
+    const double silent_s = workers.now - std::max(workers.last_heartbeat_at, workers.acquired_at);
+    if (workers.last_heartbeat_at <= workers.acquired_at)
+        return silent_s > no_heartbeat_yet_leases * settings_.lease_s;
+    if (workers.all_zones_lost)
+        return silent_s > lost_zones_heartbeats * settings_.report_s;
+    return silent_s > silent_workers_heartbeats * settings_.report_s;
+}
+
+bool CandidatePolicy::inactive_for_too_long(double now, double inactive_since) const {
+    return now - inactive_since > inactive_leases * settings_.lease_s;
+}
+
+bool CandidatePolicy::store_refuses_renewals(const RenewalObservation& renewals) {
+    return renewals.now - renewals.renewed_at > refused_ttls * renewals.store_lease_ttl_s &&
+           renewals.failed_sent_at > renewals.renewed_at;
+}
+
+std::vector<std::string> CandidatePolicy::successors(std::vector<ServedPeer> served, double now,
+                                                     double store_lease_ttl_s) {
+    std::erase_if(
+        served, [&](const ServedPeer& peer) { return !(now - peer.asked_at < served_news_ttls * store_lease_ttl_s); });
+    std::stable_sort(served.begin(), served.end(),
+                     [](const ServedPeer& a, const ServedPeer& b) { return a.eligibility > b.eligibility; });
+    std::vector<std::string> names;
+    for (auto& peer : served)
+        names.push_back(std::move(peer.name));
+    return names;
+}
+
+} // namespace heronshift::leadership
--- a/src/leadership/leader_lease.cpp
+++ b/src/leadership/leader_lease.cpp
@@ -8,8 +8,9 @@
 // Steady clocks drift apart by up to 0.05%; four times that, and some for timer steps.
 constexpr double clock_drift = 0.002;
 constexpr double timer_s = 0.1;
-constexpr double store_leases_gone_ttls = 3; // lengths of a store lease after which none is left
-constexpr double renewals_missed = 0.25;     // of the store lease: later than this, extension votes are asked for
+// In lengths of the store lease:
+constexpr double store_leases_gone_ttls = 3;  // after which none of an attempt's is left
+constexpr double missed_renewals_ttls = 0.25; // without a renewal extension votes are asked for
 
 } // namespace
 
@@ -18,17 +19,29 @@
       // The process before may have promised just before it ended.
       not_before_(now + ttl_s / 2 * (1 + clock_drift) + timer_s) {}
 
+void LeaderLease::begin() {
+    store_lease_until_ = 0;
+    extended_until_ = 0;
+    renewed_ = 0;
+    extension_votes_.clear();
+}
+
+void LeaderLease::acquisition_in_doubt() {
+    acquisition_in_doubt_ = true;
+    served_since_ = -1;
+}
+
 void LeaderLease::store_lease_renewed(double sent) {
     store_lease_until_ = std::max(store_lease_until_, sent + ttl_s_ * (1 - clock_drift) - timer_s);
     renewed_ = std::max(renewed_, sent);
 }
 
 bool LeaderLease::wants_extension_votes(double now) const {
-    return peers_ > 0 && valid(now) && now - renewed_ > ttl_s_ * renewals_missed;
+    return peers_ > 0 && valid(now) && now - renewed_ > ttl_s_ * missed_renewals_ttls;
 }
 
 bool LeaderLease::extension_granted(const std::string& peer, double sent, double now) {
-    // A expiry cannot be mended: whoever became leader meanwhile may have lost it again.
+    // An expiry cannot be mended: whoever became leader meanwhile may have lost it again.
     if (!valid(now))
         return false;
     auto& until = extension_votes_[peer];
@@ -36,8 +49,8 @@
     if (extension_votes_.size() < peers_)
         return false;
     double all = until;
-    for (const auto& [name, u] : extension_votes_)
-        all = std::min(all, u);
+    for (const auto& [name, vote_until] : extension_votes_)
+        all = std::min(all, vote_until);
     extended_until_ = std::max(extended_until_, all);
     return extended_until_ > store_lease_until_;
 }
@@ -53,8 +66,8 @@
 }
 
 bool LeaderLease::grant_extension(double length_s, double now, bool follower, bool store_failed) {
-    // An attempt of ours that is still on its way would break the extension vote without our doing. A longer one than
-    // leaders ask for would be forgotten by a process that is back within a moment.
+    // An attempt of this node that is still under way could break the promise later. A longer promise than leaders ask
+    // for would be forgotten by a process that starts again at once: it keeps just extension_s (see the constructor).
     if (!follower || !store_failed || acquisition_in_doubt_ || length_s > extension_s() * (1 + clock_drift))
         return false;
     not_before_ = std::max(not_before_, now + length_s * (1 + clock_drift) + timer_s);
--- a/src/leadership/state_loader.cpp
+++ b/src/leadership/state_loader.cpp
@@ -1,50 +1,54 @@
 #include "heronshift/leadership/state_loader.hpp"
 
+#include "heronshift/leadership/store_outcome.hpp"
+
 #include <algorithm>
+#include <utility>
 
 namespace heronshift::leadership {
 namespace {
 
-constexpr int records_a_page = 500;
-constexpr double page_s = 2; // for one page to come
+constexpr int page_records = 500;
+constexpr double page_timeout_s = 2;
+constexpr const char* jobs_prefix = "j/";
 
 } // namespace
 
-void StateLoader::read_all(const std::function<void(Snapshot&&)>& done) {
-    ++generation_;
+void StateLoader::read_all(const Loaded& loaded) {
+    ++epoch_;
     stored_ = {};
     // All at once: only jobs can still change, by other nodes, and those changes are followed.
     const std::pair<const char*, std::vector<codec::Item>*> prefixes[] = {
-        {"j/", &stored_.jobs},     {"i/", &stored_.intents}, {"p/", &stored_.progress}, // of the versions before
-        {"q/", &stored_.progress}, {"c/", &stored_.images},  {"l/", &stored_.learned},
-        {"m/", &stored_.earlier},  {"d/", &stored_.earlier},
+        {jobs_prefix, &stored_.jobs}, {"i/", &stored_.intents}, {"p/", &stored_.progress}, // of the versions before
+        {"q/", &stored_.progress},    {"c/", &stored_.images},  {"l/", &stored_.learned},
+        {"m/", &stored_.earlier},     {"d/", &stored_.earlier},
     };
-    left_ = static_cast<int>(std::size(prefixes));
+    prefixes_left_ = static_cast<int>(std::size(prefixes));
     for (const auto& [prefix, into] : prefixes)
-        load(prefix, "", into, [this, done] {
-            if (--left_ == 0)
-                done(std::exchange(stored_, {}));
+        load(prefix, "", into, [this, loaded] {
+            if (--prefixes_left_ == 0)
+                loaded(std::exchange(stored_, {}));
         });
 }
 
 // Everything below a prefix, page by page.
 void StateLoader::load(const std::string& prefix, const std::string& since, std::vector<codec::Item>* into,
                        const std::function<void()>& next) {
-    const auto gen = generation_;
-    store_.list(prefix, since, records_a_page, page_s, [=, this](store::Answer&& page) {
-        if (gen != generation_)
+    const auto epoch = epoch_;
+    store_.list(prefix, since, page_records, page_timeout_s, [=, this](store::Answer&& page) {
+        if (epoch != epoch_)
             return;
-        if (page.status != 200)
+        if (store_outcome(page) != StoreOutcome::ok)
             return timers_.after(settings_.report_s / 10, [=, this] {
-                if (gen == generation_)
+                if (epoch == epoch_)
                     load(prefix, since, into, next);
             });
-        if (prefix == "j/" && since.empty())
+        if (prefix == jobs_prefix && since.empty())
             revision_ = page.revision;
         std::string last;
-        for (auto& i : page.items) {
-            last = i.key;
-            into->push_back(std::move(i));
+        for (auto& item : page.items) {
+            last = item.key;
+            into->push_back(std::move(item));
         }
         if (page.more && !last.empty())
             return load(prefix, last, into, next);
@@ -52,47 +56,52 @@
     });
 }
 
-void StateLoader::tell(const std::vector<codec::Item>& items) {
+void StateLoader::report_jobs(const std::vector<codec::Item>& items) {
     std::vector<codec::StoredJob> jobs;
-    for (const auto& i : items) {
-        if (i.deleted)
+    for (const auto& item : items) {
+        if (item.deleted)
             continue;
-        if (auto j = codec::stored_job(i.value, timers_.wall()); j)
-            jobs.push_back(std::move(*j));
+        if (auto job = codec::stored_job(item.value, timers_.wall()); job)
+            jobs.push_back(std::move(*job));
     }
-    seen_(std::move(jobs));
+    jobs_stored_(std::move(jobs));
 }
 
-void StateLoader::follow_jobs(std::function<void(std::vector<codec::StoredJob>&&)> handle_leader_read) {
-    seen_ = std::move(handle_leader_read);
+void StateLoader::follow_jobs(JobsStored jobs_stored) {
+    jobs_stored_ = std::move(jobs_stored);
     follow();
 }
 
-// Other nodes accept jobs too; the leader learns of them here.
 void StateLoader::follow() {
-    const auto gen = generation_;
-    store_.follow("j/", revision_, settings_.lease_s / 2, [this, gen](store::Answer&& answer) {
-        if (gen != generation_)
-            return;
-        auto again = [this, gen](double delay_s) {
-            timers_.after(delay_s, [this, gen] {
-                if (gen == generation_)
-                    follow();
-            });
-        };
-        if (answer.status == 410) { // too far behind: everything is read again
-            stored_ = {};
-            return load("j/", "", &stored_.jobs, [this, again] {
-                tell(std::exchange(stored_, {}).jobs);
-                again(0);
-            });
-        }
-        if (answer.status != 200)
-            return again(settings_.report_s / 10);
-        revision_ = std::max(revision_, answer.revision);
-        tell(answer.items);
-        again(0);
+    store_.follow(jobs_prefix, revision_, settings_.lease_s / 2, [this, epoch = epoch_](store::Answer&& answer) {
+        if (epoch == epoch_)
+            handle_changes(std::move(answer));
+    });
+}
+
+void StateLoader::follow_after(double delay_s, std::uint64_t epoch) {
+    timers_.after(delay_s, [this, epoch] {
+        if (epoch == epoch_)
+            follow();
     });
 }
 
+void StateLoader::handle_changes(store::Answer&& answer) {
+    const auto epoch = epoch_; // reporting jobs may end the term
+    switch (store_outcome(answer)) {
+    case StoreOutcome::ok:
+        revision_ = std::max(revision_, answer.revision);
+        report_jobs(answer.items);
+        return follow_after(0, epoch);
+    case StoreOutcome::compacted: // too far behind: everything is read again
+        stored_ = {};
+        return load(jobs_prefix, "", &stored_.jobs, [this, epoch] {
+            report_jobs(std::exchange(stored_, {}).jobs);
+            follow_after(0, epoch);
+        });
+    default:
+        return follow_after(settings_.report_s / 10, epoch);
+    }
+}
+
 } // namespace heronshift::leadership
--- a/src/leadership/transaction_queue.cpp
+++ b/src/leadership/transaction_queue.cpp
@@ -1,5 +1,7 @@
 #include "heronshift/leadership/transaction_queue.hpp"
 
+#include "heronshift/leadership/store_outcome.hpp"
+
 #include <spdlog/spdlog.h>
 
 namespace heronshift::leadership {
@@ -9,62 +11,82 @@
 
 } // namespace
 
-void TransactionQueue::applied(std::uint64_t mod_revision) {
-    term_counter_revision_ = mod_revision;
-    ++count_;
-    ends_.done(TxnOutcome::applied);
+void TransactionQueue::begin(std::uint64_t term, std::uint64_t revision) {
+    ++epoch_;
+    term_ = term;
+    leader_key_revision_ = revision;
+    term_counter_revision_ = revision;
+    transactions_ = 0;
+}
+
+void TransactionQueue::applied(std::uint64_t revision) {
+    term_counter_revision_ = revision;
+    ++transactions_;
+    callbacks_.committed(TxnOutcome::applied);
 }
 
-void TransactionQueue::send(Commit effect, int tries) {
-    const auto gen = generation_;
-    auto writes = effect.writes;
-    writes.push_back({term_counter_key, codec::Json{{"term", term_}, {"n", count_ + 1}}, 0});
-    store_.transact(
-        {{leader_key, leader_key_revision_}, {term_counter_key, term_counter_revision_}}, writes,
-        settings_.report_s / 3,
-        [this, gen, effect = std::move(effect), tries, began = timers_.now()](store::Answer&& answer) mutable {
-            if (gen != generation_)
-                return;
-            if (answer.status == 200) {
-                took_.commit.add(timers_.now() - began);
-                return applied(answer.revision);
-            }
-            if ((answer.status == 429 || answer.status == 503 || answer.status == 400) && tries == 0) {
-                // Surely not executed.
-                if (answer.status == 400)
-                    spdlog::error("the state service calls a transaction malformed: {}", answer.error);
-                const auto outcome = answer.status == 400 ? TxnOutcome::too_large : TxnOutcome::refused;
-                return timers_.after(settings_.report_s / 20, [this, gen, outcome] {
-                    if (gen == generation_)
-                        ends_.done(outcome);
-                });
-            }
-            resolve(std::move(effect), tries + 1);
-        });
+void TransactionQueue::send(Commit commit, int tries) {
+    auto writes = commit.writes;
+    writes.push_back({term_counter_key, encode(TermCounter{term_, transactions_ + 1}), 0});
+    store_.transact({{leader_key, leader_key_revision_}, {term_counter_key, term_counter_revision_}}, writes,
+                    settings_.report_s / 3,
+                    [this, epoch = epoch_, commit = std::move(commit), tries,
+                     sent_at = timers_.now()](store::Answer&& answer) mutable {
+                        if (epoch != epoch_)
+                            return;
+                        if (store_outcome(answer) == StoreOutcome::ok)
+                            timings_.commit.add(timers_.now() - sent_at);
+                        handle_answer(std::move(commit), tries, answer);
+                    });
 }
 
-// The outcome is open, or a guard failed: the round says whether the transaction was applied.
-void TransactionQueue::resolve(Commit effect, int tries) {
-    const auto gen = generation_;
+void TransactionQueue::handle_answer(Commit commit, int tries, const store::Answer& answer) {
+    const auto outcome = store_outcome(answer);
+    if (outcome == StoreOutcome::ok)
+        return applied(answer.revision);
+    // Of a transaction that was sent before, an earlier copy may have been applied.
+    if (!is_refused(outcome) || tries > 0)
+        return resolve(std::move(commit), tries + 1);
+    if (outcome == StoreOutcome::invalid)
+        spdlog::error("transaction rejected as invalid term={} error=\"{}\"", term_, answer.error);
+    report_refusal(outcome == StoreOutcome::invalid ? TxnOutcome::too_large : TxnOutcome::refused);
+}
+
+void TransactionQueue::report_refusal(TxnOutcome outcome) {
+    timers_.after(settings_.report_s / 20, [this, epoch = epoch_, outcome] {
+        if (epoch == epoch_)
+            callbacks_.committed(outcome);
+    });
+}
+
+// The outcome is open, or a guard failed: the term counter says whether the transaction was applied (invariant 2).
+void TransactionQueue::resolve(Commit commit, int tries) {
     store_.get(term_counter_key, settings_.report_s / 3,
-               [this, gen, effect = std::move(effect), tries](store::Answer&& answer) mutable {
-                   if (gen != generation_)
+               [this, epoch = epoch_, commit = std::move(commit), tries](store::Answer&& answer) mutable {
+                   if (epoch != epoch_)
                        return;
-                   const auto& item = answer.item;
-                   if (!item || !item->value.is_object())
-                       return timers_.after(settings_.report_s / 10,
-                                            [this, gen, effect = std::move(effect), tries]() mutable {
-                                                if (gen == generation_)
-                                                    resolve(std::move(effect), tries);
-                                            });
-                   if (item->value.value("term", std::uint64_t{0}) != term_)
-                       return ends_.over("another term has begun");
-                   if (item->value.value("n", std::uint64_t{0}) == count_ + 1)
-                       return applied(item->mod_revision);
-                   if (tries > max_tries && !ends_.valid())
-                       return ends_.over("no office and no answer");
-                   send(std::move(effect), tries);
+                   if (const auto counter = decode_term_counter(answer.item); counter)
+                       settle(std::move(commit), tries, *counter, answer.item->mod_revision);
+                   else
+                       resolve_later(std::move(commit), tries);
                });
 }
 
+void TransactionQueue::resolve_later(Commit commit, int tries) {
+    timers_.after(settings_.report_s / 10, [this, epoch = epoch_, commit = std::move(commit), tries]() mutable {
+        if (epoch == epoch_)
+            resolve(std::move(commit), tries);
+    });
+}
+
+void TransactionQueue::settle(Commit commit, int tries, const TermCounter& counter, std::uint64_t revision) {
+    if (counter.term != term_)
+        return callbacks_.term_over(ResignReason::newer_term_stored);
+    if (counter.transactions == transactions_ + 1)
+        return applied(revision);
+    if (tries > max_tries && !callbacks_.valid())
+        return callbacks_.term_over(ResignReason::outcome_unknown);
+    send(std::move(commit), tries);
+}
+
 } // namespace heronshift::leadership
