--- a/include/heronshift/bounded_cache.hpp
+++ b/include/heronshift/bounded_cache.hpp
@@ -1,5 +1,4 @@
-// What was learned lately, by name. Bounded: of too many, the oldest is forgotten. Only for what may be
-// forgotten; see cluster/departed.hpp for what may not.
+// A bounded map from names to values.
 #pragma once
 
 #include <cstddef>
@@ -10,10 +9,13 @@
 
 namespace heronshift {
 
+/// What was learned lately, by name. Of more than max_size entries the oldest is forgotten, so this is only for what
+/// may be forgotten; cluster/departed_machines.hpp is for what may not. Not synchronised.
 template <class V> class BoundedCache {
 public:
     explicit BoundedCache(std::size_t max_size) : max_size_(max_size) {}
 
+    /// Null: not known. Valid until the next change.
     [[nodiscard]] const V* find(const std::string& name) const {
         const auto it = known_.find(name);
         return it == known_.end() ? nullptr : &it->second.value;
@@ -25,7 +27,7 @@
     [[nodiscard]] bool contains(const std::string& name) const {
         return known_.contains(name);
     }
-    // False: it is known, and stays as it was.
+    /// Adds an entry as the newest. False: the name is known, and its entry stays as it was.
     bool add(const std::string& name, V value) {
         if (known_.contains(name))
             return false;
@@ -41,6 +43,7 @@
         order_.erase(it->second.place);
         known_.erase(it);
     }
+    /// Sets another bound, and forgets the oldest beyond it.
     void limit(std::size_t max_size) {
         max_size_ = max_size;
         while (known_.size() > max_size_) {
--- a/include/heronshift/executor/executor.hpp
+++ b/include/heronshift/executor/executor.hpp
@@ -32,7 +32,8 @@
     std::string leader;
 };
 
-/// The interface between a controller and what runs tasks. Times given are in seconds.
+/// The interface between a controller and what runs tasks. Times given are in seconds. Functions and texts come by
+/// value, also where a default here only reads them: those that override keep them.
 class Executor {
 public:
     /// Takes the answer to a heartbeat.
@@ -45,7 +46,9 @@
     Executor(const Executor&) = delete;
     Executor& operator=(const Executor&) = delete;
 
-    /// Says where reports that reach the executor itself are to go; called before any other function.
+    // NOLINTBEGIN(performance-unnecessary-value-param): see the class
+
+    /// Says where heartbeats that reach the executor itself are to go; called before any other function.
     virtual void set_heartbeat_handler(Heartbeats) {}
 
     /// Sends orders to one machine: status 200 or 409 with its heartbeat (409: refused, our fencing token or its epoch
@@ -73,6 +76,8 @@
                          std::function<void(HttpReply&&)> done) {
         done({});
     }
+    // NOLINTEND(performance-unnecessary-value-param)
+
     /// Ends what takes too long; called some thirty times in the settings' report_s.
     virtual void sweep() {}
 };
--- a/include/heronshift/http.hpp
+++ b/include/heronshift/http.hpp
@@ -79,7 +79,7 @@
     HttpServer(uv_loop_t* loop, std::size_t max_connections, double idle_s, Handler handler);
     /// With a share for each kind of client.
     HttpServer(uv_loop_t* loop, ConnectionLimits limits, double idle_s, Classifier classifier, Handler handler);
-    ~HttpServer();
+    ~HttpServer(); // NOLINT(bugprone-exception-escape): says why where it is defined
     HttpServer(const HttpServer&) = delete;
     HttpServer& operator=(const HttpServer&) = delete;
 
