--- a/include/heronshift/cluster/cluster_state.hpp
+++ b/include/heronshift/cluster/cluster_state.hpp
@@ -90,7 +90,7 @@
     void request_pass() override {
         needs_scheduling_ = true;
     }
-    void log(int level, std::string text) override {
+    void log(LogLine::Level level, std::string text) override {
         effects_.emplace_back(LogLine{level, std::move(text)});
     }
     void begin_pass() { // of placement: attempts of different passes differ
--- a/include/heronshift/cluster/proposals.hpp
+++ b/include/heronshift/cluster/proposals.hpp
@@ -37,7 +37,7 @@
     virtual void give_back(const Machine& machine) = 0;
     virtual void release(std::vector<std::string> machines) = 0;
     virtual void request_pass() = 0; // more could be placed in the next pass
-    virtual void log(int level, std::string text) = 0;
+    virtual void log(LogLine::Level level, std::string text) = 0;
 };
 
 } // namespace heronshift::cluster
--- a/include/heronshift/messages.hpp
+++ b/include/heronshift/messages.hpp
@@ -99,8 +99,11 @@
 struct Resign {
     std::string why;
 };
-struct LogLine {   // one line for the log
-    int level = 0; // 0 debug, 1 info, 2 warning
+/// One line for the log.
+struct LogLine {
+    /// The recorded command log keeps the numbers.
+    enum class Level : std::uint8_t { debug = 0, info = 1, warning = 2 };
+    Level level = Level::debug;
     std::string text;
 };
 using Effect =
--- a/include/heronshift/persistence/cluster_records.hpp
+++ b/include/heronshift/persistence/cluster_records.hpp
@@ -68,7 +68,7 @@
     void leave_slot(Entry& entry);
     void drop_job(Job& job);
     static std::size_t bucket_of(const std::string& id);
-    void log(int level, std::string text) {
+    void log(LogLine::Level level, std::string text) {
         cluster_.log(level, std::move(text));
     }
 
--- a/src/cluster/dependencies.cpp
+++ b/src/cluster/dependencies.cpp
@@ -22,10 +22,11 @@
         const auto at = std::find_if(list.rbegin(), list.rend(), [&](const auto& o) { return o->ready <= job.ready; });
         list.emplace(at.base(), &job);
     }
-    log(0, fmt::format("job {} of class {} and team {}: {} tasks of {:.1f} CPUs, {:.0f} s expected, {:.1f} s after its "
-                       "submission",
-                       job.spec.id, job.spec.job_class, job.spec.team, job.spec.tasks, job.spec.each.cpus,
-                       job.spec.estimate_s, data_.now - job.submitted));
+    log(LogLine::Level::debug,
+        fmt::format("job {} of class {} and team {}: {} tasks of {:.1f} CPUs, {:.0f} s expected, {:.1f} s after its "
+                    "submission",
+                    job.spec.id, job.spec.job_class, job.spec.team, job.spec.tasks, job.spec.each.cpus,
+                    job.spec.estimate_s, data_.now - job.submitted));
     for (std::uint32_t i = 0; i < job.spec.tasks; ++i)
         queue_task(job, i);
     offer(job);
@@ -55,9 +56,10 @@
     }
     if (job.spec.dependencies_damaged) {
         job.unmet.emplace_back(); // never settled
-        log(2, fmt::format("job {} waits: its record does not say for which jobs", job.spec.id));
+        log(LogLine::Level::warning, fmt::format("job {} waits: its record does not say for which jobs", job.spec.id));
     }
-    log(0, fmt::format("job {} of class {} waits for {}", job.spec.id, job.spec.job_class, fmt::join(job.unmet, " ")));
+    log(LogLine::Level::debug,
+        fmt::format("job {} of class {} waits for {}", job.spec.id, job.spec.job_class, fmt::join(job.unmet, " ")));
     propagate_urgency(job);
     if (doomed)
         finalize(job, Final::cancelled, true);
@@ -69,7 +71,8 @@
     job.waits = false;
     job.ready = data_.now;
     persistence_->became_ready(job);
-    log(0, fmt::format("job {} is ready, {:.1f} s after it was submitted", job.spec.id, data_.now - job.submitted));
+    log(LogLine::Level::debug,
+        fmt::format("job {} is ready, {:.1f} s after it was submitted", job.spec.id, data_.now - job.submitted));
     join(job);
 }
 
@@ -95,7 +98,7 @@
                     become_ready(*job);
                 continue;
             }
-            log(1, fmt::format("job {} is cancelled, as {} is, which it needs", by, need));
+            log(LogLine::Level::info, fmt::format("job {} is cancelled, as {} is, which it needs", by, need));
             finalize(*job, Final::cancelled, true);
             settled.push_back(by);
         }
@@ -177,8 +180,9 @@
         break;
     case Known::never:
         if (const auto it = dependents_.find(command.id); it != dependents_.end())
-            log(2, fmt::format("job {} and {} others wait for {}, of which the store knows nothing",
-                               *it->second.begin(), it->second.size() - 1, command.id));
+            log(LogLine::Level::warning,
+                fmt::format("job {} and {} others wait for {}, of which the store knows nothing", *it->second.begin(),
+                            it->second.size() - 1, command.id));
     }
 }
 
--- a/src/cluster/jobs.cpp
+++ b/src/cluster/jobs.cpp
@@ -106,10 +106,11 @@
     job.final = final_state;
     // Nobody has any use for what runs after a cancellation was asked for; the answer still
     // waits for the store.
-    log(0, fmt::format("job {} of class {}, {} tasks, {} {:.1f} s after it was submitted{}", job.spec.id,
-                       job.spec.job_class, job.spec.tasks, final_state == Final::done ? "done" : "cancelled",
-                       data_.now - job.submitted,
-                       job.spec.deadline_s >= 0 ? fmt::format(", due after {:.1f} s", job.spec.deadline_s) : ""));
+    log(LogLine::Level::debug,
+        fmt::format("job {} of class {}, {} tasks, {} {:.1f} s after it was submitted{}", job.spec.id,
+                    job.spec.job_class, job.spec.tasks, final_state == Final::done ? "done" : "cancelled",
+                    data_.now - job.submitted,
+                    job.spec.deadline_s >= 0 ? fmt::format(", due after {:.1f} s", job.spec.deadline_s) : ""));
     for (auto& entry : job.entries)
         stop_entry(*entry, 0);
     needs_scheduling_ = true;
@@ -279,7 +280,7 @@
             task.saved_s += static_cast<float>(data_.now - entry.running_at);
         break;
     case ExitCause::error:
-        log(1, fmt::format("task {}/{} failed on {}", job.spec.id, entry.index, machine.id));
+        log(LogLine::Level::info, fmt::format("task {}/{} failed on {}", job.spec.id, entry.index, machine.id));
         job.error_machines.insert(machine.id);
         ++job.error_streak;
         if (task.failures < 200)
@@ -297,14 +298,14 @@
             machine.avoid_until = std::max(machine.avoid_until, data_.now + data_.settings.lease_s);
             if ((machine.failed_jobs.size() >= 2 || job.had_success) && !machine.bad) {
                 machine.bad = true;
-                log(2, fmt::format("machine {} fails its tasks, taken out of use", machine.id));
+                log(LogLine::Level::warning, fmt::format("machine {} fails its tasks, taken out of use", machine.id));
             }
         }
         break;
     case ExitCause::no_room:
     case ExitCause::busy:
     case ExitCause::unknown:
-        log(1, fmt::format("task {}/{} refused by {}", job.spec.id, entry.index, machine.id));
+        log(LogLine::Level::info, fmt::format("task {}/{} refused by {}", job.spec.id, entry.index, machine.id));
         machine.avoid_until = std::max(machine.avoid_until, data_.now + data_.settings.report_s);
         job.not_before = std::max(job.not_before, data_.now + data_.settings.report_s / 3);
         break;
@@ -344,9 +345,10 @@
         ++job.running;
         if (entry.running_at < 0) {
             entry.running_at = data_.now;
-            log(0, fmt::format("task {}/{} runs on {}, {:.1f} s after it was placed, {:.1f} s after its job was ready",
-                               job.spec.id, entry.index, entry.machine->id, data_.now - entry.placed_at,
-                               data_.now - job.ready));
+            log(LogLine::Level::debug,
+                fmt::format("task {}/{} runs on {}, {:.1f} s after it was placed, {:.1f} s after its job was ready",
+                            job.spec.id, entry.index, entry.machine->id, data_.now - entry.placed_at,
+                            data_.now - job.ready));
         }
         if (job.first_start < 0)
             job.first_start = data_.now;
--- a/src/cluster/machines.cpp
+++ b/src/cluster/machines.cpp
@@ -205,8 +205,8 @@
         machine.status = Status::up;
         if (machine.up_since < 0) {
             machine.up_since = data_.now;
-            log(0, fmt::format("machine {} is up, {:.0f} s after it was asked for", machine.id,
-                               data_.now - machine.known_since));
+            log(LogLine::Level::debug, fmt::format("machine {} is up, {:.0f} s after it was asked for", machine.id,
+                                                   data_.now - machine.known_since));
         }
         if (machine.entries.empty())
             machine.empty_since = data_.now;
@@ -269,7 +269,7 @@
         record_spot_loss();
         machine.draining = true;
         machine.notice_until = data_.now + heartbeat.notice_s;
-        log(1, fmt::format("machine {} is taken back in {:.0f} s", machine.id, heartbeat.notice_s));
+        log(LogLine::Level::info, fmt::format("machine {} is taken back in {:.0f} s", machine.id, heartbeat.notice_s));
         needs_scheduling_ = true;
     }
 }
@@ -303,17 +303,18 @@
         return;
     machine.inbound_unreachable_since = inbound_unreachable ? now : -1;
     needs_scheduling_ = true;
-    log(1, inbound_unreachable
-               ? fmt::format("machine {} does not hear: its reports come, what they are answered does not reach it",
-                             machine.id)
-               : fmt::format("machine {} hears again", machine.id));
+    log(LogLine::Level::info,
+        inbound_unreachable
+            ? fmt::format("machine {} does not hear: its reports come, what they are answered does not reach it",
+                          machine.id)
+            : fmt::format("machine {} hears again", machine.id));
 }
 
 void ClusterState::log_stale_heartbeats() {
     const bool first = data_.now - stale_heartbeats_logged_at_ > data_.settings.lease_s;
     stale_heartbeats_logged_at_ = data_.now;
     if (first)
-        log(1, "old reports come late, they count for nothing");
+        log(LogLine::Level::info, "old reports come late, they count for nothing");
 }
 
 std::vector<Order> ClusterState::standing_orders(Machine& machine) {
@@ -472,7 +473,8 @@
     // and seeing the raised value in a heartbeat proves that they no longer can be.
     ++machine->fencing_token;
     machine->avoid_until = std::max(machine->avoid_until, data_.now + data_.settings.report_s / 2);
-    log(0, fmt::format("no answer of {} to commands, fence raised to {}", machine->id, machine->fencing_token));
+    log(LogLine::Level::debug,
+        fmt::format("no answer of {} to commands, fence raised to {}", machine->id, machine->fencing_token));
 }
 
 void ClusterState::expire_leases() {
@@ -482,7 +484,8 @@
         auto& m = *machine;
         if (m.status == Status::up && data_.now > m.lease_started_at + lease) {
             if (!m.entries.empty())
-                log(2, fmt::format("lease of {} has lapsed, {} tasks lost", id, m.entries.size()));
+                log(LogLine::Level::warning,
+                    fmt::format("lease of {} has lapsed, {} tasks lost", id, m.entries.size()));
             for (const auto& entry : m.entries)
                 counters_.lost += entry->phase >= Phase::sent;
             if (m.spot)
@@ -515,8 +518,8 @@
             auto& machine = learn_machine(id, "", rental.type, rental.zone, rental.spot);
             machine.known_since = rental.asked;
         }
-        log(1, fmt::format("rented {} of {} {} in {}{}", command.machines.size(), rental.count, rental.type,
-                           rental.zone, rental.spot ? " (spot)" : ""));
+        log(LogLine::Level::info, fmt::format("rented {} of {} {} in {}{}", command.machines.size(), rental.count,
+                                              rental.type, rental.zone, rental.spot ? " (spot)" : ""));
         if (static_cast<int>(command.machines.size()) < rental.count)
             data_.no_capacity[fmt::format("{}/{}/{}", rental.type, rental.zone, rental.spot)] =
                 data_.now + 2 * data_.settings.report_s;
@@ -566,7 +569,7 @@
         // which no machine was emptied for a minute after each change of leadership, 300 too many kept.
         machine.known_since = std::min(machine.known_since, data_.now - listed_machine.age_s);
         if (listed_machine.status == "failed" && !machine.releasing) {
-            log(1, fmt::format("machine {} has failed", machine.id));
+            log(LogLine::Level::info, fmt::format("machine {} has failed", machine.id));
             lose_entries(machine);
             machine.status = Status::lost;
             machine.bad = true;
--- a/src/cluster/proposals.cpp
+++ b/src/cluster/proposals.cpp
@@ -11,7 +11,7 @@
     auto& j = own(job);
     auto& m = own(machine);
     if (const auto* why = data_.refusal(j, m); why != nullptr) {
-        log(2, fmt::format("no task of job {} on {}: {}", j.spec.id, m.id, why));
+        log(LogLine::Level::warning, fmt::format("no task of job {} on {}: {}", j.spec.id, m.id, why));
         return false;
     }
     while (!j.pending.empty()) {
@@ -152,8 +152,8 @@
     if (!m.presumed_dead)
         return;
     record_spot_loss();
-    log(1, fmt::format("spot machine {} is silent, {} tasks start elsewhere once it is surely gone", m.id,
-                       m.entries.size()));
+    log(LogLine::Level::info, fmt::format("spot machine {} is silent, {} tasks start elsewhere once it is surely gone",
+                                          m.id, m.entries.size()));
 }
 
 // A machine that is given back must stay known as gone for as long as late messages may name it. Without room for
@@ -167,8 +167,8 @@
             machine->release_retry = data_.now + data_.settings.report_s;
         }
     if (may_go < machines.size())
-        log(2, fmt::format("{} machines stay rented for now: {} departed lately", machines.size() - may_go,
-                           departed_.size()));
+        log(LogLine::Level::warning, fmt::format("{} machines stay rented for now: {} departed lately",
+                                                 machines.size() - may_go, departed_.size()));
     machines.resize(may_go);
     if (machines.empty())
         return;
--- a/src/node/controller.cpp
+++ b/src/node/controller.cpp
@@ -159,9 +159,9 @@
                    [this](Release& e) { cloud_.release(e); },
                    [this](Resign& e) { election_.resign(e.why); },
                    [](LogLine& e) {
-                       spdlog::log(e.level == 0   ? spdlog::level::debug
-                                   : e.level == 1 ? spdlog::level::info
-                                                  : spdlog::level::warn,
+                       spdlog::log(e.level == LogLine::Level::debug  ? spdlog::level::debug
+                                   : e.level == LogLine::Level::info ? spdlog::level::info
+                                                                     : spdlog::level::warn,
                                    "{}", e.text);
                    },
                },
--- a/src/persistence/cluster_records.cpp
+++ b/src/persistence/cluster_records.cpp
@@ -472,8 +472,9 @@
         // The store takes less than the settings say: never the same again.
         max_value_ = std::max(max_value_ / 2, min_value);
         max_ops_ = std::max(max_ops_ / 2, min_ops);
-        log(2, fmt::format("the store takes no such transaction, from now on {} bytes a record and {} changes",
-                           max_value_, max_ops_));
+        log(LogLine::Level::warning,
+            fmt::format("the store takes no such transaction, from now on {} bytes a record and {} changes", max_value_,
+                        max_ops_));
     }
     auto stored = [&](Job& job) {
         job.final_stored = true;
--- a/src/persistence/load.cpp
+++ b/src/persistence/load.cpp
@@ -155,7 +155,7 @@
 // A record that cannot be read may have named any task there was. The machine's own word under our
 // term, or its expired lease, ends the doubt; where not even its name is known, only time does.
 void ClusterRecords::hold_unproven(const std::string& machine) {
-    log(2, fmt::format("a damaged record{}{}", machine.empty() ? "" : " of machine ", machine));
+    log(LogLine::Level::warning, fmt::format("a damaged record{}{}", machine.empty() ? "" : " of machine ", machine));
     cluster_.data_.unproven_until = cluster_.data_.now + cluster_.lease_expiry_s();
     cluster_.data_.unproven_machines.insert(machine);
     if (machine.empty())
--- a/src/scheduling/autoscaler.cpp
+++ b/src/scheduling/autoscaler.cpp
@@ -326,9 +326,10 @@
     }
     const auto due = array_need(), brought = offered();
     proposals_.log(
-        0, fmt::format("capacity: {:.0f} CPUs ({:.0f} ordinary), {:.0f} for services and gangs, arrays need {:.0f} "
-                       "({:.0f}) and bring {:.0f} ({:.0f})",
-                       have, have_ordinary, need, due.all, due.ordinary, brought.all, brought.ordinary));
+        LogLine::Level::debug,
+        fmt::format("capacity: {:.0f} CPUs ({:.0f} ordinary), {:.0f} for services and gangs, arrays need {:.0f} "
+                    "({:.0f}) and bring {:.0f} ({:.0f})",
+                    have, have_ordinary, need, due.all, due.ordinary, brought.all, brought.ordinary));
     need += std::max(due.all, brought.all) * spare;
     need_ordinary += std::max(due.ordinary, brought.ordinary) * spare;
     std::sort(list.begin(), list.end(), [&](const Machine* a, const Machine* b) {
@@ -358,8 +359,8 @@
         }
         have -= machine->whole.cpus;
         proposals_.retire(*machine, true);
-        proposals_.log(0, fmt::format("machine {} is to become empty, {:.0f} of its CPUs in use", machine->id,
-                                      machine->used.cpus));
+        proposals_.log(LogLine::Level::debug, fmt::format("machine {} is to become empty, {:.0f} of its CPUs in use",
+                                                          machine->id, machine->used.cpus));
     }
 }
 
@@ -465,7 +466,7 @@
     }
     if (out.empty())
         return;
-    proposals_.log(1, fmt::format("returning {} machines, {} first", out.size(), out.front()));
+    proposals_.log(LogLine::Level::info, fmt::format("returning {} machines, {} first", out.size(), out.front()));
     proposals_.release(std::move(out));
 }
 
@@ -492,7 +493,7 @@
     }
     for (const auto& [kind, s] : kinds)
         proposals_.log(
-            0,
+            LogLine::Level::debug,
             fmt::format("fleet: {}: {} up ({} pool, {} empty), {} booting, of {:.0f} CPUs {:.0f} in services, {:.0f} "
                         "in gangs, {:.0f} in arrays",
                         kind, s.up, s.pool, s.empty, s.booting, s.room, s.services, s.gangs, s.arrays));
@@ -501,15 +502,17 @@
         for (const auto& entry : machine->entries)
             ++phases[entry->phase];
     proposals_.log(
-        0, fmt::format("tasks: {} placed, {} being stored, {} to be sent, {} sent, {} fetching, {} waiting, {} running",
-                       phases[Phase::intent], phases[Phase::storing], phases[Phase::stored], phases[Phase::sent],
-                       phases[Phase::fetching], phases[Phase::waiting], phases[Phase::running]));
+        LogLine::Level::debug,
+        fmt::format("tasks: {} placed, {} being stored, {} to be sent, {} sent, {} fetching, {} waiting, {} running",
+                    phases[Phase::intent], phases[Phase::storing], phases[Phase::stored], phases[Phase::sent],
+                    phases[Phase::fetching], phases[Phase::waiting], phases[Phase::running]));
     std::map<Priority, std::size_t> waiting;
     for (const auto& [id, job] : cluster_.jobs)
         if (job->final == Final::none)
             waiting[job->priority] += job->pending.size();
     for (const auto& [priority, n] : waiting)
-        proposals_.log(0, fmt::format("waiting: {} tasks of rank {}", n, static_cast<int>(priority)));
+        proposals_.log(LogLine::Level::debug,
+                       fmt::format("waiting: {} tasks of rank {}", n, static_cast<int>(priority)));
 }
 
 } // namespace heronshift::scheduling
--- a/src/scheduling/making_room.cpp
+++ b/src/scheduling/making_room.cpp
@@ -80,8 +80,8 @@
     for (const auto* entry : room.victims)
         proposals_.preempt(*entry);
     if (!room.victims.empty())
-        proposals_.log(0, fmt::format("job {} takes the place of {} tasks on {}", job.spec.id, room.victims.size(),
-                                      room.machine->id));
+        proposals_.log(LogLine::Level::debug, fmt::format("job {} takes the place of {} tasks on {}", job.spec.id,
+                                                          room.victims.size(), room.machine->id));
     proposals_.reserve(*room.machine, job, room.tasks, cluster_.now + settings_.report_s, job.priority);
     room_changed(*room.machine);
 }
--- a/src/scheduling/slow_machines.cpp
+++ b/src/scheduling/slow_machines.cpp
@@ -79,7 +79,7 @@
     if (static_cast<double>(slow) > max_slow * static_cast<double>(cluster_.machines.size()))
         return; // it is not them
     proposals_.slow(machine, cluster_.now + 2 * settings_.lease_s * (1 << std::min(machine.slow_seen, 4)));
-    proposals_.log(1, fmt::format("machine {} is slow", machine.id));
+    proposals_.log(LogLine::Level::info, fmt::format("machine {} is slow", machine.id));
     for (const auto& entry : machine.entries) {
         const auto& job = *entry->job;
         if (entry->stop || job.spec.shape != Shape::array || entry->phase < Phase::sent)
--- a/tests/test_cluster_state.cpp
+++ b/tests/test_cluster_state.cpp
@@ -122,7 +122,7 @@
     EXPECT_EQ(j.pending.size(), 2U);
     EXPECT_EQ(j.live, 0U);
     ASSERT_EQ(d.out.size(), 1U);
-    EXPECT_EQ(std::get<LogLine>(d.out[0]).level, 2);
+    EXPECT_EQ(std::get<LogLine>(d.out[0]).level, LogLine::Level::warning);
 }
 
 } // namespace
