--- a/include/heronshift/cluster/cluster_state.hpp
+++ b/include/heronshift/cluster/cluster_state.hpp
@@ -1,14 +1,13 @@
-// The one place that changes the state of the cluster. It takes what the world says (reports,
-// answers, the list) and what policies propose, checks every rule of the protocol that a placement
-// could break, and says what follows. No I/O, clock or randomness.
-//
-// Owns: State; which machines want orders; what was released; who needs whom. Does not know what the
-// store holds: the PersistenceListener (persistence/) is told of what has to go there.
+// The one place that changes the state of the cluster. It takes what happened (heartbeats, answers, the list of
+// machines) and what policies propose, checks every rule of the protocol that a placement could break, and says what
+// follows. No I/O, clock or randomness. All on the thread of the event loop.
 #pragma once
 
 #include "heronshift/bounded_cache.hpp"
 #include "heronshift/cluster/cluster_data.hpp"
 #include "heronshift/cluster/departed_machines.hpp"
+#include "heronshift/cluster/dependency_tracker.hpp"
+#include "heronshift/cluster/order_queues.hpp"
 #include "heronshift/cluster/proposals.hpp"
 
 #include <optional>
@@ -19,30 +18,44 @@
 
 namespace heronshift::cluster {
 
+/// What a user is told of a job.
 struct JobView {
     std::string_view status;
+    /// Numbers of tasks.
     std::uint64_t done = 0, running = 0;
-    bool settling = false; // it may be over in the store already: a fresh read must say so, or that it is not
+    /// It may be over in the store already: only a fresh read of the store tells (docs/safety.md, 24).
+    bool settling = false;
 };
 
-// Told by the cluster state of what has to be stored.
+/// Is told what has to be stored. ClusterState does not know what the store holds.
 class PersistenceListener {
 public:
     virtual ~PersistenceListener() = default;
     virtual void added(Job& job) = 0;
     virtual void added(Entry& entry) = 0;
     virtual void removed(Entry& entry) = 0;
-    enum class Urgency : std::uint8_t { cancelled, done, cancelled_with_dependency };
-    virtual void final_due(Job& job, Urgency urgency) = 0; // its final state, or that nothing is left of it
+    /// The order in which final states are stored.
+    enum class Urgency : std::uint8_t {
+        cancelled,                 ///< A user waits for the answer.
+        done,                      ///< All tasks are done, or none is left of a job that is over.
+        cancelled_with_dependency, ///< A job that it needs was cancelled; nobody waits.
+    };
+    /// The final state of the job is to be stored, or that none of its tasks is left.
+    virtual void final_due(Job& job, Urgency urgency) = 0;
+    /// More tasks of the job are done.
     virtual void progressed(Job& job) = 0;
+    /// The job no longer waits for others.
     virtual void became_ready(Job& job) = 0;
 };
 
+/// Jobs, tasks, machines and teams of one leader's term, and all rules for changing them.
 class ClusterState final : public Proposals {
 public:
+    /// Effects are appended to `out`.
     ClusterState(const Settings& settings, std::uint64_t term, double now, double wall, std::vector<Effect>& out);
-    void set_persistence(PersistenceListener& b) {
-        persistence_ = &b;
+    /// To be called before anything else.
+    void set_persistence(PersistenceListener& listener) {
+        persistence_ = &listener;
     }
     [[nodiscard]] const ClusterData& view() const {
         return data_;
@@ -51,16 +64,19 @@
         data_.now = now, data_.wall = wall;
     }
 
-    // What the world says.
+    // What happened.
     void add_job(JobStored& command);
     void cancel(const CancellationRequested& command);
+    /// A job that others need was looked up in the store.
     void found(JobFound& command);
     void receive_heartbeat(const HeartbeatReceived& command);
+    /// Orders, or a request for a heartbeat, have an outcome.
     void answered(const OrdersAnswered& command);
     void rented(const Rented& command);
     void released(const Released& command);
     void listed(const MachinesListed& command);
     void types_known(std::vector<MachineType>&& types);
+    /// Takes machines whose lease has surely expired for lost, and forgets those that are gone for good.
     void expire_leases();
 
     // What policies propose, see proposals.hpp.
@@ -93,7 +109,8 @@
     void log(LogLine::Level level, std::string text) override {
         effects_.emplace_back(LogLine{level, std::move(text)});
     }
-    void begin_pass() { // of placement: attempts of different passes differ
+    /// A pass of placement begins: attempts of different passes differ.
+    void begin_pass() {
         ++pass_counter_;
     }
 
@@ -101,18 +118,24 @@
         return pass_counter_;
     }
 
-    // What is due: orders to machines, questions, reads of the store.
+    /// Sends the orders and the requests for heartbeats that are due.
     void send_due_orders();
+    /// Looks up jobs that others need and that are not known here: finished before this term, or accepted by another
+    /// node a moment ago.
     void find_dependencies();
 
-    // From the persistence: the store holds it.
+    /// The store holds the final state of this job. A cancellation cancels all that need it, directly or not: as the
+    /// first one is stored, every later leader finds the same (docs/safety.md, 14 and 15).
     void dependency_settled(const std::string& id, Final final_state);
+    /// The job is over: stops its tasks and has the final state stored. Nobody is told before it is.
     void finalize(Job& job, Final final_state, bool cancelled_with_dependency = false);
+    /// Keeps the stored final state of a job that is about to be forgotten.
     void remember_final(const Job& job);
     void forget_job(Job& job);
 
-    // None: not known here. An answer is never older than what was told before.
+    /// None: not known here. An answer is never older than what was told before.
     [[nodiscard]] std::optional<JobView> job(const std::string& id) const;
+    /// The term is over: another leader has come, or may have.
     [[nodiscard]] bool resigned() const {
         return resigned_;
     }
@@ -122,17 +145,22 @@
     void store_is_late() {
         data_.unserved_at = data_.now;
     }
-    void settled() { // placement has seen what changed
+    /// Placement has seen what changed.
+    void settled() {
         needs_scheduling_ = false;
     }
     [[nodiscard]] bool needs_scheduling() const {
         return needs_scheduling_;
     }
-    [[nodiscard]] double lease_expiry_s() const; // when a worker's lease has run out for sure
+    /// Seconds after which a lease has surely expired.
+    [[nodiscard]] double lease_expiry_s() const;
+    /// Totals of this term.
     struct Counters {
         std::uint64_t launched = 0, lost = 0, preempted = 0, moved = 0;
-        std::uint64_t stale_heartbeats = 0,
-                      heartbeats_of_gone_machines = 0; // copies: older than what was heard; of machines given back
+        /// Heartbeats that came late, or a second time.
+        std::uint64_t stale_heartbeats = 0;
+        /// Heartbeats of machines that were given back.
+        std::uint64_t heartbeats_of_gone_machines = 0;
     };
     [[nodiscard]] const Counters& counters() const {
         return counters_;
@@ -152,56 +180,98 @@
         return const_cast<Entry&>(entry); // NOLINT(cppcoreguidelines-pro-type-const-cast)
     }
 
-    // ledger.cpp
+    /// A task whose end a heartbeat reports, with its entry.
+    struct EndedTask {
+        Entry* entry;
+        const ReportedTask* report;
+    };
+
+    // job_lifecycle.cpp: from the submission until the job is forgotten
     Job* find_job(const std::string& id);
-    void update_entry(Entry& entry, const ReportedTask& task);
-    void mark_seen(Entry& entry);
+    [[nodiscard]] int team_index(const std::string& name) const;
+    [[nodiscard]] double start_objective_s(const JobSpec& spec) const;
     void store_cancellation(Job& job);
     void launch_settled(Job& job);
-    static bool launch_open(const Entry& entry);
-    void task_exited(Entry& entry, const ReportedTask& task);
-    void record_run_time(Job& job, const Machine& machine, double ran);
     void mark_done(Job& job, std::uint32_t index);
+    void count_offered_work(const Job& job);
+    void record_run_time(Job& job, const Machine& machine, double ran);
+
+    // entries.cpp: from the placement of a task until it is proven gone
     Entry& add_entry(Machine& machine, Job& job, std::uint32_t index, std::uint64_t attempt);
     void remove_entry(Entry& entry);
-    void queue_task(Job& job, std::uint32_t index);
+    static PropagateConst<std::unique_ptr<Entry>> unlink_entry(Entry& entry);
+    void restart_after_loss(Job& job, const Entry& gone);
     void break_gang(Job& job);
     void stop_entry(Entry& entry, double drain_s);
-    void offer(const Job& job);
+    void update_entry(Entry& entry, const ReportedTask& task);
+    void count_running(Entry& entry, Phase was);
+    void mark_seen(Entry& entry);
+    void task_exited(Entry& entry, const ReportedTask& task);
+    void task_done(Entry& entry);
+    void task_failed(Entry& entry);
+    void task_refused(Entry& entry);
+    void blame_job(Job& job);
+    void blame_machine(Machine& machine, const Job& job);
 
-    // machines.cpp
+    // machine_lifecycle.cpp: what is known of them, rentals and the list
     Machine* find_machine(const std::string& id);
     Machine& learn_machine(const std::string& id, const std::string& addr, const std::string& type,
                            const std::string& zone, bool spot);
+    std::unique_ptr<Machine> new_machine(const std::string& id);
     void bind_type(Machine& machine);
+    void bind_zone(Machine& machine);
+    int image_id(const std::string& name, double gb);
+    void use_image(Machine& machine, int image, bool ready);
+    void lose_entries(Machine& machine);
+    void lose_machine(Machine& machine);
+    [[nodiscard]] bool may_be_forgotten(const Machine& machine) const;
+    void forget_machine(const std::string& id, bool released);
+    void note_no_capacity(const Pending& rental);
+    void record_spot_loss();
+
+    // heartbeats.cpp: what a heartbeat changes
     bool outdated(const Heartbeat& heartbeat);
     bool copy_of_departed(const Heartbeat& heartbeat);
-    void apply_heartbeat(Machine& machine, const Heartbeat& heartbeat, std::vector<Order>& reaps);
-    void lease_restarted(Machine& machine);
-    void update_inbound_reachability(Machine& machine, const Heartbeat& heartbeat);
     void log_stale_heartbeats();
+    void apply_heartbeat(Machine& machine, const Heartbeat& heartbeat, std::vector<Order>& orders);
+    void begin_agent_epoch(Machine& machine, const Heartbeat& heartbeat);
+    void mark_up(Machine& machine);
+    std::vector<EndedTask> match_listed_tasks(Machine& machine, const Heartbeat& heartbeat, std::uint64_t mark,
+                                              std::vector<Order>& orders);
+    void take_unknown_ended_task(const ReportedTask& task, std::vector<Order>& orders);
+    void take_unknown_live_task(Machine& machine, const ReportedTask& task, std::uint64_t mark,
+                                std::vector<Order>& orders);
+    void remove_gone(Machine& machine, const Heartbeat& heartbeat, std::uint64_t mark,
+                     const std::vector<EndedTask>& ended);
     bool may_reap(const ReportedTask& task);
-    static Entry* find_entry(Machine& machine, const ReportedTask& task);
-    void lose_entries(Machine& machine);
-    int image_id(const std::string& name, double gb);
-    static CachedImage* cached(Machine& machine, int image);
-    void use_image(Machine& machine, int image, bool ready);
-    void want_orders(Machine& machine);
-    void want_heartbeat(Machine& machine);
-    void forget_machine(const std::string& id, bool released);
-    void dispatch(Machine& machine);
-    [[nodiscard]] std::size_t max_asked_at_once() const;
-    void ask_machines();
+    void take_notice(Machine& machine, double notice_s);
+    void lease_restarted(Machine& machine);
+    void update_inbound_reachability(Machine& machine, const Heartbeat& heartbeat);
+    void acknowledge(Machine& machine, const Heartbeat& heartbeat, bool overtaken);
     std::vector<Order> standing_orders(Machine& machine);
-    void record_spot_loss();
 
-    // needs.cpp: jobs that wait for others
+    // orders.cpp: orders to machines and their outcome
+    static Order stop_order(const Entry& entry);
+    void want_orders(Machine& machine) {
+        dispatch_queue_.add(machine);
+    }
+    void dispatch(Machine& machine);
+    void collect_stops(Machine& machine, std::vector<Order>& orders);
+    void collect_launches(Machine& machine, std::vector<Order>& orders);
+    void send_orders(Machine& machine, std::uint64_t agent_epoch, std::vector<Order> orders);
+    void request_heartbeats();
+    void request_answered(Machine& machine, const OrdersAnswered& command);
+    void orders_executed(Machine& machine, const Heartbeat& heartbeat);
+    void orders_not_executed(Machine& machine, const OrdersAnswered& command);
+    void outcome_open(Machine& machine);
+
+    // dependencies.cpp: jobs that wait for others
     void join(Job& job);
     void wait_for_dependencies(Job& job);
     void become_ready(Job& job);
+    void dependency_done(Job& job, const std::string& needed);
+    [[nodiscard]] double latest_start_of(const Job& job) const;
     void propagate_urgency(Job& from);
-    void look_for(const std::string& id, double at);
-    void forget_dependencies(Job& job);
 
     ClusterData data_;
     std::vector<Effect>& effects_;
@@ -209,19 +279,15 @@
     bool needs_scheduling_ = true, resigned_ = false;
     std::uint64_t pass_counter_ = 0, batch_seq_ = 0, claim_seq_ = 0, heartbeat_seq_ = 0;
     Counters counters_;
-    // Who needs a job that is not done, by name: either may be known here before the other.
-    std::unordered_map<std::string, std::set<std::string>> dependents_;
-    std::multimap<double, std::string> to_find_; // needed and not known here, by when to ask
-    std::size_t finding_ = 0;
+    DependencyTracker dependencies_;
     // Final states are immutable, so old ones may be answered from here. It holds more jobs than
-    // a watch can lag behind, so a late event never brings a finished job back.
+    // a watch can lag behind, so a late event never brings a finished job back (docs/safety.md, 10).
     BoundedCache<Final> recent_finals_;
     DepartedMachines departed_;
     std::size_t releases_under_way_ = 0; // machines
     double stale_heartbeats_logged_at_ = -1e18;
-    std::vector<Machine*> to_dispatch_;
-    std::deque<std::string> to_ask_; // machines asked for a heartbeat
-    std::size_t asking_ = 0;
+    DispatchQueue dispatch_queue_;
+    HeartbeatRequests heartbeat_requests_;
     std::unordered_map<std::string, int> image_ids_;
     std::unordered_map<std::string, std::vector<int>> image_hints_; // of machines not known yet
 };
--- a/include/heronshift/types.hpp
+++ b/include/heronshift/types.hpp
@@ -163,8 +163,12 @@
     std::vector<ReportedTask> tasks;
 };
 
-/// What an order asks for: to launch a task, to stop it, to forget one that has ended.
-enum class Verb : std::uint8_t { launch, stop, reap };
+/// What an order asks for.
+enum class Verb : std::uint8_t {
+    launch, ///< To start the task.
+    stop,   ///< To end it, with some time for saving its progress.
+    reap,   ///< To forget that it has ended, which need not be reported any more.
+};
 /// An order to a machine about one attempt of one task.
 struct Order {
     /// What is asked for.
--- a/src/cluster/departed_machines.cpp
+++ b/src/cluster/departed_machines.cpp
@@ -18,7 +18,7 @@
 
 DepartedMachines::DepartedMachines(const Settings& settings)
     : keep_s_(max_message_age_s(settings)),
-      autoscaler_(entries_in_share(settings.memory_mb, memory_share, record_bytes)) {}
+      capacity_(entries_in_share(settings.memory_mb, memory_share, record_bytes)) {}
 
 const DepartedMachine* DepartedMachines::find(const std::string& id) const {
     const auto it = records_.find(id);
@@ -31,14 +31,14 @@
 }
 
 std::size_t DepartedMachines::room_for(std::size_t wanted, double now) {
-    while (!order_.empty() && records_.size() + wanted > autoscaler_) {
+    while (!order_.empty() && records_.size() + wanted > capacity_) {
         const auto oldest = records_.find(order_.front());
         if (now - oldest->second.machine.since <= keep_s_)
             break;
         records_.erase(oldest);
         order_.pop_front();
     }
-    const auto room = autoscaler_ > records_.size() ? autoscaler_ - records_.size() : 0;
+    const auto room = capacity_ > records_.size() ? capacity_ - records_.size() : 0;
     return std::min(wanted, room);
 }
 
--- /dev/null
+++ b/src/cluster/entries.cpp
@@ -0,0 +1,233 @@
+// Tasks on machines, from their placement until they are proven gone: where they count, and what becomes of them.
+#include "heronshift/cluster/cluster_state.hpp"
+#include "heronshift/cluster/gone_proof.hpp"
+
+#include <algorithm>
+#include <fmt/format.h>
+
+namespace heronshift::cluster {
+namespace {
+
+constexpr std::uint8_t max_failures_counted = 200;
+// A job without success that fails on so many machines is at fault itself.
+constexpr std::size_t job_fault_machines = 3;
+// A machine that fails tasks of so many jobs is at fault.
+constexpr std::size_t machine_fault_jobs = 2;
+constexpr double max_retry_pause_leases = 3;
+constexpr int max_retry_doublings = 6;
+
+// The phase that a reported state stands for; that of an ended task stays.
+Phase phase_of(TaskState state, Phase current) {
+    switch (state) {
+    case TaskState::fetching:
+        return Phase::fetching;
+    case TaskState::waiting:
+        return Phase::waiting;
+    case TaskState::running:
+        return Phase::running;
+    case TaskState::saving:
+        return Phase::saving;
+    case TaskState::ended:
+        return current;
+    }
+    return current;
+}
+
+} // namespace
+
+Entry& ClusterState::add_entry(Machine& machine, Job& job, std::uint32_t index, std::uint64_t attempt) {
+    auto& entry = *machine.entries.emplace_back(std::make_unique<Entry>());
+    entry.machine = &machine;
+    entry.job = &job;
+    entry.index = index;
+    entry.attempt = attempt;
+    entry.agent_epoch = machine.agent_epoch;
+    entry.fencing_token = machine.fencing_token;
+    entry.placed_at = data_.now;
+    entry.at_machine = machine.entries.size() - 1;
+    entry.at_job = job.entries.size();
+    job.entries.emplace_back(&entry);
+    persistence_->added(entry);
+    machine.occupy(job.spec);
+    job.count_entry(index, machine.zone_index(data_.settings.zones.size()), machine.pool);
+    if (job.team >= 0)
+        data_.teams[static_cast<std::size_t>(job.team)].used += job.spec.each;
+    use_image(machine, job.image, false);
+    return entry;
+}
+
+// Takes the entry out of the lists of its job and its machine, whose last one takes its place in each.
+PropagateConst<std::unique_ptr<Entry>> ClusterState::unlink_entry(Entry& entry) {
+    auto& machine = *entry.machine;
+    auto& job = *entry.job;
+    if (entry.at_job + 1 < job.entries.size())
+        job.entries[entry.at_job] = std::move(job.entries.back());
+    job.entries[entry.at_job]->at_job = entry.at_job;
+    job.entries.pop_back();
+    auto owned = std::move(machine.entries[entry.at_machine]);
+    if (entry.at_machine + 1 < machine.entries.size()) {
+        machine.entries[entry.at_machine] = std::move(machine.entries.back());
+        machine.entries[entry.at_machine]->at_machine = entry.at_machine;
+    }
+    machine.entries.pop_back();
+    return owned;
+}
+
+void ClusterState::remove_entry(Entry& gone) {
+    auto& machine = *gone.machine;
+    auto& job = *gone.job;
+    persistence_->removed(gone);
+    const auto owned = unlink_entry(gone);
+    const Entry& entry = *owned;
+    if (launch_open(entry))
+        launch_settled(job);
+    machine.vacate(job.spec, data_.now);
+    job.discount_entry(entry.index, machine.zone_index(data_.settings.zones.size()), machine.pool, entry.phase);
+    if (job.team >= 0)
+        data_.teams[static_cast<std::size_t>(job.team)].used -= job.spec.each;
+    if (!job.over() && !job.tasks[entry.index].done)
+        restart_after_loss(job, entry);
+    if (job.live == 0) {
+        job.gang_breaking = false;
+        if (job.over_in_store())
+            persistence_->final_due(job, PersistenceListener::Urgency::done);
+    }
+    needs_scheduling_ = true;
+}
+
+void ClusterState::restart_after_loss(Job& job, const Entry& gone) {
+    job.queue_task(gone.index);
+    // The loss of an earlier attempt, which an old record may name, says nothing about the present one.
+    if (job.spec.shape == Shape::gang && gone.attempt == job.gang_attempt)
+        break_gang(job);
+}
+
+// A gang that has lost a task is stopped whole; it starts again once every old task is proven gone (docs/safety.md, 8).
+void ClusterState::break_gang(Job& job) {
+    if (job.gang_breaking || job.live == 0)
+        return;
+    job.gang_breaking = true;
+    for (auto& entry : job.entries)
+        stop_entry(*entry, 0);
+}
+
+void ClusterState::stop_entry(Entry& entry, double drain_s) {
+    if (entry.stop && entry.drain_s <= drain_s)
+        return;
+    entry.stop = true;
+    entry.drain_s = drain_s;
+    entry.stop_at = -1;
+    want_orders(*entry.machine);
+}
+
+void ClusterState::mark_seen(Entry& entry) {
+    const bool was_open = launch_open(entry);
+    entry.seen = true;
+    if (was_open)
+        launch_settled(*entry.job);
+}
+
+void ClusterState::update_entry(Entry& entry, const ReportedTask& task) {
+    mark_seen(entry);
+    const auto was = entry.phase;
+    entry.phase = phase_of(task.state, was);
+    count_running(entry, was);
+    if (entry.phase == Phase::running || entry.phase == Phase::waiting)
+        use_image(*entry.machine, entry.job->image, true);
+}
+
+void ClusterState::count_running(Entry& entry, Phase was) {
+    auto& job = *entry.job;
+    if (was == Phase::running && entry.phase != Phase::running && job.running > 0)
+        --job.running;
+    if (entry.phase != Phase::running || was == Phase::running)
+        return;
+    ++job.running;
+    if (entry.running_at < 0) {
+        entry.running_at = data_.now;
+        log(LogLine::Level::debug,
+            fmt::format("task {}/{} runs on {}, {:.1f} s after it was placed, {:.1f} s after its job was ready",
+                        job.spec.id, entry.index, entry.machine->id, data_.now - entry.placed_at,
+                        data_.now - job.ready));
+    }
+    if (job.first_start < 0)
+        job.first_start = data_.now;
+}
+
+void ClusterState::task_exited(Entry& entry, const ReportedTask& task) {
+    switch (task.cause) {
+    case ExitCause::done:
+        task_done(entry);
+        break;
+    case ExitCause::stopped:
+        if (task.saved && entry.running_at >= 0)
+            entry.job->tasks[entry.index].saved_s += static_cast<float>(data_.now - entry.running_at);
+        break;
+    case ExitCause::error:
+        task_failed(entry);
+        break;
+    case ExitCause::no_room:
+    case ExitCause::busy:
+    case ExitCause::unknown:
+        task_refused(entry);
+        break;
+    case ExitCause::none:
+    case ExitCause::peers:
+    case ExitCause::alone:
+        break;
+    }
+}
+
+void ClusterState::task_done(Entry& entry) {
+    auto& machine = *entry.machine;
+    auto& job = *entry.job;
+    machine.failed_jobs.clear();
+    // How long a task ran that an earlier leader started is not known.
+    const bool started_by_us = entry.attempt >> attempt_counter_bits == data_.term;
+    if (entry.running_at >= 0 && job.tasks[entry.index].saved_s <= 0 && started_by_us)
+        record_run_time(job, machine, data_.now - entry.running_at);
+    mark_done(job, entry.index);
+}
+
+void ClusterState::task_failed(Entry& entry) {
+    auto& machine = *entry.machine;
+    auto& job = *entry.job;
+    auto& task = job.tasks[entry.index];
+    log(LogLine::Level::info, fmt::format("task {}/{} failed on {}", job.spec.id, entry.index, machine.id));
+    job.error_machines.insert(machine.id);
+    ++job.error_streak;
+    if (task.failures < max_failures_counted)
+        ++task.failures;
+    if (!job.had_success && job.error_machines.size() >= job_fault_machines)
+        blame_job(job);
+    else
+        blame_machine(machine, job);
+}
+
+// The job is tried again with a growing pause, and no machine is taken out of use because of it (docs/safety.md, 13).
+void ClusterState::blame_job(Job& job) {
+    const double pause_s = data_.settings.report_s * (1 << std::min(job.error_streak, max_retry_doublings));
+    job.not_before = data_.now + std::min(data_.settings.lease_s * max_retry_pause_leases, pause_s);
+    for (const auto& id : job.error_machines)
+        if (auto* machine = find_machine(id); machine != nullptr)
+            machine->failed_jobs.erase(job.spec.id);
+}
+
+void ClusterState::blame_machine(Machine& machine, const Job& job) {
+    machine.failed_jobs.insert(job.spec.id);
+    machine.avoid_at_least_until(data_.now + data_.settings.lease_s);
+    if (machine.bad || (machine.failed_jobs.size() < machine_fault_jobs && !job.had_success))
+        return;
+    machine.bad = true;
+    log(LogLine::Level::warning, fmt::format("machine {} fails its tasks, taken out of use", machine.id));
+}
+
+void ClusterState::task_refused(Entry& entry) {
+    auto& machine = *entry.machine;
+    auto& job = *entry.job;
+    log(LogLine::Level::info, fmt::format("task {}/{} refused by {}", job.spec.id, entry.index, machine.id));
+    machine.avoid_at_least_until(data_.now + data_.settings.report_s);
+    job.not_before = std::max(job.not_before, data_.now + data_.settings.report_s / 3);
+}
+
+} // namespace heronshift::cluster
--- /dev/null
+++ b/src/cluster/gone_proof.cpp
@@ -0,0 +1,54 @@
+#include "heronshift/cluster/gone_proof.hpp"
+
+#include "heronshift/cluster/cluster_data.hpp"
+
+#include <tuple>
+
+namespace heronshift::cluster {
+namespace {
+
+// Steady clocks drift apart by up to 0.05%; twice that, and a part of report_s for timer steps.
+constexpr double clock_drift = 1.001;
+constexpr double lease_margin_heartbeats = 0.05;
+
+constexpr int http_conflict = 409; // the agent's answer to orders with an old fencing token or agent epoch
+
+} // namespace
+
+bool has_seen_term(const Heartbeat& heartbeat, std::uint64_t term) {
+    return heartbeat.fencing_token >> token_counter_bits == term;
+}
+
+bool is_newest(const Heartbeat& heartbeat, const Machine& machine) {
+    return std::tie(heartbeat.agent_epoch, heartbeat.counter) > std::tie(machine.agent_epoch, machine.counter);
+}
+
+bool ended_by_epoch(const Entry& entry, const Heartbeat& heartbeat) {
+    return entry.agent_epoch < heartbeat.agent_epoch;
+}
+
+bool proves_gone(const Entry& unlisted, const Heartbeat& newest) {
+    return unlisted.phase >= Phase::sent && (unlisted.seen || newest.fencing_token > unlisted.fencing_token);
+}
+
+bool never_sent(const Entry& entry) {
+    return entry.phase == Phase::stored;
+}
+
+bool launch_open(const Entry& entry) {
+    return entry.phase == Phase::sent && !entry.seen;
+}
+
+bool proves_not_executed(const OrdersAnswered& answer) {
+    return answer.status == http_conflict || !answer.sent;
+}
+
+double lease_surely_expires_after_s(const Settings& settings) {
+    return settings.lease_s * clock_drift + settings.report_s * lease_margin_heartbeats;
+}
+
+bool lease_surely_expired(const Machine& machine, double now, const Settings& settings) {
+    return now > machine.lease_started_at + lease_surely_expires_after_s(settings);
+}
+
+} // namespace heronshift::cluster
--- /dev/null
+++ b/src/cluster/job_lifecycle.cpp
@@ -0,0 +1,229 @@
+// Jobs from their submission until they are forgotten: cancellations, completion, and what is learned from them.
+#include "heronshift/cluster/cluster_state.hpp"
+#include "heronshift/cluster/gone_proof.hpp"
+
+#include "heronshift/memory_share.hpp"
+
+#include <algorithm>
+#include <cmath>
+#include <fmt/format.h>
+
+namespace heronshift::cluster {
+namespace {
+
+constexpr double max_gaps = 50;              // between array jobs, averaged
+constexpr double run_time_retention = 0.995; // of the sums of run times, with each task that is done
+constexpr double max_run_estimates = 5;      // a task counts for so many times its estimate at most
+
+// A job takes three changes of the store (its record, its final state, the end of its record), so no more than
+// a third of write_rps finish in a second. What a watch tells is no older than any other message; besides, a store
+// that keeps its last 10,000 changes for watchers (store/engine.hpp) has those of some 3,300 jobs. Where memory
+// bounds the table instead, at 14,745 jobs with 72 MB, an event older than all of these would bring a finished job
+// back: that takes more than 70 changes a second for all of max_message_age_s with a lease of 20 s.
+constexpr double changes_per_job = 3;
+constexpr double finals_memory_share = 1.0 / 32;
+constexpr std::size_t final_bytes = 160;
+
+std::size_t max_recent_finals(const Settings& settings) {
+    const double in_time = settings.state_write_rps / changes_per_job * max_message_age_s(settings);
+    const auto in_memory = entries_in_share(settings.memory_mb, finals_memory_share, final_bytes);
+    return std::clamp(static_cast<std::size_t>(in_time), min_table_entries, in_memory);
+}
+
+std::string_view status_of(Final final_state) {
+    return final_state == Final::done ? codec::status_done : codec::status_cancelled;
+}
+
+} // namespace
+
+ClusterState::ClusterState(const Settings& settings, std::uint64_t term, double now, double wall,
+                           std::vector<Effect>& out)
+    : data_(settings), effects_(out), recent_finals_(max_recent_finals(settings)), departed_(settings),
+      heartbeat_requests_(settings) {
+    data_.term = term;
+    data_.now = data_.started = now;
+    data_.wall = wall;
+    for (const auto& limits : settings.teams)
+        data_.teams.push_back({limits, {}, {}});
+}
+
+Job* ClusterState::find_job(const std::string& id) {
+    const auto it = data_.jobs.find(id);
+    return it == data_.jobs.end() ? nullptr : it->second.get();
+}
+
+int ClusterState::team_index(const std::string& name) const {
+    int index = -1;
+    for (std::size_t i = 0; i < data_.teams.size(); ++i)
+        if (data_.teams[i].limits.name == name)
+            index = static_cast<int>(i);
+    return index;
+}
+
+// Only services have an objective for their start; below zero: none.
+double ClusterState::start_objective_s(const JobSpec& spec) const {
+    double within_s = -1;
+    if (spec.shape == Shape::service)
+        for (const auto& objective : data_.settings.objectives)
+            if (objective.kind == "wait" && objective.job_class == spec.job_class)
+                within_s = objective.within_s;
+    return within_s;
+}
+
+void ClusterState::add_job(JobStored& command) {
+    if (data_.jobs.contains(command.spec.id) || recent_finals_.contains(command.spec.id))
+        return;
+    auto job = std::make_unique<Job>();
+    job->spec = std::move(command.spec);
+    job->submitted = data_.now - command.age_s;
+    job->ready = data_.now - (command.ready_age_s >= 0 ? command.ready_age_s : command.age_s);
+    job->priority = job->spec.priority;
+    job->zone_live.resize(data_.settings.zones.size() + 1);
+    job->start_within_s = start_objective_s(job->spec);
+    job->image = image_id(job->spec.image, job->spec.image_gb);
+    job->team = team_index(job->spec.team);
+    auto& stored = *job;
+    persistence_->added(stored);
+    data_.jobs.emplace(job->spec.id, std::move(job));
+    if (const auto* dependents = dependencies_.dependents_of(stored.spec.id); dependents != nullptr)
+        for (const auto& id : *dependents)
+            if (auto* dependent = find_job(id); dependent != nullptr)
+                propagate_urgency(*dependent);
+    if (command.waits)
+        wait_for_dependencies(stored);
+    else
+        join(stored);
+}
+
+void ClusterState::cancel(const CancellationRequested& command) {
+    auto* known = find_job(command.id);
+    if (known == nullptr) {
+        const auto view = job(command.id);
+        effects_.push_back(AnswerCancellation{command.handle, view ? std::string(view->status) : std::string()});
+        return;
+    }
+    if (known->over_in_store()) {
+        effects_.push_back(AnswerCancellation{command.handle, std::string(status_of(known->final))});
+        return;
+    }
+    known->cancels.push_back(command.handle);
+    if (!known->over())
+        finalize(*known, Final::cancelled);
+}
+
+// Nobody has any use for what runs after a cancellation was asked for, so its tasks are stopped at once; the answer
+// still waits for the store.
+void ClusterState::finalize(Job& job, Final final_state, bool cancelled_with_dependency) {
+    job.final = final_state;
+    log(LogLine::Level::debug,
+        fmt::format("job {} of class {}, {} tasks, {} {:.1f} s after it was submitted{}", job.spec.id,
+                    job.spec.job_class, job.spec.tasks, final_state == Final::done ? "done" : "cancelled",
+                    data_.now - job.submitted,
+                    job.spec.deadline_s >= 0 ? fmt::format(", due after {:.1f} s", job.spec.deadline_s) : ""));
+    for (auto& entry : job.entries)
+        stop_entry(*entry, 0);
+    needs_scheduling_ = true;
+    if (final_state != Final::cancelled)
+        persistence_->final_due(job, PersistenceListener::Urgency::done);
+    else if (cancelled_with_dependency)
+        persistence_->final_due(job, PersistenceListener::Urgency::cancelled_with_dependency);
+    else
+        store_cancellation(job);
+}
+
+// Whoever reads the final state may tell the user that the job is cancelled, and from then on none of its tasks may
+// start. So it is stored only once no launch is open, of this leader or an earlier one: seen in a heartbeat, refused,
+// ruled out by a raised fencing token, or its machine's lease has run out: a launch that comes seconds late is executed
+// all the same (docs/safety.md, 27; `LateCommands`).
+void ClusterState::store_cancellation(Job& job) {
+    const auto open =
+        std::count_if(job.entries.begin(), job.entries.end(), [](const auto& e) { return launch_open(*e); });
+    job.open_launches = static_cast<std::uint32_t>(open);
+    if (open == 0)
+        persistence_->final_due(job, PersistenceListener::Urgency::cancelled);
+}
+
+void ClusterState::launch_settled(Job& job) {
+    if (job.open_launches == 0)
+        return;
+    --job.open_launches;
+    if (job.open_launches == 0)
+        persistence_->final_due(job, PersistenceListener::Urgency::cancelled);
+}
+
+void ClusterState::mark_done(Job& job, std::uint32_t index) {
+    if (!job.mark_done(index))
+        return;
+    if (job.done < job.spec.tasks)
+        persistence_->progressed(job);
+    else if (!job.over())
+        finalize(job, Final::done);
+}
+
+std::optional<JobView> ClusterState::job(const std::string& id) const {
+    if (resigned_)
+        return {};
+    const auto* known = data_.find_job(id);
+    if (known == nullptr) {
+        const auto* final_state = recent_finals_.find(id);
+        if (final_state == nullptr)
+            return {};
+        return JobView{status_of(*final_state), 0, 0};
+    }
+    JobView view;
+    view.done = known->done;
+    view.running = known->running;
+    if (known->over_in_store())
+        view.status = status_of(known->final);
+    else
+        view.status = known->running > 0 ? codec::status_running : codec::status_pending;
+    view.settling = known->final_sent && !known->final_stored;
+    return view;
+}
+
+void ClusterState::remember_final(const Job& job) {
+    recent_finals_.add(job.spec.id, job.final);
+}
+
+void ClusterState::forget_job(Job& job) {
+    if (job.team >= 0)
+        data_.teams[static_cast<std::size_t>(job.team)].remove(job);
+    dependencies_.remove(job.unmet, job.spec.id);
+    data_.jobs.erase(std::string(job.spec.id));
+}
+
+// The work that array jobs bring, averaged over a while: how much room is kept for those to come.
+void ClusterState::count_offered_work(const Job& job) {
+    if (job.spec.shape != Shape::array)
+        return;
+    auto& learned = data_.learned;
+    const double over = data_.average_s();
+    const double left = std::exp(-(data_.now - learned.offered_at) / over);
+    const double more = data_.work_left(job) / over * std::exp(-std::max(0.0, data_.now - job.ready) / over);
+    if (data_.now - job.ready < data_.settings.report_s) { // not one read at a failover
+        learned.gaps = std::min(learned.gaps + 1, max_gaps);
+        learned.gap_s += (data_.now - learned.offered_at - learned.gap_s) / learned.gaps;
+    }
+    learned.offered = learned.offered * left + more;
+    learned.offered_ordinary = learned.offered_ordinary * left + (job.spec.spot ? 0 : more);
+    learned.offered_at = data_.now;
+}
+
+// Tasks of one job take much the same time, so the longest of those that are through tells what is
+// too long, long before any estimate would.
+void ClusterState::record_run_time(Job& job, const Machine& machine, double ran) {
+    if (job.spec.shape != Shape::array)
+        return;
+    if (job.spec.estimate_s > 0) {
+        // Most estimates may be too low for a while. Sums, since single ones are often wrong by half.
+        auto& learned = data_.learned;
+        learned.ran_s = run_time_retention * learned.ran_s + std::min(ran, max_run_estimates * job.spec.estimate_s);
+        learned.estimated_s = run_time_retention * learned.estimated_s + job.spec.estimate_s;
+    }
+    ++job.runs;
+    job.run_sum += ran;
+    if (data_.now >= machine.slow_until)
+        job.longest_run = std::max(job.longest_run, ran);
+}
+
+} // namespace heronshift::cluster
--- /dev/null
+++ b/src/cluster/machine.cpp
@@ -0,0 +1,53 @@
+#include "heronshift/cluster/machine.hpp"
+
+#include "heronshift/cluster/job.hpp"
+
+namespace heronshift::cluster {
+
+Entry* Machine::find_entry(const ReportedTask& task) {
+    for (auto& entry : entries)
+        if (entry->index == task.index && entry->attempt == task.attempt && entry->job->spec.id == task.job)
+            return entry.get();
+    return nullptr;
+}
+
+void Machine::occupy(const JobSpec& spec) {
+    used += spec.each;
+    if (spec.shape != Shape::array)
+        firm += spec.each;
+    empty_since = -1;
+}
+
+void Machine::vacate(const JobSpec& spec, double now) {
+    used -= spec.each;
+    if (spec.shape != Shape::array)
+        firm -= spec.each;
+    if (!entries.empty())
+        return;
+    used = firm = {}; // sums of fractions leave a rest
+    empty_since = now;
+}
+
+void Machine::use_image(int image, bool ready, double now, std::optional<double> cache_gb,
+                        const std::vector<double>& image_gb) {
+    auto it = std::find_if(images.begin(), images.end(), [&](const auto& cached) { return cached.image == image; });
+    if (it == images.end())
+        it = images.insert(it, CachedImage{image, false, now});
+    it->used = now;
+    if (!ready || it->ready)
+        return;
+    it->ready = true;
+    if (!cache_gb)
+        return;
+    std::sort(images.begin(), images.end(), [](const auto& a, const auto& b) { return a.used > b.used; });
+    double left = *cache_gb;
+    for (std::size_t i = 0; i < images.size(); ++i) {
+        left -= image_gb[static_cast<std::size_t>(images[i].image)];
+        if (left >= 0 || i == 0)
+            continue;
+        images.resize(i);
+        return;
+    }
+}
+
+} // namespace heronshift::cluster
--- /dev/null
+++ b/src/cluster/machine_lifecycle.cpp
@@ -0,0 +1,253 @@
+// What is known of machines: their types, images and leases, rentals, releases and the cloud's list.
+#include "heronshift/cluster/cluster_state.hpp"
+#include "heronshift/cluster/gone_proof.hpp"
+
+#include <cmath>
+#include <fmt/format.h>
+
+namespace heronshift::cluster {
+namespace {
+
+// A machine that the list has not named for so long is gone for good, or never was there.
+constexpr double unlisted_list_lags = 4;
+constexpr double unlisted_leases = 2;
+constexpr double no_capacity_heartbeats = 2; // until a refused type is asked for again, in report_s
+
+} // namespace
+
+Machine* ClusterState::find_machine(const std::string& id) {
+    const auto it = data_.machines.find(id);
+    return it == data_.machines.end() ? nullptr : it->second.get();
+}
+
+void ClusterState::bind_type(Machine& machine) {
+    for (std::size_t i = 0; i < data_.types.size(); ++i)
+        if (data_.types[i].name == machine.type_name) {
+            machine.type = static_cast<int>(i);
+            machine.whole = data_.types[i].room;
+        }
+    if (machine.zone < 0)
+        bind_zone(machine);
+}
+
+void ClusterState::bind_zone(Machine& machine) {
+    const auto& zones = data_.settings.zones;
+    for (std::size_t i = 0; i < zones.size(); ++i)
+        if (zones[i] == machine.zone_name)
+            machine.zone = static_cast<int>(i);
+    if (machine.zone < 0)
+        return;
+    for (auto& entry : machine.entries) { // counted as in an unknown zone until now
+        --entry->job->zone_live[zones.size()];
+        ++entry->job->zone_live[static_cast<std::size_t>(machine.zone)];
+    }
+}
+
+std::unique_ptr<Machine> ClusterState::new_machine(const std::string& id) {
+    auto machine = std::make_unique<Machine>();
+    machine->id = id;
+    machine->known_since = data_.now;
+    machine->fencing_token = data_.term << token_counter_bits;
+    if (const auto* last = departed_.find(id); last != nullptr) {
+        machine->agent_epoch = last->agent_epoch;
+        machine->counter = machine->heartbeat_counter = last->counter;
+        if (!last->released)
+            departed_.erase(id);
+    }
+    if (const auto hint = image_hints_.find(id); hint != image_hints_.end()) {
+        for (const auto image : hint->second)
+            machine->images.push_back({image, true, data_.now});
+        image_hints_.erase(hint);
+    }
+    return machine;
+}
+
+// The machine of this name, tracked from now on if it was not, with what was not known of it.
+Machine& ClusterState::learn_machine(const std::string& id, const std::string& addr, const std::string& type,
+                                     const std::string& zone, bool spot) {
+    auto& slot = data_.machines[id];
+    if (!slot)
+        slot = new_machine(id);
+    auto& machine = *slot;
+    if (!addr.empty())
+        machine.addr = addr;
+    if (machine.type_name.empty() && !type.empty()) {
+        machine.type_name = type;
+        machine.spot = spot;
+    }
+    if (machine.zone_name.empty())
+        machine.zone_name = zone;
+    if (machine.type < 0 || machine.zone < 0)
+        bind_type(machine);
+    return machine;
+}
+
+double ClusterState::lease_expiry_s() const {
+    return lease_surely_expires_after_s(data_.settings);
+}
+
+int ClusterState::image_id(const std::string& name, double gb) {
+    const auto [it, fresh] = image_ids_.emplace(name, static_cast<int>(data_.image_gb.size()));
+    if (fresh)
+        data_.image_gb.push_back(gb);
+    return it->second;
+}
+
+void ClusterState::use_image(Machine& machine, int image, bool ready) {
+    std::optional<double> cache_gb;
+    if (machine.type >= 0)
+        cache_gb = data_.types[static_cast<std::size_t>(machine.type)].cache_gb;
+    machine.use_image(image, ready, data_.now, cache_gb, data_.image_gb);
+}
+
+void ClusterState::forget_machine(const std::string& id, bool released) {
+    const auto it = data_.machines.find(id);
+    if (it == data_.machines.end())
+        return;
+    auto& machine = *it->second;
+    heartbeat_requests_.forget(machine);
+    dispatch_queue_.forget(machine);
+    if (released || machine.agent_epoch > 0)
+        departed_.add(id, {machine.agent_epoch, machine.counter, released, data_.now});
+    data_.machines.erase(it);
+}
+
+// All tasks here are proven gone (gone_proof.hpp); what a transaction under way names is settled by its outcome.
+void ClusterState::lose_entries(Machine& machine) {
+    for (std::size_t i = machine.entries.size(); i-- > 0;)
+        if (machine.entries[i]->phase != Phase::storing)
+            remove_entry(*machine.entries[i]);
+}
+
+void ClusterState::expire_leases() {
+    std::vector<std::string> remove;
+    for (auto& [id, machine] : data_.machines) {
+        if (machine->status == Status::up && lease_surely_expired(*machine, data_.now, data_.settings))
+            lose_machine(*machine);
+        if (may_be_forgotten(*machine))
+            remove.push_back(id);
+    }
+    // Without room for what was last heard of it, a machine stays tracked as lost until there is.
+    remove.resize(departed_.room_for(remove.size(), data_.now));
+    for (const auto& id : remove)
+        forget_machine(id, false);
+}
+
+// Its lease has surely expired.
+void ClusterState::lose_machine(Machine& machine) {
+    if (!machine.entries.empty())
+        log(LogLine::Level::warning,
+            fmt::format("lease of {} has lapsed, {} tasks lost", machine.id, machine.entries.size()));
+    for (const auto& entry : machine.entries)
+        counters_.lost += entry->phase >= Phase::sent;
+    if (machine.spot)
+        record_spot_loss();
+    lose_entries(machine);
+    machine.status = Status::lost;
+    machine.empty_since = data_.now;
+    data_.unproven_machines.erase(machine.id);
+}
+
+// Gone from the list for good, or never there: nothing of it is left to keep.
+bool ClusterState::may_be_forgotten(const Machine& machine) const {
+    const auto& settings = data_.settings;
+    const bool unlisted = data_.now - std::max(machine.listed_at, machine.known_since) >
+                          unlisted_list_lags * settings.list_lag_s + unlisted_leases * settings.lease_s;
+    return machine.status != Status::up && machine.entries.empty() && unlisted && machine.batch == 0;
+}
+
+void ClusterState::rented(const Rented& command) {
+    const auto it = data_.rentals.find(command.claim);
+    if (it == data_.rentals.end())
+        return;
+    auto& rental = it->second;
+    rental.in_flight = false;
+    switch (command.outcome) {
+    case RentOutcome::rented:
+        for (const auto& id : command.machines)
+            learn_machine(id, "", rental.type, rental.zone, rental.spot).known_since = rental.asked;
+        log(LogLine::Level::info, fmt::format("rented {} of {} {} in {}{}", command.machines.size(), rental.count,
+                                              rental.type, rental.zone, rental.spot ? " (spot)" : ""));
+        if (static_cast<int>(command.machines.size()) < rental.count)
+            note_no_capacity(rental);
+        data_.rentals.erase(it);
+        break;
+    case RentOutcome::no_capacity:
+        note_no_capacity(rental);
+        data_.rentals.erase(it);
+        break;
+    case RentOutcome::failed: // surely not executed
+        data_.rentals.erase(it);
+        break;
+    case RentOutcome::unknown:
+        // The answer was lost: the same claim again, so that nothing is rented twice (docs/safety.md, 12).
+        rental.in_flight = true;
+        effects_.push_back(Rent{command.claim, rental.type, rental.zone, rental.spot, rental.count});
+        break;
+    }
+}
+
+void ClusterState::note_no_capacity(const Pending& rental) {
+    data_.no_capacity[fmt::format("{}/{}/{}", rental.type, rental.zone, rental.spot)] =
+        data_.now + no_capacity_heartbeats * data_.settings.report_s;
+}
+
+void ClusterState::released(const Released& command) {
+    releases_under_way_ -= std::min(releases_under_way_, command.machines.size());
+    for (const auto& id : command.machines) {
+        auto* machine = find_machine(id);
+        if (machine == nullptr)
+            continue;
+        machine->release_asked = false;
+        if (!command.ok) {
+            machine->release_retry = data_.now + data_.settings.report_s;
+            continue;
+        }
+        // By the time of the answer the machine and everything on it are gone.
+        lose_entries(*machine);
+        if (!machine->entries.empty())
+            continue; // asked again once the store has answered
+        forget_machine(id, true);
+    }
+    needs_scheduling_ = true;
+}
+
+void ClusterState::listed(const MachinesListed& command) {
+    for (const auto& listed_machine : command.machines) {
+        // The list lags: what was released may still be in it for a while.
+        if (departed_.released(listed_machine.id))
+            continue;
+        auto& machine = learn_machine(listed_machine.id, listed_machine.addr, listed_machine.type, listed_machine.zone,
+                                      listed_machine.spot);
+        machine.listed_at = data_.now;
+        // Known from records or a heartbeat first, as after a failover, it is older than that. Taken for new, it
+        // would not be emptied for a while after each change of leadership.
+        machine.known_since = std::min(machine.known_since, data_.now - listed_machine.age_s);
+        if (listed_machine.status == "failed" && !machine.releasing) {
+            log(LogLine::Level::info, fmt::format("machine {} has failed", machine.id));
+            lose_entries(machine);
+            machine.status = Status::lost;
+            machine.bad = true;
+        }
+        if (!data_.asked_all && listed_machine.status == "running")
+            heartbeat_requests_.add(machine);
+    }
+    data_.asked_all = true;
+    needs_scheduling_ = true;
+}
+
+void ClusterState::types_known(std::vector<MachineType>&& types) {
+    data_.types = std::move(types);
+    for (auto& [id, machine] : data_.machines)
+        bind_type(*machine);
+    needs_scheduling_ = true;
+}
+
+void ClusterState::record_spot_loss() {
+    auto& learned = data_.learned;
+    const double kept = std::exp(-(data_.now - learned.spot_losses_at) / data_.average_s());
+    learned.spot_losses = learned.spot_losses * kept + 1;
+    learned.spot_losses_at = data_.now;
+}
+
+} // namespace heronshift::cluster
--- /dev/null
+++ b/src/cluster/orders.cpp
@@ -0,0 +1,168 @@
+// Orders to machines and requests for heartbeats: what is sent, and what follows from their outcome.
+#include "heronshift/cluster/cluster_state.hpp"
+#include "heronshift/cluster/gone_proof.hpp"
+
+#include <algorithm>
+#include <fmt/format.h>
+
+namespace heronshift::cluster {
+namespace {
+
+// To a machine at once; the rest follow its answer. A machine runs tens of tasks, however many machines there are.
+constexpr std::size_t max_orders = 200;
+
+constexpr int http_ok = 200;
+constexpr int no_answer = 0;
+
+// The launch was sent with this token, and no heartbeat has settled it.
+bool outstanding(const Entry& entry, std::uint64_t fencing_token) {
+    return launch_open(entry) && entry.fencing_token == fencing_token;
+}
+
+} // namespace
+
+Order ClusterState::stop_order(const Entry& entry) {
+    return {Verb::stop, entry.job->spec.id, entry.index, entry.attempt, entry.drain_s};
+}
+
+void ClusterState::send_due_orders() {
+    dispatch_queue_.drain([this](Machine& machine) {
+        if (machine.batch == 0)
+            dispatch(machine); // else once the answer is in
+    });
+    request_heartbeats();
+}
+
+void ClusterState::dispatch(Machine& machine) {
+    std::vector<Order> orders;
+    collect_stops(machine, orders);
+    collect_launches(machine, orders);
+    if (!orders.empty())
+        send_orders(machine, machine.agent_epoch, std::move(orders));
+}
+
+void ClusterState::collect_stops(Machine& machine, std::vector<Order>& orders) {
+    for (auto& entry : machine.entries) {
+        if (orders.size() >= max_orders)
+            return want_orders(machine);
+        if (!entry->stop || entry->phase < Phase::sent || entry->stop_at >= 0)
+            continue;
+        entry->stop_at = data_.now;
+        orders.push_back(stop_order(*entry));
+    }
+}
+
+void ClusterState::collect_launches(Machine& machine, std::vector<Order>& orders) {
+    for (std::size_t i = machine.entries.size(); i-- > 0;) {
+        auto& entry = *machine.entries[i];
+        if (!never_sent(entry))
+            continue;
+        const bool useless = entry.stop || entry.agent_epoch != machine.agent_epoch || machine.status != Status::up ||
+                             machine.addr.empty() || entry.job->over();
+        if (useless) {
+            remove_entry(entry);
+            continue;
+        }
+        if (orders.size() >= max_orders) {
+            want_orders(machine);
+            continue;
+        }
+        // Each launch is sent once: repeated after a reap it would start the task again (docs/safety.md, 4).
+        entry.phase = Phase::sent;
+        entry.fencing_token = machine.fencing_token;
+        ++counters_.launched;
+        orders.push_back({Verb::launch, entry.job->spec.id, entry.index, entry.attempt, 0});
+    }
+}
+
+void ClusterState::send_orders(Machine& machine, std::uint64_t agent_epoch, std::vector<Order> orders) {
+    machine.batch = ++batch_seq_;
+    effects_.push_back(SendOrders{machine.id, machine.addr, machine.batch, machine.fencing_token, agent_epoch,
+                                  std::move(orders), data_.now < machine.relay_orders_until});
+}
+
+// After a failover agents find us one by one as their heartbeats to others fail. Asked directly they
+// tell at once what they run, and having seen our term they prove what they do not run.
+void ClusterState::request_heartbeats() {
+    while (const auto id = heartbeat_requests_.next(data_.machines.size())) {
+        auto* machine = find_machine(*id);
+        if (machine == nullptr)
+            continue;
+        machine->to_be_asked = false;
+        if (machine->batch != 0 || machine->addr.empty())
+            continue;
+        if (machine->proven && data_.now - machine->last_heartbeat_at < data_.settings.report_s)
+            continue;
+        heartbeat_requests_.sent(*machine);
+        send_orders(*machine, std::max<std::uint64_t>(1, machine->agent_epoch), {});
+    }
+}
+
+void ClusterState::answered(const OrdersAnswered& command) {
+    auto* machine = find_machine(command.machine);
+    if (machine == nullptr || machine->batch != command.batch)
+        return;
+    machine->batch = 0;
+    const auto& heartbeat = command.heartbeat;
+    if (heartbeat && outdated(*heartbeat))
+        return;
+    // The other way next time: this one may be cut though heartbeats come.
+    if (command.status == no_answer)
+        machine->relay_orders_until = data_.now < machine->relay_orders_until ? -1 : data_.now + data_.settings.lease_s;
+    if (machine->asked)
+        return request_answered(*machine, command);
+    want_orders(*machine);
+    if (command.status == http_ok && heartbeat && heartbeat->agent_epoch == machine->agent_epoch)
+        orders_executed(*machine, *heartbeat);
+    else if (proves_not_executed(command))
+        orders_not_executed(*machine, command);
+    else
+        outcome_open(*machine);
+}
+
+void ClusterState::request_answered(Machine& machine, const OrdersAnswered& command) {
+    heartbeat_requests_.answered(machine);
+    std::vector<Order> orders; // told with its next heartbeat
+    if (command.heartbeat)
+        apply_heartbeat(machine, *command.heartbeat, orders);
+    want_orders(machine);
+}
+
+// The answer is the heartbeat after the orders: what it does not list did not start.
+void ClusterState::orders_executed(Machine& machine, const Heartbeat& heartbeat) {
+    const auto fencing_token = machine.fencing_token;
+    for (auto& entry : machine.entries)
+        if (outstanding(*entry, fencing_token) && heartbeat.counter > machine.counter)
+            mark_seen(*entry);
+    std::vector<Order> orders; // told with its next heartbeat
+    apply_heartbeat(machine, heartbeat, orders);
+    // A newer heartbeat overtook this answer without settling a launch: raise the fencing token.
+    if (std::any_of(machine.entries.begin(), machine.entries.end(),
+                    [&](const auto& entry) { return outstanding(*entry, fencing_token); }))
+        ++machine.fencing_token;
+}
+
+void ClusterState::orders_not_executed(Machine& machine, const OrdersAnswered& command) {
+    const auto fencing_token = machine.fencing_token;
+    for (std::size_t i = machine.entries.size(); i-- > 0;)
+        if (outstanding(*machine.entries[i], fencing_token))
+            remove_entry(*machine.entries[i]);
+    for (auto& entry : machine.entries)
+        entry->stop_at = entry->stop ? data_.now : entry->stop_at; // answers to heartbeats repeat the stops
+    if (!command.sent)
+        machine.avoid_at_least_until(data_.now + data_.settings.report_s / 2);
+    std::vector<Order> orders; // told with its next heartbeat
+    if (command.heartbeat)
+        apply_heartbeat(machine, *command.heartbeat, orders);
+}
+
+// The orders may still be executed, minutes later. Raising the fencing token and seeing the raised one in a heartbeat
+// proves that they no longer can be (docs/safety.md, 4; `Core.AnIncrementedTokenSeenInAHeartbeatSettlesALostLaunch`).
+void ClusterState::outcome_open(Machine& machine) {
+    ++machine.fencing_token;
+    machine.avoid_at_least_until(data_.now + data_.settings.report_s / 2);
+    log(LogLine::Level::debug,
+        fmt::format("no answer of {} to commands, fence raised to {}", machine.id, machine.fencing_token));
+}
+
+} // namespace heronshift::cluster
--- a/src/cluster/placement_rules.cpp
+++ b/src/cluster/placement_rules.cpp
@@ -7,6 +7,7 @@
 namespace {
 
 constexpr double offered_leases = 3; // lengths of a lease over which offered work is averaged
+constexpr double never = 1e18;
 
 } // namespace
 
@@ -19,26 +20,18 @@
 }
 
 double ClusterData::due_at(const Job& job) const {
-    double due = job.spec.deadline_s >= 0 ? job.submitted + job.spec.deadline_s : 1e18;
+    double due = job.spec.deadline_s >= 0 ? job.submitted + job.spec.deadline_s : never;
     if (job.latest >= 0)
         due = std::min(due, job.latest);
     if (job.spec.deadline_s < 0 && !job.waits)
         for (const auto& objective : settings.objectives)
             if (objective.kind == "finished" && objective.job_class == job.spec.job_class)
                 due = std::min(due, job.ready + objective.within_s);
-    return due < 1e18 ? due : -1;
+    return due < never ? due : -1;
 }
 
 int ClusterData::quota_room(const Job& job) const {
-    if (job.team < 0)
-        return 0;
-    const auto& team = teams[static_cast<std::size_t>(job.team)];
-    double n = 1e6;
-    if (team.limits.cpus_max > 0)
-        n = std::min(n, (team.limits.cpus_max - team.used.cpus + 1e-6) / job.spec.each.cpus);
-    if (team.limits.gpus_max > 0 && job.spec.each.gpus > 0)
-        n = std::min(n, (team.limits.gpus_max - team.used.gpus + 1e-6) / job.spec.each.gpus);
-    return static_cast<int>(std::floor(std::max(0.0, n)));
+    return job.team < 0 ? 0 : teams[static_cast<std::size_t>(job.team)].quota_room(job.spec.each);
 }
 
 bool ClusterData::allowed_there(const Job& job, const Machine& machine) const {
@@ -59,7 +52,7 @@
 const char* ClusterData::refusal(const Job& job, const Machine& machine) const {
     if (job.waits)
         return "the jobs that it needs are not done";
-    if (job.final != Final::none)
+    if (job.over())
         return "the job is over";
     if (unproven())
         return "a damaged record leaves open what runs";
--- a/src/cluster/proposals.cpp
+++ b/src/cluster/proposals.cpp
@@ -5,6 +5,12 @@
 #include <fmt/format.h>
 
 namespace heronshift::cluster {
+namespace {
+
+// How often a machine is taken for slow because of one task; more are not counted.
+constexpr std::uint8_t max_blamed = 4;
+
+} // namespace
 
 // Every placement comes through here; a rule that it would break stops it, whoever planned it.
 bool ClusterState::place(const Job& job, const Machine& machine) {
@@ -96,26 +102,14 @@
     data_.common_shape = resources;
 }
 
-// A job is within its team's guarantee if it fits into that with the team's earlier ones.
 void ClusterState::mark_guarantees() {
-    for (auto& team : data_.teams) {
-        double cpus = 0, gpus = 0;
-        for (auto& job : team.jobs) {
-            if (job->final != Final::none)
-                continue;
-            cpus += job->spec.each.cpus * job->spec.tasks;
-            gpus += job->spec.each.gpus * job->spec.tasks;
-            // What is guaranteed nothing of what a job uses is no guarantee for it.
-            const bool some = team.limits.cpus > 0 || (team.limits.gpus > 0 && job->spec.each.gpus > 0);
-            job->guaranteed = some && (team.limits.cpus <= 0 || cpus <= team.limits.cpus + 1e-6) &&
-                              (team.limits.gpus <= 0 || gpus <= team.limits.gpus + 1e-6);
-        }
-    }
+    for (auto& team : data_.teams)
+        team.mark_guarantees();
 }
 
 void ClusterState::blame(const Entry& entry) {
     auto& blamed = own(entry).job->tasks[entry.index].blamed;
-    if (blamed < 4)
+    if (blamed < max_blamed)
         ++blamed;
 }
 
@@ -139,7 +133,7 @@
 
 void ClusterState::ask(const Machine& machine) {
     own(machine).asked_at = data_.now;
-    to_ask_.push_back(machine.id);
+    heartbeat_requests_.add_again(machine);
 }
 
 void ClusterState::presume_dead(const Machine& machine) {
