--- a/include/heronshift/core/core.hpp
+++ b/include/heronshift/core/core.hpp
@@ -1,8 +1,8 @@
 // One leader's term: commands in, effects out. step(commands, now) -> effects is the only way in; no
-// I/O, clock or randomness of its own, so that whatever happened can be run again (replay/).
+// I/O, clock or randomness of its own, so that a recorded term can be run again (replay/). One thread.
 //
-// Owns the cluster state (state and rules), the policies (which read a const view and propose) and the
-// records (what the store holds); decides only in which order they have their turn.
+// The core only sequences: the state and its rules are in cluster/, the policies, which read a const view and propose,
+// in scheduling/, and what the store holds in persistence/.
 #pragma once
 
 #include "heronshift/cluster/cluster_state.hpp"
@@ -25,28 +25,31 @@
 
 class Core {
 public:
+    /// Begins a term with what the store held when the leadership was taken. `settings` must outlive it. `now` is
+    /// seconds of the steady clock, `wall` seconds since 1970.
     Core(const Settings& settings, std::uint64_t term, const Snapshot& stored, double now, double wall);
     Core(const Core&) = delete;
     Core& operator=(const Core&) = delete;
 
-    // entitled: this node may act as leader at this moment. While it may not, it refuses its workers
-    // and leaves all else among the commands until it may again.
+    /// Takes the commands in their order and returns what is to be done, in that order. `may_act`: this node may act as
+    /// leader at this moment. While it may not, it refuses heartbeats and leaves all else among the commands until it
+    /// may again.
     std::vector<Effect> step(std::vector<Command>& commands, double now, double wall, bool may_act = true);
-    // When step() wants to be called even if no command comes.
+    /// When step() wants to be called even if no command comes.
     [[nodiscard]] double wake_at() const {
         return wake_at_;
     }
 
-    // None: not known here, ask the store. An answer is never older than what was told before.
+    /// None: not known here, ask the store. An answer is never older than what was told before.
     [[nodiscard]] std::optional<JobView> view(const std::string& id) const {
         return cluster_.job(id);
     }
     [[nodiscard]] std::vector<metrics::Value> metrics() const;
 
-    // The shape of a job that is alive here, which proves that it was accepted.
+    /// The shape of a job that is alive here, which proves that it was accepted.
     [[nodiscard]] std::optional<Shape> shape_of(const std::string& id) const;
 
-    // For tests: what is believed to be on machines.
+    /// For tests: what is believed to be on machines.
     [[nodiscard]] std::size_t live_tasks(const std::string& job) const;
     [[nodiscard]] std::size_t machines_up() const;
     [[nodiscard]] std::size_t machine_count() const {
@@ -58,6 +61,12 @@
 
 private:
     void take(Command& command);
+    void refuse_heartbeats(std::vector<Command>& commands);
+    void tick(double now);
+    void schedule(double now);
+    void adjust_fleet(double now);
+    void rebalance(double now);
+    [[nodiscard]] double next_wake(double now) const;
 
     const Settings& settings_;
     std::vector<Effect> effects_;
--- a/src/core/core.cpp
+++ b/src/core/core.cpp
@@ -8,7 +8,45 @@
 namespace heronshift {
 namespace {
 
-constexpr double jobs_a_pass = 2000; // waiting ones, that a pass in every sixtieth of report_s is for
+// How often each part has its turn, as parts of report_s.
+constexpr double ticks_a_report = 20;
+constexpr double passes_a_report = 60;
+constexpr double fleet_plans_a_report = 3;
+constexpr double retries_a_report = 10; // of a step that may not act
+
+constexpr double jobs_a_pass = 2000;      // waiting ones, which one pass in report_s / passes_a_report is meant for
+constexpr double late_store_a_report = 3; // a transaction without an answer for report_s / 3 is late
+constexpr int http_unavailable = 503;
+
+struct MachineTotals {
+    std::size_t up = 0, live_tasks = 0, inbound_unreachable = 0;
+};
+
+MachineTotals machine_totals(const cluster::ClusterData& cluster) {
+    MachineTotals totals;
+    for (const auto& [id, machine] : cluster.machines) {
+        totals.up += machine->status == cluster::Status::up;
+        totals.live_tasks += machine->entries.size();
+        totals.inbound_unreachable += machine->inbound_unreachable();
+    }
+    return totals;
+}
+
+// Seconds since the oldest job was ready of those with nothing running, by class and by team.
+struct OldestWaits {
+    std::map<std::string, double> by_class, by_team;
+};
+
+OldestWaits oldest_waits(const cluster::ClusterData& cluster) {
+    OldestWaits waits;
+    for (const auto& [id, job] : cluster.jobs) {
+        if (job->over() || job->waits || job->live > 0)
+            continue;
+        for (auto* wait : {&waits.by_class[job->spec.job_class], &waits.by_team[job->spec.team]})
+            *wait = std::max(*wait, cluster.now - job->ready);
+    }
+    return waits;
+}
 
 } // namespace
 
@@ -38,61 +76,84 @@
     cluster_.set_time(now, wall);
     effects_.clear();
     if (!may_act) {
-        // From a day on which a cut-off leader took the machines outside its zone for lost and gave
-        // them back the moment the cut ended, with all that ran there under its successor.
-        std::erase_if(commands, [this](const Command& command) {
-            const auto* b = std::get_if<HeartbeatReceived>(&command);
-            if (b != nullptr)
-                effects_.emplace_back(AnswerHeartbeat{b->handle, 503, 0, {}});
-            return b != nullptr;
-        });
-        wake_at_ = now + settings_.report_s / 10;
+        refuse_heartbeats(commands);
+        wake_at_ = now + settings_.report_s / retries_a_report;
         return std::move(effects_);
     }
-    for (auto& c : commands)
-        take(c);
+    for (auto& command : commands)
+        take(command);
     commands.clear();
-    if (now >= next_tick_) {
-        next_tick_ = now + settings_.report_s / 20;
-        cluster_.expire_leases();
-        placement_.drain_noticed();
-        placement_.find_slow();
-        autoscaler_.watch_silent();
-        cluster_.request_pass();
-    }
-    // A pass over what waits costs time: events gather for a moment first.
-    if (cluster_.needs_scheduling() && now >= next_schedule_) {
-        cluster_.settled();
-        cluster_.begin_pass();
-        placement_.schedule();
-        // A pass looks at all that waits. With a hundred thousand jobs, passes that followed each other at
-        // once took the whole loop, and the leadership was lost for want of renewals.
-        const double load = static_cast<double>(placement_.waiting()) / jobs_a_pass;
-        next_schedule_ = now + settings_.report_s / 60 * std::max(1.0, load);
-    }
-    if (now >= next_rent_) {
-        next_rent_ = now + settings_.report_s / 3;
-        autoscaler_.plan_capacity();
-        autoscaler_.plan_shrink();
-        autoscaler_.return_machines();
-    }
-    if (now >= next_round_) {
-        next_round_ = now + settings_.ops.round_s;
-        if (!cluster_.view().types.empty())
-            autoscaler_.log_fleet();
-        rebalancer_.rebalance();
-    }
+    if (now >= next_tick_)
+        tick(now);
+    if (cluster_.needs_scheduling() && now >= next_schedule_)
+        schedule(now);
+    if (now >= next_rent_)
+        adjust_fleet(now);
+    if (now >= next_round_)
+        rebalance(now);
     cluster_.find_dependencies();
     records_.collect_commit();
-    if (records_.late(settings_.report_s / 3))
+    if (records_.late(settings_.report_s / late_store_a_report))
         cluster_.store_is_late();
     cluster_.send_due_orders();
-    wake_at_ = next_tick_;
+    wake_at_ = next_wake(now);
+    return std::move(effects_);
+}
+
+// All other commands wait until the leader may act again. Acting on them now would be wrong: a leader that is cut off
+// would take the machines that it cannot hear for lost and give them back, with all that runs there under its
+// successor (docs/safety.md, 1; `Core.ALeaderThatMayNotActCommandsNobody`).
+void Core::refuse_heartbeats(std::vector<Command>& commands) {
+    std::erase_if(commands, [this](const Command& command) {
+        const auto* heartbeat = std::get_if<HeartbeatReceived>(&command);
+        if (heartbeat != nullptr)
+            effects_.emplace_back(AnswerHeartbeat{heartbeat->handle, http_unavailable, 0, {}});
+        return heartbeat != nullptr;
+    });
+}
+
+void Core::tick(double now) {
+    next_tick_ = now + settings_.report_s / ticks_a_report;
+    cluster_.expire_leases();
+    placement_.drain_noticed();
+    placement_.find_slow();
+    autoscaler_.watch_silent();
+    cluster_.request_pass();
+}
+
+// A pass looks at all that waits, so events gather for a moment first. With many jobs passes are rarer: if they
+// followed each other at once they would take the whole event loop, and the leadership would be lost for want of
+// renewals
+// (`Core.ManyWaitingJobsMakePassesRarer`).
+void Core::schedule(double now) {
+    cluster_.settled();
+    cluster_.begin_pass();
+    placement_.schedule();
+    const double load = static_cast<double>(placement_.waiting()) / jobs_a_pass;
+    next_schedule_ = now + settings_.report_s / passes_a_report * std::max(1.0, load);
+}
+
+void Core::adjust_fleet(double now) {
+    next_rent_ = now + settings_.report_s / fleet_plans_a_report;
+    autoscaler_.plan_capacity();
+    autoscaler_.plan_shrink();
+    autoscaler_.return_machines();
+}
+
+void Core::rebalance(double now) {
+    next_round_ = now + settings_.ops.round_s;
+    if (!cluster_.view().types.empty())
+        autoscaler_.log_fleet();
+    rebalancer_.rebalance();
+}
+
+double Core::next_wake(double now) const {
+    double next = next_tick_;
     if (records_.waiting())
-        wake_at_ = std::min(wake_at_, now + 1 / settings_.state_write_rps); // as the budget allows
+        next = std::min(next, now + 1 / settings_.state_write_rps); // as the budget allows
     if (cluster_.needs_scheduling())
-        wake_at_ = std::min(wake_at_, next_schedule_);
-    return std::move(effects_);
+        next = std::min(next, next_schedule_);
+    return next;
 }
 
 std::optional<Shape> Core::shape_of(const std::string& id) const {
@@ -109,50 +170,39 @@
 }
 
 std::size_t Core::live_tasks(const std::string& job) const {
-    const auto* j = cluster_.view().find_job(job);
-    return j == nullptr ? 0 : j->live;
+    const auto* known = cluster_.view().find_job(job);
+    return known == nullptr ? 0 : known->live;
 }
 
 std::vector<metrics::Value> Core::metrics() const {
     const auto& cluster = cluster_.view();
-    const auto& n = cluster_.counters();
-    std::size_t up = 0, live = 0, inbound_unreachable = 0;
-    for (const auto& [id, machine] : cluster.machines) {
-        up += machine->status == cluster::Status::up;
-        live += machine->entries.size();
-        inbound_unreachable += machine->inbound_unreachable();
-    }
-    std::map<std::string, double> by_class, by_team; // the oldest that waits
-    for (const auto& [id, job] : cluster.jobs) {
-        if (job->final != cluster::Final::none || job->waits || job->live > 0)
-            continue;
-        for (auto* wait : {&by_class[job->spec.job_class], &by_team[job->spec.team]})
-            *wait = std::max(*wait, cluster.now - job->ready);
-    }
-    const auto of = [](auto x) { return static_cast<double>(x); };
+    const auto& counters = cluster_.counters();
+    const auto machines = machine_totals(cluster);
+    const auto waits = oldest_waits(cluster);
+    const auto of = [](auto number) { return static_cast<double>(number); };
     std::vector<metrics::Value> out{
         {"heronshift_term", "of office", of(cluster.term)},
         {"heronshift_jobs", "known to the holder", of(cluster.jobs.size())},
         {"heronshift_machines", "rented, as far as known", of(cluster.machines.size())},
-        {"heronshift_machines_up", "that report", of(up)},
-        {"heronshift_tasks_live", "on machines, or not surely off them", of(live)},
-        {"heronshift_launches_total", "tasks sent to machines in this term", of(n.launched)},
-        {"heronshift_lost_total", "tasks lost with their machine in this term", of(n.lost)},
-        {"heronshift_preempted_total", "tasks stopped for others in this term", of(n.preempted)},
-        {"heronshift_moved_total", "tasks moved in this term", of(n.moved)},
+        {"heronshift_machines_up", "that report", of(machines.up)},
+        {"heronshift_tasks_live", "on machines, or not surely off them", of(machines.live_tasks)},
+        {"heronshift_launches_total", "tasks sent to machines in this term", of(counters.launched)},
+        {"heronshift_lost_total", "tasks lost with their machine in this term", of(counters.lost)},
+        {"heronshift_preempted_total", "tasks stopped for others in this term", of(counters.preempted)},
+        {"heronshift_moved_total", "tasks moved in this term", of(counters.moved)},
         {"heronshift_passes_total", "of placement over all that waits, in this term", of(cluster_.passes())},
         {"heronshift_commits_total", "transactions in this term", of(records_.committed_count())},
-        {"heronshift_machines_deaf", "that report and do not hear", of(inbound_unreachable)},
-        {"heronshift_reports_dropped_total", "copies, in this term", of(n.stale_heartbeats), {{"why", "old"}}},
+        {"heronshift_machines_deaf", "that report and do not hear", of(machines.inbound_unreachable)},
+        {"heronshift_reports_dropped_total", "copies, in this term", of(counters.stale_heartbeats), {{"why", "old"}}},
         {"heronshift_reports_dropped_total",
          "copies, in this term",
-         of(n.heartbeats_of_gone_machines),
+         of(counters.heartbeats_of_gone_machines),
          {{"why", "machine gone"}}}};
     constexpr const char* help = "seconds since the oldest job of which nothing runs was ready";
-    for (const auto& [name, s] : by_class)
-        out.push_back({"heronshift_oldest_wait_seconds", help, s, {{"class", name}}});
-    for (const auto& [name, s] : by_team)
-        out.push_back({"heronshift_oldest_wait_seconds", help, s, {{"team", name}}});
+    for (const auto& [name, wait_s] : waits.by_class)
+        out.push_back({"heronshift_oldest_wait_seconds", help, wait_s, {{"class", name}}});
+    for (const auto& [name, wait_s] : waits.by_team)
+        out.push_back({"heronshift_oldest_wait_seconds", help, wait_s, {{"team", name}}});
     return out;
 }
 
