--- a/include/heronshift/cluster/gone_proof.hpp
+++ b/include/heronshift/cluster/gone_proof.hpp
@@ -18,31 +18,37 @@
 
 /// The agent that sent this heartbeat has seen a fencing token of the term, so no launch of an earlier leader that is
 /// still on its way can be executed there any more (safety.md 5;
-/// `Core.AfterAFailoverOnlyAHeartbeatThatHasSeenOurTermClearsAnIntent`).
+/// `Core.AMachineIsUsedOnceItHasShownThisTermsFencingToken`, `GoneProof.OnlyATokenOfTheTermShowsThatTheTermWasSeen`).
 [[nodiscard]] bool has_seen_term(const Heartbeat& heartbeat, std::uint64_t term);
 
 /// The heartbeat shows a later state of the machine than any before. An older one says nothing about what is there
-/// now (safety.md 6; `Core.AnOldHeartbeatProvesNothing`).
+/// now (safety.md 6; `Core.ACopyOfAHeartbeatIsNoHeartbeat`,
+/// `GoneProof.HeartbeatsAreOrderedByEpochAndThenByCounter`).
 [[nodiscard]] bool is_newest(const Heartbeat& heartbeat, const Machine& machine);
 
 /// A newer agent epoch has begun on the machine since the task was placed. It began with no tasks, and launches for
-/// an earlier one are refused (safety.md 6; `Core.ANewAgentEpochMeansThatAllTasksAreGone`).
+/// an earlier one are refused (safety.md 6; `GoneProof.ANewerEpochEndsATaskOfAnEarlierOne`. Without it
+/// `Core.ANewAgentEpochMeansThatAllTasksAreGone` still passes, since a task that was seen is gone by `proves_gone`.)
 [[nodiscard]] bool ended_by_epoch(const Entry& entry, const Heartbeat& heartbeat);
 
 /// The machine's newest heartbeat, which does not list the task, proves that it is not there and will not be: it had
 /// been there before, or the agent has seen a higher fencing token than that of the launch and will refuse it
-/// (safety.md 4; `Core.AnIncrementedTokenSeenInAHeartbeatSettlesALostLaunch`).
+/// (safety.md 4 and 5; `Core.AnIncrementedTokenSeenInAHeartbeatSettlesALostLaunch` without the token,
+/// `Core.AfterAFailoverOnlyAHeartbeatThatHasSeenOurTermClearsAnIntent` and `Core.AnOldHeartbeatProvesNothing` if any
+/// token will do).
 [[nodiscard]] bool proves_gone(const Entry& unlisted, const Heartbeat& newest);
 
-/// The launch was never sent, so the task is not there (safety.md 5; `Core.LaunchesOnlyWhatTheStoreHolds`).
+/// The launch was never sent, so the task is not there (safety.md 5;
+/// `GoneProof.AHeartbeatSaysNothingAboutALaunchThatIsStillToBeSent`).
 [[nodiscard]] bool never_sent(const Entry& entry);
 
 /// The launch was sent and its outcome is not known: the machine may still execute it. A cancellation is stored only
-/// once no such launch of the job is left (safety.md 27; `LateCommands`).
+/// once no such launch of the job is left (safety.md 27; `LateCommands`, `GoneProof.ALaunchIsOpenUntilItWasSeen`).
 [[nodiscard]] bool launch_open(const Entry& entry);
 
 /// The answer proves that none of the orders was executed or will be: they were never sent, or the agent refused them
-/// for their fencing token or epoch (safety.md 4).
+/// for their fencing token or epoch (safety.md 4;
+/// `GoneProof.OnlyARefusalOrOrdersThatWereNeverSentAreSurelyNotExecuted`).
 [[nodiscard]] bool proves_not_executed(const OrdersAnswered& answer);
 
 /// Seconds after which a lease that was granted or renewed now has surely expired on the machine, which counts it by
