--- a/src/cluster/proposals.cpp
+++ b/src/cluster/proposals.cpp
@@ -5,13 +5,19 @@
 #include <fmt/format.h>
 
 namespace heronshift::cluster {
+namespace {
+
+// How often a machine is taken for slow because of one task; more are not counted.
+constexpr std::uint8_t max_blamed = 4;
+
+} // namespace
 
 // Every placement comes through here; a rule that it would break stops it, whoever planned it.
 bool ClusterState::place(const Job& job, const Machine& machine) {
     auto& j = own(job);
     auto& m = own(machine);
     if (const auto* why = data_.refusal(j, m); why != nullptr) {
-        log(2, fmt::format("no task of job {} on {}: {}", j.spec.id, m.id, why));
+        log(LogLine::Level::warning, fmt::format("no task of job {} on {}: {}", j.spec.id, m.id, why));
         return false;
     }
     while (!j.pending.empty()) {
@@ -96,26 +102,14 @@
     data_.common_shape = resources;
 }
 
-// A job is within its team's guarantee if it fits into that with the team's earlier ones.
 void ClusterState::mark_guarantees() {
-    for (auto& team : data_.teams) {
-        double cpus = 0, gpus = 0;
-        for (auto& job : team.jobs) {
-            if (job->final != Final::none)
-                continue;
-            cpus += job->spec.each.cpus * job->spec.tasks;
-            gpus += job->spec.each.gpus * job->spec.tasks;
-            // What is guaranteed nothing of what a job uses is no guarantee for it.
-            const bool some = team.limits.cpus > 0 || (team.limits.gpus > 0 && job->spec.each.gpus > 0);
-            job->guaranteed = some && (team.limits.cpus <= 0 || cpus <= team.limits.cpus + 1e-6) &&
-                              (team.limits.gpus <= 0 || gpus <= team.limits.gpus + 1e-6);
-        }
-    }
+    for (auto& team : data_.teams)
+        team.mark_guarantees();
 }
 
 void ClusterState::blame(const Entry& entry) {
     auto& blamed = own(entry).job->tasks[entry.index].blamed;
-    if (blamed < 4)
+    if (blamed < max_blamed)
         ++blamed;
 }
 
@@ -139,7 +133,7 @@
 
 void ClusterState::ask(const Machine& machine) {
     own(machine).asked_at = data_.now;
-    to_ask_.push_back(machine.id);
+    heartbeat_requests_.add_again(machine);
 }
 
 void ClusterState::presume_dead(const Machine& machine) {
@@ -152,8 +146,8 @@
     if (!m.presumed_dead)
         return;
     record_spot_loss();
-    log(1, fmt::format("spot machine {} is silent, {} tasks start elsewhere once it is surely gone", m.id,
-                       m.entries.size()));
+    log(LogLine::Level::info, fmt::format("spot machine {} is silent, {} tasks start elsewhere once it is surely gone",
+                                          m.id, m.entries.size()));
 }
 
 // A machine that is given back must stay known as gone for as long as late messages may name it. Without room for
@@ -167,8 +161,8 @@
             machine->release_retry = data_.now + data_.settings.report_s;
         }
     if (may_go < machines.size())
-        log(2, fmt::format("{} machines stay rented for now: {} departed lately", machines.size() - may_go,
-                           departed_.size()));
+        log(LogLine::Level::warning, fmt::format("{} machines stay rented for now: {} departed lately",
+                                                 machines.size() - may_go, departed_.size()));
     machines.resize(may_go);
     if (machines.empty())
         return;
--- a/src/node/controller.cpp
+++ b/src/node/controller.cpp
@@ -15,13 +15,14 @@
 
 spdlog::level::level_enum level_of(const LogLine& line) {
     switch (line.level) {
-    case 0:
+    case LogLine::Level::debug:
         return spdlog::level::debug;
-    case 1:
+    case LogLine::Level::info:
         return spdlog::level::info;
-    default:
-        return spdlog::level::warn;
+    case LogLine::Level::warning:
+        break;
     }
+    return spdlog::level::warn;
 }
 
 } // namespace
--- a/src/persistence/cluster_records.cpp
+++ b/src/persistence/cluster_records.cpp
@@ -130,8 +130,9 @@
 void ClusterRecords::reduce_limits() {
     limits_.max_record_bytes = std::max(limits_.max_record_bytes / 2, min_record_bytes);
     limits_.max_writes = std::max(limits_.max_writes / 2, min_writes);
-    cluster_.log(2, fmt::format("the store takes no such transaction, from now on {} bytes a record and {} changes",
-                                limits_.max_record_bytes, limits_.max_writes));
+    cluster_.log(LogLine::Level::warning,
+                 fmt::format("the store takes no such transaction, from now on {} bytes a record and {} changes",
+                             limits_.max_record_bytes, limits_.max_writes));
 }
 
 } // namespace heronshift
--- a/src/persistence/intent_records.cpp
+++ b/src/persistence/intent_records.cpp
@@ -311,7 +311,8 @@
 }
 
 void ClusterRecords::IntentRecords::hold_unproven(const std::string& machine) {
-    cluster_.log(2, fmt::format("a damaged record{}{}", machine.empty() ? "" : " of machine ", machine));
+    cluster_.log(LogLine::Level::warning,
+                 fmt::format("a damaged record{}{}", machine.empty() ? "" : " of machine ", machine));
     cluster_.data_.unproven_until = cluster_.data_.now + cluster_.lease_expiry_s();
     cluster_.data_.unproven_machines.insert(machine);
     if (machine.empty())
--- a/src/scheduling/fleet_log.cpp
+++ b/src/scheduling/fleet_log.cpp
@@ -50,7 +50,7 @@
         add_machine(*machine, kinds[machine->type_name + (machine->spot ? " (spot)" : "")]);
     for (const auto& [name, kind] : kinds)
         proposals_.log(
-            0,
+            LogLine::Level::debug,
             fmt::format("fleet: {}: {} up ({} pool, {} empty), {} booting, of {:.0f} CPUs {:.0f} in services, {:.0f} "
                         "in gangs, {:.0f} in arrays",
                         name, kind.up, kind.pool, kind.empty, kind.booting, kind.cpus, kind.service_cpus,
@@ -63,9 +63,10 @@
         for (const auto& entry : machine->entries)
             ++phases[entry->phase];
     proposals_.log(
-        0, fmt::format("tasks: {} placed, {} being stored, {} to be sent, {} sent, {} fetching, {} waiting, {} running",
-                       phases[Phase::intent], phases[Phase::storing], phases[Phase::stored], phases[Phase::sent],
-                       phases[Phase::fetching], phases[Phase::waiting], phases[Phase::running]));
+        LogLine::Level::debug,
+        fmt::format("tasks: {} placed, {} being stored, {} to be sent, {} sent, {} fetching, {} waiting, {} running",
+                    phases[Phase::intent], phases[Phase::storing], phases[Phase::stored], phases[Phase::sent],
+                    phases[Phase::fetching], phases[Phase::waiting], phases[Phase::running]));
 }
 
 void Autoscaler::log_waiting() {
@@ -74,7 +75,8 @@
         if (job->final == Final::none)
             waiting[job->priority] += job->pending.size();
     for (const auto& [priority, tasks] : waiting)
-        proposals_.log(0, fmt::format("waiting: {} tasks of rank {}", tasks, static_cast<int>(priority)));
+        proposals_.log(LogLine::Level::debug,
+                       fmt::format("waiting: {} tasks of rank {}", tasks, static_cast<int>(priority)));
 }
 
 } // namespace heronshift::scheduling
--- a/src/scheduling/making_room.cpp
+++ b/src/scheduling/making_room.cpp
@@ -89,8 +89,8 @@
     for (const auto* entry : room.victims)
         proposals_.preempt(*entry);
     if (!room.victims.empty())
-        proposals_.log(0, fmt::format("job {} takes the place of {} tasks on {}", job.spec.id, room.victims.size(),
-                                      room.machine->id));
+        proposals_.log(LogLine::Level::debug, fmt::format("job {} takes the place of {} tasks on {}", job.spec.id,
+                                                          room.victims.size(), room.machine->id));
     keep_room(*room.machine, job, room.tasks, job.priority);
 }
 
--- a/src/scheduling/returning.cpp
+++ b/src/scheduling/returning.cpp
@@ -89,7 +89,8 @@
     }
     if (returned.empty())
         return;
-    proposals_.log(1, fmt::format("returning {} machines, {} first", returned.size(), returned.front()));
+    proposals_.log(LogLine::Level::info,
+                   fmt::format("returning {} machines, {} first", returned.size(), returned.front()));
     proposals_.release(std::move(returned));
 }
 
--- a/src/scheduling/shrinking.cpp
+++ b/src/scheduling/shrinking.cpp
@@ -106,10 +106,11 @@
     auto holdings = count_holdings(candidates);
     const auto due = array_need(cluster_), brought = offered_load(cluster_);
     proposals_.log(
-        0, fmt::format("capacity: {:.0f} CPUs ({:.0f} ordinary), {:.0f} for services and gangs, arrays need {:.0f} "
-                       "({:.0f}) and bring {:.0f} ({:.0f})",
-                       holdings.capacity.all, holdings.capacity.ordinary, holdings.need.all, due.all, due.ordinary,
-                       brought.all, brought.ordinary));
+        LogLine::Level::debug,
+        fmt::format("capacity: {:.0f} CPUs ({:.0f} ordinary), {:.0f} for services and gangs, arrays need {:.0f} "
+                    "({:.0f}) and bring {:.0f} ({:.0f})",
+                    holdings.capacity.all, holdings.capacity.ordinary, holdings.need.all, due.all, due.ordinary,
+                    brought.all, brought.ordinary));
     holdings.need.all += std::max(due.all, brought.all) * array_reserve;
     holdings.need.ordinary += std::max(due.ordinary, brought.ordinary) * array_reserve;
     kept_for_gangs_ = holdings.gang_machines * spare_gangs + holdings.max_gang_tasks;
@@ -146,8 +147,8 @@
         }
         capacity.all -= machine.whole.cpus;
         proposals_.retire(machine, true);
-        proposals_.log(
-            0, fmt::format("machine {} is to become empty, {:.0f} of its CPUs in use", machine.id, machine.used.cpus));
+        proposals_.log(LogLine::Level::debug, fmt::format("machine {} is to become empty, {:.0f} of its CPUs in use",
+                                                          machine.id, machine.used.cpus));
     }
 }
 
--- a/src/scheduling/slow_machines.cpp
+++ b/src/scheduling/slow_machines.cpp
@@ -118,7 +118,7 @@
         return;
     const int times = 1 << std::min(machine.slow_seen, max_doublings);
     proposals_.slow(machine, cluster_.now + slow_leases * settings_.lease_s * times);
-    proposals_.log(1, fmt::format("machine {} is slow", machine.id));
+    proposals_.log(LogLine::Level::info, fmt::format("machine {} is slow", machine.id));
     for (const auto& entry : machine.entries)
         if (is_placed_there(*entry) && entry->job->spec.shape == Shape::array && !is_nearly_done(*entry))
             proposals_.stop(*entry, drain_time_s(entry->job->spec, slow_saves));
