--- a/apps/heronshift/main.cpp
+++ b/apps/heronshift/main.cpp
@@ -1,17 +1,17 @@
 // The program: the daemon, which runs one controller until it is killed, and the verbs for users and operators. Each
 // verb has a struct with its options, a function that declares them, and one that runs it and returns the exit code: 0
 // done, 1 failed, 2 wrong arguments or settings.
-#include "heronshift/cli/client.hpp"
-#include "heronshift/cli/schema.hpp"
+#include "cli/client.hpp"
+#include "cli/schema.hpp"
 #include "heronshift/codec.hpp"
 #include "heronshift/config.hpp"
-#include "heronshift/local/emulator.hpp"
-#include "heronshift/local/local.hpp"
-#include "heronshift/node/node.hpp"
-#include "heronshift/replay/command_log.hpp"
-#include "heronshift/store/file_data.hpp"
-#include "heronshift/store/local.hpp"
 #include "heronshift/version.hpp"
+#include "local/emulator.hpp"
+#include "local/local.hpp"
+#include "node/node.hpp"
+#include "replay/command_log.hpp"
+#include "store/file_data.hpp"
+#include "store/local.hpp"
 
 #include <CLI/CLI.hpp>
 #include <chrono>
--- a/examples/embed_core.cpp
+++ b/examples/embed_core.cpp
@@ -1,6 +1,6 @@
 // Embeds the core without any I/O: one job, a cloud that always has machines, and what the core
 // asks for. A program would carry the effects out and feed back what came of them.
-#include "heronshift/core/core.hpp"
+#include "core/core.hpp"
 
 #include <iostream>
 
--- a/src/cli/client.cpp
+++ b/src/cli/client.cpp
@@ -1,7 +1,7 @@
-#include "heronshift/cli/client.hpp"
+#include "cli/client.hpp"
 
 #include "heronshift/codec.hpp"
-#include "heronshift/http.hpp"
+#include "http.hpp"
 
 #include <iostream>
 #include <optional>
--- a/src/cli/schema.cpp
+++ b/src/cli/schema.cpp
@@ -1,4 +1,4 @@
-#include "heronshift/cli/schema.hpp"
+#include "cli/schema.hpp"
 
 #include <nlohmann/json.hpp>
 #include <valijson/adapters/nlohmann_json_adapter.hpp>
--- a/src/cloud/cloud_client.cpp
+++ b/src/cloud/cloud_client.cpp
@@ -1,4 +1,4 @@
-#include "heronshift/cloud/cloud_client.hpp"
+#include "cloud/cloud_client.hpp"
 
 #include <algorithm>
 #include <spdlog/spdlog.h>
--- a/include/heronshift/cloud/cloud_client.hpp
+++ b/src/cloud/cloud_client.hpp
@@ -4,8 +4,8 @@
 #include "heronshift/config.hpp"
 #include "heronshift/executor/executor.hpp"
 #include "heronshift/store/store.hpp"
-#include "heronshift/timer_queue.hpp"
-#include "heronshift/token_bucket.hpp"
+#include "timer_queue.hpp"
+#include "token_bucket.hpp"
 
 #include <deque>
 #include <functional>
--- a/include/heronshift/cluster/cluster_data.hpp
+++ b/src/cluster/cluster_data.hpp
@@ -3,10 +3,10 @@
 // are seconds of the steady clock unless they are called wall.
 #pragma once
 
-#include "heronshift/cluster/entry.hpp"
-#include "heronshift/cluster/job.hpp"
-#include "heronshift/cluster/machine.hpp"
-#include "heronshift/cluster/team.hpp"
+#include "cluster/entry.hpp"
+#include "cluster/job.hpp"
+#include "cluster/machine.hpp"
+#include "cluster/team.hpp"
 #include "heronshift/config.hpp"
 #include "heronshift/messages.hpp"
 #include "heronshift/types.hpp"
--- a/include/heronshift/cluster/cluster_state.hpp
+++ b/src/cluster/cluster_state.hpp
@@ -3,12 +3,12 @@
 // follows. No I/O, clock or randomness. All on the thread of the event loop.
 #pragma once
 
-#include "heronshift/bounded_cache.hpp"
-#include "heronshift/cluster/cluster_data.hpp"
-#include "heronshift/cluster/departed_machines.hpp"
-#include "heronshift/cluster/dependency_tracker.hpp"
-#include "heronshift/cluster/order_queues.hpp"
-#include "heronshift/cluster/proposals.hpp"
+#include "bounded_cache.hpp"
+#include "cluster/cluster_data.hpp"
+#include "cluster/departed_machines.hpp"
+#include "cluster/dependency_tracker.hpp"
+#include "cluster/order_queues.hpp"
+#include "cluster/proposals.hpp"
 
 #include <optional>
 
--- a/src/cluster/departed_machines.cpp
+++ b/src/cluster/departed_machines.cpp
@@ -1,6 +1,6 @@
-#include "heronshift/cluster/departed_machines.hpp"
+#include "cluster/departed_machines.hpp"
 
-#include "heronshift/memory_share.hpp"
+#include "memory_share.hpp"
 
 namespace heronshift::cluster {
 namespace {
--- a/src/cluster/dependencies.cpp
+++ b/src/cluster/dependencies.cpp
@@ -1,6 +1,6 @@
 // Jobs that wait for others: when they are ready, what a cancellation cancels with it, and how urgent those that need a
 // job make it.
-#include "heronshift/cluster/cluster_state.hpp"
+#include "cluster/cluster_state.hpp"
 
 #include <algorithm>
 #include <fmt/format.h>
--- a/src/cluster/dependency_tracker.cpp
+++ b/src/cluster/dependency_tracker.cpp
@@ -1,4 +1,4 @@
-#include "heronshift/cluster/dependency_tracker.hpp"
+#include "cluster/dependency_tracker.hpp"
 
 #include <utility>
 
--- a/src/cluster/entries.cpp
+++ b/src/cluster/entries.cpp
@@ -1,6 +1,6 @@
 // Tasks on machines, from their placement until they are proven gone: where they count, and what becomes of them.
-#include "heronshift/cluster/cluster_state.hpp"
-#include "heronshift/cluster/gone_proof.hpp"
+#include "cluster/cluster_state.hpp"
+#include "cluster/gone_proof.hpp"
 
 #include <algorithm>
 #include <fmt/format.h>
--- a/src/cluster/gone_proof.cpp
+++ b/src/cluster/gone_proof.cpp
@@ -1,6 +1,6 @@
-#include "heronshift/cluster/gone_proof.hpp"
+#include "cluster/gone_proof.hpp"
 
-#include "heronshift/cluster/cluster_data.hpp"
+#include "cluster/cluster_data.hpp"
 
 #include <tuple>
 
--- a/include/heronshift/cluster/gone_proof.hpp
+++ b/src/cluster/gone_proof.hpp
@@ -7,8 +7,8 @@
 // its lease, an entry in Phase::storing stays until its transaction has an outcome (`ClusterState::lose_entries`).
 #pragma once
 
-#include "heronshift/cluster/entry.hpp"
-#include "heronshift/cluster/machine.hpp"
+#include "cluster/entry.hpp"
+#include "cluster/machine.hpp"
 #include "heronshift/config.hpp"
 #include "heronshift/messages.hpp"
 
--- a/src/cluster/heartbeats.cpp
+++ b/src/cluster/heartbeats.cpp
@@ -1,6 +1,6 @@
 // What a heartbeat changes: which tasks are on its machine, which are proven gone, and whether the machine hears us.
-#include "heronshift/cluster/cluster_state.hpp"
-#include "heronshift/cluster/gone_proof.hpp"
+#include "cluster/cluster_state.hpp"
+#include "cluster/gone_proof.hpp"
 
 #include <algorithm>
 #include <fmt/format.h>
--- a/src/cluster/job.cpp
+++ b/src/cluster/job.cpp
@@ -1,4 +1,4 @@
-#include "heronshift/cluster/job.hpp"
+#include "cluster/job.hpp"
 
 #include <algorithm>
 
--- a/include/heronshift/cluster/job.hpp
+++ b/src/cluster/job.hpp
@@ -1,7 +1,7 @@
 // Jobs and their tasks as the leader tracks them.
 #pragma once
 
-#include "heronshift/cluster/entry.hpp"
+#include "cluster/entry.hpp"
 #include "heronshift/types.hpp"
 
 #include <cstdint>
--- a/src/cluster/job_lifecycle.cpp
+++ b/src/cluster/job_lifecycle.cpp
@@ -1,8 +1,8 @@
 // Jobs from their submission until they are forgotten: cancellations, completion, and what is learned from them.
-#include "heronshift/cluster/cluster_state.hpp"
-#include "heronshift/cluster/gone_proof.hpp"
+#include "cluster/cluster_state.hpp"
+#include "cluster/gone_proof.hpp"
 
-#include "heronshift/memory_share.hpp"
+#include "memory_share.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/cluster/machine.cpp
+++ b/src/cluster/machine.cpp
@@ -1,6 +1,6 @@
-#include "heronshift/cluster/machine.hpp"
+#include "cluster/machine.hpp"
 
-#include "heronshift/cluster/job.hpp"
+#include "cluster/job.hpp"
 
 namespace heronshift::cluster {
 
--- a/include/heronshift/cluster/machine.hpp
+++ b/src/cluster/machine.hpp
@@ -1,7 +1,7 @@
 // Machines as the leader tracks them: what they report, whether they can be reached, and their leases.
 #pragma once
 
-#include "heronshift/cluster/entry.hpp"
+#include "cluster/entry.hpp"
 #include "heronshift/types.hpp"
 
 #include <algorithm>
--- a/src/cluster/machine_lifecycle.cpp
+++ b/src/cluster/machine_lifecycle.cpp
@@ -1,6 +1,6 @@
 // What is known of machines: their types, images and leases, rentals, releases and the cloud's list.
-#include "heronshift/cluster/cluster_state.hpp"
-#include "heronshift/cluster/gone_proof.hpp"
+#include "cluster/cluster_state.hpp"
+#include "cluster/gone_proof.hpp"
 
 #include <cmath>
 #include <fmt/format.h>
--- a/src/cluster/order_queues.cpp
+++ b/src/cluster/order_queues.cpp
@@ -1,4 +1,4 @@
-#include "heronshift/cluster/order_queues.hpp"
+#include "cluster/order_queues.hpp"
 
 #include <algorithm>
 #include <utility>
--- a/include/heronshift/cluster/order_queues.hpp
+++ b/src/cluster/order_queues.hpp
@@ -1,7 +1,7 @@
 // Which machines are to be sent orders, and which are to be asked for a heartbeat.
 #pragma once
 
-#include "heronshift/cluster/machine.hpp"
+#include "cluster/machine.hpp"
 #include "heronshift/config.hpp"
 
 #include <cstddef>
--- a/src/cluster/orders.cpp
+++ b/src/cluster/orders.cpp
@@ -1,6 +1,6 @@
 // Orders to machines and requests for heartbeats: what is sent, and what follows from their outcome.
-#include "heronshift/cluster/cluster_state.hpp"
-#include "heronshift/cluster/gone_proof.hpp"
+#include "cluster/cluster_state.hpp"
+#include "cluster/gone_proof.hpp"
 
 #include <algorithm>
 #include <fmt/format.h>
--- a/src/cluster/placement_rules.cpp
+++ b/src/cluster/placement_rules.cpp
@@ -1,5 +1,5 @@
 // The rules of where a task may run, and other questions about the state.
-#include "heronshift/cluster/cluster_data.hpp"
+#include "cluster/cluster_data.hpp"
 
 #include <cmath>
 
--- a/src/cluster/proposals.cpp
+++ b/src/cluster/proposals.cpp
@@ -1,5 +1,5 @@
 // What policies propose, checked and entered.
-#include "heronshift/cluster/cluster_state.hpp"
+#include "cluster/cluster_state.hpp"
 
 #include <algorithm>
 #include <fmt/format.h>
--- a/include/heronshift/cluster/proposals.hpp
+++ b/src/cluster/proposals.hpp
@@ -2,7 +2,7 @@
 // policy being right.
 #pragma once
 
-#include "heronshift/cluster/cluster_data.hpp"
+#include "cluster/cluster_data.hpp"
 
 namespace heronshift::cluster {
 
--- a/src/cluster/team.cpp
+++ b/src/cluster/team.cpp
@@ -1,4 +1,4 @@
-#include "heronshift/cluster/team.hpp"
+#include "cluster/team.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/include/heronshift/cluster/team.hpp
+++ b/src/cluster/team.hpp
@@ -1,7 +1,7 @@
 // Teams and their quota.
 #pragma once
 
-#include "heronshift/cluster/job.hpp"
+#include "cluster/job.hpp"
 #include "heronshift/types.hpp"
 
 #include <vector>
--- a/src/core/core.cpp
+++ b/src/core/core.cpp
@@ -1,6 +1,6 @@
-#include "heronshift/core/core.hpp"
+#include "core/core.hpp"
 
-#include "heronshift/overloaded.hpp"
+#include "overloaded.hpp"
 
 #include <algorithm>
 #include <map>
--- a/include/heronshift/core/core.hpp
+++ b/src/core/core.hpp
@@ -5,13 +5,13 @@
 // in scheduling/, and what the store holds in persistence/.
 #pragma once
 
-#include "heronshift/cluster/cluster_state.hpp"
+#include "cluster/cluster_state.hpp"
 #include "heronshift/messages.hpp"
-#include "heronshift/metrics/metrics.hpp"
-#include "heronshift/persistence/cluster_records.hpp"
-#include "heronshift/scheduling/autoscaler.hpp"
-#include "heronshift/scheduling/placement.hpp"
-#include "heronshift/scheduling/rebalancer.hpp"
+#include "metrics/metrics.hpp"
+#include "persistence/cluster_records.hpp"
+#include "scheduling/autoscaler.hpp"
+#include "scheduling/placement.hpp"
+#include "scheduling/rebalancer.hpp"
 
 #include <optional>
 #include <string>
--- a/src/embed/scheduler.cpp
+++ b/src/embed/scheduler.cpp
@@ -1,8 +1,8 @@
 #include "heronshift/embed/scheduler.hpp"
 
 #include "heronshift/codec.hpp"
-#include "heronshift/node/node.hpp"
-#include "heronshift/store/local.hpp"
+#include "node/node.hpp"
+#include "store/local.hpp"
 
 #include <atomic>
 #include <deque>
--- a/src/executor/http.cpp
+++ b/src/executor/http_executor.cpp
@@ -1,7 +1,7 @@
-#include "heronshift/executor/http.hpp"
+#include "executor/http_executor.hpp"
 
 #include "heronshift/codec.hpp"
-#include "heronshift/http_status.hpp"
+#include "http_status.hpp"
 
 #include <utility>
 
--- a/include/heronshift/executor/http.hpp
+++ b/src/executor/http_executor.hpp
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "heronshift/executor/executor.hpp"
-#include "heronshift/http.hpp"
+#include "http.hpp"
 
 namespace heronshift {
 
--- a/include/heronshift/gateway/fair_token_bucket.hpp
+++ b/src/gateway/fair_token_bucket.hpp
@@ -1,9 +1,9 @@
 // A token bucket that many clients share, in which each has its turn.
 #pragma once
 
-#include "heronshift/bounded_cache.hpp"
-#include "heronshift/memory_share.hpp"
-#include "heronshift/token_bucket.hpp"
+#include "bounded_cache.hpp"
+#include "memory_share.hpp"
+#include "token_bucket.hpp"
 
 #include <algorithm>
 #include <string>
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -1,8 +1,8 @@
-#include "heronshift/gateway/gateway.hpp"
+#include "gateway/gateway.hpp"
 
-#include "heronshift/http_status.hpp"
-#include "heronshift/memory_share.hpp"
-#include "heronshift/persistence/layout.hpp"
+#include "http_status.hpp"
+#include "memory_share.hpp"
+#include "persistence/layout.hpp"
 
 #include <algorithm>
 #include <fmt/format.h>
@@ -12,9 +12,9 @@
 namespace {
 
 using codec::error_answer;
+using codec::not_now;
 using persistence::final_key;
 using persistence::job_key;
-using codec::not_now;
 
 // Look-ups under way: those that the budget of reads lets begin while one waits for its three reads in vain. So the
 // budget binds first, and the same happens then: 503 with Retry-After.
@@ -36,7 +36,6 @@
     return entries_in_share(settings.memory_mb, refused_memory_share, job_bytes);
 }
 
-
 void try_later(const Responder& res) {
     res.send(http_status::service_unavailable, not_now, retry_soon_s);
 }
--- a/include/heronshift/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -1,13 +1,13 @@
 // The users' requests: submit, look up and cancel jobs.
 #pragma once
 
-#include "heronshift/core/core.hpp"
-#include "heronshift/gateway/fair_token_bucket.hpp"
-#include "heronshift/membership/membership.hpp"
-#include "heronshift/metrics/timings.hpp"
-#include "heronshift/peers/peers.hpp"
+#include "core/core.hpp"
+#include "gateway/fair_token_bucket.hpp"
 #include "heronshift/store/store.hpp"
-#include "heronshift/timer_queue.hpp"
+#include "membership/membership.hpp"
+#include "metrics/timings.hpp"
+#include "peers/peers.hpp"
+#include "timer_queue.hpp"
 
 #include <functional>
 #include <map>
--- a/include/heronshift/http.hpp
+++ b/src/http.hpp
@@ -2,8 +2,8 @@
 // is used, and calls back, on that loop's thread only.
 #pragma once
 
+#include "connection_shares.hpp"
 #include "heronshift/config.hpp"
-#include "heronshift/connection_shares.hpp"
 #include "heronshift/http_reply.hpp"
 #include "heronshift/loop_handle.hpp"
 
--- a/src/http/client.cpp
+++ b/src/http/client.cpp
@@ -1,6 +1,6 @@
-#include "heronshift/http.hpp"
+#include "http.hpp"
 
-#include "heronshift/http_status.hpp"
+#include "http_status.hpp"
 #include "socket.hpp"
 
 #include <algorithm>
--- a/src/leadership/candidate_policy.cpp
+++ b/src/leadership/candidate_policy.cpp
@@ -1,4 +1,4 @@
-#include "heronshift/leadership/candidate_policy.hpp"
+#include "leadership/candidate_policy.hpp"
 
 #include <algorithm>
 
--- a/include/heronshift/leadership/candidate_policy.hpp
+++ b/src/leadership/candidate_policy.hpp
@@ -4,8 +4,8 @@
 #pragma once
 
 #include "heronshift/config.hpp"
-#include "heronshift/leadership/resignation.hpp"
-#include "heronshift/membership/membership.hpp"
+#include "leadership/resignation.hpp"
+#include "membership/membership.hpp"
 
 #include <cstddef>
 #include <optional>
--- a/include/heronshift/leadership/election_actions.hpp
+++ b/src/leadership/election_actions.hpp
@@ -3,8 +3,8 @@
 /// them in order and hands answers back. Durations are seconds.
 #pragma once
 
-#include "heronshift/leadership/leader_records.hpp"
-#include "heronshift/leadership/peer_messages.hpp"
+#include "leadership/leader_records.hpp"
+#include "leadership/peer_messages.hpp"
 
 #include <cstdint>
 #include <string>
--- a/src/leadership/election_state_machine.cpp
+++ b/src/leadership/election_state_machine.cpp
@@ -1,4 +1,4 @@
-#include "heronshift/leadership/election_state_machine.hpp"
+#include "leadership/election_state_machine.hpp"
 
 #include <algorithm>
 #include <fmt/format.h>
--- a/include/heronshift/leadership/election_state_machine.hpp
+++ b/src/leadership/election_state_machine.hpp
@@ -9,11 +9,11 @@
 #pragma once
 
 #include "heronshift/config.hpp"
-#include "heronshift/leadership/candidate_policy.hpp"
-#include "heronshift/leadership/election_actions.hpp"
-#include "heronshift/leadership/leader_lease.hpp"
-#include "heronshift/leadership/link_hints.hpp"
-#include "heronshift/leadership/store_outcome.hpp"
+#include "leadership/candidate_policy.hpp"
+#include "leadership/election_actions.hpp"
+#include "leadership/leader_lease.hpp"
+#include "leadership/link_hints.hpp"
+#include "leadership/store_outcome.hpp"
 
 #include <cstdint>
 #include <map>
--- a/src/leadership/leader_election.cpp
+++ b/src/leadership/leader_election.cpp
@@ -1,8 +1,8 @@
-#include "heronshift/leadership/leader_election.hpp"
+#include "leadership/leader_election.hpp"
 
-#include "heronshift/leadership/leader_records.hpp"
-#include "heronshift/leadership/peer_messages.hpp"
-#include "heronshift/leadership/store_outcome.hpp"
+#include "leadership/leader_records.hpp"
+#include "leadership/peer_messages.hpp"
+#include "leadership/store_outcome.hpp"
 
 #include <fmt/format.h>
 #include <utility>
--- a/include/heronshift/leadership/leader_election.hpp
+++ b/src/leadership/leader_election.hpp
@@ -8,16 +8,16 @@
 #pragma once
 
 #include "heronshift/config.hpp"
-#include "heronshift/http.hpp"
-#include "heronshift/leadership/election_state_machine.hpp"
-#include "heronshift/leadership/state_loader.hpp"
-#include "heronshift/leadership/transaction_queue.hpp"
-#include "heronshift/membership/membership.hpp"
 #include "heronshift/messages.hpp"
-#include "heronshift/metrics/metrics.hpp"
-#include "heronshift/peers/peers.hpp"
 #include "heronshift/store/store.hpp"
-#include "heronshift/timer_queue.hpp"
+#include "http.hpp"
+#include "leadership/election_state_machine.hpp"
+#include "leadership/state_loader.hpp"
+#include "leadership/transaction_queue.hpp"
+#include "membership/membership.hpp"
+#include "metrics/metrics.hpp"
+#include "peers/peers.hpp"
+#include "timer_queue.hpp"
 
 #include <cstddef>
 #include <cstdint>
--- a/src/leadership/leader_lease.cpp
+++ b/src/leadership/leader_lease.cpp
@@ -1,4 +1,4 @@
-#include "heronshift/leadership/leader_lease.hpp"
+#include "leadership/leader_lease.hpp"
 
 #include <algorithm>
 
--- a/src/leadership/leader_records.cpp
+++ b/src/leadership/leader_records.cpp
@@ -1,4 +1,4 @@
-#include "heronshift/leadership/leader_records.hpp"
+#include "leadership/leader_records.hpp"
 
 namespace heronshift::leadership {
 
--- a/include/heronshift/leadership/link_hints.hpp
+++ b/src/leadership/link_hints.hpp
@@ -2,7 +2,7 @@
 /// What the election asks about this node's links and about the other controllers.
 #pragma once
 
-#include "heronshift/membership/membership.hpp"
+#include "membership/membership.hpp"
 
 #include <cstddef>
 #include <optional>
--- a/src/leadership/peer_messages.cpp
+++ b/src/leadership/peer_messages.cpp
@@ -1,4 +1,4 @@
-#include "heronshift/leadership/peer_messages.hpp"
+#include "leadership/peer_messages.hpp"
 
 #include "heronshift/codec.hpp"
 
--- a/src/leadership/resignation.cpp
+++ b/src/leadership/resignation.cpp
@@ -1,4 +1,4 @@
-#include "heronshift/leadership/resignation.hpp"
+#include "leadership/resignation.hpp"
 
 namespace heronshift::leadership {
 
--- a/src/leadership/state_loader.cpp
+++ b/src/leadership/state_loader.cpp
@@ -1,6 +1,6 @@
-#include "heronshift/leadership/state_loader.hpp"
+#include "leadership/state_loader.hpp"
 
-#include "heronshift/leadership/store_outcome.hpp"
+#include "leadership/store_outcome.hpp"
 
 #include <algorithm>
 #include <utility>
--- a/include/heronshift/leadership/state_loader.hpp
+++ b/src/leadership/state_loader.hpp
@@ -4,9 +4,9 @@
 #pragma once
 
 #include "heronshift/config.hpp"
-#include "heronshift/persistence/cluster_records.hpp"
 #include "heronshift/store/store.hpp"
-#include "heronshift/timer_queue.hpp"
+#include "persistence/cluster_records.hpp"
+#include "timer_queue.hpp"
 
 #include <cstdint>
 #include <functional>
--- a/src/leadership/store_outcome.cpp
+++ b/src/leadership/store_outcome.cpp
@@ -1,4 +1,4 @@
-#include "heronshift/leadership/store_outcome.hpp"
+#include "leadership/store_outcome.hpp"
 
 namespace heronshift::leadership {
 
--- a/src/leadership/transaction_queue.cpp
+++ b/src/leadership/transaction_queue.cpp
@@ -1,6 +1,6 @@
-#include "heronshift/leadership/transaction_queue.hpp"
+#include "leadership/transaction_queue.hpp"
 
-#include "heronshift/leadership/store_outcome.hpp"
+#include "leadership/store_outcome.hpp"
 
 #include <spdlog/spdlog.h>
 
--- a/include/heronshift/leadership/transaction_queue.hpp
+++ b/src/leadership/transaction_queue.hpp
@@ -4,12 +4,12 @@
 #pragma once
 
 #include "heronshift/config.hpp"
-#include "heronshift/leadership/leader_records.hpp"
-#include "heronshift/leadership/resignation.hpp"
 #include "heronshift/messages.hpp"
-#include "heronshift/metrics/timings.hpp"
 #include "heronshift/store/store.hpp"
-#include "heronshift/timer_queue.hpp"
+#include "leadership/leader_records.hpp"
+#include "leadership/resignation.hpp"
+#include "metrics/timings.hpp"
+#include "timer_queue.hpp"
 
 #include <cstdint>
 #include <functional>
--- a/src/local/cloud.cpp
+++ b/src/local/cloud.cpp
@@ -1,4 +1,4 @@
-#include "heronshift/local/cloud.hpp"
+#include "local/cloud.hpp"
 
 #include "heronshift/codec.hpp"
 #include "heronshift/loop_queue.hpp"
--- a/include/heronshift/local/cloud.hpp
+++ b/src/local/cloud.hpp
@@ -5,9 +5,9 @@
 
 #include "heronshift/clock.hpp"
 #include "heronshift/executor/executor.hpp"
-#include "heronshift/http.hpp"
-#include "heronshift/local/history.hpp"
-#include "heronshift/loop_timer.hpp"
+#include "http.hpp"
+#include "local/history.hpp"
+#include "loop_timer.hpp"
 
 #include <functional>
 #include <map>
--- a/src/local/emulator.cpp
+++ b/src/local/emulator.cpp
@@ -1,7 +1,7 @@
-#include "heronshift/local/emulator.hpp"
+#include "local/emulator.hpp"
 
 #include "heronshift/codec.hpp"
-#include "heronshift/store/server.hpp"
+#include "store/server.hpp"
 
 #include <charconv>
 #include <csignal>
--- a/include/heronshift/local/emulator.hpp
+++ b/src/local/emulator.hpp
@@ -2,8 +2,8 @@
 // cloud with its machines. They serve until interrupted.
 #pragma once
 
-#include "heronshift/local/cloud.hpp"
 #include "heronshift/store/engine.hpp"
+#include "local/cloud.hpp"
 
 #include <string>
 
--- a/src/local/history.cpp
+++ b/src/local/history.cpp
@@ -1,4 +1,4 @@
-#include "heronshift/local/history.hpp"
+#include "local/history.hpp"
 
 #include "heronshift/codec.hpp"
 
--- a/src/local/local.cpp
+++ b/src/local/local.cpp
@@ -1,10 +1,10 @@
-#include "heronshift/local/local.hpp"
+#include "local/local.hpp"
 
 #include "heronshift/codec.hpp"
-#include "heronshift/local/cloud.hpp"
-#include "heronshift/local/emulator.hpp"
-#include "heronshift/local/port.hpp"
-#include "heronshift/store/server.hpp"
+#include "local/cloud.hpp"
+#include "local/emulator.hpp"
+#include "local/port.hpp"
+#include "store/server.hpp"
 
 #include <algorithm>
 #include <csignal>
--- a/src/membership/eligibility.cpp
+++ b/src/membership/eligibility.cpp
@@ -1,4 +1,4 @@
-#include "heronshift/membership/eligibility.hpp"
+#include "membership/eligibility.hpp"
 
 #include <algorithm>
 #include <fmt/format.h>
--- a/include/heronshift/membership/eligibility.hpp
+++ b/src/membership/eligibility.hpp
@@ -3,8 +3,8 @@
 #pragma once
 
 #include "heronshift/config.hpp"
-#include "heronshift/membership/link_health.hpp"
-#include "heronshift/membership/peer_view.hpp"
+#include "membership/link_health.hpp"
+#include "membership/peer_view.hpp"
 
 #include <compare>
 #include <optional>
--- a/src/membership/link_health.cpp
+++ b/src/membership/link_health.cpp
@@ -1,4 +1,4 @@
-#include "heronshift/membership/link_health.hpp"
+#include "membership/link_health.hpp"
 
 #include <utility>
 
--- a/src/membership/machine_samples.cpp
+++ b/src/membership/machine_samples.cpp
@@ -1,4 +1,4 @@
-#include "heronshift/membership/machine_samples.hpp"
+#include "membership/machine_samples.hpp"
 
 #include <algorithm>
 
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -1,4 +1,4 @@
-#include "heronshift/membership/membership.hpp"
+#include "membership/membership.hpp"
 
 #include <algorithm>
 #include <fmt/format.h>
--- a/include/heronshift/membership/membership.hpp
+++ b/src/membership/membership.hpp
@@ -5,16 +5,16 @@
 
 #include "heronshift/config.hpp"
 #include "heronshift/executor/executor.hpp"
-#include "heronshift/membership/eligibility.hpp"
-#include "heronshift/membership/link_health.hpp"
-#include "heronshift/membership/peer_view.hpp"
-#include "heronshift/membership/peer_views.hpp"
-#include "heronshift/membership/relay_choice.hpp"
-#include "heronshift/membership/zone_health.hpp"
-#include "heronshift/metrics/metrics.hpp"
-#include "heronshift/peers/peers.hpp"
 #include "heronshift/store/store.hpp"
-#include "heronshift/timer_queue.hpp"
+#include "membership/eligibility.hpp"
+#include "membership/link_health.hpp"
+#include "membership/peer_view.hpp"
+#include "membership/peer_views.hpp"
+#include "membership/relay_choice.hpp"
+#include "membership/zone_health.hpp"
+#include "metrics/metrics.hpp"
+#include "peers/peers.hpp"
+#include "timer_queue.hpp"
 
 #include <cstdint>
 #include <map>
--- a/include/heronshift/membership/observed_clients.hpp
+++ b/src/membership/observed_clients.hpp
@@ -3,8 +3,8 @@
 /// pass everything on unchanged; used on the loop's thread only.
 #pragma once
 
-#include "heronshift/peers/peers.hpp"
 #include "heronshift/store/store.hpp"
+#include "peers/peers.hpp"
 
 #include <functional>
 #include <memory>
--- a/src/membership/peer_view.cpp
+++ b/src/membership/peer_view.cpp
@@ -1,7 +1,7 @@
-#include "heronshift/membership/peer_view.hpp"
+#include "membership/peer_view.hpp"
 
 #include "heronshift/codec.hpp"
-#include "heronshift/membership/machine_samples.hpp"
+#include "membership/machine_samples.hpp"
 
 namespace heronshift::membership {
 namespace {
--- a/include/heronshift/membership/peer_view.hpp
+++ b/src/membership/peer_view.hpp
@@ -3,7 +3,7 @@
 /// does not know are ignored, and missing ones count as unknown, so that versions can be mixed.
 #pragma once
 
-#include "heronshift/membership/link_health.hpp"
+#include "membership/link_health.hpp"
 
 #include <cstdint>
 #include <map>
--- a/src/membership/peer_views.cpp
+++ b/src/membership/peer_views.cpp
@@ -1,4 +1,4 @@
-#include "heronshift/membership/peer_views.hpp"
+#include "membership/peer_views.hpp"
 
 #include <algorithm>
 
--- a/src/membership/relay_choice.cpp
+++ b/src/membership/relay_choice.cpp
@@ -1,4 +1,4 @@
-#include "heronshift/membership/relay_choice.hpp"
+#include "membership/relay_choice.hpp"
 
 #include <vector>
 
--- a/include/heronshift/membership/relay_choice.hpp
+++ b/src/membership/relay_choice.hpp
@@ -2,7 +2,7 @@
 /// Which controller to go through where this one cannot reach the store or a zone's workers itself.
 #pragma once
 
-#include "heronshift/membership/peer_views.hpp"
+#include "membership/peer_views.hpp"
 
 #include <cstddef>
 #include <optional>
--- a/src/membership/zone_health.cpp
+++ b/src/membership/zone_health.cpp
@@ -1,4 +1,4 @@
-#include "heronshift/membership/zone_health.hpp"
+#include "membership/zone_health.hpp"
 
 #include <algorithm>
 
--- a/include/heronshift/membership/zone_health.hpp
+++ b/src/membership/zone_health.hpp
@@ -3,8 +3,8 @@
 /// should come while this node is the active leader, and outbound, the probes of a few machines.
 #pragma once
 
-#include "heronshift/membership/link_health.hpp"
-#include "heronshift/membership/machine_samples.hpp"
+#include "membership/link_health.hpp"
+#include "membership/machine_samples.hpp"
 
 #include <optional>
 #include <string>
--- a/src/metrics/metrics.cpp
+++ b/src/metrics/metrics.cpp
@@ -1,4 +1,4 @@
-#include "heronshift/metrics/metrics.hpp"
+#include "metrics/metrics.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/include/heronshift/metrics/metrics.hpp
+++ b/src/metrics/metrics.hpp
@@ -2,7 +2,7 @@
 // by prometheus-cpp). Times in seconds, in Boost.Histogram, from a millisecond to a minute and beyond.
 #pragma once
 
-#include "heronshift/memory_share.hpp"
+#include "memory_share.hpp"
 
 #include <boost/histogram.hpp>
 #include <cstdint>
--- a/include/heronshift/metrics/timings.hpp
+++ b/src/metrics/timings.hpp
@@ -1,7 +1,7 @@
 // What the parts of one controller count and time, in one place, for /metrics.
 #pragma once
 
-#include "heronshift/metrics/metrics.hpp"
+#include "metrics/metrics.hpp"
 
 namespace heronshift::metrics {
 
--- a/src/node/controller.cpp
+++ b/src/node/controller.cpp
@@ -1,7 +1,7 @@
-#include "heronshift/node/controller.hpp"
+#include "node/controller.hpp"
 
-#include "heronshift/http_status.hpp"
-#include "heronshift/overloaded.hpp"
+#include "http_status.hpp"
+#include "overloaded.hpp"
 
 #include <algorithm>
 #include <iterator>
--- a/include/heronshift/node/controller.hpp
+++ b/src/node/controller.hpp
@@ -1,14 +1,14 @@
 // One controller without a loop of its own.
 #pragma once
 
-#include "heronshift/cloud/cloud_client.hpp"
-#include "heronshift/core/core.hpp"
-#include "heronshift/gateway/gateway.hpp"
-#include "heronshift/leadership/leader_election.hpp"
-#include "heronshift/membership/membership.hpp"
-#include "heronshift/membership/observed_clients.hpp"
-#include "heronshift/replay/command_log.hpp"
-#include "heronshift/workers/heartbeat_handler.hpp"
+#include "cloud/cloud_client.hpp"
+#include "core/core.hpp"
+#include "gateway/gateway.hpp"
+#include "leadership/leader_election.hpp"
+#include "membership/membership.hpp"
+#include "membership/observed_clients.hpp"
+#include "replay/command_log.hpp"
+#include "workers/heartbeat_handler.hpp"
 
 #include <functional>
 #include <memory>
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -1,7 +1,7 @@
-#include "heronshift/node/node.hpp"
+#include "node/node.hpp"
 
-#include "heronshift/executor/http.hpp"
-#include "heronshift/store/remote.hpp"
+#include "executor/http_executor.hpp"
+#include "store/remote.hpp"
 
 #include <algorithm>
 #include <utility>
--- a/include/heronshift/node/node.hpp
+++ b/src/node/node.hpp
@@ -1,9 +1,9 @@
 // A controller on a libuv loop.
 #pragma once
 
-#include "heronshift/http.hpp"
 #include "heronshift/loop_handle.hpp"
-#include "heronshift/node/controller.hpp"
+#include "http.hpp"
+#include "node/controller.hpp"
 
 #include <memory>
 
--- a/src/peers/peers.cpp
+++ b/src/peers/peers.cpp
@@ -1,4 +1,4 @@
-#include "heronshift/peers/peers.hpp"
+#include "peers/peers.hpp"
 
 namespace heronshift {
 namespace {
--- a/include/heronshift/peers/peers.hpp
+++ b/src/peers/peers.hpp
@@ -1,7 +1,7 @@
 // Requests of a controller to the others.
 #pragma once
 
-#include "heronshift/http.hpp"
+#include "http.hpp"
 
 #include <functional>
 #include <string>
--- a/src/persistence/cluster_records.cpp
+++ b/src/persistence/cluster_records.cpp
@@ -1,5 +1,5 @@
 // When a transaction is built, of what kinds of records, and what follows from its outcome.
-#include "heronshift/persistence/cluster_records.hpp"
+#include "persistence/cluster_records.hpp"
 
 #include "record_kinds.hpp"
 
--- a/include/heronshift/persistence/cluster_records.hpp
+++ b/src/persistence/cluster_records.hpp
@@ -6,7 +6,7 @@
 /// heronshift/persistence/layout.hpp lists the keys.
 #pragma once
 
-#include "heronshift/cluster/cluster_state.hpp"
+#include "cluster/cluster_state.hpp"
 
 #include <memory>
 
--- a/src/persistence/final_states.cpp
+++ b/src/persistence/final_states.cpp
@@ -1,6 +1,6 @@
 #include "final_states.hpp"
 
-#include "heronshift/persistence/layout.hpp"
+#include "persistence/layout.hpp"
 
 #include <utility>
 
--- a/src/persistence/final_states.hpp
+++ b/src/persistence/final_states.hpp
@@ -1,7 +1,7 @@
 /// Final states of jobs, and what becomes of the jobs' records.
 #pragma once
 
-#include "heronshift/persistence/cluster_records.hpp"
+#include "persistence/cluster_records.hpp"
 
 #include "ready_records.hpp"
 #include "transaction_builder.hpp"
--- a/src/persistence/image_hints.cpp
+++ b/src/persistence/image_hints.cpp
@@ -1,6 +1,6 @@
 #include "image_hints.hpp"
 
-#include "heronshift/persistence/layout.hpp"
+#include "persistence/layout.hpp"
 
 #include "stored_records.hpp"
 
--- a/src/persistence/image_hints.hpp
+++ b/src/persistence/image_hints.hpp
@@ -1,7 +1,7 @@
 /// Which machine holds which image, for the next leader.
 #pragma once
 
-#include "heronshift/persistence/cluster_records.hpp"
+#include "persistence/cluster_records.hpp"
 
 #include "obsolete_records.hpp"
 #include "transaction_builder.hpp"
--- a/src/persistence/intent_records.hpp
+++ b/src/persistence/intent_records.hpp
@@ -1,8 +1,8 @@
 /// Write-ahead intents: which tasks may be on which machines.
 #pragma once
 
-#include "heronshift/persistence/cluster_records.hpp"
-#include "heronshift/persistence/intents.hpp"
+#include "persistence/cluster_records.hpp"
+#include "persistence/intents.hpp"
 
 #include "obsolete_records.hpp"
 #include "transaction_builder.hpp"
--- a/src/persistence/intents.cpp
+++ b/src/persistence/intents.cpp
@@ -1,4 +1,4 @@
-#include "heronshift/persistence/intents.hpp"
+#include "persistence/intents.hpp"
 
 #include "heronshift/codec.hpp"
 
--- a/src/persistence/learned_rates.cpp
+++ b/src/persistence/learned_rates.cpp
@@ -1,6 +1,6 @@
 #include "learned_rates.hpp"
 
-#include "heronshift/persistence/layout.hpp"
+#include "persistence/layout.hpp"
 
 #include "stored_records.hpp"
 
--- a/src/persistence/learned_rates.hpp
+++ b/src/persistence/learned_rates.hpp
@@ -1,7 +1,7 @@
 /// Rates that a leader has measured, for the next one.
 #pragma once
 
-#include "heronshift/persistence/cluster_records.hpp"
+#include "persistence/cluster_records.hpp"
 
 #include "transaction_builder.hpp"
 
--- a/src/persistence/load.cpp
+++ b/src/persistence/load.cpp
@@ -1,7 +1,7 @@
 // Reading the cluster's records at a failover.
-#include "heronshift/persistence/cluster_records.hpp"
+#include "persistence/cluster_records.hpp"
 
-#include "heronshift/persistence/layout.hpp"
+#include "persistence/layout.hpp"
 
 #include "record_kinds.hpp"
 #include "stored_records.hpp"
--- a/src/persistence/obsolete_records.hpp
+++ b/src/persistence/obsolete_records.hpp
@@ -1,7 +1,7 @@
 /// Keys of records that mean nothing any more, to be removed.
 #pragma once
 
-#include "heronshift/persistence/cluster_records.hpp"
+#include "persistence/cluster_records.hpp"
 
 #include "transaction_builder.hpp"
 
--- a/src/persistence/progress_records.cpp
+++ b/src/persistence/progress_records.cpp
@@ -1,7 +1,7 @@
 #include "progress_records.hpp"
 
-#include "heronshift/persistence/intents.hpp"
-#include "heronshift/persistence/layout.hpp"
+#include "persistence/intents.hpp"
+#include "persistence/layout.hpp"
 
 #include "stored_records.hpp"
 
--- a/src/persistence/progress_records.hpp
+++ b/src/persistence/progress_records.hpp
@@ -1,7 +1,7 @@
 /// The done tasks of jobs that are not final.
 #pragma once
 
-#include "heronshift/persistence/cluster_records.hpp"
+#include "persistence/cluster_records.hpp"
 
 #include "transaction_builder.hpp"
 
--- a/src/persistence/ready_records.cpp
+++ b/src/persistence/ready_records.cpp
@@ -1,6 +1,6 @@
 #include "ready_records.hpp"
 
-#include "heronshift/persistence/layout.hpp"
+#include "persistence/layout.hpp"
 
 #include <utility>
 
--- a/src/persistence/ready_records.hpp
+++ b/src/persistence/ready_records.hpp
@@ -1,7 +1,7 @@
 /// Job records that are written again when the job's dependencies are done.
 #pragma once
 
-#include "heronshift/persistence/cluster_records.hpp"
+#include "persistence/cluster_records.hpp"
 
 #include "transaction_builder.hpp"
 
--- a/src/persistence/stored_records.cpp
+++ b/src/persistence/stored_records.cpp
@@ -1,6 +1,6 @@
 #include "stored_records.hpp"
 
-#include "heronshift/persistence/layout.hpp"
+#include "persistence/layout.hpp"
 
 #include <algorithm>
 #include <charconv>
--- a/src/persistence/stored_records.hpp
+++ b/src/persistence/stored_records.hpp
@@ -6,7 +6,7 @@
 #pragma once
 
 #include "heronshift/codec.hpp"
-#include "heronshift/persistence/intents.hpp"
+#include "persistence/intents.hpp"
 
 #include <cstdint>
 #include <optional>
--- a/src/replay/command_log.cpp
+++ b/src/replay/command_log.cpp
@@ -1,5 +1,5 @@
 // Writing a command log.
-#include "heronshift/replay/command_log.hpp"
+#include "replay/command_log.hpp"
 
 #include "log_fields.hpp"
 #include "log_format.hpp"
--- a/include/heronshift/replay/command_log.hpp
+++ b/src/replay/command_log.hpp
@@ -6,7 +6,7 @@
 /// at once.
 #pragma once
 
-#include "heronshift/core/core.hpp"
+#include "core/core.hpp"
 
 #include <cstdint>
 #include <functional>
--- a/src/replay/log_fields.hpp
+++ b/src/replay/log_fields.hpp
@@ -5,7 +5,7 @@
 /// of another type.
 #pragma once
 
-#include "heronshift/replay/command_log.hpp"
+#include "replay/command_log.hpp"
 
 #include <cstddef>
 #include <nlohmann/json.hpp>
--- a/src/replay/log_reader.cpp
+++ b/src/replay/log_reader.cpp
@@ -1,5 +1,5 @@
 // Reading a command log line by line.
-#include "heronshift/replay/command_log.hpp"
+#include "replay/command_log.hpp"
 
 #include "log_format.hpp"
 
--- a/src/replay/replay.cpp
+++ b/src/replay/replay.cpp
@@ -1,5 +1,5 @@
 // Feeding a command log to cores of this build.
-#include "heronshift/replay/command_log.hpp"
+#include "replay/command_log.hpp"
 
 #include "log_fields.hpp"
 #include "log_format.hpp"
--- a/src/scheduling/array_demand.hpp
+++ b/src/scheduling/array_demand.hpp
@@ -2,7 +2,7 @@
 /// How many CPUs arrays need and bring. Estimates from a const view of the cluster: nothing is proposed here.
 #pragma once
 
-#include "heronshift/scheduling/placement_cost.hpp"
+#include "scheduling/placement_cost.hpp"
 
 namespace heronshift::scheduling {
 
--- a/src/scheduling/autoscaler.cpp
+++ b/src/scheduling/autoscaler.cpp
@@ -1,4 +1,4 @@
-#include "heronshift/scheduling/autoscaler.hpp"
+#include "scheduling/autoscaler.hpp"
 
 #include "rental_plan.hpp"
 
--- a/include/heronshift/scheduling/autoscaler.hpp
+++ b/src/scheduling/autoscaler.hpp
@@ -3,8 +3,8 @@
 /// the cluster and only proposes; the cluster state checks each proposal and is alone in changing anything.
 #pragma once
 
-#include "heronshift/cluster/proposals.hpp"
-#include "heronshift/scheduling/placement_cost.hpp"
+#include "cluster/proposals.hpp"
+#include "scheduling/placement_cost.hpp"
 
 namespace heronshift::scheduling {
 
--- a/src/scheduling/awaiting_room.cpp
+++ b/src/scheduling/awaiting_room.cpp
@@ -1,7 +1,7 @@
 // Placement's part that waits for room. Where tasks end all the time, room comes by itself: the machines where it comes
 // first are kept for a job, or smaller tasks would fill each hole before it is large enough. Stopping work instead
 // would lose what it has done.
-#include "heronshift/scheduling/placement.hpp"
+#include "scheduling/placement.hpp"
 
 #include <algorithm>
 #include <limits>
--- a/src/scheduling/batch_assignment.cpp
+++ b/src/scheduling/batch_assignment.cpp
@@ -1,4 +1,4 @@
-#include "heronshift/scheduling/batch_assignment.hpp"
+#include "scheduling/batch_assignment.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/scheduling/fleet_log.cpp
+++ b/src/scheduling/fleet_log.cpp
@@ -1,5 +1,5 @@
 // Autoscaler's part that tells operators what there is.
-#include "heronshift/scheduling/autoscaler.hpp"
+#include "scheduling/autoscaler.hpp"
 
 #include <fmt/format.h>
 
--- a/src/scheduling/gang_placement.cpp
+++ b/src/scheduling/gang_placement.cpp
@@ -1,5 +1,5 @@
 // Placement's part for gangs, whose tasks start together or not at all.
-#include "heronshift/scheduling/placement.hpp"
+#include "scheduling/placement.hpp"
 
 #include <algorithm>
 
--- a/src/scheduling/making_room.cpp
+++ b/src/scheduling/making_room.cpp
@@ -1,5 +1,5 @@
 // Placement's part that makes room by stopping work of lower rank.
-#include "heronshift/scheduling/placement.hpp"
+#include "scheduling/placement.hpp"
 
 #include <algorithm>
 #include <fmt/format.h>
--- a/src/scheduling/placement.cpp
+++ b/src/scheduling/placement.cpp
@@ -1,4 +1,4 @@
-#include "heronshift/scheduling/placement.hpp"
+#include "scheduling/placement.hpp"
 #include "waiting_jobs.hpp"
 
 #include <algorithm>
--- a/include/heronshift/scheduling/placement.hpp
+++ b/src/scheduling/placement.hpp
@@ -4,10 +4,10 @@
 /// a mistake here costs time and breaks no rule.
 #pragma once
 
-#include "heronshift/cluster/proposals.hpp"
-#include "heronshift/scheduling/batch_assignment.hpp"
-#include "heronshift/scheduling/placement_cost.hpp"
-#include "heronshift/scheduling/room_index.hpp"
+#include "cluster/proposals.hpp"
+#include "scheduling/batch_assignment.hpp"
+#include "scheduling/placement_cost.hpp"
+#include "scheduling/room_index.hpp"
 
 #include <optional>
 
--- a/src/scheduling/placement_cost.cpp
+++ b/src/scheduling/placement_cost.cpp
@@ -1,4 +1,4 @@
-#include "heronshift/scheduling/placement_cost.hpp"
+#include "scheduling/placement_cost.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/include/heronshift/scheduling/placement_cost.hpp
+++ b/src/scheduling/placement_cost.hpp
@@ -4,7 +4,7 @@
 /// the state.
 #pragma once
 
-#include "heronshift/cluster/cluster_data.hpp"
+#include "cluster/cluster_data.hpp"
 
 namespace heronshift::scheduling {
 
--- a/src/scheduling/pool_choice.cpp
+++ b/src/scheduling/pool_choice.cpp
@@ -1,5 +1,5 @@
 // Placement's part that chooses the pool, which the paper calls the edge: the machines that stay.
-#include "heronshift/scheduling/placement.hpp"
+#include "scheduling/placement.hpp"
 
 #include <algorithm>
 #include <map>
--- a/src/scheduling/rebalancer.cpp
+++ b/src/scheduling/rebalancer.cpp
@@ -1,5 +1,5 @@
-#include "heronshift/scheduling/rebalancer.hpp"
-#include "heronshift/scheduling/batch_assignment.hpp"
+#include "scheduling/rebalancer.hpp"
+#include "scheduling/batch_assignment.hpp"
 
 #include <algorithm>
 
--- a/include/heronshift/scheduling/rebalancer.hpp
+++ b/src/scheduling/rebalancer.hpp
@@ -4,8 +4,8 @@
 /// moves are only proposed, and each one is capped.
 #pragma once
 
-#include "heronshift/cluster/proposals.hpp"
-#include "heronshift/scheduling/placement_cost.hpp"
+#include "cluster/proposals.hpp"
+#include "scheduling/placement_cost.hpp"
 
 #include <unordered_map>
 #include <vector>
--- a/src/scheduling/rental_plan.cpp
+++ b/src/scheduling/rental_plan.cpp
@@ -1,6 +1,6 @@
 #include "rental_plan.hpp"
 
-#include "heronshift/scheduling/batch_assignment.hpp"
+#include "scheduling/batch_assignment.hpp"
 #include "waiting_jobs.hpp"
 
 #include <algorithm>
--- a/src/scheduling/rental_plan.hpp
+++ b/src/scheduling/rental_plan.hpp
@@ -4,7 +4,7 @@
 #pragma once
 
 #include "array_demand.hpp"
-#include "heronshift/cluster/proposals.hpp"
+#include "cluster/proposals.hpp"
 
 #include <map>
 #include <string>
--- a/src/scheduling/room_index.cpp
+++ b/src/scheduling/room_index.cpp
@@ -1,4 +1,4 @@
-#include "heronshift/scheduling/room_index.hpp"
+#include "scheduling/room_index.hpp"
 
 #include <algorithm>
 #include <bit>
--- a/include/heronshift/scheduling/room_index.hpp
+++ b/src/scheduling/room_index.hpp
@@ -3,7 +3,7 @@
 /// all the others. The index keeps nothing that outlives the pass. To be used on the thread that owns the state.
 #pragma once
 
-#include "heronshift/scheduling/placement_cost.hpp"
+#include "scheduling/placement_cost.hpp"
 
 #include <compare>
 #include <cstdint>
--- a/src/scheduling/shrinking.cpp
+++ b/src/scheduling/shrinking.cpp
@@ -1,7 +1,7 @@
 // Autoscaler's part that empties machines the cluster does not need.
 #include "array_demand.hpp"
-#include "heronshift/scheduling/autoscaler.hpp"
 #include "rental_plan.hpp"
+#include "scheduling/autoscaler.hpp"
 
 #include <algorithm>
 #include <fmt/format.h>
--- a/src/scheduling/silent_machines.cpp
+++ b/src/scheduling/silent_machines.cpp
@@ -1,5 +1,5 @@
 // Autoscaler's part that watches for machines without heartbeats.
-#include "heronshift/scheduling/autoscaler.hpp"
+#include "scheduling/autoscaler.hpp"
 
 #include <algorithm>
 
--- a/src/scheduling/slow_machines.cpp
+++ b/src/scheduling/slow_machines.cpp
@@ -1,5 +1,5 @@
 // Placement's part that takes work off machines: those that are taken back and those that are slow.
-#include "heronshift/scheduling/placement.hpp"
+#include "scheduling/placement.hpp"
 
 #include <algorithm>
 #include <fmt/format.h>
--- a/src/scheduling/waiting_jobs.hpp
+++ b/src/scheduling/waiting_jobs.hpp
@@ -3,7 +3,7 @@
 /// called on the thread that owns the state.
 #pragma once
 
-#include "heronshift/scheduling/placement_cost.hpp"
+#include "scheduling/placement_cost.hpp"
 
 #include <vector>
 
--- a/src/store/engine.cpp
+++ b/src/store/engine.cpp
@@ -1,6 +1,6 @@
 #include "heronshift/store/engine.hpp"
 
-#include "heronshift/overloaded.hpp"
+#include "overloaded.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/store/file_data.cpp
+++ b/src/store/file_data.cpp
@@ -1,4 +1,4 @@
-#include "heronshift/store/file_data.hpp"
+#include "store/file_data.hpp"
 
 #include <array>
 #include <chrono>
@@ -161,8 +161,7 @@
         auto& statement = prepared("SELECT ttl, ends FROM holds WHERE id=?1").bind(1, id);
         if (!statement.row())
             return {};
-        return Lease{static_cast<std::int64_t>(statement.number(0)),
-                           static_cast<std::int64_t>(statement.number(1))};
+        return Lease{static_cast<std::int64_t>(statement.number(0)), static_cast<std::int64_t>(statement.number(1))};
     }
     void set_lease(std::uint64_t id, const Lease& h) override {
         prepared("UPDATE holds SET ttl=?2, ends=?3 WHERE id=?1")
--- a/src/store/local.cpp
+++ b/src/store/local.cpp
@@ -1,6 +1,6 @@
-#include "heronshift/store/local.hpp"
+#include "store/local.hpp"
 
-#include "heronshift/store/file_data.hpp"
+#include "store/file_data.hpp"
 
 #include <chrono>
 #include <condition_variable>
--- a/src/store/remote.cpp
+++ b/src/store/remote.cpp
@@ -1,6 +1,6 @@
-#include "heronshift/store/remote.hpp"
+#include "store/remote.hpp"
 
-#include "heronshift/overloaded.hpp"
+#include "overloaded.hpp"
 
 #include <algorithm>
 #include <fmt/format.h>
--- a/include/heronshift/store/remote.hpp
+++ b/src/store/remote.hpp
@@ -1,8 +1,8 @@
 // The state service over HTTP, as the platform has it.
 #pragma once
 
-#include "heronshift/http.hpp"
 #include "heronshift/store/store.hpp"
+#include "http.hpp"
 
 namespace heronshift::store {
 
--- a/src/store/server.cpp
+++ b/src/store/server.cpp
@@ -1,4 +1,4 @@
-#include "heronshift/store/server.hpp"
+#include "store/server.hpp"
 
 #include <algorithm>
 #include <charconv>
--- a/include/heronshift/store/server.hpp
+++ b/src/store/server.hpp
@@ -2,9 +2,9 @@
 // Faults can be played: an outage (503) or silence, for everybody.
 #pragma once
 
-#include "heronshift/http.hpp"
-#include "heronshift/loop_timer.hpp"
 #include "heronshift/store/direct.hpp"
+#include "http.hpp"
+#include "loop_timer.hpp"
 
 namespace heronshift::store {
 
--- a/src/workers/heartbeat_handler.cpp
+++ b/src/workers/heartbeat_handler.cpp
@@ -1,8 +1,8 @@
-#include "heronshift/workers/heartbeat_handler.hpp"
+#include "workers/heartbeat_handler.hpp"
 
 #include "heronshift/codec.hpp"
-#include "heronshift/http_status.hpp"
-#include "heronshift/memory_share.hpp"
+#include "http_status.hpp"
+#include "memory_share.hpp"
 
 #include <algorithm>
 #include <spdlog/spdlog.h>
--- a/include/heronshift/workers/heartbeat_handler.hpp
+++ b/src/workers/heartbeat_handler.hpp
@@ -2,11 +2,11 @@
 #pragma once
 
 #include "heronshift/executor/executor.hpp"
-#include "heronshift/http.hpp"
-#include "heronshift/membership/membership.hpp"
-#include "heronshift/metrics/timings.hpp"
-#include "heronshift/peers/peers.hpp"
-#include "heronshift/timer_queue.hpp"
+#include "http.hpp"
+#include "membership/membership.hpp"
+#include "metrics/timings.hpp"
+#include "peers/peers.hpp"
+#include "timer_queue.hpp"
 
 #include <map>
 #include <optional>
--- a/tests/direct_commands.hpp
+++ b/tests/direct_commands.hpp
@@ -2,7 +2,7 @@
 // network or a hanging machine holds them back, late and without an answer.
 #pragma once
 
-#include "heronshift/cluster/cluster_data.hpp"
+#include "cluster/cluster_data.hpp"
 
 #include "network.hpp"
 
--- a/tests/fleet.hpp
+++ b/tests/fleet.hpp
@@ -2,8 +2,8 @@
 // of directed links between any two of them.
 #pragma once
 
-#include "heronshift/node/controller.hpp"
 #include "heronshift/store/engine.hpp"
+#include "node/controller.hpp"
 
 #include "direct_commands.hpp"
 
--- a/tests/simulated_cluster.hpp
+++ b/tests/simulated_cluster.hpp
@@ -5,9 +5,9 @@
 
 #include "machines.hpp"
 
-#include "heronshift/core/core.hpp"
-#include "heronshift/leadership/leader_lease.hpp"
-#include "heronshift/replay/command_log.hpp"
+#include "core/core.hpp"
+#include "leadership/leader_lease.hpp"
+#include "replay/command_log.hpp"
 
 #include <memory>
 
--- a/tests/test_chains.cpp
+++ b/tests/test_chains.cpp
@@ -1,7 +1,7 @@
 // Scenarios of jobs that wait for others, and of two versions that take turns on one store.
 #include "simulated_cluster.hpp"
 
-#include "heronshift/persistence/intents.hpp"
+#include "persistence/intents.hpp"
 
 #include <gtest/gtest.h>
 
--- a/tests/test_cli.cpp
+++ b/tests/test_cli.cpp
@@ -1,8 +1,8 @@
 // The shipped schema says what the service says, and names the field.
-#include "heronshift/cli/schema.hpp"
+#include "cli/schema.hpp"
 #include "heronshift/codec.hpp"
 #include "heronshift/config.hpp"
-#include "heronshift/metrics/metrics.hpp"
+#include "metrics/metrics.hpp"
 
 #include <cmath>
 #include <cstdio>
--- a/tests/test_connections.cpp
+++ b/tests/test_connections.cpp
@@ -1,7 +1,7 @@
 // More clients than connections: nobody has all of them, idle ones make room, workers are served in turns.
 #include "heronshift/codec.hpp"
-#include "heronshift/http.hpp"
-#include "heronshift/loop_timer.hpp"
+#include "http.hpp"
+#include "loop_timer.hpp"
 
 #include <deque>
 #include <fmt/format.h>
--- a/tests/test_embedded_matches_daemon.cpp
+++ b/tests/test_embedded_matches_daemon.cpp
@@ -4,11 +4,11 @@
 // before the next, and every launch is compared.
 #include "heronshift/codec.hpp"
 #include "heronshift/embed/scheduler.hpp"
-#include "heronshift/local/cloud.hpp"
-#include "heronshift/local/port.hpp"
-#include "heronshift/node/node.hpp"
 #include "heronshift/store/direct.hpp"
-#include "heronshift/store/server.hpp"
+#include "local/cloud.hpp"
+#include "local/port.hpp"
+#include "node/node.hpp"
+#include "store/server.hpp"
 
 #include <algorithm>
 #include <atomic>
--- a/tests/test_end_of_day.cpp
+++ b/tests/test_end_of_day.cpp
@@ -3,7 +3,7 @@
 // back within a moment have done to it.
 #include "fault_injection.hpp"
 
-#include "heronshift/gateway/fair_token_bucket.hpp"
+#include "gateway/fair_token_bucket.hpp"
 
 #include <gtest/gtest.h>
 
--- a/tests/test_golden.cpp
+++ b/tests/test_golden.cpp
@@ -1,7 +1,7 @@
 // Every message that the codecs write, held against its golden file, and read from it.
 #include "golden.hpp"
 
-#include "heronshift/membership/peer_view.hpp"
+#include "membership/peer_view.hpp"
 
 namespace heronshift::testing {
 namespace {
--- a/tests/test_golden_controller.cpp
+++ b/tests/test_golden_controller.cpp
@@ -3,8 +3,8 @@
 #include "golden.hpp"
 #include "machines.hpp"
 
-#include "heronshift/node/controller.hpp"
 #include "heronshift/store/engine.hpp"
+#include "node/controller.hpp"
 
 namespace heronshift::testing {
 namespace {
--- a/tests/test_golden_records.cpp
+++ b/tests/test_golden_records.cpp
@@ -3,9 +3,9 @@
 #include "golden.hpp"
 #include "machines.hpp"
 
-#include "heronshift/core/core.hpp"
-#include "heronshift/persistence/intents.hpp"
-#include "heronshift/store/file_data.hpp"
+#include "core/core.hpp"
+#include "persistence/intents.hpp"
+#include "store/file_data.hpp"
 
 #include <cmath>
 #include <cstdio>
--- a/tests/test_gone_proof.cpp
+++ b/tests/test_gone_proof.cpp
@@ -1,9 +1,9 @@
 // What proves that a task is not on a machine, each condition on its own; and the parts of the cluster state that stand
 // alone: dependencies and the queues of orders.
-#include "heronshift/cluster/cluster_data.hpp"
-#include "heronshift/cluster/dependency_tracker.hpp"
-#include "heronshift/cluster/gone_proof.hpp"
-#include "heronshift/cluster/order_queues.hpp"
+#include "cluster/cluster_data.hpp"
+#include "cluster/dependency_tracker.hpp"
+#include "cluster/gone_proof.hpp"
+#include "cluster/order_queues.hpp"
 
 #include <gtest/gtest.h>
 
--- a/tests/test_large_fleet.cpp
+++ b/tests/test_large_fleet.cpp
@@ -1,7 +1,7 @@
 // The rules at 6,000 machines: what a leader knows of machines that are gone must outlast every message
 // about them, however many go at once.
-#include "heronshift/cluster/cluster_state.hpp"
-#include "heronshift/core/core.hpp"
+#include "cluster/cluster_state.hpp"
+#include "core/core.hpp"
 #include "machines.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/test_late_loop.cpp
+++ b/tests/test_late_loop.cpp
@@ -1,9 +1,9 @@
 // A controller whose event loop turns late: what it has not read yet is not taken for missing, so a slow leader is not
 // mistaken for one that the store refuses, and a refusal is still seen.
 #include "heronshift/embed/scheduler.hpp"
-#include "heronshift/http.hpp"
-#include "heronshift/local/port.hpp"
-#include "heronshift/store/server.hpp"
+#include "http.hpp"
+#include "local/port.hpp"
+#include "store/server.hpp"
 
 #include "fault_injection.hpp"
 
--- a/tests/test_leader_election.cpp
+++ b/tests/test_leader_election.cpp
@@ -1,10 +1,10 @@
 // Leadership without I/O: the leader's lease, the policy for candidates, the messages and the election's state machine.
-#include "heronshift/leadership/candidate_policy.hpp"
-#include "heronshift/leadership/election_state_machine.hpp"
-#include "heronshift/leadership/leader_lease.hpp"
-#include "heronshift/leadership/leader_records.hpp"
-#include "heronshift/leadership/peer_messages.hpp"
-#include "heronshift/leadership/store_outcome.hpp"
+#include "leadership/candidate_policy.hpp"
+#include "leadership/election_state_machine.hpp"
+#include "leadership/leader_lease.hpp"
+#include "leadership/leader_records.hpp"
+#include "leadership/peer_messages.hpp"
+#include "leadership/store_outcome.hpp"
 
 #include <gtest/gtest.h>
 
--- a/tests/test_local.cpp
+++ b/tests/test_local.cpp
@@ -1,8 +1,8 @@
 // The emulator platform: its checks can fail, and its worker keeps the protocol's side of the bargain.
 #include "heronshift/codec.hpp"
-#include "heronshift/local/cloud.hpp"
-#include "heronshift/local/emulator.hpp"
-#include "heronshift/local/history.hpp"
+#include "local/cloud.hpp"
+#include "local/emulator.hpp"
+#include "local/history.hpp"
 
 #include <gtest/gtest.h>
 #include <unistd.h>
--- a/tests/test_loops.cpp
+++ b/tests/test_loops.cpp
@@ -1,5 +1,5 @@
 // Event loops on several threads of one process.
-#include "heronshift/http.hpp"
+#include "http.hpp"
 
 #include <atomic>
 #include <fmt/format.h>
--- a/tests/test_membership.cpp
+++ b/tests/test_membership.cpp
@@ -1,9 +1,9 @@
 // The parts of the membership, each on its own: link health, views and their freshness, eligibility, relays, zones.
-#include "heronshift/membership/eligibility.hpp"
-#include "heronshift/membership/observed_clients.hpp"
-#include "heronshift/membership/peer_views.hpp"
-#include "heronshift/membership/relay_choice.hpp"
-#include "heronshift/membership/zone_health.hpp"
+#include "membership/eligibility.hpp"
+#include "membership/observed_clients.hpp"
+#include "membership/peer_views.hpp"
+#include "membership/relay_choice.hpp"
+#include "membership/zone_health.hpp"
 
 #include <gtest/gtest.h>
 
--- a/tests/test_placement.cpp
+++ b/tests/test_placement.cpp
@@ -1,5 +1,5 @@
 // The payoff, fragmentation and the assignment of batches.
-#include "heronshift/scheduling/batch_assignment.hpp"
+#include "scheduling/batch_assignment.hpp"
 
 #include <algorithm>
 #include <gtest/gtest.h>
--- a/tests/test_records.cpp
+++ b/tests/test_records.cpp
@@ -1,7 +1,7 @@
 // Scenarios of what the store holds: the ring of placements, the progress, and what came before them.
 #include "simulated_cluster.hpp"
 
-#include "heronshift/persistence/intents.hpp"
+#include "persistence/intents.hpp"
 
 #include <gtest/gtest.h>
 
--- a/tests/test_room_index.cpp
+++ b/tests/test_room_index.cpp
@@ -1,5 +1,5 @@
 // The index of free room against a look at every machine, on random fleets.
-#include "heronshift/scheduling/room_index.hpp"
+#include "scheduling/room_index.hpp"
 
 #include <fmt/format.h>
 #include <gtest/gtest.h>
--- a/tests/test_scheduler.cpp
+++ b/tests/test_scheduler.cpp
@@ -2,13 +2,13 @@
 // cloud and machines on loopback.
 #include "heronshift/embed/scheduler.hpp"
 
-#include "heronshift/cluster/cluster_data.hpp"
+#include "cluster/cluster_data.hpp"
 #include "heronshift/codec.hpp"
 #include "heronshift/embed/heronshift.h"
-#include "heronshift/local/cloud.hpp"
-#include "heronshift/local/port.hpp"
-#include "heronshift/store/remote.hpp"
-#include "heronshift/store/server.hpp"
+#include "local/cloud.hpp"
+#include "local/port.hpp"
+#include "store/remote.hpp"
+#include "store/server.hpp"
 
 #include <atomic>
 #include <csignal>
--- a/tests/test_store.cpp
+++ b/tests/test_store.cpp
@@ -1,9 +1,9 @@
 // One contract, three stores: in memory, in a file, and over HTTP. Then what only a file can suffer.
 #include "heronshift/store/direct.hpp"
-#include "heronshift/store/file_data.hpp"
-#include "heronshift/store/local.hpp"
-#include "heronshift/store/remote.hpp"
-#include "heronshift/store/server.hpp"
+#include "store/file_data.hpp"
+#include "store/local.hpp"
+#include "store/remote.hpp"
+#include "store/server.hpp"
 
 #include <atomic>
 #include <csignal>
--- a/tests/test_stored_records.cpp
+++ b/tests/test_stored_records.cpp
@@ -1,7 +1,7 @@
 // Encoders and decoders of stored records: what comes back, and what malformed values give.
-#include "../src/persistence/stored_records.hpp"
+#include "persistence/stored_records.hpp"
 
-#include "heronshift/persistence/layout.hpp"
+#include "persistence/layout.hpp"
 
 #include <gtest/gtest.h>
 
--- a/tools/measure.cpp
+++ b/tools/measure.cpp
@@ -4,10 +4,10 @@
 // All on this machine's loopback with emulators of cloud and workers; figures are simulated.
 #include "heronshift/codec.hpp"
 #include "heronshift/embed/scheduler.hpp"
-#include "heronshift/local/cloud.hpp"
-#include "heronshift/local/port.hpp"
-#include "heronshift/store/file_data.hpp"
-#include "heronshift/store/local.hpp"
+#include "local/cloud.hpp"
+#include "local/port.hpp"
+#include "store/file_data.hpp"
+#include "store/local.hpp"
 
 #include <CLI/CLI.hpp>
 #include <algorithm>
