--- a/src/cluster/cluster_data.hpp
+++ b/src/cluster/cluster_data.hpp
@@ -21,9 +21,9 @@
 
 namespace heronshift::cluster {
 
-/// fencing token = term << fence_bits | raises within the term. Each machine's are its own, whatever their number: one
-/// for each launch whose outcome is open or lease that ran out, so one in report_s / 2 at most. 2^24 of them take nine
-/// months of one term with report_s 3; terms have 40 bits.
+/// fencing token = term << token_counter_bits | increments within the term. Each machine's are its own, whatever their
+/// number: one for each launch whose outcome is open or lease that ran out, so one in report_s / 2 at most. 2^24 of
+/// them take nine months of one term with report_s 3; terms have 40 bits.
 inline constexpr int token_counter_bits = 24;
 /// attempt = term << try_bits | passes within the term, one in report_s / 60 at most: seven years of a term.
 inline constexpr int attempt_counter_bits = 32;
--- a/src/codec/words.hpp
+++ b/src/codec/words.hpp
@@ -54,7 +54,7 @@
 inline constexpr const char* orders = "orders";
 inline constexpr const char* verb = "verb";
 inline constexpr const char* drain_s = "drainS";
-inline constexpr const char* reports_to = "reportsTo"; // the node that takes the heartbeats: a redirect
+inline constexpr const char* redirected_to = "reportsTo"; // the node that takes the heartbeats: a redirect
 
 // Jobs.
 inline constexpr const char* job_class = "jobclass";
--- a/src/codec/workers.cpp
+++ b/src/codec/workers.cpp
@@ -98,7 +98,7 @@
 }
 
 std::string redirect(const std::string& node) {
-    return Json{{words::reports_to, node}}.dump();
+    return Json{{words::redirected_to, node}}.dump();
 }
 
 std::string to_body(const Heartbeat& heartbeat) {
@@ -161,7 +161,7 @@
 
 std::string redirected_to(std::string_view body) {
     const auto json = parse(body);
-    return json.is_object() ? text(json, words::reports_to) : std::string();
+    return json.is_object() ? text(json, words::redirected_to) : std::string();
 }
 
 } // namespace heronshift::codec
--- a/src/connection_shares.hpp
+++ b/src/connection_shares.hpp
@@ -1,4 +1,4 @@
-// Who may have how many of a server's connections, and which idle one makes room for another. Plain bookkeeping without
+// Who may have how many of a server's connections, and which idle one makes room for another. Counts only, without
 // sockets and clock; used on the thread of the server's loop.
 #pragma once
 
--- a/src/leadership/leader_lease.hpp
+++ b/src/leadership/leader_lease.hpp
@@ -14,7 +14,7 @@
 
 namespace heronshift {
 
-/// Validity as leader, and the promises of a follower.
+/// Validity as leader, and the extension votes that a follower has given.
 class LeaderLease {
 public:
     /// `ttl_s`: the store lease's length; `peers`: how many other controllers there are; `now`: when this process
--- a/src/scheduling/waiting_jobs.cpp
+++ b/src/scheduling/waiting_jobs.cpp
@@ -14,10 +14,10 @@
 // (Placement::begin_waiting), and who has waited twice as long as that goes first, the oldest before all.
 struct WaitingJob {
     const Job* job;
-    double rank;
+    double urgency;
 };
 
-double rank_of(const ClusterData& cluster, const Job& job) {
+double urgency_of(const ClusterData& cluster, const Job& job) {
     const double waited = cluster.now - job.ready;
     const bool aged = waited > aged_begins * cluster.settings.ops.begin_s;
     return aged ? -waited : cluster.work_left(job);
@@ -30,8 +30,8 @@
         return a.priority < b.priority;
     if (a.guaranteed != b.guaranteed)
         return a.guaranteed;
-    if (one.rank != other.rank)
-        return one.rank < other.rank;
+    if (one.urgency != other.urgency)
+        return one.urgency < other.urgency;
     if (a.ready != b.ready)
         return a.ready < b.ready;
     return a.spec.id < b.spec.id;
@@ -45,7 +45,7 @@
     for (const auto& [id, job] : cluster.jobs) {
         if (job->final != Final::none || job->pending.empty() || cluster.now < job->not_before)
             continue;
-        waiting.push_back({job.get(), rank_of(cluster, *job)});
+        waiting.push_back({job.get(), urgency_of(cluster, *job)});
         if (job->pending.size() > max_tasks) {
             max_tasks = job->pending.size();
             shape = job->spec.each;
