--- a/src/cluster/dependencies.cpp
+++ b/src/cluster/dependencies.cpp
@@ -150,7 +150,7 @@
             continue;
         }
         dependencies_.lookup_started();
-        effects_.push_back(FindJob{std::move(*id)});
+        effects_.emplace_back(FindJob{std::move(*id)});
     }
 }
 
--- a/src/cluster/heartbeats.cpp
+++ b/src/cluster/heartbeats.cpp
@@ -33,7 +33,7 @@
     if (heartbeat.fencing_token >> token_counter_bits <= data_.term)
         return false;
     resigned_ = true;
-    effects_.push_back(
+    effects_.emplace_back(
         Resign{fmt::format("{} has seen fence {} above ours", heartbeat.machine, heartbeat.fencing_token)});
     return true;
 }
@@ -58,7 +58,7 @@
 // (`Core.ACopyOfAHeartbeatIsNoHeartbeat`).
 void ClusterState::receive_heartbeat(const HeartbeatReceived& command) {
     const auto& heartbeat = command.heartbeat;
-    const auto refuse = [&] { effects_.push_back(AnswerHeartbeat{command.handle, http_unavailable, 0, {}}); };
+    const auto refuse = [&] { effects_.emplace_back(AnswerHeartbeat{command.handle, http_unavailable, 0, {}}); };
     const auto refuse_stale = [&](std::uint64_t& counter) {
         ++counter;
         log_stale_heartbeats();
@@ -83,7 +83,7 @@
         heartbeat_requests_.add(machine); // an answer to empty orders proves that it is there
     auto stops = standing_orders(machine);
     orders.insert(orders.end(), stops.begin(), stops.end());
-    effects_.push_back(AnswerHeartbeat{command.handle, http_ok, machine.fencing_token, std::move(orders)});
+    effects_.emplace_back(AnswerHeartbeat{command.handle, http_ok, machine.fencing_token, std::move(orders)});
 }
 
 // The heartbeat is about to be answered, which renews the lease and tells the fencing token.
--- a/src/cluster/job_lifecycle.cpp
+++ b/src/cluster/job_lifecycle.cpp
@@ -99,11 +99,11 @@
     auto* known = find_job(command.id);
     if (known == nullptr) {
         const auto view = job(command.id);
-        effects_.push_back(AnswerCancellation{command.handle, view ? std::string(view->status) : std::string()});
+        effects_.emplace_back(AnswerCancellation{command.handle, view ? std::string(view->status) : std::string()});
         return;
     }
     if (known->over_in_store()) {
-        effects_.push_back(AnswerCancellation{command.handle, std::string(status_of(known->final))});
+        effects_.emplace_back(AnswerCancellation{command.handle, std::string(status_of(known->final))});
         return;
     }
     known->cancels.push_back(command.handle);
--- a/src/cluster/machine_lifecycle.cpp
+++ b/src/cluster/machine_lifecycle.cpp
@@ -182,7 +182,7 @@
     case RentOutcome::unknown:
         // The answer was lost: the same claim again, so that nothing is rented twice (docs/safety.md, 12).
         rental.in_flight = true;
-        effects_.push_back(Rent{command.claim, rental.type, rental.zone, rental.spot, rental.count});
+        effects_.emplace_back(Rent{command.claim, rental.type, rental.zone, rental.spot, rental.count});
         break;
     }
 }
--- a/src/cluster/orders.cpp
+++ b/src/cluster/orders.cpp
@@ -77,8 +77,8 @@
 
 void ClusterState::send_orders(Machine& machine, std::uint64_t agent_epoch, std::vector<Order> orders) {
     machine.batch = ++batch_seq_;
-    effects_.push_back(SendOrders{machine.id, machine.addr, machine.batch, machine.fencing_token, agent_epoch,
-                                  std::move(orders), data_.now < machine.relay_orders_until});
+    effects_.emplace_back(SendOrders{machine.id, machine.addr, machine.batch, machine.fencing_token, agent_epoch,
+                                     std::move(orders), data_.now < machine.relay_orders_until});
 }
 
 // After a failover agents find us one by one as their heartbeats to others fail. Asked directly they
--- a/src/persistence/cluster_records.cpp
+++ b/src/persistence/cluster_records.cpp
@@ -102,7 +102,7 @@
     transaction_open_ = true;
     sent_at_ = cluster_.view().now;
     write_budget_ -= static_cast<double>(transaction.writes()) + 1;
-    effects_.push_back(transaction.take());
+    effects_.emplace_back(transaction.take());
 }
 
 void ClusterRecords::committed(const Committed& command) {
--- a/src/persistence/final_states.cpp
+++ b/src/persistence/final_states.cpp
@@ -109,7 +109,7 @@
 void ClusterRecords::FinalStates::stored(Job& job) {
     job.final_stored = true;
     for (const auto request : job.cancels)
-        effects_.push_back(AnswerCancellation{request, status_of(job)});
+        effects_.emplace_back(AnswerCancellation{request, status_of(job)});
     job.cancels.clear();
     cluster_.dependency_settled(job.spec.id, job.final);
 }
