--- a/tests/test_chains.cpp
+++ b/tests/test_chains.cpp
@@ -469,7 +469,7 @@
     EXPECT_GE(w.acquisitions, 2);
 }
 
-INSTANTIATE_TEST_SUITE_P(FairTokenBucket, BothVersions,
+INSTANTIATE_TEST_SUITE_P(Turns, BothVersions,
                          ::testing::Values(Turn{1, false}, Turn{2, false}, Turn{3, false}, Turn{4, false},
                                            Turn{5, true}, Turn{6, true}, Turn{7, true}));
 
