--- a/src/cluster/gone_proof.cpp
+++ b/src/cluster/gone_proof.cpp
@@ -1,6 +1,7 @@
 #include "cluster/gone_proof.hpp"
 
 #include "cluster/cluster_data.hpp"
+#include "http_status.hpp"
 
 #include <tuple>
 
@@ -11,8 +12,6 @@
 constexpr double clock_drift = 1.001;
 constexpr double lease_margin_heartbeats = 0.05;
 
-constexpr int http_conflict = 409; // the agent's answer to orders with an old fencing token or agent epoch
-
 } // namespace
 
 bool has_seen_term(const Heartbeat& heartbeat, std::uint64_t term) {
@@ -40,7 +39,8 @@
 }
 
 bool proves_not_executed(const OrdersAnswered& answer) {
-    return answer.status == http_conflict || !answer.sent;
+    // 409: the agent's answer to orders with an old fencing token or agent epoch.
+    return answer.status == http_status::conflict || !answer.sent;
 }
 
 double lease_surely_expires_after_s(const Settings& settings) {
--- a/src/cluster/heartbeats.cpp
+++ b/src/cluster/heartbeats.cpp
@@ -1,6 +1,8 @@
 // What a heartbeat changes: which tasks are on its machine, which are proven gone, and whether the machine hears us.
 #include "cluster/cluster_state.hpp"
+
 #include "cluster/gone_proof.hpp"
+#include "http_status.hpp"
 
 #include <algorithm>
 #include <fmt/format.h>
@@ -12,9 +14,6 @@
 constexpr int max_heartbeats_without_token = 2; // one may have been on its way
 constexpr double trusted_leases = 1.5;          // in which a lease must not run out again
 
-constexpr int http_ok = 200;
-constexpr int http_unavailable = 503;
-
 Order reap_order(const ReportedTask& task) {
     return {Verb::reap, task.job, task.index, task.attempt, 0};
 }
@@ -58,7 +57,9 @@
 // (`Core.ACopyOfAHeartbeatIsNoHeartbeat`).
 void ClusterState::receive_heartbeat(const HeartbeatReceived& command) {
     const auto& heartbeat = command.heartbeat;
-    const auto refuse = [&] { effects_.emplace_back(AnswerHeartbeat{command.handle, http_unavailable, 0, {}}); };
+    const auto refuse = [&] {
+        effects_.emplace_back(AnswerHeartbeat{command.handle, http_status::service_unavailable, 0, {}});
+    };
     const auto refuse_stale = [&](std::uint64_t& counter) {
         ++counter;
         log_stale_heartbeats();
@@ -83,7 +84,7 @@
         heartbeat_requests_.add(machine); // an answer to empty orders proves that it is there
     auto stops = standing_orders(machine);
     orders.insert(orders.end(), stops.begin(), stops.end());
-    effects_.emplace_back(AnswerHeartbeat{command.handle, http_ok, machine.fencing_token, std::move(orders)});
+    effects_.emplace_back(AnswerHeartbeat{command.handle, http_status::ok, machine.fencing_token, std::move(orders)});
 }
 
 // The heartbeat is about to be answered, which renews the lease and tells the fencing token.
--- a/src/cluster/orders.cpp
+++ b/src/cluster/orders.cpp
@@ -1,6 +1,8 @@
 // Orders to machines and requests for heartbeats: what is sent, and what follows from their outcome.
 #include "cluster/cluster_state.hpp"
+
 #include "cluster/gone_proof.hpp"
+#include "http_status.hpp"
 
 #include <algorithm>
 #include <fmt/format.h>
@@ -11,7 +13,6 @@
 // To a machine at once; the rest follow its answer. A machine runs tens of tasks, however many machines there are.
 constexpr std::size_t max_orders = 200;
 
-constexpr int http_ok = 200;
 constexpr int no_answer = 0;
 
 // The launch was sent with this token, and no heartbeat has settled it.
@@ -112,7 +113,7 @@
     if (machine->asked)
         return request_answered(*machine, command);
     want_orders(*machine);
-    if (command.status == http_ok && heartbeat && heartbeat->agent_epoch == machine->agent_epoch)
+    if (command.status == http_status::ok && heartbeat && heartbeat->agent_epoch == machine->agent_epoch)
         orders_executed(*machine, *heartbeat);
     else if (proves_not_executed(command))
         orders_not_executed(*machine, command);
--- a/src/core/core.cpp
+++ b/src/core/core.cpp
@@ -1,5 +1,6 @@
 #include "core/core.hpp"
 
+#include "http_status.hpp"
 #include "overloaded.hpp"
 
 #include <algorithm>
@@ -16,7 +17,6 @@
 
 constexpr double jobs_a_pass = 2000;      // waiting ones, which one pass in report_s / passes_a_report is meant for
 constexpr double late_store_a_report = 3; // a transaction without an answer for report_s / 3 is late
-constexpr int http_unavailable = 503;
 
 struct MachineTotals {
     std::size_t up = 0, live_tasks = 0, inbound_unreachable = 0;
@@ -107,7 +107,7 @@
     std::erase_if(commands, [this](const Command& command) {
         const auto* heartbeat = std::get_if<HeartbeatReceived>(&command);
         if (heartbeat != nullptr)
-            effects_.emplace_back(AnswerHeartbeat{heartbeat->handle, http_unavailable, 0, {}});
+            effects_.emplace_back(AnswerHeartbeat{heartbeat->handle, http_status::service_unavailable, 0, {}});
         return heartbeat != nullptr;
     });
 }
--- a/src/embed/scheduler.cpp
+++ b/src/embed/scheduler.cpp
@@ -2,6 +2,7 @@
 
 #include "heronshift/codec.hpp"
 #include "node/node.hpp"
+#include "persistence/layout.hpp"
 #include "store/local.hpp"
 
 #include <atomic>
@@ -158,11 +159,12 @@
     void watch_from_now() {
         if (!node_)
             return;
-        node_->state().list("f/", "", 1, options_.settings.report_s, [this](store::Answer&& answer) {
-            if (answer.status != 200)
-                return again();
-            follow(answer.revision);
-        });
+        node_->state().list(std::string(persistence::final_prefix), "", 1, options_.settings.report_s,
+                            [this](store::Answer&& answer) {
+                                if (answer.status != 200)
+                                    return again();
+                                follow(answer.revision);
+                            });
     }
 
     void again() { // after a pause that costs the store little
@@ -179,19 +181,20 @@
     void follow(std::uint64_t since) {
         if (!node_)
             return;
-        node_->state().follow("f/", since, options_.settings.lease_s, [this, since](store::Answer&& answer) {
-            if (answer.status != 200)
-                return again();
-            for (const auto& i : answer.items) {
-                const auto final = i.deleted ? std::nullopt : codec::stored_final(i.value);
-                if (!final)
-                    continue;
-                for (const auto& callback : watches_)
-                    if (!silent_)
-                        callback({i.key.substr(2), final->status, false});
-            }
-            follow(std::max(since, answer.revision));
-        });
+        node_->state().follow(std::string(persistence::final_prefix), since, options_.settings.lease_s,
+                              [this, since](store::Answer&& answer) {
+                                  if (answer.status != 200)
+                                      return again();
+                                  for (const auto& i : answer.items) {
+                                      const auto final = i.deleted ? std::nullopt : codec::stored_final(i.value);
+                                      if (!final)
+                                          continue;
+                                      for (const auto& callback : watches_)
+                                          if (!silent_)
+                                              callback({i.key.substr(2), final->status, false});
+                                  }
+                                  follow(std::max(since, answer.revision));
+                              });
     }
 
     uv_loop_t* loop_;
--- a/src/leadership/peer_messages.cpp
+++ b/src/leadership/peer_messages.cpp
@@ -1,16 +1,13 @@
 #include "leadership/peer_messages.hpp"
 
 #include "heronshift/codec.hpp"
+#include "http_status.hpp"
 
 namespace heronshift::leadership {
 namespace {
 
 using codec::Json;
 
-constexpr int http_ok = 200;
-constexpr int http_bad_request = 400;
-constexpr int http_conflict = 409;
-
 constexpr const char* empty_object = "{}";
 constexpr const char* served_field = "served";
 
@@ -45,26 +42,26 @@
     using Vote = ExtensionVoteAnswer::Vote;
     switch (answer.vote) {
     case Vote::granted:
-        return {http_ok, empty_object};
+        return {http_status::ok, empty_object};
     case Vote::malformed:
-        return {http_bad_request, codec::error_answer("forS is needed")};
+        return {http_status::bad_request, codec::error_answer("forS is needed")};
     case Vote::refused:
     case Vote::none:
         break;
     }
-    return {http_conflict, Json{{"error", "the store answers here, or an attempt is under way"},
-                                {served_field, answer.served_by_store}}
-                               .dump()};
+    return {http_status::conflict, Json{{"error", "the store answers here, or an attempt is under way"},
+                                        {served_field, answer.served_by_store}}
+                                       .dump()};
 }
 
 ExtensionVoteAnswer decode_extension_vote_answer(const HttpReply& reply) {
     using Vote = ExtensionVoteAnswer::Vote;
     switch (reply.status) {
-    case http_ok:
+    case http_status::ok:
         return {Vote::granted};
-    case http_bad_request:
+    case http_status::bad_request:
         return {Vote::malformed};
-    case http_conflict: {
+    case http_status::conflict: {
         const auto json = codec::parse(reply.body);
         return {Vote::refused, json.is_object() && json.contains(served_field) && json[served_field] == true};
     }
@@ -88,19 +85,19 @@
 HttpReply encode(TakeoverAnswer answer) {
     switch (answer) {
     case TakeoverAnswer::accepted:
-        return {http_ok, empty_object};
+        return {http_status::ok, empty_object};
     case TakeoverAnswer::malformed:
-        return {http_bad_request, codec::error_answer("node, term and hold are needed")};
+        return {http_status::bad_request, codec::error_answer("node, term and hold are needed")};
     case TakeoverAnswer::not_follower:
-        return {http_conflict, codec::error_answer("not a standby")};
+        return {http_status::conflict, codec::error_answer("not a standby")};
     case TakeoverAnswer::outdated:
         break;
     }
-    return {http_conflict, codec::error_answer("the office does not name this hold")};
+    return {http_status::conflict, codec::error_answer("the office does not name this hold")};
 }
 
 bool takeover_accepted(const HttpReply& reply) {
-    return reply.status == http_ok;
+    return reply.status == http_status::ok;
 }
 
 } // namespace heronshift::leadership
--- a/src/leadership/state_loader.cpp
+++ b/src/leadership/state_loader.cpp
@@ -1,6 +1,7 @@
 #include "leadership/state_loader.hpp"
 
 #include "leadership/store_outcome.hpp"
+#include "persistence/layout.hpp"
 
 #include <algorithm>
 #include <utility>
@@ -10,7 +11,6 @@
 
 constexpr int page_records = 500;
 constexpr double page_timeout_s = 2;
-constexpr const char* jobs_prefix = "j/";
 
 } // namespace
 
@@ -18,14 +18,19 @@
     ++epoch_;
     stored_ = {};
     // All at once: only jobs can still change, by other nodes, and those changes are followed.
-    const std::pair<const char*, std::vector<codec::Item>*> prefixes[] = {
-        {jobs_prefix, &stored_.jobs}, {"i/", &stored_.intents}, {"p/", &stored_.progress}, // of the versions before
-        {"q/", &stored_.progress},    {"c/", &stored_.images},  {"l/", &stored_.learned},
-        {"m/", &stored_.earlier},     {"d/", &stored_.earlier},
+    const std::pair<std::string_view, std::vector<codec::Item>*> prefixes[] = {
+        {persistence::job_prefix, &stored_.jobs},
+        {persistence::intent_prefix, &stored_.intents},
+        {persistence::previous_progress_prefix, &stored_.progress},
+        {persistence::progress_prefix, &stored_.progress},
+        {persistence::image_prefix, &stored_.images},
+        {persistence::learned_prefix, &stored_.learned},
+        {persistence::earlier_machine_prefix, &stored_.earlier},
+        {persistence::earlier_job_prefix, &stored_.earlier},
     };
     prefixes_left_ = static_cast<int>(std::size(prefixes));
     for (const auto& [prefix, into] : prefixes)
-        load(prefix, "", into, [this, loaded] {
+        load(std::string(prefix), "", into, [this, loaded] {
             if (--prefixes_left_ == 0)
                 loaded(std::exchange(stored_, {}));
         });
@@ -43,7 +48,7 @@
                 if (epoch == epoch_)
                     load(prefix, since, into, next);
             });
-        if (prefix == jobs_prefix && since.empty())
+        if (prefix == persistence::job_prefix && since.empty())
             revision_ = page.revision;
         std::string last;
         for (auto& item : page.items) {
@@ -73,10 +78,11 @@
 }
 
 void StateLoader::follow() {
-    store_.follow(jobs_prefix, revision_, settings_.lease_s / 2, [this, epoch = epoch_](store::Answer&& answer) {
-        if (epoch == epoch_)
-            handle_changes(std::move(answer));
-    });
+    store_.follow(std::string(persistence::job_prefix), revision_, settings_.lease_s / 2,
+                  [this, epoch = epoch_](store::Answer&& answer) {
+                      if (epoch == epoch_)
+                          handle_changes(std::move(answer));
+                  });
 }
 
 void StateLoader::follow_after(double delay_s, std::uint64_t epoch) {
@@ -95,7 +101,7 @@
         return follow_after(0, epoch);
     case StoreOutcome::compacted: // too far behind: everything is read again
         stored_ = {};
-        return load(jobs_prefix, "", &stored_.jobs, [this, epoch] {
+        return load(std::string(persistence::job_prefix), "", &stored_.jobs, [this, epoch] {
             report_jobs(std::exchange(stored_, {}).jobs);
             follow_after(0, epoch);
         });
--- a/src/local/local.cpp
+++ b/src/local/local.cpp
@@ -4,6 +4,7 @@
 #include "local/cloud.hpp"
 #include "local/emulator.hpp"
 #include "local/port.hpp"
+#include "persistence/layout.hpp"
 #include "store/server.hpp"
 
 #include <algorithm>
@@ -140,7 +141,7 @@
         if (platform_->start({"127.0.0.1", 0}) != 0)
             return "the cloud cannot listen";
         platform_->ask = [this](const std::string& id) -> std::optional<JobSpec> {
-            const auto row = store_->engine().data().get("j/" + id);
+            const auto row = store_->engine().data().get(persistence::job_key(id));
             auto j = row ? codec::stored_job(codec::parse(row->data), 0) : std::nullopt;
             if (j)
                 return std::move(j->spec);
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -1,5 +1,7 @@
 #include "membership/membership.hpp"
 
+#include "http_status.hpp"
+
 #include <algorithm>
 #include <fmt/format.h>
 #include <spdlog/spdlog.h>
@@ -18,9 +20,6 @@
 // A share of lease_s.
 constexpr double cloud_probe_leases = 1.0 / 2;
 
-constexpr int http_ok = 200;
-constexpr int http_bad_request = 400;
-
 FailureThresholds service_thresholds(const Settings& settings) {
     return {.min_outage_s = settings.report_s / 4, .min_failures = 2, .min_recovery_s = settings.report_s / 4};
 }
@@ -256,7 +255,7 @@
 void Membership::handle_view_reply(const std::string& name, double sent_at, const HttpReply& reply) {
     auto& peer = *peers_.find(name);
     peer.exchange_pending = false;
-    if (reply.status != http_ok)
+    if (reply.status != http_status::ok)
         return;
     auto received = view(reply.body);
     if (!received || received->node != name)
@@ -274,9 +273,9 @@
 void Membership::handle_view(const HttpRequest& request, const Responder& res) {
     auto received = view(request.body);
     if (!received)
-        return res.send(http_bad_request, codec::error_answer("not a view"));
+        return res.send(http_status::bad_request, codec::error_answer("not a view"));
     receive_view(std::move(*received));
-    res.send(http_ok, to_body(own_view()));
+    res.send(http_status::ok, to_body(own_view()));
 }
 
 void Membership::receive_view(PeerView&& view) {
--- /dev/null
+++ b/tests/no_persistence.hpp
@@ -0,0 +1,17 @@
+// For tests of the cluster state on its own: nothing that it has to store goes anywhere.
+#pragma once
+
+#include "cluster/cluster_state.hpp"
+
+namespace heronshift::testing {
+
+struct NoPersistence final : cluster::PersistenceListener {
+    void added(cluster::Job& /*j*/) override {}
+    void added(cluster::Entry& /*e*/) override {}
+    void removed(cluster::Entry& /*e*/) override {}
+    void final_due(cluster::Job& /*j*/, Urgency /*u*/) override {}
+    void progressed(cluster::Job& /*j*/) override {}
+    void became_ready(cluster::Job& /*j*/) override {}
+};
+
+} // namespace heronshift::testing
--- a/tests/test_cluster_state.cpp
+++ b/tests/test_cluster_state.cpp
@@ -1,5 +1,6 @@
 // The one function that every placement passes: whatever a policy proposes, no rule is broken.
 #include "cluster/cluster_state.hpp"
+#include "no_persistence.hpp"
 #include "simulated_cluster.hpp"
 
 #include <gtest/gtest.h>
@@ -9,15 +10,6 @@
 
 using cluster::ClusterState;
 
-struct NoPersistence final : cluster::PersistenceListener {
-    void added(cluster::Job& /*j*/) override {}
-    void added(cluster::Entry& /*e*/) override {}
-    void removed(cluster::Entry& /*e*/) override {}
-    void final_due(cluster::Job& /*j*/, Urgency /*u*/) override {}
-    void progressed(cluster::Job& /*j*/) override {}
-    void became_ready(cluster::Job& /*j*/) override {}
-};
-
 // Machines of both zones and kinds, and a policy that proposes whatever it is told to.
 struct ClusterFixture {
     Settings settings = small_settings();
--- a/tests/test_connections.cpp
+++ b/tests/test_connections.cpp
@@ -3,6 +3,8 @@
 #include "http.hpp"
 #include "loop_timer.hpp"
 
+#include "loop.hpp"
+
 #include <deque>
 #include <fmt/format.h>
 #include <gtest/gtest.h>
@@ -11,25 +13,8 @@
 namespace heronshift {
 namespace {
 
-double seconds() {
-    return static_cast<double>(uv_hrtime()) * 1e-9;
-}
-
-struct Loop {
-    uv_loop_t loop{};
-    Loop() {
-        uv_loop_init(&loop);
-    }
-    ~Loop() {
-        uv_run(&loop, UV_RUN_DEFAULT);
-        uv_loop_close(&loop);
-    }
-    Loop(const Loop&) = delete;
-    Loop& operator=(const Loop&) = delete;
-    void turn() {
-        uv_run(&loop, UV_RUN_NOWAIT);
-    }
-};
+using testing::Loop;
+using testing::seconds;
 
 struct Connection {
     ConnectionShares<Connection>::Entry share;
--- a/tests/test_large_fleet.cpp
+++ b/tests/test_large_fleet.cpp
@@ -3,6 +3,7 @@
 #include "cluster/cluster_state.hpp"
 #include "core/core.hpp"
 #include "machines.hpp"
+#include "no_persistence.hpp"
 
 #include <gtest/gtest.h>
 
@@ -15,26 +16,17 @@
 constexpr int fleet_size = 6300;          // 4,000 and half as many more, and some
 constexpr int lost_size = fleet_size / 3; // lost within a lease
 
-struct IgnoredRecords final : cluster::PersistenceListener {
-    void added(cluster::Job& /*j*/) override {}
-    void added(cluster::Entry& /*e*/) override {}
-    void removed(cluster::Entry& /*e*/) override {}
-    void final_due(cluster::Job& /*j*/, Urgency /*u*/) override {}
-    void progressed(cluster::Job& /*j*/) override {}
-    void became_ready(cluster::Job& /*j*/) override {}
-};
-
 // One leader of a fleet in which every machine runs one task of one job. Machines of the first third are to be lost.
 struct LargeFleet {
     Settings settings = small_settings();
     std::vector<Effect> out;
-    IgnoredRecords records;
+    NoPersistence persistence;
     ClusterState cluster;
     double now = 0;
 
     explicit LargeFleet(std::uint64_t term = 1, const Settings& s = small_settings())
         : settings(s), cluster(settings, term, 0, 0, out) {
-        cluster.set_persistence(records);
+        cluster.set_persistence(persistence);
         cluster.types_known(small_types());
         JobStored stored{job(1, Shape::array, fleet_size, 1), 0, -1, false};
         cluster.add_job(stored);
--- a/tests/test_late_loop.cpp
+++ b/tests/test_late_loop.cpp
@@ -6,6 +6,7 @@
 #include "store/server.hpp"
 
 #include "fault_injection.hpp"
+#include "loop.hpp"
 
 #include <atomic>
 #include <gtest/gtest.h>
@@ -15,30 +16,13 @@
 namespace heronshift {
 namespace {
 
-double seconds() {
-    return static_cast<double>(uv_hrtime()) * 1e-9;
-}
+using testing::Loop;
+using testing::seconds;
+
 void stand_still(double for_s) {
     usleep(static_cast<useconds_t>(for_s * 1e6));
 }
 
-// A loop that ends with the object; handles close in its last turns.
-struct Loop {
-    uv_loop_t loop{};
-    Loop() {
-        uv_loop_init(&loop);
-    }
-    ~Loop() {
-        uv_run(&loop, UV_RUN_DEFAULT);
-        uv_loop_close(&loop);
-    }
-    Loop(const Loop&) = delete;
-    Loop& operator=(const Loop&) = delete;
-    void turn() {
-        uv_run(&loop, UV_RUN_NOWAIT);
-    }
-};
-
 // A server on a loop and thread of its own, so that it answers while the loop of the test stands still.
 class OnAThread {
 public:
