--- a/src/scheduling/array_demand.cpp
+++ b/src/scheduling/array_demand.cpp
@@ -6,22 +6,28 @@
 namespace heronshift::scheduling {
 namespace {
 
-constexpr double usable_window = 0.4;     // of the time an array has left, since estimates are often wrong by half
-constexpr double window_without_due = 10; // times its run: what an array without any aim gets
-constexpr double min_window_s = 1e-3;     // of what is late already, so that work can be divided by it
-constexpr double half_done = 0.5;         // of its run, what a task that runs has left on average
-constexpr double quiet_gaps = 8;          // after so many times the usual time between arrays, no more are expected
-constexpr double min_known_gaps = 20;     // the usual time between arrays is known from so many
+// Share of the time left until an array is due that its work may take. Run time estimates are often wrong by half.
+constexpr double usable_window = 0.4;
+// Time that an array without any due time may take, as a multiple of the run time of its tasks.
+constexpr double window_without_due = 10;
+// The window of an array that is already late. It is above zero because the work is divided by it.
+constexpr double min_window_s = 1e-3;
+// Share of its run time that a running task has left on average.
+constexpr double half_done = 0.5;
+// No more arrays are expected after none has arrived for this many times the average gap between two arrays.
+constexpr double quiet_gaps = 8;
+// Number of observed gaps between arrays from which on the average gap is relied on.
+constexpr double min_known_gaps = 20;
 
-// What one array needs until it is due.
+// The work that one array has left, and the time in which it has to be done.
 struct DueWork {
-    double window_s; // time left for it
-    double cpu_s;    // work left
-    double max_cpus; // what all its tasks use at once
+    double window_s; // time in which the work has to be done
+    double cpu_s;    // remaining work, in CPU seconds
+    double max_cpus; // CPUs in use if all remaining tasks run at once
     bool may_use_spot;
 };
 
-// How long the work of an array may take, the work itself being what `run_s` says of each task.
+// The time in seconds that is available for the work of an array whose tasks run for `run_s` each.
 double window_s(const ClusterData& cluster, const Job& job, double run_s) {
     const double due = cluster.due_at(job);
     double window = due < 0 ? window_without_due * run_s : (due - cluster.now - run_s) * usable_window;
@@ -39,7 +45,7 @@
             job.spec.spot};
 }
 
-// The work of all arrays, what is due first at the front.
+// The remaining work of all arrays that are ready to run, in ascending order of `window_s`.
 std::vector<DueWork> work_by_window(const ClusterData& cluster) {
     std::vector<DueWork> list;
     for (const auto& [id, job] : cluster.jobs)
@@ -62,8 +68,8 @@
     return needed;
 }
 
-// Where arrays came all the time and none has come for many times as long as between two, no more are expected for a
-// while. Without this the fleet would stand idle for minutes at the end of a day.
+// Whether arrays arrived regularly and none has arrived for much longer than the average gap between them. Without this
+// check the fleet would stay idle for minutes at the end of a day.
 bool arrays_have_stopped(const ClusterData& cluster) {
     const auto& learned = cluster.learned;
     const double last = std::max(learned.offered_at, cluster.unserved_at);
--- a/src/scheduling/array_demand.hpp
+++ b/src/scheduling/array_demand.hpp
@@ -1,28 +1,31 @@
 /// @file
-/// How many CPUs arrays need and bring. Estimates from a const view of the cluster: nothing is proposed here.
+/// Estimates how many CPUs array jobs need now and are expected to need. The functions read a const view of the cluster
+/// and propose no changes.
 #pragma once
 
 #include "scheduling/placement_cost.hpp"
 
 namespace heronshift::scheduling {
 
-/// An amount of CPUs.
+/// A number of CPUs, in total and the part of it that spot machines cannot serve.
 struct CpuAmount {
-    /// On machines of any kind.
+    /// CPUs on machines of any kind.
     double all = 0;
-    /// The part of it on plain() machines: for work that may not use spot machines.
+    /// The part of `all` that is on machines for which plain() holds. Only this part can serve jobs that may not use
+    /// spot machines.
     double ordinary = 0;
 };
 
-/// More CPUs than arrays need are kept, by this factor, since estimates are rough.
+/// Factor by which the CPU capacity kept for arrays exceeds their estimated need, because the estimates are rough.
 inline constexpr double array_reserve = 1.15;
 
-/// The CPUs that the arrays now in the cluster need to be done in time: of all jobs due before some moment, the work
-/// that is left over the time that is left, though never more than all their tasks use at once. The part that may not
-/// use spot machines is counted on its own, since spot machines to spare do not help it.
+/// The CPUs needed to complete all current array jobs in time. For each due time it divides the work of the jobs due by
+/// then by the time left, capped at the CPUs that all tasks of these jobs can use at once; the result is the largest of
+/// these values. The need of jobs that may not use spot machines is also given separately, since free spot capacity
+/// cannot serve them.
 [[nodiscard]] CpuAmount array_need(const ClusterData& cluster);
 
-/// The CPUs that arrays keep busy on average by the work they bring, as far as more is expected to come.
+/// The CPUs that newly submitted array jobs keep busy on average; zero once no more arrays are expected to arrive.
 [[nodiscard]] CpuAmount offered_load(const ClusterData& cluster);
 
 } // namespace heronshift::scheduling
--- a/src/scheduling/autoscaler.hpp
+++ b/src/scheduling/autoscaler.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Which machines the cluster has: what to rent, to keep, to empty and to give back. It decides from a const view of
-/// the cluster and only proposes; the cluster state checks each proposal and is alone in changing anything.
+/// Decides which machines to rent, keep, empty and release. The decisions are made on a const view of the cluster and
+/// only proposed: the cluster state checks each proposal, and nothing else changes the state.
 #pragma once
 
 #include "cluster/proposals.hpp"
@@ -8,32 +8,34 @@
 
 namespace heronshift::scheduling {
 
-/// Keeps the number of machines near what the work needs. Each public function is one policy, called in turn by the
-/// core on the thread that owns the state. The policies are in files of their own under src/scheduling: rental_plan
-/// (renting), shrinking, returning, silent_machines, fleet_log; array_demand estimates what arrays need.
+/// Keeps the number of machines close to what the jobs need. Each public function is one policy, which the core calls
+/// on the thread that owns the state. Their definitions are in separate files under src/scheduling: rental_plan
+/// (renting), shrinking, returning, silent_machines and fleet_log. array_demand estimates the CPUs that arrays need.
 class Autoscaler {
 public:
     Autoscaler(const ClusterData& view, cluster::Proposals& out)
         : cluster_(view), settings_(view.settings), proposals_(out) {}
-    /// Rents machines for what waits and finds no place on those that are up, booting or asked for, and keeps machines
-    /// that were to become empty where they are wanted after all. One request a round for each type, zone and kind.
+    /// Rents machines for waiting tasks that fit on no machine that is up, booting or already requested, and cancels
+    /// the retirement of machines that are needed after all. Sends at most one rental request per round for each
+    /// combination of machine type, zone and kind (spot or not).
     void plan_capacity();
-    /// Chooses the machines that the cluster has beyond its need and has them become empty, the dearest first: such a
-    /// machine takes no new work, its arrays end by themselves and its replicas are moved.
+    /// Selects surplus machines, the most expensive per CPU first, and retires them: a retiring machine gets no new
+    /// tasks, its array tasks run to their end, and its replicas are moved to other machines.
     void plan_shrink();
-    /// Gives machines back: empty ones that are not wanted, those that never came up, failed, or surely cannot be used.
-    /// A machine with tasks is given back only if it is presumed dead: while the cluster state does not know that its
-    /// tasks are gone they count as running (docs/safety.md, 7).
+    /// Releases machines to the cloud: machines that are empty and no longer needed, that never came up, that failed,
+    /// or that certainly cannot be used. A machine with tasks is released only if it is presumed dead, and its tasks
+    /// count as running until the cluster state knows that they are gone (docs/safety.md, 7).
     void return_machines();
-    /// Asks silent machines for a heartbeat, and presumes silent spot machines dead, which are then given back.
+    /// Requests a heartbeat from silent machines, and presumes silent spot machines dead so that they are released.
     void watch_silent();
-    /// Logs the fleet for operators: a line for each type of machine, the tasks by phase, and what waits by priority.
+    /// Logs the fleet for operators: one line for each machine type, the number of tasks in each phase, and the waiting
+    /// tasks by priority.
     void log_fleet();
 
 private:
-    // What the cluster has and what of it lasts, counted over the machines that serve.
+    // The capacity of the serving machines, and how much of it is needed.
     struct Holdings;
-    // A machine that may be emptied.
+    // A machine that may be retired.
     struct ShrinkCandidate;
 
     [[nodiscard]] bool may_be_emptied(const Machine& machine, double gang_cpus) const;
@@ -42,7 +44,8 @@
     [[nodiscard]] Holdings count_holdings(std::vector<ShrinkCandidate>& candidates) const;
     void empty_surplus(Holdings holdings, const std::vector<ShrinkCandidate>& candidates);
 
-    // How many machines of a zone are up, and how many of these do not hear the leader.
+    // The number of machines of a zone that are up, and the number of machines that do not receive the leader's
+    // answers.
     struct Reachability {
         int unreachable = 0, up = 0;
     };
@@ -55,7 +58,7 @@
     [[nodiscard]] bool should_go_back(const Machine& machine, const ReachabilityByZone& by_zone) const;
     void stop_all_on(const Machine& machine);
 
-    // The machines of one kind in one zone: those up, and those of them that are silent.
+    // The number of machines of one kind (spot or not) in one zone that are up, and how many of these are silent.
     struct SilentCount {
         double up = 0, silent = 0;
     };
@@ -74,8 +77,8 @@
     const ClusterData& cluster_;
     const Settings& settings_;
     cluster::Proposals& proposals_;
-    double kept_for_gangs_ = 0; // machines with accelerators to be free of gangs, from the last plan_shrink()
-    double next_silent_ = 0;    // when watch_silent() looks again
+    double kept_for_gangs_ = 0; // machines with accelerators to keep free of gangs, set by plan_shrink()
+    double next_silent_ = 0;    // when watch_silent() checks again
 };
 
 } // namespace heronshift::scheduling
--- a/src/scheduling/awaiting_room.cpp
+++ b/src/scheduling/awaiting_room.cpp
@@ -1,6 +1,6 @@
-// Placement's part that waits for room. Where tasks end all the time, room comes by itself: the machines where it comes
-// first are kept for a job, or smaller tasks would fill each hole before it is large enough. Stopping work instead
-// would lose what it has done.
+// The part of Placement that waits for running tasks to end. Where tasks end frequently, enough room becomes free
+// without preemption, which would lose the work already done. The machines where room becomes free first are reserved
+// for a job; otherwise smaller tasks would fill each gap before it is large enough.
 #include "scheduling/placement.hpp"
 
 #include <algorithm>
@@ -11,15 +11,18 @@
 namespace heronshift::scheduling {
 namespace {
 
-constexpr double min_rest = 0.1; // of a task's time, as long as it runs: it may be longer than others
+// Lower bound of the time that a running task has left, as a share of its expected run time. A task may run for longer
+// than expected.
+constexpr double min_rest = 0.1;
 
-// A task, and how long it will go on.
+// A task on a machine, and the time until it is expected to end.
 struct EndingTask {
     double rest_s;
     const Entry* entry;
 };
 
-// The soonest first. Neither addresses nor the order in which reports came may decide: processes differ in both.
+// Orders by remaining time. Ties are broken by job and task: pointer values and the order in which heartbeats arrived
+// differ between processes and must not affect decisions.
 bool ends_before(const EndingTask& one, const EndingTask& other) {
     return std::tie(one.rest_s, one.entry->job->spec.id, one.entry->index) <
            std::tie(other.rest_s, other.entry->job->spec.id, other.entry->index);
@@ -27,7 +30,8 @@
 
 } // namespace
 
-// How many seconds a task will go on, as far as its siblings or its owner tell.
+// The remaining run time of a task in seconds, estimated from finished tasks of its job or else from the owner's
+// estimate.
 double Placement::rest_of(const Entry& entry) const {
     const auto& job = *entry.job;
     if (entry.stop)
@@ -39,8 +43,8 @@
     return std::max(whole - ran, whole * min_rest);
 }
 
-// When the tasks of the machine at that position of the index end, the soonest first. Computed once a pass and after
-// each change of the machine.
+// When the tasks on the machine at this position of the index are expected to end, the earliest first. Computed once
+// per pass and again after each change of the machine.
 const std::vector<Placement::Release>& Placement::releases_on(std::size_t position) {
     auto& releases = releases_[position];
     if (releases_known_[position] != 0)
@@ -56,13 +60,14 @@
     return releases;
 }
 
-// Keeps room on a machine for a job until the machine has reported again.
+// Reserves room on a machine for tasks of a job until the machine's next heartbeat.
 void Placement::keep_room(const Machine& machine, const Job& job, int tasks, Priority against) {
     proposals_.reserve(machine, job, tasks, cluster_.now + settings_.report_s, against);
     room_changed(machine);
 }
 
-// All rooms for a task of the job that come within some time, the best first.
+// All places for one task of the job that become free within `within_s` seconds, in ascending order of waiting time
+// plus placement cost.
 std::vector<Placement::UpcomingRoom> Placement::upcoming_rooms(const Job& job, double within_s) {
     std::vector<UpcomingRoom> rooms;
     const PlacementCost cost_of(cluster_, job);
@@ -85,8 +90,8 @@
     return rooms;
 }
 
-// Keeps the machines where room comes first, within some seconds, for at most so many tasks of the job, against work of
-// the given priority and below.
+// Reserves the machines where room for up to `max_tasks` tasks of the job becomes free first, within `within_s`
+// seconds. The reservation holds against jobs of priority `against` and below.
 void Placement::await_room(const Job& job, int max_tasks, double within_s, Priority against) {
     const auto wanted =
         static_cast<std::size_t>(std::min({max_tasks, static_cast<int>(job.pending.size()), quota_left(job)}));
@@ -104,8 +109,8 @@
         keep_room(*machine, job, count, against);
 }
 
-// In how many seconds there is room for one task of the job on the machine at that position; none if not within the
-// time or not before a moment that is known already.
+// The number of seconds until there is room for one task of the job on the machine at this position of the index. Empty
+// if there is none within `within_s` or before `before_s`, the time already found on another machine.
 std::optional<double> Placement::room_after_s(const Job& job, std::size_t position, double within_s, double before_s) {
     const auto& machine = *index_.machines()[position];
     auto free = machine.whole - machine.used;
@@ -119,10 +124,10 @@
     return std::nullopt;
 }
 
-// await_room() for one task: machines where nothing ends before the best so far are passed over at once.
+// The equivalent of await_room() for one task. It skips a machine at once if none of its tasks ends before `best_at`.
 void Placement::await_first(const Job& job, double within_s, Priority against) {
     const Machine* best = nullptr;
-    double best_at = std::numeric_limits<double>::infinity(); // beyond never_s as well
+    double best_at = std::numeric_limits<double>::infinity(); // also above never_s
     const PlacementCost cost_of(cluster_, job);
     for (std::size_t position = 0; position < index_.machines().size(); ++position) {
         const auto& releases = releases_on(position);
--- a/src/scheduling/batch_assignment.cpp
+++ b/src/scheduling/batch_assignment.cpp
@@ -9,8 +9,11 @@
 namespace heronshift::placement {
 namespace {
 
-constexpr double min_task_size = 1e-9; // a task without memory has size 0, by which nothing can be divided
-constexpr double rounding = 1e-6;      // amounts are decimal numbers, whose quotients may lie just below a whole one
+// Lower bound of the task size, which is used as a divisor. A task without memory would have size 0.
+constexpr double min_task_size = 1e-9;
+// Allowance for rounding errors: a quotient of two decimal amounts may be slightly below the whole number that it
+// stands for.
+constexpr double rounding = 1e-6;
 
 } // namespace
 
@@ -44,12 +47,13 @@
 
 namespace {
 
-constexpr double unreachable = -std::numeric_limits<double>::infinity(); // the value of a state that no way leads to
-constexpr double task_value = 1e9; // of one more task placed, in seconds: it outweighs any cost
+constexpr double unreachable = -std::numeric_limits<double>::infinity(); // value of a state that cannot be reached
+// Value of placing one more task, in seconds. It outweighs any cost.
+constexpr double task_value = 1e9;
 
-// The dynamic program over the bins, one after the other. A state says how many tasks of each group are placed so far.
-// It is written as one number in mixed radix, with a digit for each group. What a bin takes is a number of the same
-// form, so that the state after it is the sum of the two.
+// Dynamic program over the bins, one after the other. A state is the number of tasks of each group that are placed so
+// far, encoded as one mixed-radix number with a digit for each group. The tasks assigned to a bin are encoded in the
+// same way, so the next state is the sum of both numbers.
 class Matcher {
 public:
     Matcher(const std::vector<Group>& groups, const std::vector<Bin>& bins, const Resources& shape)
@@ -66,16 +70,17 @@
     }
 
 private:
-    // So many tasks of each group in one bin, and what that adds to the value.
+    // A number of tasks of each group to assign to one bin, and the value that this adds.
     struct Choice {
         std::size_t code;
         double value;
     };
-    // The choices of all bins with the same room and costs. Where those last improved nothing, and no state has become
-    // better since, they improve nothing again: of many empty machines only a few have to be tried.
+    // The choices shared by all bins with the same resources and costs. If these choices did not improve any state for
+    // one bin, and no state has improved since, they cannot improve one for the next bin either. So only a few of many
+    // identical empty machines have to be tried.
     struct AlikeBins {
         std::vector<Choice> choices;
-        std::uint64_t useless_at = 0; // the version of best_ that they could not improve
+        std::uint64_t useless_at = 0; // the version_ of best_ that the choices could not improve
     };
 
     void list_digits() {
@@ -111,7 +116,7 @@
         return need;
     }
 
-    // What the tasks are worth there, without the fragmentation.
+    // The value of assigning these tasks to this bin, without the change in fragmentation.
     [[nodiscard]] double value_of(std::size_t code, std::size_t bin) const {
         double value = 0;
         for (std::size_t group = 0; group < width_; ++group)
@@ -147,7 +152,7 @@
         return found->second;
     }
 
-    // Whether no group has fewer tasks than the state and the choice have of it together.
+    // Whether every group has at least as many tasks as the state and the choice together use of it.
     [[nodiscard]] bool are_enough(std::size_t state, std::size_t code) const {
         for (std::size_t group = 0; group < width_; ++group)
             if (digit(state, group) + digit(code, group) > groups_[group].count)
@@ -155,7 +160,8 @@
         return true;
     }
 
-    // Improves next_ by what the bin can take after one state. Returns whether it did.
+    // Extends one state by each choice for the bin, and stores what is better in next_. Returns whether any state
+    // improved.
     bool extend(std::size_t state, const std::vector<Choice>& choices, std::size_t bin) {
         bool improved = false;
         for (const auto& choice : choices) {
@@ -186,7 +192,7 @@
         ++version_;
     }
 
-    // From the best state back to the first: what each bin took.
+    // Follows the best assignment back from its final state to the empty one, bin by bin.
     [[nodiscard]] Assignment trace_back() const {
         Assignment assignment(width_, std::vector<int>(bins_.size()));
         auto state = static_cast<std::size_t>(std::max_element(best_.begin(), best_.end()) - best_.begin());
@@ -202,15 +208,16 @@
     const std::vector<Group>& groups_;
     const std::vector<Bin>& bins_;
     const Resources& shape_;
-    std::size_t width_ = 0;           // digits of a state, one for each group
-    std::size_t states_ = 1;          // how many there are
-    std::vector<int> digits_;         // of each state, by group
-    std::vector<double> best_;        // the highest value of each state after the bins tried so far
-    std::vector<double> next_;        // the same with the bin that is being tried
-    std::uint64_t version_ = 1;       // of best_
-    std::vector<std::int16_t> taken_; // by bin and state: what the bin took on the best way there
+    std::size_t width_ = 0;     // number of groups, the digits of a state
+    std::size_t states_ = 1;    // number of states
+    std::vector<int> digits_;   // the digits of each state: [state * width_ + group]
+    std::vector<double> best_;  // the highest value of each state with the bins tried so far
+    std::vector<double> next_;  // the same, including the bin that is being tried
+    std::uint64_t version_ = 1; // incremented with each change of best_
+    std::vector<std::int16_t>
+        taken_; // the code assigned to the bin on the best way to the state: [bin * states_ + state]
     std::map<std::vector<double>, AlikeBins> alike_;
-    std::vector<double> key_; // of alike_; kept for its memory
+    std::vector<double> key_; // lookup key for alike_; a member to reuse its memory
 };
 
 } // namespace
--- a/src/scheduling/fleet_log.cpp
+++ b/src/scheduling/fleet_log.cpp
@@ -1,4 +1,4 @@
-// Autoscaler's part that tells operators what there is.
+// The part of Autoscaler that logs the state of the fleet.
 #include "scheduling/autoscaler.hpp"
 
 #include <fmt/format.h>
@@ -6,11 +6,11 @@
 namespace heronshift::scheduling {
 namespace {
 
-// The machines of one type, spot machines apart.
+// The machines of one type; spot machines are counted separately.
 struct KindCount {
     int up = 0, booting = 0, pool = 0, empty = 0;
-    double cpus = 0;                                        // of those that are up
-    double service_cpus = 0, gang_cpus = 0, array_cpus = 0; // in use there
+    double cpus = 0;                                        // of the machines that are up
+    double service_cpus = 0, gang_cpus = 0, array_cpus = 0; // in use on these machines
 };
 
 void count_tasks(const Machine& machine, KindCount& kind) {
--- a/src/scheduling/gang_placement.cpp
+++ b/src/scheduling/gang_placement.cpp
@@ -1,4 +1,4 @@
-// Placement's part for gangs, whose tasks start together or not at all.
+// The part of Placement for gangs, whose tasks must all start together.
 #include "scheduling/placement.hpp"
 
 #include <algorithm>
@@ -7,13 +7,15 @@
 namespace {
 
 constexpr double gang_loss_weight =
-    0.01; // seconds that a task of a gang may wait for each CPU second of others not lost
-constexpr double looks_an_interval = 10; // how often a gang may be tried in one interval between heartbeats
+    // Seconds of delay for a gang task that are considered as costly as losing one CPU second of other jobs' work.
+    0.01;
+// How often the placement of a gang may be tried within one heartbeat interval.
+constexpr double looks_an_interval = 10;
 
 } // namespace
 
-// The rooms for the gang's tasks on all machines, in one zone or in all, the cheapest first. Other work is stopped
-// for gangs of high priority only.
+// The machines that have or could get room for tasks of the gang, in one zone or in all, in ascending order of cost.
+// Machines where other tasks would have to be preempted are included only for gangs of priority high or critical.
 std::vector<Placement::MachineRoom> Placement::rooms_for_gang(const Job& job, std::optional<int> zone) const {
     const bool may_stop = job.priority <= Priority::high;
     std::vector<MachineRoom> rooms;
@@ -29,8 +31,8 @@
     return rooms;
 }
 
-// Takes rooms in this order until there are enough for all tasks; none if there are too few. With `spread` no zone gets
-// more than half of the tasks.
+// Takes rooms in the given order until they are enough for all tasks of the gang. Returns nothing if they are too few.
+// If the job has `spread`, no zone gets more than half of the tasks.
 std::optional<Placement::GangRooms> Placement::choose_gang_rooms(const Job& job, std::vector<MachineRoom> rooms) const {
     std::vector<std::uint32_t> tasks_in_zone(settings_.zones.size());
     GangRooms chosen{{}, 0};
@@ -51,7 +53,8 @@
     return std::nullopt;
 }
 
-// With one_zone, in the zone that takes all of the gang at least cost. No rooms if there are not enough anywhere.
+// The cheapest set of rooms for the whole gang, within a single zone if the job has `one_zone`. Returns no rooms if the
+// gang does not fit.
 Placement::GangRooms Placement::cheapest_gang_rooms(const Job& job) const {
     GangRooms cheapest;
     const auto try_zone = [&](std::optional<int> zone) {
@@ -67,12 +70,13 @@
     return cheapest;
 }
 
-// A gang goes whole or waits. Where work of lower rank is in the way, all its room is made or none: half of it would
-// help nobody and keep it from others. Returns whether the gang was placed.
+// Places all tasks of the gang, or none. If lower-priority tasks are in the way, either all the room that the gang
+// needs is made or none, since part of it would not let the gang start and would be lost to other jobs. Returns whether
+// the gang was placed.
 bool Placement::place_gang(const Job& job) {
     if (job.live > 0 || cluster_.now < job.room_until || quota_left(job) < static_cast<int>(job.spec.tasks))
         return false;
-    // A look at all machines takes time, so it is not repeated at once.
+    // Examining all machines is slow, so the next attempt waits for a part of the heartbeat interval.
     proposals_.room_asked(job, cluster_.now + settings_.report_s / looks_an_interval);
     const auto chosen = cheapest_gang_rooms(job);
     if (chosen.rooms.empty())
--- a/src/scheduling/making_room.cpp
+++ b/src/scheduling/making_room.cpp
@@ -1,4 +1,4 @@
-// Placement's part that makes room by stopping work of lower rank.
+// The part of Placement that makes room by preempting tasks of lower priority.
 #include "scheduling/placement.hpp"
 
 #include <algorithm>
@@ -7,17 +7,21 @@
 namespace heronshift::scheduling {
 namespace {
 
-constexpr double task_loss_weight = 0.05; // seconds that a task may wait for each CPU second of other work not lost
-constexpr double chosen_already_s = 1000; // by so much cheaper is room that is being made: more than other terms differ
-constexpr double overhead_s = 1;          // lost with a task that has just started: stopping and starting it
+// Seconds of delay for a task that are considered as costly as losing one CPU second of other jobs' work.
+constexpr double task_loss_weight = 0.05;
+// Cost reduction for a machine where room is already being made for the job. It exceeds the differences between all
+// other cost terms.
+constexpr double chosen_already_s = 1000;
+// Time lost by stopping and restarting a task that has only just started.
+constexpr double overhead_s = 1;
 
-// What is lost when a task is stopped now.
+// The work that is lost if a task is stopped now.
 struct Loss {
     double cpu_s;
     const Entry* entry;
 };
 
-// How many tasks of the job fit in the room, up to a number.
+// How many tasks of the job fit in the room, up to `max_tasks`.
 int count_fitting(const Job& job, Resources room, int max_tasks) {
     int count = 0;
     for (; count < max_tasks && job.spec.each.fits(room); ++count)
@@ -27,7 +31,8 @@
 
 } // namespace
 
-// What stopping a task now loses, in CPU seconds: what it has done since it started or last saved its progress.
+// The work lost by stopping a task now, in CPU seconds: its run time, which for a task that saves its progress counts
+// up to the time that saving takes, and the time to stop and restart it.
 double Placement::loss_of(const Entry& entry) const {
     const auto& spec = entry.job->spec;
     double run = entry.running_at >= 0 ? cluster_.now - entry.running_at : 0;
@@ -36,8 +41,9 @@
     return (run + overhead_s) * spec.each.cpus;
 }
 
-// Adds to the room what stopping arrays of lower rank makes, the lowest loss first, and what tasks leave that end
-// already. `free` becomes what is free then. Returns what is lost, in CPU seconds.
+// Selects array tasks of lower priority to preempt until `max_tasks` tasks of the job fit, the least loss first. The
+// room of tasks that are already being stopped is counted as free. Adds the selected room to `free`, and returns the
+// work that would be lost, in CPU seconds.
 double Placement::stop_for_room(MachineRoom& room, const Job& job, int max_tasks, Resources& free) const {
     std::vector<Loss> losses;
     for (const auto& entry : room.machine->entries) {
@@ -61,8 +67,9 @@
     return lost;
 }
 
-// Room for at most so many tasks on one machine: what is free, else what stopping work of lower rank would make. Each
-// CPU second lost counts as `loss_weight` seconds of delay.
+// The room for up to `max_tasks` tasks of the job on one machine: the free room, or if not even one task fits in it,
+// the room after preempting lower-priority tasks. Each CPU second of work lost counts as `loss_weight` seconds of
+// delay.
 Placement::MachineRoom Placement::room_on(const Machine& machine, const Job& job, int max_tasks,
                                           double loss_weight) const {
     MachineRoom room;
@@ -78,13 +85,13 @@
     if (room.tasks > 0)
         room.cost = placement_cost(cluster_, machine, job) + loss_weight * lost / room.tasks +
                     placement::fragmentation(free - job.spec.each, machine.whole, cluster_.common_shape);
-    // Room that is being made stays the choice, or work would be stopped on ever more machines.
+    // A machine that is reserved for the job stays preferred, or tasks would be preempted on more and more machines.
     if (machine.reserved_for == &job && cluster_.now < machine.reserved_until)
         room.cost -= chosen_already_s;
     return room;
 }
 
-// Stops what is in the way and keeps the room until the job is placed there.
+// Preempts the selected tasks and reserves the room for the job until it is placed there.
 void Placement::take_room(const MachineRoom& room, const Job& job) {
     for (const auto* entry : room.victims)
         proposals_.preempt(*entry);
@@ -94,15 +101,15 @@
     keep_room(*room.machine, job, room.tasks, job.priority);
 }
 
-// Where work would have to be stopped for a task, at a cost below the limit, the cheapest first.
+// The machines where preemption would make room for the job at a cost below `cost_limit`, in ascending order of cost.
 std::vector<Placement::MachineRoom> Placement::rooms_to_make(const Job& job, int max_tasks, double cost_limit) const {
     std::vector<MachineRoom> rooms;
     const PlacementCost cost_of(cluster_, job);
     for (const auto* machine : index_.machines()) {
         if (job.spec.each.fits(machine->whole - machine->used))
-            continue; // nothing has to be stopped there
+            continue; // no preemption needed there
         if (machine->reserved_for != &job && cost_of(*machine) >= cost_limit)
-            continue; // the place alone costs too much
+            continue; // too costly even without preemption
         auto room = room_on(*machine, job, max_tasks, task_loss_weight);
         if (room.tasks > 0 && !room.victims.empty() && room.cost < cost_limit)
             rooms.push_back(std::move(room));
@@ -112,14 +119,15 @@
     return rooms;
 }
 
-// Stops work of lower rank where that costs least, below the limit for each task. Returns for how many tasks there
-// will be room.
+// Preempts lower-priority tasks on the cheapest machines, as long as the cost for each task is below `cost_limit`.
+// Returns the number of tasks that will have room.
 int Placement::make_room(const Job& job, double cost_limit) {
     int left = std::min(static_cast<int>(job.pending.size()), quota_left(job)), made = 0;
     for (const auto& room : rooms_to_make(job, left, cost_limit)) {
         if (left <= 0)
             break;
-        // Each zone takes a part only of a job that is spread; which, the placement decides.
+        // A job with `spread` may have only half of its tasks in one zone. Which zone gets which tasks is decided when
+        // they are placed.
         if (job.spec.spread && made >= static_cast<int>(half_up(job.spec.tasks)))
             break;
         take_room(room, job);
