--- a/src/scheduling/placement.cpp
+++ b/src/scheduling/placement.cpp
@@ -8,12 +8,15 @@
 namespace heronshift::scheduling {
 namespace {
 
-constexpr double begin_share = 0.5;   // of the time in which each job should begin: then a task of it goes first
-constexpr double good_place_s = 18;   // cost of a place that is good enough not to look further
-constexpr int placements_a_pass = 64; // so that heartbeats and users are not kept waiting
-constexpr double replica_looks = 6;   // how often room for replicas may be asked for in one interval of heartbeats
+// A waiting job is late after this share of the time within which each job should begin (`ops.begin_s`). Then one of
+// its tasks is placed before all others.
+constexpr double begin_share = 0.5;
+// Placement cost in seconds that is low enough to accept a machine without looking for a better one.
+constexpr double good_place_s = 18;
+constexpr int placements_a_pass = 64; // bounds the pass, so that heartbeats and requests are not delayed
+constexpr double replica_looks = 6;   // how often room for replicas may be requested within a heartbeat interval
 constexpr double task_looks = 2;      // the same for other tasks
-constexpr double pool_offset_s = 1;   // the cost of a place without any gain in payoff: costs stay above zero
+constexpr double pool_offset_s = 1;   // cost without any gain in payoff; keeps the costs above zero
 
 bool has_zone_rules(const JobSpec& spec) {
     return spec.spread || spec.one_zone;
@@ -21,19 +24,19 @@
 
 } // namespace
 
-// On ordinary machines what may use nothing else goes first, whatever its rank, until the others' aims are in
-// danger: with most room on spot machines, those would fill the few ordinary ones as well.
+// On on-demand machines, jobs that may not use spot machines go first, whatever their priority. Otherwise, where most
+// room is on spot machines, jobs that may use both would also fill the few on-demand machines.
 bool Placement::left_to_others(const Machine& machine, const Job& job) const {
     return ordinary_waits_ && job.spec.spot && plain(machine);
 }
 
-// Whether a task of the job could go there if other work left the machine.
+// Whether a task of the job could run on the machine if lower-priority tasks were removed from it.
 bool Placement::may_have_room(const Machine& machine, const Job& job) const {
     return job.spec.each.fits(machine.whole - machine.firm) && usable(cluster_, machine, job) &&
            !left_to_others(machine, job) && !is_kept_for_another(cluster_, machine, job);
 }
 
-// The machines with room for a task where it is wise to place it now, by their positions in the index.
+// The machines with room for a task on which it makes sense to place it now, as positions in the index.
 std::vector<std::uint32_t> Placement::find_room(const Job& job) const {
     const bool leave_plain = ordinary_waits_ && job.spec.spot;
     return index_.find(job, leave_plain ? RoomIndex::PlainMachines::left_out : RoomIndex::PlainMachines::included);
@@ -44,14 +47,16 @@
     room_changed(machine);
 }
 
-// A task came, one was stopped or a reservation made: what this pass knows of the machine is outdated.
+// Updates what this pass has cached about a machine after a task was placed, a task was stopped or room was reserved on
+// it.
 void Placement::room_changed(const Machine& machine) {
     index_.update(machine);
     if (const auto at = index_.position(machine); at != RoomIndex::none)
         releases_known_[at] = 0;
 }
 
-// How many more tasks the team's limit allows, unless it is kept for another of its jobs.
+// How many more tasks of the job the team's limit allows. Zero if the rest of the limit is reserved for another job of
+// the team.
 int Placement::quota_left(const Job& job) const {
     if (job.team < 0)
         return 0;
@@ -59,7 +64,7 @@
     return first != nullptr && first != &job ? 0 : cluster_.quota_room(job);
 }
 
-// Arrays that have waited for half of the time in which they should begin, the oldest first.
+// Array jobs that have waited for half of the time within which they should begin, the oldest first.
 std::vector<const Job*> Placement::late_jobs(const std::vector<const Job*>& jobs) const {
     std::vector<const Job*> late;
     for (const auto* job : jobs)
@@ -72,9 +77,9 @@
     return late;
 }
 
-// Small work goes first, so that most jobs are home in time; a large job might wait for ever, above all if it is as
-// large as its team's limit. So one task of each late job goes before all others. Where there is no room or the team's
-// limit is used up, both are kept for it.
+// Starts one task of each late job before all other tasks. Jobs with little work left go first, so that most jobs
+// complete in time; without this rule a large job might wait forever, in particular one that is as large as its team's
+// limit. If there is no room for the task or the team's limit is used up, the room or the limit is reserved for it.
 void Placement::begin_waiting(const std::vector<const Job*>& jobs) {
     first_of_team_.assign(cluster_.teams.size(), nullptr);
     for (const auto* job : late_jobs(jobs)) {
@@ -92,8 +97,9 @@
     }
 }
 
-// The payoff of one more task on the pool (docs/design.md, equations 2 to 5) counts before everything but the number of
-// tasks placed: a gain of gamma, that of the task that reaches the target, lowers the cost by a second.
+// The cost of a placement including the payoff of one more task on the pool (docs/design.md, equations 2 to 5). Only
+// the number of tasks placed counts more than the payoff: a gain of gamma, which is what the task that reaches the
+// target gains, lowers the cost by one second.
 double Placement::batch_cost(const PlacementCost& cost_of, const Machine& machine, const Job& job) const {
     const double cost = cost_of(machine);
     if (!machine.pool || job.spec.shape != Shape::service)
@@ -108,8 +114,8 @@
     return limits.cpus_max > 0 || limits.gpus_max > 0;
 }
 
-// At most so many tasks of the jobs, in their order. Of a team with a limit only the first job takes part, since what
-// the others may still have is known only after it.
+// Takes up to `max_tasks` tasks of the jobs, in the order given. Of a team with a limit only the first job takes part,
+// since how much of the limit is left for the others is known only after its placement.
 Placement::Batch Placement::choose_batch(const std::vector<const Job*>& jobs, int max_tasks) {
     Batch batch;
     std::set<int> limited_teams;
@@ -147,7 +153,8 @@
     return machines;
 }
 
-// Sets what a task of each job costs on each machine where it may go at a cost below the limit.
+// Sets what one task of each job costs on each machine that it may use. Machines with a cost of `cost_limit` or more
+// stay forbidden.
 void Placement::set_costs(Batch& batch, const BatchMachines& machines, double cost_limit) const {
     for (std::size_t group = 0; group < batch.groups.size(); ++group) {
         auto& costs = batch.groups[group].cost;
@@ -164,8 +171,8 @@
     }
 }
 
-// New tasks go in batches, without moves, placing as many as can be (docs/design.md, algorithm 1), none at a cost of
-// the limit or above. Returns how many were placed.
+// Places new tasks as a batch, without moving running ones, and as many as possible (docs/design.md, algorithm 1). No
+// task is placed at a cost of `cost_limit` or more. Returns the number of tasks placed.
 int Placement::place_batch(const std::vector<const Job*>& jobs, int max_tasks, double cost_limit) {
     auto batch = choose_batch(jobs, max_tasks);
     if (batch.jobs.empty())
@@ -183,7 +190,7 @@
     return placed;
 }
 
-// The machine with room where a task costs least, below the limit; none if there is none.
+// The machine with room where a task of the job costs least, below `cost_limit`. Null if there is none.
 const Machine* Placement::cheapest_machine(const Job& job, double cost_limit) const {
     const Machine* cheapest = nullptr;
     const PlacementCost cost_of(cluster_, job);
@@ -202,7 +209,8 @@
     return cheapest;
 }
 
-// Jobs with zone rules: each placement changes where the next task may go. Returns how many were placed.
+// Places tasks of a job with zone rules, for which each placement changes where the next task may go. Returns the
+// number of tasks placed.
 int Placement::place_one_by_one(const Job& job, double cost_limit) {
     int placed = 0;
     while (!job.pending.empty() && quota_left(job) > 0) {
@@ -218,7 +226,7 @@
     return placed;
 }
 
-// Places all replicas that find a place at a cost below the limit. Returns how many.
+// Places as many replicas as possible at a cost below `cost_limit`. Returns the number of replicas placed.
 int Placement::place_replicas(const Job& job, double cost_limit) {
     if (has_zone_rules(job.spec))
         return place_one_by_one(job, cost_limit);
@@ -231,7 +239,7 @@
     }
 }
 
-// What the best free place costs, on machines left to others too.
+// The lowest cost of a placement on free room, including machines where left_to_others() would hold.
 double Placement::cheapest_free_place(const Job& job) const {
     double lowest = no_cost_limit;
     const PlacementCost cost_of(cluster_, job);
@@ -240,14 +248,15 @@
     return lowest;
 }
 
-// Replicas last: a good place, on the pool and with the image at hand, is worth stopping a little work of lower rank
-// for, where what is free would make them wait longer.
+// Places the replicas of a service. They are accepted at once on good machines, which are in the pool and have the
+// image. For the remaining replicas, if starting on free room would take longer than on such a machine, it is worth
+// preempting a few lower-priority tasks there.
 int Placement::place_service(const Job& job) {
     int placed = place_replicas(job, good_place_s);
     if (job.pending.empty() || quota_left(job) <= 0)
         return placed;
     if (cluster_.now < job.room_until && job.good_room)
-        return placed; // good room is being made
+        return placed; // room on good machines is being made
     const double free_cost = cheapest_free_place(job);
     proposals_.good_room(job, cluster_.now >= job.room_until && make_room(job, free_cost) > 0);
     if (job.good_room)
@@ -264,7 +273,7 @@
 }
 
 void Placement::schedule() {
-    // While a damaged record may have named any task nothing is placed (docs/safety.md, 5; the test
+    // Nothing is placed while a damaged record may have named any task (docs/safety.md, 5; the test
     // ADamagedRecordKeepsItsMachineOccupiedUntilItIsProven).
     if (cluster_.types.empty() || cluster_.unproven())
         return;
@@ -282,7 +291,7 @@
     place_jobs(jobs);
 }
 
-// Places tasks of the jobs in their order, as many as one pass may.
+// Places tasks of the jobs in the given order, up to the limit of a pass.
 void Placement::place_jobs(const std::vector<const Job*>& jobs) {
     std::vector<NoRoom> failed;
     int budget = placements_a_pass;
@@ -301,19 +310,21 @@
         proposals_.request_pass();
 }
 
-// Whether a smaller task has found no place in this pass. For urgent jobs room may have been made all the same.
+// Whether the job need not be tried because a task that needs no more has found no room in this pass. Urgent jobs are
+// always tried, since room may have been made for them.
 bool Placement::is_hopeless(const Job& job, const std::vector<NoRoom>& failed) const {
     return job.priority > Priority::high &&
            std::any_of(failed.begin(), failed.end(), [&](const NoRoom& no_room) { return covers(no_room, job); });
 }
 
-// If a smaller task found no place, a larger one won't.
+// Whether the failure of the smaller task implies that tasks of this job find no room either.
 bool Placement::covers(const NoRoom& no_room, const Job& job) const {
     const bool no_more_places = no_room.spot ? job.spec.spot || !ordinary_waits_ : !job.spec.spot;
     return no_room.each.fits(job.spec.each) && no_more_places;
 }
 
-// Notes that no more tasks of the job find room. What is covered already adds nothing: only the smallest are kept.
+// Records that no more tasks of the job find room. Entries that an existing one covers are not added, so the list stays
+// short.
 void Placement::note_no_room(std::vector<NoRoom>& list, const Job& job) const {
     const auto& spec = job.spec;
     const bool anywhere = spec.types.empty() && spec.zone.empty() && !has_zone_rules(spec);
@@ -327,7 +338,8 @@
         list.push_back({spec.each, spec.spot});
 }
 
-// The job at that place of the list and those after it of the same priority, enough of them to fill a batch.
+// The job at position `at` of the list and the jobs of the same priority that follow it, enough of them to fill a
+// batch.
 std::vector<const Job*> Placement::jobs_in_batch(const std::vector<const Job*>& jobs, std::size_t at) const {
     const auto& job = *jobs[at];
     std::vector<const Job*> batch{&job};
@@ -343,8 +355,8 @@
     return batch;
 }
 
-// Places what it can of the job at that place of the list, and of those that share a batch with it. Returns how many
-// tasks were placed.
+// Places as many tasks as possible of the job at position `at` of the list and of the jobs that share a batch with it.
+// Returns the number of tasks placed.
 int Placement::place_waiting(const std::vector<const Job*>& jobs, std::size_t at, int budget) {
     const auto& job = *jobs[at];
     if (job.spec.shape == Shape::gang)
@@ -364,7 +376,8 @@
     return placed;
 }
 
-// Urgent work keeps the machines where room comes first, or once it has waited for too long takes it.
+// Requests room for a job of priority high or critical. Reserves the machines where room becomes free first, or
+// preempts other tasks once the job has waited longer than patience_s().
 void Placement::ask_for_room(const Job& job) {
     if (job.spec.shape == Shape::gang || job.priority > Priority::high || cluster_.now < job.room_until)
         return;
--- a/src/scheduling/placement.hpp
+++ b/src/scheduling/placement.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// Placement: which waiting task goes to which machine, and what is stopped to make room. It decides from a const view
-/// of the cluster and only proposes. The cluster state checks every proposal against the rules (docs/safety.md, 9), so
-/// a mistake here costs time and breaks no rule.
+/// Placement: decides which waiting task goes to which machine, and which tasks are stopped to make room. The decisions
+/// are made on a const view of the cluster and only proposed. The cluster state checks every proposal against the rules
+/// (docs/safety.md, 9), so a wrong decision costs time but cannot break a rule.
 #pragma once
 
 #include "cluster/proposals.hpp"
@@ -13,50 +13,54 @@
 
 namespace heronshift::scheduling {
 
-/// Places waiting tasks, and takes tasks off machines that are taken back or slow. All functions are called by the core
-/// on the thread that owns the state. They are in files of their own under src/scheduling: pool_choice, placement,
-/// gang_placement, making_room (by stopping other work), awaiting_room (without), slow_machines.
+/// Places waiting tasks, and stops tasks on machines that the cloud reclaims or that are slow. The core calls all
+/// functions on the thread that owns the state. Their definitions are in separate files under src/scheduling:
+/// pool_choice, placement, gang_placement, making_room (frees room by preemption), awaiting_room (reserves room that
+/// becomes free without preemption) and slow_machines.
 class Placement {
 public:
     Placement(const ClusterData& view, cluster::Proposals& out)
         : cluster_(view), settings_(view.settings), proposals_(out), index_(view) {}
-    /// One pass over all jobs that wait. Places a limited number of tasks and asks for another pass if there may be
-    /// more. Does nothing while it is unproven what runs on the machines (docs/safety.md, 5).
+    /// Runs one pass over all waiting jobs. Places a limited number of tasks, and requests another pass if more might
+    /// be placed. Does nothing while it is not proven which tasks run on the machines (docs/safety.md, 5).
     void schedule();
-    /// How many jobs waited at the last pass.
+    /// The number of jobs that were waiting in the last pass.
     [[nodiscard]] std::size_t waiting() const {
         return waiting_;
     }
-    /// Stops tasks on machines that the cloud takes back, so that they save their progress or start elsewhere at once.
+    /// Stops tasks on machines that the cloud has announced to reclaim, so that they save their progress or start
+    /// elsewhere at once.
     void drain_noticed();
-    /// Looks for machines on which tasks take far longer than their siblings elsewhere, and stops tasks there.
+    /// Finds machines on which tasks take far longer than other tasks of the same job do elsewhere, and stops tasks on
+    /// them.
     void find_slow();
 
 private:
     // Room for tasks of one job on one machine.
     struct MachineRoom {
         const Machine* machine = nullptr;
-        std::vector<const Entry*> victims; // tasks to be stopped for it
-        int tasks = 0;                     // of the job that there is room for
-        bool ready = false;                // it is free already
-        double cost = 0;                   // of a task's place there, in seconds of delay or what weighs as much
+        std::vector<const Entry*> victims; // tasks to preempt to make the room
+        int tasks = 0;                     // how many tasks of the job fit
+        bool ready = false;                // the room is free without preemption
+        double cost = 0;                   // of placing one task here, in seconds of delay or an equivalent
     };
-    // Rooms for all tasks of a gang.
+    // The rooms for all tasks of a gang.
     struct GangRooms {
         std::vector<MachineRoom> rooms;
-        double cost = no_cost_limit; // of all tasks
+        double cost = no_cost_limit; // the sum over all tasks
     };
-    // The room that a machine has again when one of its tasks ends.
+    // The resources that become free on a machine when one of its tasks ends, in `rest_s` seconds.
     struct Release {
         double rest_s;
         Resources each;
     };
-    // Room for one task, and when it is there: in seconds from now, the cost of the place added.
+    // Room for one task that becomes free later. `at` is the time until then in seconds plus the placement cost.
     struct UpcomingRoom {
         double at;
         const Machine* machine;
     };
-    // Work that found no room in this pass: nothing of its kind that is as large will.
+    // A task for which no room was found in this pass, so tasks of the same kind that need as much or more are not
+    // tried.
     struct NoRoom {
         Resources each;
         bool spot;
@@ -64,13 +68,14 @@
     // Tasks of several jobs that are placed together.
     struct Batch {
         std::vector<const Job*> jobs;
-        std::vector<placement::Group> groups; // their tasks, by job
+        std::vector<placement::Group> groups; // the tasks of each job in `jobs`
     };
-    // Machines that a batch may go to.
+    // The machines that the tasks of a batch may be placed on.
     struct BatchMachines {
-        std::vector<std::vector<std::uint32_t>> by_job; // positions in the index, ascending, of those for each job
-        std::vector<std::uint32_t> positions;           // of all of them, ascending
-        std::vector<placement::Bin> bins;               // the machines at `positions`
+        std::vector<std::vector<std::uint32_t>>
+            by_job;                           // for each job its machines, as ascending positions in the index
+        std::vector<std::uint32_t> positions; // all of these machines, ascending
+        std::vector<placement::Bin> bins;     // the machines at `positions`
     };
 
     // pool_choice.cpp
@@ -143,13 +148,14 @@
     const Settings& settings_;
     cluster::Proposals& proposals_;
     std::size_t waiting_ = 0;
-    std::vector<const Job*> first_of_team_; // whose limit is left to this one until it has begun; by team
-    bool ordinary_waits_ = false;           // an array that may not use spot machines
-    double next_slow_ = 0;                  // when find_slow() looks again
-    // Of one pass:
+    std::vector<const Job*>
+        first_of_team_; // by team: the job to which the rest of the team's limit is reserved until it has begun
+    bool ordinary_waits_ = false; // an array that may not use spot machines is waiting
+    double next_slow_ = 0;        // when find_slow() checks again
+    // State of one pass:
     RoomIndex index_;
-    std::vector<std::vector<Release>> releases_; // by position in the index, the soonest first
-    std::vector<char> releases_known_;           // by position in the index
+    std::vector<std::vector<Release>> releases_; // by position in the index, the earliest first
+    std::vector<char> releases_known_;           // by position in the index: `releases_` is up to date
 };
 
 } // namespace heronshift::scheduling
--- a/src/scheduling/placement_cost.cpp
+++ b/src/scheduling/placement_cost.cpp
@@ -6,20 +6,25 @@
 namespace heronshift::scheduling {
 namespace {
 
-// Costs of a place, in seconds of delay or what weighs as much.
-constexpr double tight_loss_s = 100;             // the loss of a task whose job would be late by it
-constexpr double late_start_s = 15;              // a start that comes too late for the aim of the job's class
-constexpr double ordinary_instead_of_spot_s = 2; // ordinary machines are dearer, and others can use nothing else
-constexpr double service_off_pool_s = 15;        // a replica has to move once its machine goes back
-constexpr double task_on_pool_s = 4;             // the room there is for replicas
-constexpr double unused_accelerator_s = 20;      // accelerators are for those who need them
-constexpr double balance_weight_s = 2;           // a machine that is wholly free, or wholly used
+// Costs of a placement, in seconds of delay or an equivalent.
+constexpr double tight_loss_s = 100;             // losing a task whose job would then be late
+constexpr double late_start_s = 15;              // starting too late for the objective of the job's class
+constexpr double ordinary_instead_of_spot_s = 2; // on-demand machines cost more, and some jobs can use nothing else
+constexpr double service_off_pool_s = 15;        // the replica has to move once its machine is released
+constexpr double task_on_pool_s = 4;             // the room on the pool is meant for replicas
+constexpr double unused_accelerator_s = 20;      // accelerators are meant for jobs that need them
+constexpr double balance_weight_s =
+    2; // cost at the worst balance: a fully free machine, or a fully used one for replicas
 
-constexpr double shared_fetch = 0.5;    // of the whole time: an image that is being fetched is halfway on average
-constexpr double forgotten_fetches = 2; // after so many times its duration a fetch is no longer believed to go on
-constexpr double max_silent_heartbeats = 1.5, max_serving_heartbeats = 2; // intervals without a heartbeat
+constexpr double shared_fetch = 0.5; // share of the fetch time that an image being fetched still needs on average
+// An image that is not ready after this many times its fetch time is no longer considered as being fetched.
+constexpr double forgotten_fetches = 2;
+// Heartbeat intervals without a heartbeat after which a machine gets no new tasks, and after which it no longer counts
+// as capacity.
+constexpr double max_silent_heartbeats = 1.5, max_serving_heartbeats = 2;
 
-// On the pool, room for the next replicas stays free: making it then would cost the aim for their start.
+// Whether the pool machine keeps enough free room for the next replicas. Making that room only when they arrive would
+// violate the objective for their start.
 bool leaves_replica_room(const ClusterData& cluster, const Machine& machine, const Job& job) {
     return (job.spec.each + cluster.service_shape * kept_replicas).fits(machine.whole - machine.used);
 }
@@ -40,7 +45,7 @@
         return false;
     const bool service = job.spec.shape == Shape::service;
     if (cluster.now < machine.slow_until && !service)
-        return false; // replicas have no speed
+        return false; // the speed of the machine does not matter for replicas
     if (is_kept_for_another(cluster, machine, job) && job.priority >= machine.reserved_priority)
         return false;
     if (machine.pool && !service && !leaves_replica_room(cluster, machine, job))
@@ -48,9 +53,9 @@
     return cluster.allowed_there(job, machine);
 }
 
-// What a loss costs: a lease until it is known, and the run once more. A job that would be late by that keeps off
-// spot machines on days when many are taken; so does one that others wait for, since each of its tasks may hold
-// them all up.
+// The expected cost of losing a spot machine. A loss delays the task by the lease, until the loss is certain, and by
+// another run. If the job would then be late, the cost is higher, so that it avoids spot machines while many are
+// reclaimed. The same applies to a job that others depend on, since each of its tasks may delay them all.
 double PlacementCost::spot_risk_s() const {
     if (spot_risk_s_ >= 0)
         return spot_risk_s_;
@@ -62,7 +67,8 @@
     return spot_risk_s_;
 }
 
-// Until the image is there: the fetch itself, and others under way at the same time, which share the rate.
+// The delay until the image is on the machine: the time for the fetch itself, and for other fetches in progress, which
+// share the bandwidth.
 double PlacementCost::image_delay_s(const Machine& machine, const MachineType& type) const {
     bool coming = false, ready = false;
     double others = 0;
@@ -83,8 +89,9 @@
     return fetch + others + (too_late ? late_start_s : 0);
 }
 
-// Full machines first, so that others become empty and can be returned. But replicas evenly over the pool, which
-// stays: the loss of a machine or a zone then takes fewer of them, and what remains has room for them and their images.
+// Fuller machines are preferred, so that others become empty and can be released. Replicas are instead spread evenly
+// over the pool, whose machines stay: then losing a machine or a zone affects fewer of them, and the remaining machines
+// have the room and images to replace them.
 double PlacementCost::balance_s(const Machine& machine) const {
     const double whole = std::max(1.0, machine.whole.cpus);
     if (machine.pool && job_.spec.shape == Shape::service)
@@ -92,7 +99,8 @@
     return balance_weight_s * (machine.whole.cpus - machine.used.cpus) / whole;
 }
 
-// The terms are added in this order: another one rounds differently, and may decide otherwise between equals.
+// The order in which the terms are added matters: another order rounds differently and may decide differently between
+// equal costs.
 double PlacementCost::operator()(const Machine& machine) const {
     const auto& type = cluster_.types[static_cast<std::size_t>(machine.type)];
     const bool service = job_.spec.shape == Shape::service;
--- a/src/scheduling/pool_choice.cpp
+++ b/src/scheduling/pool_choice.cpp
@@ -1,4 +1,4 @@
-// Placement's part that chooses the pool, which the paper calls the edge: the machines that stay.
+// The part of Placement that chooses the pool: the machines that are kept permanently, which the paper calls the edge.
 #include "scheduling/placement.hpp"
 
 #include <algorithm>
@@ -9,7 +9,7 @@
 
 using MachinesByZone = std::map<int, std::vector<const Machine*>>;
 
-// What all replicas need together, and the largest of them.
+// The resources that all replicas need together, and the largest need of a single replica.
 struct ReplicaNeed {
     Resources all, largest;
 };
@@ -32,8 +32,8 @@
            machine.zone >= 0 && cluster.types[static_cast<std::size_t>(machine.type)].room.gpus <= 0;
 }
 
-// The machines that may be pool, in each zone the oldest first. The age is read from the ids, which are in the order of
-// creation and the same for every leader; ids of one length are sorted already.
+// The machines that may be in the pool, by zone, the oldest first. Ids are assigned in the order of creation and are
+// the same for every leader, so the age is read from them. Ids of the same length are already in order.
 MachinesByZone pool_candidates(const ClusterData& cluster) {
     MachinesByZone by_zone;
     for (const auto& [id, machine] : cluster.machines)
@@ -45,7 +45,7 @@
     return by_zone;
 }
 
-// Takes machines from all zones in turn until the need is met.
+// Takes machines from all zones in turn until they meet the need.
 std::vector<const Machine*> take_in_turn(const MachinesByZone& by_zone, Resources need) {
     std::vector<const Machine*> taken;
     std::size_t max_in_zone = 0;
@@ -65,9 +65,8 @@
 
 } // namespace
 
-// The ordinary machines that have been up longest, in all zones alike, as many as the services need, with the headroom
-// of the settings and one replica to spare for each zone. All others are overflow, which is to become empty and go
-// back.
+// Makes the oldest on-demand machines the pool, evenly over all zones: as many as the services need, plus the
+// configured headroom and one extra replica for each zone. All other machines are overflow, to be emptied and released.
 void Placement::choose_pool() {
     const auto [all, largest] = replica_need(cluster_);
     const auto need = all * (1 + settings_.ops.headroom) + largest * static_cast<double>(settings_.zones.size());
--- a/src/scheduling/rebalancer.cpp
+++ b/src/scheduling/rebalancer.cpp
@@ -6,16 +6,21 @@
 namespace heronshift::scheduling {
 namespace {
 
-constexpr double moved_share =
-    0.004; // of all replicas, a round: beyond the paper's caps, which are for a dozen machines
-constexpr double start_counts_s = 31; // a task that is stopped by command sooner does not count as started for its user
-constexpr double young_task_s = 60;   // since it was placed: a task of an array has not lost much then
-constexpr double leaving_factor = 2;  // of the rank on machines that are to become empty, which cost until they are
-constexpr std::size_t fragmented_machines = 3; // the paper's: looked at in a round
-constexpr int max_looked_at = 30;              // the paper's: tasks looked at in a round
-constexpr double clear_fall = 2; // times the task's share of the machine: by less fragmentation is not worth a move
-
-// A task to be pulled back, and what that gains for its size.
+constexpr double moved_share = 0.004; // share of all replicas that may be moved in a round in addition to the paper's
+                                      // caps, which are meant for a dozen machines
+// Minimum run time before a move. A task that is stopped by an order sooner than this does not count as started for its
+// user.
+constexpr double start_counts_s = 31;
+// Array tasks are moved only within this time after their placement, while little work would be lost.
+constexpr double young_task_s = 60;
+// Factor on the rank of tasks on retiring machines, since these machines cost money until they are empty.
+constexpr double leaving_factor = 2;
+constexpr std::size_t fragmented_machines = 3; // machines examined in a round, as in the paper
+constexpr int max_looked_at = 30;              // tasks examined in a round, as in the paper
+// Minimum reduction of fragmentation that is worth a move, as a multiple of the task's share of the machine.
+constexpr double clear_fall = 2;
+
+// A task that could be pulled back to the pool, and its rank: the gain in payoff relative to its size.
 struct RankedTask {
     double rank;
     const Entry* entry;
@@ -31,13 +36,13 @@
 
 } // namespace
 
-// The image has to be at hand, so that the task is not away for long.
+// The target machine must already have the image, so that the task is down only briefly.
 bool Rebalancer::may_move_to(const Machine& machine, const Entry& entry) const {
     return &machine != &*entry.machine && usable(cluster_, machine, *entry.job) && machine.has_image(entry.job->image);
 }
 
-// Finds a place for one task on the first machine with room beyond what this round has planned there, and plans it.
-// False if there is none.
+// Assigns room for the task on the first machine that has enough beyond what this round has already assigned there.
+// Returns false if there is none.
 bool Rebalancer::reserve_place(const Entry& entry, const Machines& machines, PlannedRoom& planned) const {
     const auto& each = entry.job->spec.each;
     for (const auto* machine : machines) {
@@ -56,8 +61,8 @@
     proposals_.move_away(entry, drain_time_s(entry.job->spec));
 }
 
-// Only service tasks, or tasks of no gang that are under a minute old, are moved; and none before its start counts for
-// its user.
+// Only replicas of services and array tasks placed less than a minute ago are moved, and none before its start counts
+// for its user.
 bool Rebalancer::movable(const Entry& entry) const {
     if (entry.stop || entry.phase != Phase::running || cluster_.now - entry.running_at <= start_counts_s ||
         entry.job->final != Final::none)
@@ -77,7 +82,7 @@
     });
 }
 
-// How many moves the number of replicas allows beyond the caps of the settings.
+// How many moves the number of replicas allows in addition to the configured caps.
 int Rebalancer::extra_moves() const {
     double replicas = 0;
     for (const auto& [id, job] : cluster_.jobs)
@@ -126,7 +131,7 @@
     }
 }
 
-// The gain in payoff over the size of the task (docs/design.md, equations 10 and 11).
+// The gain in payoff divided by the size of the task (docs/design.md, equations 10 and 11).
 double Rebalancer::pull_back_rank(const Entry& entry, const Resources& pool_size) const {
     const placement::Payoff payoff{settings_.ops.alpha, settings_.ops.beta, settings_.ops.gamma};
     const auto& job = *entry.job;
@@ -134,7 +139,7 @@
     return gain / placement::task_size(job.spec.each, pool_size) * (entry.machine->retiring ? leaving_factor : 1);
 }
 
-// Moves replicas from overflow to the pool, the highest rank first.
+// Moves replicas from overflow machines to the pool, the highest rank first.
 void Rebalancer::pull_back(const Fleet& fleet, Round& round) {
     std::vector<RankedTask> tasks;
     for (const auto& [id, machine] : cluster_.machines) {
@@ -156,8 +161,8 @@
     }
 }
 
-// The machines that are to become empty are the most fragmented of all: what they cost is wasted until their last
-// replica is gone.
+// Moves replicas away from retiring machines. These count as the most fragmented of all, because their whole cost is
+// wasted until the last replica has left.
 void Rebalancer::empty_leaving(const Machines& leaving, const Machines& targets, Round& round) {
     for (const auto* machine : leaving)
         for (const auto& entry : machine->entries) {
@@ -170,12 +175,12 @@
         }
 }
 
-// The fragmentation of a machine if so much more of it were free.
+// The fragmentation of a machine if `freed` more of its resources were free.
 double Rebalancer::fragmentation_with(const Machine& machine, const Resources& freed) const {
     return placement::fragmentation(machine.whole - machine.used + freed, machine.whole, cluster_.common_shape);
 }
 
-// Whether a move makes the fragmentation of both machines together fall clearly.
+// Whether a move clearly reduces the total fragmentation of both machines.
 bool Rebalancer::lowers_fragmentation(const Entry& entry, const Machine& from, const Machine& to) const {
     const auto& each = entry.job->spec.each;
     const double before = fragmentation_with(from, {}) + fragmentation_with(to, {});
@@ -183,7 +188,7 @@
     return before - after >= clear_fall * each.cpus / from.whole.cpus;
 }
 
-// Moves tasks away from the most fragmented machines of the pool, as the paper does.
+// Moves tasks away from the most fragmented machines of the pool, as in the paper.
 void Rebalancer::defragment(Machines pool, Round& round) {
     std::sort(pool.begin(), pool.end(), [this](const Machine* one, const Machine* other) {
         return fragmentation_with(*one, {}) > fragmentation_with(*other, {});
--- a/src/scheduling/rebalancer.hpp
+++ b/src/scheduling/rebalancer.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// Rounds of moves: replicas are pulled back from overflow to the pool, then tasks are reordered so that machines
-/// become empty or less fragmented (the paper's algorithm 2, docs/design.md). Decided from a const view of the cluster;
-/// moves are only proposed, and each one is capped.
+/// Moves running tasks in rounds: first pulls replicas back from overflow machines to the pool, then moves tasks so
+/// that machines become empty or less fragmented (algorithm 2 of the paper, docs/design.md). The decisions are made on
+/// a const view of the cluster. Moves are only proposed, and the number of moves in a round is limited.
 #pragma once
 
 #include "cluster/proposals.hpp"
@@ -12,14 +12,14 @@
 
 namespace heronshift::scheduling {
 
-/// Moves tasks that run well enough where they are to better machines, a few a round. A move stops the task; it starts
-/// again once its machine's heartbeat shows it gone, since two copies of it may never run. Called by the core on the
-/// thread that owns the state.
+/// Moves a few running tasks in each round to machines that suit them better. A move stops the task, which starts again
+/// once a heartbeat of its machine shows that it is gone, since two copies of a task must never run. The core calls it
+/// on the thread that owns the state.
 class Rebalancer {
 public:
     Rebalancer(const ClusterData& view, cluster::Proposals& out)
         : cluster_(view), settings_(view.settings), proposals_(out) {}
-    /// One round. Does nothing while urgent work waits, whose room comes first.
+    /// Runs one round. Does nothing while urgent tasks are waiting, which have precedence for free room.
     void rebalance();
 
 private:
@@ -27,12 +27,12 @@
     // The machines that take part in a round.
     struct Fleet {
         Machines pool;       // the fullest first
-        Machines others;     // ordinary ones without accelerators that are not pool, the fullest first
-        Machines leaving;    // to become empty
-        Resources pool_size; // of all machines of the pool together
+        Machines others;     // on-demand machines without accelerators outside the pool, the fullest first
+        Machines leaving;    // being retired
+        Resources pool_size; // the resources of all pool machines together
     };
-    using PlannedRoom = std::unordered_map<const Machine*, Resources>; // room a round has given away
-    // What a round may still do.
+    using PlannedRoom = std::unordered_map<const Machine*, Resources>; // room already assigned in this round
+    // The moves that a round may still make, and the room assigned so far.
     struct Round {
         int moves_left = 0;
         PlannedRoom planned;
