--- a/src/scheduling/placement.cpp
+++ b/src/scheduling/placement.cpp
@@ -24,8 +24,8 @@
 
 } // namespace
 
-// On on-demand machines, jobs that may not use spot machines go first, whatever their priority. Otherwise, where most
-// room is on spot machines, jobs that may use both would also fill the few on-demand machines.
+// Whether a job that may use spot machines has to leave the machine to jobs that may not, whatever their priority.
+// Where most room is on spot machines, jobs that may use both would otherwise also fill the few on-demand machines.
 bool Placement::left_to_others(const Machine& machine, const Job& job) const {
     return ordinary_waits_ && job.spec.spot && plain(machine);
 }
@@ -317,7 +317,8 @@
            std::any_of(failed.begin(), failed.end(), [&](const NoRoom& no_room) { return covers(no_room, job); });
 }
 
-// Whether the failure of the smaller task implies that tasks of this job find no room either.
+// Whether the failure recorded in `no_room` implies that tasks of this job find no room either: they need as much or
+// more and may use no other machines.
 bool Placement::covers(const NoRoom& no_room, const Job& job) const {
     const bool no_more_places = no_room.spot ? job.spec.spot || !ordinary_waits_ : !job.spec.spot;
     return no_room.each.fits(job.spec.each) && no_more_places;
--- a/src/scheduling/placement.hpp
+++ b/src/scheduling/placement.hpp
@@ -72,8 +72,8 @@
     };
     // The machines that the tasks of a batch may be placed on.
     struct BatchMachines {
-        std::vector<std::vector<std::uint32_t>>
-            by_job;                           // for each job its machines, as ascending positions in the index
+        // For each job its machines, as ascending positions in the index.
+        std::vector<std::vector<std::uint32_t>> by_job;
         std::vector<std::uint32_t> positions; // all of these machines, ascending
         std::vector<placement::Bin> bins;     // the machines at `positions`
     };
@@ -148,8 +148,8 @@
     const Settings& settings_;
     cluster::Proposals& proposals_;
     std::size_t waiting_ = 0;
-    std::vector<const Job*>
-        first_of_team_; // by team: the job to which the rest of the team's limit is reserved until it has begun
+    // By team: the job to which the rest of the team's limit is reserved until the job has begun.
+    std::vector<const Job*> first_of_team_;
     bool ordinary_waits_ = false; // an array that may not use spot machines is waiting
     double next_slow_ = 0;        // when find_slow() checks again
     // State of one pass:
--- a/src/scheduling/placement_cost.cpp
+++ b/src/scheduling/placement_cost.cpp
@@ -13,8 +13,8 @@
 constexpr double service_off_pool_s = 15;        // the replica has to move once its machine is released
 constexpr double task_on_pool_s = 4;             // the room on the pool is meant for replicas
 constexpr double unused_accelerator_s = 20;      // accelerators are meant for jobs that need them
-constexpr double balance_weight_s =
-    2; // cost at the worst balance: a fully free machine, or a fully used one for replicas
+// Cost of a machine that is entirely free, or for replicas on the pool of one that is entirely in use.
+constexpr double balance_weight_s = 2;
 
 constexpr double shared_fetch = 0.5; // share of the fetch time that an image being fetched still needs on average
 // An image that is not ready after this many times its fetch time is no longer considered as being fetched.
--- a/src/scheduling/rebalancer.cpp
+++ b/src/scheduling/rebalancer.cpp
@@ -6,8 +6,9 @@
 namespace heronshift::scheduling {
 namespace {
 
-constexpr double moved_share = 0.004; // share of all replicas that may be moved in a round in addition to the paper's
-                                      // caps, which are meant for a dozen machines
+// Share of all replicas that may be moved in a round in addition to the paper's caps, which are meant for a dozen
+// machines.
+constexpr double moved_share = 0.004;
 // Minimum run time before a move. A task that is stopped by an order sooner than this does not count as started for its
 // user.
 constexpr double start_counts_s = 31;
--- a/src/scheduling/rental_plan.cpp
+++ b/src/scheduling/rental_plan.cpp
@@ -9,16 +9,20 @@
 namespace heronshift::scheduling {
 namespace {
 
-constexpr double cheap_ratio = 1.5;    // of the lowest price for a task: such machines are always worth renting
-constexpr double crowded_zone = 0.001; // of the price, for each machine in the zone: between equals, the emptier zone
-constexpr double max_boots = 3;        // times its boot time: a machine that is not up then is not counted on
-constexpr int max_rentals_a_job = 200; // in one plan, so that a round stays short
+// A machine that costs up to this multiple of the lowest price for each task may be rented for any job. More expensive
+// ones are rented only for gangs and services, and for arrays that would be late otherwise.
+constexpr double cheap_ratio = 1.5;
+// Relative price increase for each machine in the zone: among equal prices the zone with the fewest machines is chosen.
+constexpr double crowded_zone = 0.001;
+// A machine that is not up after this many times its boot time is not counted on.
+constexpr double max_boots = 3;
+constexpr int max_rentals_a_job = 200; // for each job in one plan, to bound the time that planning takes
 
 bool is_accelerated_gang(const Job& job) {
     return job.spec.shape == Shape::gang && job.spec.each.gpus > 0;
 }
 
-// How many tasks of the job fit in the room, none if it is below zero.
+// How many tasks of the job fit in the room; 0 if an amount in it is negative.
 int fitting_tasks(const Job& job, const Resources& room) {
     return static_cast<int>(std::max(0.0, placement::fit_count(job.spec.each, room)));
 }
@@ -69,7 +73,7 @@
     coming_.push_back({type.room, &type, zone, spot});
 }
 
-// Counts the CPUs of a machine that arrays may have, `whole` being all that the machine has.
+// Adds the CPUs of a machine that arrays can use. `whole` are all resources of the machine.
 void RentalPlan::count_capacity(const Resources& whole, double cpus, bool spot) {
     capacity_.all += cpus;
     if (!spot && whole.gpus <= 0)
@@ -81,7 +85,7 @@
     return blocked != cluster_.no_capacity.end() && cluster_.now < blocked->second;
 }
 
-// All kinds of machines that can be rented at all, in the order of types, zones and spot first.
+// Lists all combinations that can be rented: by type, then by zone, spot machines first.
 void RentalPlan::list_sources() {
     const auto& zones = settings_.zones;
     for (const auto& type : cluster_.types)
@@ -96,7 +100,7 @@
         }
 }
 
-// Whether arrays such as this one would be late with the machines that there are.
+// Whether arrays like this job would be late with the current and planned capacity.
 bool RentalPlan::lacks_cpus_for(const Job& job) const {
     return capacity_.all < need_.all * array_reserve ||
            (!job.spec.spot && capacity_.ordinary < need_.ordinary * array_reserve);
@@ -108,7 +112,7 @@
     return job.spec.zone.empty() || job.spec.zone == room.zone;
 }
 
-// Puts tasks on machines that come anyway. Returns how many are left.
+// Assigns tasks to machines that are booting, requested or already planned. Returns the number of tasks left.
 int RentalPlan::use_coming(const Job& job, int tasks) {
     for (auto& room : coming_) {
         if (tasks <= 0)
@@ -122,7 +126,8 @@
     return tasks;
 }
 
-// Keeps machines on their way out for the tasks: those are up already and cost no boot. Returns how many are left.
+// Cancels the retirement of machines that can run the tasks, since these machines are already up and need no boot time.
+// Returns the number of tasks left.
 int RentalPlan::use_leaving(const Job& job, int tasks) {
     while (tasks > 0 && (job.spec.shape != Shape::array || lacks_cpus_for(job))) {
         const auto* machine = keep_again(job);
@@ -134,7 +139,7 @@
     return tasks;
 }
 
-// The fullest machine on its way out that can take a task of the job.
+// The fullest retiring machine that can run a task of the job. Null if there is none.
 const Machine* RentalPlan::fullest_leaving(const Job& job) const {
     const Machine* fullest = nullptr;
     const bool gang = job.spec.shape == Shape::gang;
@@ -157,8 +162,8 @@
     return machine;
 }
 
-// The cheapest kind of machine for a task of the job among those that are to be had; none if there is none. Unless
-// `at_any_price`, also none if it is far dearer than the cheapest kind that the job may use, which is out of stock.
+// The source with the lowest price for a task of the job among those that are available. Null if there is none, or,
+// unless `at_any_price`, if it costs far more than the cheapest one that the job may use but that is not available.
 const RentalPlan::Source* RentalPlan::cheapest_source(const Job& job, bool at_any_price) const {
     double lowest_cost = no_cost_limit, lowest_price = no_cost_limit;
     const Source* cheapest = nullptr;
@@ -166,7 +171,7 @@
     bool suitable = false;
     double tasks = 0;
     for (const auto& source : sources_) {
-        if (source.type != type) { // sources of one type follow each other
+        if (source.type != type) { // sources of one type are adjacent
             type = source.type;
             suitable = allows(job.spec.types, type->name) && job.spec.each.fits(type->room);
             tasks = suitable ? placement::fit_count(job.spec.each, type->room) : 0;
@@ -187,7 +192,7 @@
     return dear && !at_any_price ? nullptr : cheapest;
 }
 
-// Plans one more machine of that kind. False if one request cannot ask for more.
+// Plans one more machine from this source. Returns false if a single request cannot ask for more machines.
 bool RentalPlan::rent_one(const Source& source) {
     auto& rental = wanted_[source.key];
     if (rental.type.empty())
@@ -201,7 +206,7 @@
     return true;
 }
 
-// Finds machines for so many tasks of the job.
+// Finds machines for this number of tasks of the job.
 void RentalPlan::find_places(const Job& job, int tasks) {
     const bool array = job.spec.shape == Shape::array;
     for (int rented = 0; tasks > 0 && rented < max_rentals_a_job; ++rented) {
@@ -230,7 +235,7 @@
 }
 
 void RentalPlan::prepare_for_gang(double machines) {
-    const Job* gang = nullptr; // any that is known stands for the next
+    const Job* gang = nullptr; // any known gang serves as an estimate of the next one
     for (const auto& [id, job] : cluster_.jobs)
         if (is_accelerated_gang(*job) && job->final == Final::none && !job->waits)
             gang = job.get();
--- a/src/scheduling/rental_plan.hpp
+++ b/src/scheduling/rental_plan.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// What to rent for the work that waits, and which machines that were to become empty to keep after all. Decided from a
-/// const view of the cluster; rentals and kept machines are proposed, and the cluster state checks them.
+/// Decides which machines to rent for waiting tasks, and for which machines retirement is cancelled. The decisions are
+/// made on a const view of the cluster and only proposed; the cluster state checks them.
 #pragma once
 
 #include "array_demand.hpp"
@@ -12,43 +12,44 @@
 
 namespace heronshift::scheduling {
 
-/// Whether a gang of tasks with accelerators may take the machine: nothing but a gang on it would be in its way.
+/// Whether a gang that needs accelerators could use the machine: it is an on-demand machine with accelerators, none
+/// of which is in use by a task that cannot be preempted.
 [[nodiscard]] bool is_ready_for_gang(const Machine& machine);
 
-/// One plan, made anew each round, on the thread that owns the state. What waits is first put, in thought, on machines
-/// that are booting or asked for, then on machines on their way out, then on machines to rent. Machines that cost far
-/// more than others are rented for arrays only as far as these would be late otherwise.
+/// The plan of one round, used on the thread that owns the state. It assigns the waiting tasks on paper only: first to
+/// machines that are booting or already requested, then to retiring machines, which are kept, and last to machines to
+/// rent. Machines that cost far more than others are rented for arrays only if these would be late otherwise.
 class RentalPlan {
 public:
-    /// Counts what the cluster has and what is coming.
+    /// Counts the existing machines and those that are booting or requested.
     RentalPlan(const ClusterData& view, cluster::Proposals& out);
     RentalPlan(const RentalPlan&) = delete;
     RentalPlan& operator=(const RentalPlan&) = delete;
 
-    /// Plans for each job that waits, the most urgent first.
+    /// Plans for each waiting job, the most urgent first.
     void serve_waiting();
-    /// Plans for the next gang: so many machines with accelerators are to be free of gangs before it comes, since they
-    /// may boot for longer than a gang may wait.
+    /// Plans for the next gang. `machines` machines with accelerators are to be free of gangs before it arrives, since
+    /// they may take longer to boot than a gang may wait.
     void prepare_for_gang(double machines);
-    /// Proposes the rentals, one request for each type, zone and kind that has none on the way.
+    /// Proposes the rentals, one request for each machine type, zone and kind (spot or not) without a pending request.
     void propose();
 
 private:
-    // Room on a machine that is booting, asked for or planned.
+    // The room on a machine that is booting, requested or planned.
     struct ComingRoom {
         Resources free;
         const MachineType* type;
         std::string zone;
         bool spot;
     };
-    // A kind of machine to rent.
+    // A combination of machine type, zone and kind (spot or not) that can be rented.
     struct Source {
         std::string key; // "type/zone/spot", as in ClusterData::no_capacity
         const MachineType* type;
         const std::string* zone;
         bool spot;
-        bool refused;          // a moment ago there was none to be had
-        int* machines_in_zone; // in machines_in_zone_
+        bool refused;          // the cloud recently had none available
+        int* machines_in_zone; // points into machines_in_zone_
     };
 
     void count_machine(const Machine& machine);
@@ -73,13 +74,13 @@
     const Settings& settings_;
     cluster::Proposals& proposals_;
     std::vector<ComingRoom> coming_;
-    std::vector<const Machine*> leaving_; // to become empty, and not given back yet
+    std::vector<const Machine*> leaving_; // retiring machines that are not being released yet
     std::map<std::string, int> machines_in_zone_;
     std::vector<Source> sources_;
-    CpuAmount capacity_;                    // what arrays have or will have
-    CpuAmount need_;                        // what they need
-    int ready_for_gangs_ = 0;               // machines that a gang may have, if need be by taking the place of arrays
-    std::map<std::string, Pending> wanted_; // by Source::key
+    CpuAmount capacity_;                    // CPUs that are or will be available to arrays
+    CpuAmount need_;                        // CPUs that arrays need
+    int ready_for_gangs_ = 0;               // number of machines that a gang can use, if necessary by preempting arrays
+    std::map<std::string, Pending> wanted_; // planned rentals by Source::key
 };
 
 } // namespace heronshift::scheduling
--- a/src/scheduling/returning.cpp
+++ b/src/scheduling/returning.cpp
@@ -1,4 +1,4 @@
-// Autoscaler's part that gives machines back.
+// The part of Autoscaler that releases machines.
 #include "scheduling/autoscaler.hpp"
 
 #include <fmt/format.h>
@@ -6,12 +6,18 @@
 namespace heronshift::scheduling {
 namespace {
 
-constexpr double max_boots = 5;            // times its boot time, besides a lease: a machine never comes up after that
-constexpr double lost_leases = 2;          // after so many a lost machine is not expected to come back
-constexpr double unreachable_leases = 1.5; // after so many a machine that does not hear the leader goes back ...
-constexpr double cut_off_leases = 3;       // ... or if its zone is cut off from the leader, which is worth waiting for
-constexpr double max_unreachable_share = 0.05; // of a zone's machines: if more do not hear the leader, it is cut off
-constexpr double chance_unreachable = 1;       // machine that may be so by chance in the smallest zone
+// A machine that is not up after this many times its boot time and one lease is not expected to come up any more.
+constexpr double max_boots = 5;
+// Number of leases after which a lost machine is not expected to come back.
+constexpr double lost_leases = 2;
+// Number of leases after which a machine that does not receive the leader's answers is released, and after which it is
+// released if its zone is cut off from the leader. The second is longer because the connection may come back.
+constexpr double unreachable_leases = 1.5;
+constexpr double cut_off_leases = 3;
+// Share of a zone's machines that do not receive the leader's answers above which the zone itself is considered cut off
+// from the leader.
+constexpr double max_unreachable_share = 0.05;
+constexpr double chance_unreachable = 1; // machines that may be unreachable by chance, also in the smallest zone
 
 } // namespace
 
@@ -25,7 +31,7 @@
     return by_zone;
 }
 
-// A machine that does not hear the leader keeps its tasks for no longer than a lease and can be given no others.
+// A machine that does not receive the leader's answers stops its tasks within one lease and cannot get new ones.
 bool Autoscaler::inbound_unreachable_for_long(const Machine& machine, const ReachabilityByZone& by_zone) const {
     if (!machine.inbound_unreachable())
         return false;
@@ -54,7 +60,8 @@
     if (machine.bad)
         return true;
     const bool empty_for_long = settings_.ops.empty_s > 0 && cluster_.now - machine.empty_since > settings_.ops.empty_s;
-    // A new leader first hears what runs where, and a batch in flight may bring a task.
+    // Wait for a heartbeat interval after a change of leader, until the new leader knows which tasks run where. A batch
+    // of orders without an answer may still start a task.
     const bool surely_empty = !machine.draining && machine.empty_since >= 0 && machine.batch == 0 &&
                               cluster_.now - cluster_.started > settings_.report_s;
     return surely_empty && (machine.retiring || empty_for_long);
--- a/src/scheduling/room_index.cpp
+++ b/src/scheduling/room_index.cpp
@@ -6,10 +6,11 @@
 namespace heronshift::scheduling {
 namespace {
 
-// The index sums amounts in another order than usable() does. So much more room, in each unit, makes up for the
-// rounding; find() asks usable() in the end.
+// Added to the room on pool machines to allow for rounding errors, since the index adds up amounts in another order
+// than usable() does. A machine that is found only because of this is removed at the end of find(), which calls
+// usable().
 constexpr double rounding = 1e-9;
-constexpr double nothing_fits = -1e18; // below any need
+constexpr double nothing_fits = -1e18; // less than any task needs
 const Resources no_room{nothing_fits, nothing_fits, nothing_fits};
 
 Resources larger_of_each(const Resources& one, const Resources& other) {
--- a/src/scheduling/room_index.hpp
+++ b/src/scheduling/room_index.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Free room on machines, indexed for one pass of placement: which machines may take a task of a job, without a look at
-/// all the others. The index keeps nothing that outlives the pass. To be used on the thread that owns the state.
+/// Index of the free room on machines for one pass of placement. It finds the machines that can take a task of a job
+/// without examining all of them. Nothing in it is valid beyond the pass. Use it on the thread that owns the state.
 #pragma once
 
 #include "scheduling/placement_cost.hpp"
@@ -12,15 +12,15 @@
 
 namespace heronshift::scheduling {
 
-/// A segment tree over the free room of a sequence of machines. Each node holds the largest amount of each resource
-/// below it, so that a search passes over what is full.
+/// A segment tree over the free room of a sequence of machines. Each node holds the maximum of each resource in its
+/// subtree, so that a search skips subtrees in which the task does not fit.
 class RoomTree {
 public:
-    /// Replaces all rooms.
+    /// Replaces the room of all machines.
     void assign(const std::vector<Resources>& rooms);
-    /// Changes one room.
+    /// Changes the room of the machine at position `at`.
     void set(std::size_t at, const Resources& room);
-    /// Appends the places of all rooms that the need fits in, in ascending order.
+    /// Appends the positions of all machines in which `need` fits, in ascending order.
     void find(const Resources& need, std::vector<std::uint32_t>& found) const;
 
 private:
@@ -30,24 +30,25 @@
     std::size_t leaves_ = 0;
 };
 
-/// The machines that may take work in one pass of placement, with their free room. It finds what a look at all machines
-/// would find (the test RoomIndex.FindsWhatALookAtAllMachinesFinds).
+/// The machines that accept tasks in one pass of placement, with their free room. A search gives the same result as
+/// examining every machine (the test RoomIndex.FindsWhatALookAtAllMachinesFinds).
 class RoomIndex {
 public:
-    /// An empty index of the cluster; rebuild() fills it.
+    /// Creates an empty index of the cluster, which rebuild() fills.
     explicit RoomIndex(const ClusterData& view) : cluster_(view) {}
 
-    /// Begins a pass. Until the next one nothing but room and reservations may change, and each machine on which they
-    /// do has to be passed to update().
+    /// Begins a pass. Until the next call only room and reservations may change, and update() must be called for each
+    /// machine where they do.
     void rebuild();
-    /// Takes over the room and the reservation that a machine has now.
+    /// Updates the index with the current room and reservation of a machine.
     void update(const Machine& machine);
 
-    /// Whether plain() machines are among those to be found.
+    /// Whether find() includes machines for which plain() holds.
     enum class PlainMachines : std::uint8_t { included, left_out };
-    /// The positions in machines() of those with free room for a task of the job where usable() holds, ascending.
+    /// The positions in machines() of the machines that have free room for a task of the job and for which usable()
+    /// holds, in ascending order.
     [[nodiscard]] std::vector<std::uint32_t> find(const Job& job, PlainMachines which) const;
-    /// All machines that may take work in this pass, in the order of their ids.
+    /// All machines that accept tasks in this pass, ordered by id.
     [[nodiscard]] const std::vector<const Machine*>& machines() const {
         return machines_;
     }
@@ -57,11 +58,12 @@
     [[nodiscard]] std::size_t position(const Machine& machine) const;
 
 private:
-    // Machines that are alike but for their room.
+    // Machines that have all properties of GroupKey in common.
     struct Group {
-        std::vector<std::uint32_t> members;               // positions in machines_, ascending
-        std::vector<Resources> service_rooms, task_rooms; // of the members: for replicas, for all other tasks
-        RoomTree for_services, for_tasks;                 // over those
+        std::vector<std::uint32_t> members; // positions in machines_, ascending
+        // Room of the members as seen by replicas, and by all other tasks.
+        std::vector<Resources> service_rooms, task_rooms;
+        RoomTree for_services, for_tasks; // trees over these rooms
     };
     // What the machines of a group have in common.
     struct GroupKey {
@@ -69,15 +71,15 @@
         bool spot = false;
         auto operator<=>(const GroupKey&) const = default;
     };
-    // Where a machine stands in its group.
+    // The group of a machine and its index among the members.
     struct Place {
         Group* group = nullptr;
         std::uint32_t member = 0;
     };
-    // Room kept for a job.
+    // A machine whose room is reserved for a job.
     struct Reservation {
-        std::uint32_t machine = 0; // its position
-        const void* job = nullptr; // only compared
+        std::uint32_t machine = 0; // position in machines_
+        const void* job = nullptr; // only compared, since the job may be gone
         Priority priority = Priority::low;
     };
 
@@ -90,9 +92,9 @@
 
     const ClusterData& cluster_;
     std::vector<const Machine*> machines_;
-    std::vector<Place> places_; // by position
+    std::vector<Place> places_; // by position in machines_
     std::map<GroupKey, Group> groups_;
-    std::vector<Reservation> reserved_; // these machines are in no tree
+    std::vector<Reservation> reserved_; // machines that are in no tree while they are reserved
 };
 
 } // namespace heronshift::scheduling
--- a/src/scheduling/shrinking.cpp
+++ b/src/scheduling/shrinking.cpp
@@ -1,4 +1,4 @@
-// Autoscaler's part that empties machines the cluster does not need.
+// The part of Autoscaler that retires machines that the cluster does not need.
 #include "array_demand.hpp"
 #include "rental_plan.hpp"
 #include "scheduling/autoscaler.hpp"
@@ -9,13 +9,14 @@
 namespace heronshift::scheduling {
 namespace {
 
-constexpr double min_charged_s = 60; // a machine costs at least this, so it is not given back before
-constexpr double spare_gangs = 0.25; // of the machines in use by gangs, kept free of gangs
+constexpr double min_charged_s = 60; // shortest time that is billed for a machine, so it is not released sooner
+// Machines to keep free of gangs, as a share of the machines that gangs are using.
+constexpr double spare_gangs = 0.25;
 
-// What runs on a machine and does not end by itself soon.
+// Tasks on a machine that do not end by themselves soon.
 struct LastingWork {
     double service_cpus = 0, gang_cpus = 0;
-    double max_gang_tasks = 0; // of the largest gang that has a task there
+    double max_gang_tasks = 0; // size of the largest gang that has a task on the machine
 };
 
 LastingWork lasting_work(const Machine& machine) {
@@ -41,15 +42,15 @@
 
 struct Autoscaler::Holdings {
     CpuAmount capacity, need;
-    double gang_machines = 0;   // on which a gang runs
-    double max_gang_tasks = 0;  // of the largest gang that runs or waits
-    double ready_for_gangs = 0; // machines that a gang may have
+    double gang_machines = 0;   // machines that run a gang
+    double max_gang_tasks = 0;  // size of the largest gang that runs or waits
+    double ready_for_gangs = 0; // machines that a new gang could use
 };
 
 struct Autoscaler::ShrinkCandidate {
     const Machine* machine;
-    double service_cpus; // in use by replicas, which would have to move
-    double price;        // of a CPU
+    double service_cpus; // in use by replicas, which would have to be moved
+    double price;        // per CPU
 };
 
 bool Autoscaler::may_be_emptied(const Machine& machine, double gang_cpus) const {
@@ -76,7 +77,7 @@
         candidates.push_back({&machine, work.service_cpus, price_per_cpu(cluster_, machine)});
 }
 
-// Replicas and gangs that wait need room as well; what arrays need is estimated apart.
+// Adds the need of waiting replicas and gangs. The need of arrays is estimated separately.
 void Autoscaler::count_waiting(Holdings& holdings) const {
     for (const auto& [id, job] : cluster_.jobs) {
         if (job->final != Final::none || job->pending.empty())
@@ -99,7 +100,8 @@
 }
 
 void Autoscaler::plan_shrink() {
-    // A new leader first hears what runs where, and what comes.
+    // After a change of leader, wait for one lease until the new leader knows which tasks run where and what load
+    // arrives.
     if (cluster_.term > 1 && cluster_.now - cluster_.started < settings_.lease_s)
         return;
     std::vector<ShrinkCandidate> candidates;
@@ -114,7 +116,8 @@
     holdings.need.all += std::max(due.all, brought.all) * array_reserve;
     holdings.need.ordinary += std::max(due.ordinary, brought.ordinary) * array_reserve;
     kept_for_gangs_ = holdings.gang_machines * spare_gangs + holdings.max_gang_tasks;
-    // The dearest first; among equals those that are emptied soonest.
+    // The machine with the highest price per CPU comes first, and among equal ones the machine that can be emptied
+    // soonest.
     std::sort(candidates.begin(), candidates.end(), [](const ShrinkCandidate& one, const ShrinkCandidate& other) {
         if (one.price != other.price)
             return one.price > other.price;
@@ -127,7 +130,8 @@
     empty_surplus(holdings, candidates);
 }
 
-// Empties machines in that order, as long as what is left is enough: of all kinds, of plain machines, and for gangs.
+// Retires machines in the given order as long as the rest suffices for the needs of all jobs, of those that need
+// machines for which plain() holds, and of gangs.
 void Autoscaler::empty_surplus(Holdings holdings, const std::vector<ShrinkCandidate>& candidates) {
     auto& capacity = holdings.capacity;
     const auto& need = holdings.need;
--- a/src/scheduling/silent_machines.cpp
+++ b/src/scheduling/silent_machines.cpp
@@ -1,4 +1,4 @@
-// Autoscaler's part that watches for machines without heartbeats.
+// The part of Autoscaler that watches for machines that send no heartbeats.
 #include "scheduling/autoscaler.hpp"
 
 #include <algorithm>
@@ -6,13 +6,16 @@
 namespace heronshift::scheduling {
 namespace {
 
-constexpr double looks_an_interval = 6; // how often silence is looked for in one interval between heartbeats
-constexpr double silent_heartbeats = 1.5, dead_heartbeats = 2.5; // intervals without a heartbeat
-constexpr double max_silent_share = 0.05;     // of a zone's ordinary machines: if more are silent, the zone is cut off
-constexpr double max_silent_spot_share = 0.5; // of a zone's spot machines: the same
-constexpr double chance_silent = 1;           // machine that may be silent by chance in the smallest zone
+constexpr double looks_an_interval = 6; // how often silent machines are searched for within a heartbeat interval
+// Heartbeat intervals without a heartbeat after which a machine is silent, and after which it may be presumed dead.
+constexpr double silent_heartbeats = 1.5, dead_heartbeats = 2.5;
+// Share of a zone's on-demand machines that are silent above which the zone is considered cut off from the leader.
+constexpr double max_silent_share = 0.05;
+constexpr double max_silent_spot_share = 0.5; // the same for the zone's spot machines
+constexpr double chance_silent = 1;           // machines that may be silent by chance, also in the smallest zone
 
-// A machine that the cloud has not listed is known from records only: it was mostly gone before this term.
+// Whether the machine is known only from stored records, because the cloud has not listed it. In most cases such a
+// machine was already gone before this term.
 bool is_unlisted(const Machine& machine) {
     return machine.type < 0;
 }
@@ -23,7 +26,8 @@
     return cluster_.now - std::max({machine.last_heartbeat_at, cluster_.started, machine.known_since});
 }
 
-// Counts silent machines by zone and asks each for a heartbeat, unless it was asked lately or orders are on their way.
+// Counts the silent machines of each zone, and requests a heartbeat from each unless one was requested recently or
+// orders to it are in flight. Returns the silent machines.
 std::vector<const Machine*> Autoscaler::ask_silent(SilentByZone& by_zone) {
     std::vector<const Machine*> silent;
     std::size_t spot_machines = 0;
@@ -46,8 +50,8 @@
     return silent;
 }
 
-// Whether a silent machine has surely or mostly been taken away by the cloud. Not so if many machines of its zone are
-// silent: then the zone is cut off, and work goes on behind the cut.
+// Whether a silent machine has certainly or most likely been reclaimed by the cloud. If many machines of its zone are
+// silent, it has not: the zone is cut off from the leader, and its machines keep running their tasks.
 bool Autoscaler::is_taken(const Machine& machine, const ZoneCount& zone) const {
     if (is_unlisted(machine) && !cluster_.asked_all)
         return false;
@@ -56,14 +60,14 @@
     if (silent_for_s(machine) < dead_heartbeats * settings_.report_s)
         return false;
     if (machine.draining && cluster_.now > machine.notice_until)
-        return true; // by the notice that it gave
+        return true; // the time announced in its reclaim notice has passed
     return zone.ordinary.silent <= chance_silent + max_silent_share * zone.ordinary.up &&
            zone.spot.silent <= chance_silent + zone.spot.up * max_silent_spot_share;
 }
 
-// A spot machine that falls silent has mostly been taken without notice. Presumed dead it is given back, so it is
-// surely gone (docs/safety.md, 7: an answered release) and its tasks start elsewhere long before its lease would have
-// expired.
+// Presumes silent spot machines dead, since most of them were reclaimed without notice. A machine presumed dead is
+// released, and the answer to the release proves that it is gone (docs/safety.md, 7: an answered release), so its tasks
+// start elsewhere long before its lease would have expired.
 void Autoscaler::watch_silent() {
     if (cluster_.now < next_silent_)
         return;
--- a/src/scheduling/slow_machines.cpp
+++ b/src/scheduling/slow_machines.cpp
@@ -1,4 +1,4 @@
-// Placement's part that takes work off machines: those that are taken back and those that are slow.
+// The part of Placement that stops tasks on machines that the cloud reclaims or that are slow.
 #include "scheduling/placement.hpp"
 
 #include <algorithm>
@@ -7,25 +7,35 @@
 namespace heronshift::scheduling {
 namespace {
 
-constexpr double unknown_rest_s = 1e9;        // of a task of which nothing says when it ends: it ends in time nowhere
-constexpr double sure_to_end = 0.5;           // of the time until the machine goes: a task that ends within it may stay
-constexpr double looks_an_interval = 3;       // how often slow machines are looked for in one interval of heartbeats
-constexpr double too_long = 1.5;              // times the longest run of its siblings
-constexpr double too_long_if_most_done = 1.2; // the same once most tasks of the job are done, which says more
-constexpr double most_done = 4;               // times as many have ended as still run
-constexpr double sure_of_one = 1.3;           // times too long: then one task is enough to tell
-constexpr int enough_tasks = 2;               // that are too long tell that it is the machine
-constexpr double max_slow = 0.15;             // of all machines: if more seem slow, the reason is another
-constexpr double slow_leases = 2;             // for which a machine is taken for slow, doubled each time
+// Remaining run time of a task for which no estimate is known: too long for it to end before the machine is reclaimed.
+constexpr double unknown_rest_s = 1e9;
+// A task that should end within this share of the time until the machine is reclaimed is left running.
+constexpr double sure_to_end = 0.5;
+constexpr double looks_an_interval = 3; // how often slow machines are searched for within a heartbeat interval
+// A run time of more than this multiple of the longest run of the same job's tasks is too long.
+constexpr double too_long = 1.5;
+// The same if most tasks of the job are done, which makes the longest run more reliable.
+constexpr double too_long_if_most_done = 1.2;
+// Most tasks are done once this many times as many have ended as are still running.
+constexpr double most_done = 4;
+// A single task proves that a machine is slow if its run time exceeds the limit by this factor.
+constexpr double sure_of_one = 1.3;
+constexpr int enough_tasks = 2; // this many tasks with run times that are too long prove that the machine is slow
+// If more than this share of all machines seem slow, the cause is not the individual machine, and no more are marked.
+constexpr double max_slow = 0.15;
+constexpr double slow_leases = 2; // for how many leases a machine is marked as slow; doubled each time
 constexpr int max_doublings = 4;
-constexpr double nearly_done = 2; // times the longest run of its siblings: the task is left to end
-constexpr double slow_saves = 4;  // times what saving takes elsewhere
+// A task on a slow machine is left running if it has run for more than this multiple of the longest run of the same
+// job's tasks, or of its estimate if too few have ended.
+constexpr double nearly_done = 2;
+constexpr double slow_saves = 4; // on a slow machine, saving progress may take this many times as long as usual
 
 bool is_placed_there(const Entry& entry) {
     return !entry.stop && entry.phase >= Phase::sent;
 }
 
-// Whether the task surely ends by itself within the time, and saves nothing on the way.
+// Whether the task will end by itself well within `left_s` seconds. False for tasks that save their progress, since
+// they are stopped in order to save it.
 bool ends_in_time(const ClusterData& cluster, const Entry& entry, double left_s) {
     const auto& spec = entry.job->spec;
     const bool known = spec.estimate_s > 0 && entry.running_at >= 0;
@@ -35,8 +45,8 @@
 
 } // namespace
 
-// On a machine that is taken back, what saves its progress is told to, and what cannot end in time is stopped so that
-// it starts elsewhere at once.
+// On machines that the cloud reclaims, tasks that save their progress are told to do so, and tasks that cannot end in
+// time are stopped so that they start elsewhere at once.
 void Placement::drain_noticed() {
     for (const auto& [id, machine] : cluster_.machines) {
         if (!machine->draining)
@@ -63,16 +73,17 @@
     }
 }
 
-// Whether the time that a task has run can be compared: siblings enough have ended. The more of those that have started
-// are through, the more the longest of them says.
+// Whether the task's run time can be compared with that of other tasks of its job. Enough of them must have ended, and
+// at least as many as are still running: the larger their share, the more reliable the longest run is.
 bool Placement::tells_speed(const Entry& entry) const {
     const auto& job = *entry.job;
     return entry.phase == Phase::running && !entry.stop && job.spec.shape == Shape::array &&
            job.runs >= min_known_runs && job.runs >= job.running;
 }
 
-// A task that was too long on other machines too is long by itself. Each time a machine was blamed for it the limit
-// grows fourfold, or the last long task of a job would be restarted for ever.
+// The run time above which the task counts as too long. A task that took too long on other machines as well is long by
+// itself: each time a machine was marked as slow because of it, the limit grows fourfold. Otherwise the last long task
+// of a job would be restarted forever.
 double Placement::longest_plausible_run_s(const Entry& entry) const {
     const auto& job = *entry.job;
     const double factor = job.runs < most_done * job.running ? too_long : too_long_if_most_done;
@@ -80,8 +91,9 @@
     return factor * job.longest_run * (1 << (2 * blamed)) + settings_.report_s / 3;
 }
 
-// The task that proves a machine slow, or none. One task may be longer than its siblings by itself, even than the
-// longest of thousands: two are the machine's doing, or one that goes on and on.
+// The task that proves that the machine is slow, or null. A single task may take longer than even the longest of
+// thousands of others without the machine being the cause. So two such tasks are needed, or one that exceeds the limit
+// by far.
 const Entry* Placement::proof_of_slowness(const Machine& machine) const {
     int too_long_tasks = 0;
     for (const auto& entry : machine.entries) {
@@ -111,8 +123,8 @@
     return ran > nearly_done * whole;
 }
 
-// A machine that is slow takes no work that has a speed for a while, longer each time; what has not run for long there
-// starts again elsewhere.
+// Marks a machine as slow. For some time, which doubles with each mark, it gets only replicas. Array tasks on it start
+// again elsewhere unless they have already run for long.
 void Placement::mark_slow(const Machine& machine) {
     if (cluster_.now < machine.slow_until || are_too_many_slow())
         return;
--- a/src/scheduling/waiting_jobs.cpp
+++ b/src/scheduling/waiting_jobs.cpp
@@ -5,13 +5,17 @@
 namespace heronshift::scheduling {
 namespace {
 
-constexpr double patience_of_aim = 0.5;    // of the aim for the first start
-constexpr double patience_of_slack = 0.25; // of the time that is left beyond the run before the job is due
-constexpr double aged_begins = 2;          // times in which a job should begin: who still waits then goes by age
+// Share of the objective for the first start for which a task may wait.
+constexpr double patience_of_aim = 0.5;
+// Share of the job's slack for which a task may wait. The slack is the time until the job is due minus its run time.
+constexpr double patience_of_slack = 0.25;
+// A job that has waited for more than this multiple of the time within which each job should begin (`ops.begin_s`) is
+// ordered by its age.
+constexpr double aged_begins = 2;
 
-// A job that waits, with its place among those of the same priority. Among equals the job with the least work left
-// goes first, since that brings the most jobs home in time. Large ones begin in time all the same
-// (Placement::begin_waiting), and who has waited twice as long as that goes first, the oldest before all.
+// A waiting job and its rank among jobs of the same priority; lower values go first. The job with the least work left
+// goes first, which completes the most jobs in time. Large jobs still begin in time (Placement::begin_waiting),
+// and jobs that have waited for twice that time go before the others, the oldest first.
 struct WaitingJob {
     const Job* job;
     double urgency;
@@ -25,7 +29,8 @@
 
 bool goes_before(const WaitingJob& one, const WaitingJob& other) {
     const auto &a = *one.job, &b = *other.job;
-    // What may take the place of others goes first, or it would stop them and lose the room.
+    // Jobs that can preempt others go first. Otherwise they would preempt the jobs placed before them and lose the room
+    // that these took.
     if (a.priority != b.priority)
         return a.priority < b.priority;
     if (a.guaranteed != b.guaranteed)
--- a/src/scheduling/waiting_jobs.hpp
+++ b/src/scheduling/waiting_jobs.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// In which order jobs wait for places, and for how long they may. Functions of a const view of the cluster, to be
-/// called on the thread that owns the state.
+/// The order in which waiting jobs are placed, and how long their tasks may wait. The functions read a const view of
+/// the cluster. Call them on the thread that owns the state.
 #pragma once
 
 #include "scheduling/placement_cost.hpp"
@@ -9,12 +9,13 @@
 
 namespace heronshift::scheduling {
 
-/// The jobs of which tasks wait for a place, the most urgent first: by priority, then the team's guarantee, then the
-/// least work left, or the age of what has waited for too long. `shape` becomes the shape of the job with the most
-/// waiting tasks, and stays as it is if none waits.
+/// The jobs with waiting tasks, the most urgent first: by priority, then jobs within their team's guarantee, then jobs
+/// that have waited for too long, the oldest first, then the job with the least work left. Sets `shape` to the
+/// resources that each task of the job with the most waiting tasks needs; leaves it unchanged if no job waits.
 [[nodiscard]] std::vector<const Job*> waiting_jobs(const ClusterData& cluster, Resources& shape);
 
-/// For how many seconds after it became ready a job's tasks may wait for a place before its aims are in danger.
+/// The number of seconds after a job became ready for which its tasks may wait for placement before its objectives are
+/// at risk.
 [[nodiscard]] double patience_s(const ClusterData& cluster, const Job& job);
 
 } // namespace heronshift::scheduling
