--- a/src/scheduling/array_demand.hpp
+++ b/src/scheduling/array_demand.hpp
@@ -11,7 +11,7 @@
 struct CpuAmount {
     /// CPUs on machines of any kind.
     double all = 0;
-    /// The part of `all` that is on machines for which plain() holds. Only this part can serve jobs that may not use
+    /// The part of `all` that is on machines for which `plain()` holds. Only this part can serve jobs that may not use
     /// spot machines.
     double ordinary = 0;
 };
--- a/src/scheduling/rental_plan.cpp
+++ b/src/scheduling/rental_plan.cpp
@@ -162,8 +162,8 @@
     return machine;
 }
 
-// The source with the lowest price for a task of the job among those that are available. Null if there is none, or,
-// unless `at_any_price`, if it costs far more than the cheapest one that the job may use but that is not available.
+// The entry of `sources_` with the lowest price for a task of the job among those that are available. Null if there is
+// none, or, unless `at_any_price`, if it costs far more than the cheapest one that the job may use, available or not.
 const RentalPlan::Source* RentalPlan::cheapest_source(const Job& job, bool at_any_price) const {
     double lowest_cost = no_cost_limit, lowest_price = no_cost_limit;
     const Source* cheapest = nullptr;
@@ -171,7 +171,7 @@
     bool suitable = false;
     double tasks = 0;
     for (const auto& source : sources_) {
-        if (source.type != type) { // sources of one type are adjacent
+        if (source.type != type) { // entries of one type are adjacent
             type = source.type;
             suitable = allows(job.spec.types, type->name) && job.spec.each.fits(type->room);
             tasks = suitable ? placement::fit_count(job.spec.each, type->room) : 0;
@@ -192,7 +192,7 @@
     return dear && !at_any_price ? nullptr : cheapest;
 }
 
-// Plans one more machine from this source. Returns false if a single request cannot ask for more machines.
+// Plans one more machine of this type, zone and kind. Returns false if a single request cannot ask for more machines.
 bool RentalPlan::rent_one(const Source& source) {
     auto& rental = wanted_[source.key];
     if (rental.type.empty())
--- a/src/scheduling/room_index.hpp
+++ b/src/scheduling/room_index.hpp
@@ -43,7 +43,7 @@
     /// Updates the index with the current room and reservation of a machine.
     void update(const Machine& machine);
 
-    /// Whether find() includes machines for which plain() holds.
+    /// Whether find() includes machines for which `plain()` holds.
     enum class PlainMachines : std::uint8_t { included, left_out };
     /// The positions in machines() of the machines that have free room for a task of the job and for which usable()
     /// holds, in ascending order.
--- a/src/scheduling/shrinking.cpp
+++ b/src/scheduling/shrinking.cpp
@@ -131,7 +131,7 @@
 }
 
 // Retires machines in the given order as long as the rest suffices for the needs of all jobs, of those that need
-// machines for which plain() holds, and of gangs.
+// machines for which `plain()` holds, and of gangs.
 void Autoscaler::empty_surplus(Holdings holdings, const std::vector<ShrinkCandidate>& candidates) {
     auto& capacity = holdings.capacity;
     const auto& need = holdings.need;
