--- a/src/scheduling/batch_assignment.cpp
+++ b/src/scheduling/batch_assignment.cpp
@@ -208,14 +208,13 @@
     const std::vector<Group>& groups_;
     const std::vector<Bin>& bins_;
     const Resources& shape_;
-    std::size_t width_ = 0;     // number of groups, the digits of a state
-    std::size_t states_ = 1;    // number of states
-    std::vector<int> digits_;   // the digits of each state: [state * width_ + group]
-    std::vector<double> best_;  // the highest value of each state with the bins tried so far
-    std::vector<double> next_;  // the same, including the bin that is being tried
-    std::uint64_t version_ = 1; // incremented with each change of best_
-    std::vector<std::int16_t>
-        taken_; // the code assigned to the bin on the best way to the state: [bin * states_ + state]
+    std::size_t width_ = 0; // the digits of a state, one for each group
+    std::size_t states_ = 1;
+    std::vector<int> digits_;         // the digits of each state: [state * width_ + group]
+    std::vector<double> best_;        // the highest value of each state with the bins tried so far
+    std::vector<double> next_;        // the same, including the bin that is being tried
+    std::uint64_t version_ = 1;       // incremented with each change of best_
+    std::vector<std::int16_t> taken_; // by bin and state: the code assigned to the bin on the best way there
     std::map<std::vector<double>, AlikeBins> alike_;
     std::vector<double> key_; // lookup key for alike_; a member to reuse its memory
 };
--- a/src/scheduling/gang_placement.cpp
+++ b/src/scheduling/gang_placement.cpp
@@ -6,9 +6,8 @@
 namespace heronshift::scheduling {
 namespace {
 
-constexpr double gang_loss_weight =
-    // Seconds of delay for a gang task that are considered as costly as losing one CPU second of other jobs' work.
-    0.01;
+// Seconds of delay for a gang task that are considered as costly as losing one CPU second of other jobs' work.
+constexpr double gang_loss_weight = 0.01;
 // How often the placement of a gang may be tried within one heartbeat interval.
 constexpr double looks_an_interval = 10;
 
--- a/src/scheduling/placement_cost.cpp
+++ b/src/scheduling/placement_cost.cpp
@@ -16,7 +16,7 @@
 // Cost of a machine that is entirely free, or for replicas on the pool of one that is entirely in use.
 constexpr double balance_weight_s = 2;
 
-constexpr double shared_fetch = 0.5; // share of the fetch time that an image being fetched still needs on average
+constexpr double shared_fetch = 0.5; // average for an image that is being fetched
 // An image that is not ready after this many times its fetch time is no longer considered as being fetched.
 constexpr double forgotten_fetches = 2;
 // Heartbeat intervals without a heartbeat after which a machine gets no new tasks, and after which it no longer counts
--- a/src/scheduling/rebalancer.cpp
+++ b/src/scheduling/rebalancer.cpp
@@ -16,8 +16,8 @@
 constexpr double young_task_s = 60;
 // Factor on the rank of tasks on retiring machines, since these machines cost money until they are empty.
 constexpr double leaving_factor = 2;
-constexpr std::size_t fragmented_machines = 3; // machines examined in a round, as in the paper
-constexpr int max_looked_at = 30;              // tasks examined in a round, as in the paper
+constexpr std::size_t fragmented_machines = 3; // in a round, as in the paper
+constexpr int max_looked_at = 30;              // in a round, as in the paper
 // Minimum reduction of fragmentation that is worth a move, as a multiple of the task's share of the machine.
 constexpr double clear_fall = 2;
 
--- a/src/scheduling/rental_plan.hpp
+++ b/src/scheduling/rental_plan.hpp
@@ -80,7 +80,7 @@
     CpuAmount capacity_;                    // CPUs that are or will be available to arrays
     CpuAmount need_;                        // CPUs that arrays need
     int ready_for_gangs_ = 0;               // number of machines that a gang can use, if necessary by preempting arrays
-    std::map<std::string, Pending> wanted_; // planned rentals by Source::key
+    std::map<std::string, Pending> wanted_; // by Source::key
 };
 
 } // namespace heronshift::scheduling
--- a/src/scheduling/silent_machines.cpp
+++ b/src/scheduling/silent_machines.cpp
@@ -6,7 +6,7 @@
 namespace heronshift::scheduling {
 namespace {
 
-constexpr double looks_an_interval = 6; // how often silent machines are searched for within a heartbeat interval
+constexpr double looks_an_interval = 6; // searches within a heartbeat interval
 // Heartbeat intervals without a heartbeat after which a machine is silent, and after which it may be presumed dead.
 constexpr double silent_heartbeats = 1.5, dead_heartbeats = 2.5;
 // Share of a zone's on-demand machines that are silent above which the zone is considered cut off from the leader.
--- a/src/scheduling/slow_machines.cpp
+++ b/src/scheduling/slow_machines.cpp
@@ -11,7 +11,7 @@
 constexpr double unknown_rest_s = 1e9;
 // A task that should end within this share of the time until the machine is reclaimed is left running.
 constexpr double sure_to_end = 0.5;
-constexpr double looks_an_interval = 3; // how often slow machines are searched for within a heartbeat interval
+constexpr double looks_an_interval = 3; // searches within a heartbeat interval
 // A run time of more than this multiple of the longest run of the same job's tasks is too long.
 constexpr double too_long = 1.5;
 // The same if most tasks of the job are done, which makes the longest run more reliable.
