--- a/src/scheduling/autoscaler.hpp
+++ b/src/scheduling/autoscaler.hpp
@@ -33,7 +33,7 @@
     void log_fleet();
 
 private:
-    // The capacity of the serving machines, and how much of it is needed.
+    // The capacity of all machines that count as capacity, and how much of it is needed.
     struct Holdings;
     // A machine that may be retired.
     struct ShrinkCandidate;
--- a/src/scheduling/placement_cost.hpp
+++ b/src/scheduling/placement_cost.hpp
@@ -34,9 +34,10 @@
 [[nodiscard]] bool takes_work(const ClusterData& cluster, const Machine& machine, bool also_retiring = false);
 
 /// Whether it makes sense to place a task of the job on the machine now. In addition to the rules for the machine's
-/// type, zone and kind (ClusterData::allowed_there), the machine must not be silent, about to be released or slow, and
-/// its room must not be reserved for other tasks. Free room is not checked. `also_retiring` has the same meaning as in
-/// takes_work().
+/// type, zone and kind (ClusterData::allowed_there), the machine must send heartbeats and not be about to be released,
+/// must not be marked as slow unless the job is a service, and must not have room reserved for another job, unless this
+/// job has a higher priority than the reservation excludes. Free room is checked only as far as a pool machine keeps
+/// room for replicas. `also_retiring` has the same meaning as in takes_work().
 [[nodiscard]] bool usable(const ClusterData& cluster, const Machine& machine, const Job& job,
                           bool also_retiring = false);
 
