--- a/src/cluster/cluster_data.hpp
+++ b/src/cluster/cluster_data.hpp
@@ -1,6 +1,6 @@
-// The state of the cluster as the leader sees it: jobs, tasks, machines, teams. Plain data, which policies get const
-// (const reaches through every pointer in it) and only ClusterState and, at a failover, ClusterRecords change. Times
-// are seconds of the steady clock unless they are called wall.
+// The state of the cluster as the leader knows it: jobs, tasks, machines and teams, as plain data. Policies read it
+// through a const reference, and const propagates through every pointer in it; only ClusterState and, at a failover,
+// ClusterRecords modify it. Times are in seconds of the steady clock unless their name contains "wall".
 #pragma once
 
 #include "cluster/entry.hpp"
@@ -21,68 +21,75 @@
 
 namespace heronshift::cluster {
 
-/// fencing token = term << token_counter_bits | increments within the term. Each machine's are its own, whatever their
-/// number: one for each launch whose outcome is open or lease that ran out, so one in report_s / 2 at most. 2^24 of
-/// them take nine months of one term with report_s 3; terms have 40 bits.
+/// fencing token = term << token_counter_bits | increments within the term. Each machine has a counter of its own,
+/// which is incremented for each launch with an unknown outcome and each expired lease, at most once per report_s / 2.
+/// With report_s 3, 2^24 increments take nine months of a single term; 40 bits remain for the term.
 inline constexpr int token_counter_bits = 24;
-/// attempt = term << try_bits | passes within the term, one in report_s / 60 at most: seven years of a term.
+/// attempt = term << attempt_counter_bits | scheduling passes within the term. There is at most one pass per
+/// report_s / 60, so the 32 bits last for seven years of a single term.
 inline constexpr int attempt_counter_bits = 32;
 
-/// Machines that were asked for with one claim; kept until the cloud has answered.
+/// A request to the cloud to rent machines, kept until the cloud has answered. Its key is the claim, an id that makes
+/// the request idempotent.
 struct Pending {
     std::string type, zone;
     bool spot = false;
     int count = 0;
     double asked = 0;
-    /// The request is under way.
+    /// A request with this claim has been sent and not answered.
     bool in_flight = true;
 };
 
-/// Averages over the recent past. They go from leader to leader through the store.
+/// Averages over the recent past. They are kept in the store, so that the next leader continues with them.
 struct Learned {
-    /// Work that array jobs bring, in CPUs, averaged over `ClusterData::average_s`, and when it was last updated.
+    /// Offered load of array jobs in CPUs (CPU seconds per second), averaged over `ClusterData::average_s`, and the
+    /// time of its last update.
     double offered = 0, offered_at = 0;
-    /// The part of it that may not use spot machines.
+    /// The part of `offered` from jobs that do not allow spot machines.
     double offered_ordinary = 0;
-    /// Seconds between array jobs, averaged over so many of them; only those of this leader.
+    /// Mean interval in seconds between the arrivals of array jobs, and the number of intervals it is based on. Counts
+    /// only jobs that arrived in this leader's term.
     double gap_s = 0, gaps = 0;
-    /// Spot machines that were reclaimed or lost, averaged likewise.
+    /// Number of spot machines that were reclaimed or lost, decaying over `ClusterData::average_s`, and the time of its
+    /// last update.
     double spot_losses = 0, spot_losses_at = 0;
-    /// How long tasks have run lately, and how long their owners expected.
+    /// Decaying sums over recently finished tasks: their run time, and the run time that their owners estimated.
     double ran_s = 1, estimated_s = 1;
-    /// By which factor tasks take longer than expected.
+    /// The factor by which tasks run longer than estimated.
     [[nodiscard]] double bias() const {
         return std::clamp(ran_s / estimated_s, 0.3, 3.0);
     }
 };
 
-/// All state of one leader's term.
+/// The whole state that a leader keeps during one term.
 struct ClusterData {
     explicit ClusterData(const Settings& s) : settings(s) {}
     const Settings& settings;
     std::uint64_t term = 0;
     double now = 0, wall = 0, started = 0;
-    /// When the store last was late or refused: then jobs may come and not be stored.
+    /// When the store last was late or refused a transaction; new jobs may then arrive that cannot be stored.
     double unserved_at = -1e18;
     std::vector<MachineType> types;
     std::vector<Team> teams;
     std::unordered_map<std::string, PropagateConst<std::unique_ptr<Job>>> jobs;
     std::map<std::string, PropagateConst<std::unique_ptr<Machine>>> machines;
-    /// The sizes of the images, by their numbers.
+    /// Image sizes in GB, indexed by image number.
     std::vector<double> image_gb;
-    /// Rentals without an answer, by claim.
+    /// Rental requests that the cloud has not answered, by claim.
     std::map<std::string, Pending> rentals;
-    /// "type/zone/spot": not to be asked for before this time.
+    /// For "type/zone/spot", the time before which no machines of this kind are requested again, because the cloud had
+    /// no capacity.
     std::map<std::string, double> no_capacity;
-    /// What a task uses of the work that waits most; the largest replica of a service.
+    /// The resources that one task uses in the most common kind of waiting work; those of the largest service replica.
     Resources common_shape, service_shape;
     Learned learned;
-    /// Spot machines that were up when last counted.
+    /// Number of spot machines that were up at the last count.
     std::size_t spot_machines = 0;
-    /// The list has told once which machines there are, and these were asked for a heartbeat.
+    /// The cloud's list of machines has arrived once in this term, and the machines on it were queued for a heartbeat
+    /// request.
     bool asked_all = false;
-    /// Machines whose records were damaged: until they have reported to us or their leases have surely expired, any
-    /// task read at the failover may be on them (docs/safety.md, 5).
+    /// Machines whose records in the store were damaged. Until each has reported with a fencing token of this term or
+    /// its lease has certainly expired, any task read at the failover may be running on it (docs/safety.md, 5).
     std::set<std::string> unproven_machines;
     double unproven_until = 0;
 
@@ -96,24 +103,25 @@
                 return &type;
         return nullptr;
     }
-    /// A damaged record still leaves open what runs.
+    /// Because of a damaged record, it is still unknown which tasks are running.
     [[nodiscard]] bool unproven() const {
         return !unproven_machines.empty() && now < unproven_until;
     }
-    /// The time over which offered work and losses are averaged, in seconds.
+    /// The period over which offered work and spot losses are averaged, in seconds.
     [[nodiscard]] double average_s() const;
-    /// CPU seconds that the tasks not done yet take by their owner's estimate.
+    /// Estimated CPU seconds of the job's tasks that are not done, from its owner's estimate.
     [[nodiscard]] double work_left(const Job& job) const;
-    /// When a job should be complete, by its owner's deadline, by those that need it or by the objective of its
-    /// class; below zero: no such time.
+    /// When the job should be complete: the earliest of its owner's deadline, the time by which dependent jobs need it
+    /// and, for a job without a deadline, the objective of its class. Negative: no limit.
     [[nodiscard]] double due_at(const Job& job) const;
-    /// How many more tasks the team's limit allows.
+    /// How many more tasks of this job the team's quota allows.
     [[nodiscard]] int quota_room(const Job& job) const;
-    /// The rule that forbids a task of this job on this machine, given all that may be on machines now: the jobs that
-    /// it needs, type, zone, kind, room, quota. Null: none does. Every placement is checked by it
-    /// (docs/safety.md, 9 and 14; `ClusterState.RefusesAPlaceThatTheJobDoesNotAllow` and those after it).
+    /// Checks whether a task of this job may be placed on this machine, counting everything that may be on machines
+    /// now. Returns the violated rule (dependencies, type, zone, spot or on-demand, free resources, quota), or null if
+    /// there is none. Every placement is checked here (docs/safety.md, 9 and 14;
+    /// `ClusterState.RefusesAPlaceThatTheJobDoesNotAllow` and the tests after it).
     [[nodiscard]] const char* refusal(const Job& job, const Machine& machine) const;
-    /// The part of it that is about the place: type, zone and kind.
+    /// The part of `refusal` that concerns the machine's properties: its type, its zone, and spot or on-demand.
     [[nodiscard]] bool allowed_there(const Job& job, const Machine& machine) const;
 };
 
--- a/src/cluster/departed_machines.cpp
+++ b/src/cluster/departed_machines.cpp
@@ -5,10 +5,10 @@
 namespace heronshift::cluster {
 namespace {
 
-constexpr double max_message_age_leases = 30; // ten minutes at the usual lease
-constexpr double max_message_age_lags = 4;    // of the cloud's list
+constexpr double max_message_age_leases = 30; // ten minutes with the usual lease
+constexpr double max_message_age_lags = 4;    // in units of list_lag_s, the age of the cloud's list
 constexpr double memory_share = 1.0 / 16;
-constexpr std::size_t record_bytes = 256; // 224 measured with a name of 21 characters
+constexpr std::size_t record_bytes = 256; // 224 bytes with a machine id of 21 characters
 
 } // namespace
 
--- a/src/cluster/dependency_tracker.hpp
+++ b/src/cluster/dependency_tracker.hpp
@@ -1,4 +1,4 @@
-// Which jobs wait for which others, and which of those have to be looked up in the store.
+// Tracks which jobs wait for which other jobs, and which of the awaited jobs have to be looked up in the store.
 #pragma once
 
 #include <cstddef>
@@ -11,22 +11,22 @@
 
 namespace heronshift::cluster {
 
-/// The jobs that need a job which is not known to be done in the store, by its name: either may be known to the leader
-/// before the other. Jobs that are needed and not known to the leader are looked up in the store, a few at a time, so
-/// that the budget for reads lasts (docs/safety.md, 14 and 16).
+/// For each needed job that the store is not known to hold as done, the ids of its dependents. The needed job and its
+/// dependents may become known to the leader in either order. Needed jobs that the leader does not know are looked up
+/// in the store, a few at a time, to stay within the budget for reads (docs/safety.md, 14 and 16).
 class DependencyTracker {
 public:
     void add(const std::string& needed, const std::string& dependent);
-    /// The job no longer waits for these.
+    /// Removes `dependent` from the dependents of each of these jobs.
     void remove(const std::vector<std::string>& needed, const std::string& dependent);
-    /// The jobs that need this one, by name; null: none does.
+    /// The ids of the jobs that need this one; null: none does.
     [[nodiscard]] const std::set<std::string>* dependents_of(const std::string& needed) const;
-    /// The same, and forgets them: the job is settled.
+    /// Returns the ids of the jobs that need this one and removes them, because its final state is known.
     [[nodiscard]] std::set<std::string> take_dependents_of(const std::string& needed);
 
-    /// To be looked up at this time, unless nobody needs it any more by then.
+    /// Schedules a lookup of this job at this time. The lookup is skipped if no job needs it by then.
     void schedule_lookup(const std::string& needed, double at);
-    /// The next job that is due to be looked up, as long as not too many lookups are under way.
+    /// Takes the next job whose lookup is due; none if the maximum number of lookups is already in flight.
     [[nodiscard]] std::optional<std::string> next_due_lookup(double now);
     void lookup_started() {
         ++lookups_under_way_;
@@ -38,7 +38,7 @@
 
 private:
     std::unordered_map<std::string, std::set<std::string>> dependents_;
-    std::multimap<double, std::string> lookups_; // by when they are due
+    std::multimap<double, std::string> lookups_; // due time and job id
     std::size_t lookups_under_way_ = 0;
 };
 
--- a/src/cluster/entry.hpp
+++ b/src/cluster/entry.hpp
@@ -1,4 +1,4 @@
-// A task on a machine, as far as the leader knows.
+// The leader's knowledge of one task attempt on one machine.
 #pragma once
 
 #include <cstddef>
@@ -10,58 +10,59 @@
 struct Job;
 struct Machine;
 
-/// A pointer that is as const as the object that holds it, so that nothing can be changed through a const view.
+/// A pointer that is const in a const object, so that nothing can be modified through a const reference to the state.
 template <class T> using PropagateConst = std::experimental::propagate_const<T>;
 
-/// How far the leader has come with placing a task on a machine, and what the machine has reported of it since.
-/// The order counts: from `sent` on the task may be on the machine.
+/// The progress of a task's placement on a machine and, after the launch, its state as the machine reports it. The
+/// order of the values matters: from `sent` on, the task may be on the machine.
 enum class Phase : std::uint8_t {
-    intent,   ///< Placed; no transaction names it yet.
-    storing,  ///< Its record is in a transaction whose outcome is not known.
-    stored,   ///< The store holds its record; the launch is to be sent.
-    sent,     ///< The launch was sent, or an earlier leader may have sent it; no heartbeat has listed it since.
-    fetching, ///< The machine fetches its image.
-    waiting,  ///< It waits for the other tasks of its gang.
-    running,  ///< It runs.
-    saving,   ///< It was stopped and saves its progress.
+    intent,   ///< Placed; its record is not in any transaction yet.
+    storing,  ///< Its record is in a transaction with an unknown outcome.
+    stored,   ///< The store holds its record; the launch has not been sent.
+    sent,     ///< This leader sent the launch or an earlier one may have; no heartbeat has listed the task since.
+    fetching, ///< The machine is fetching the image.
+    waiting,  ///< The task waits on the machine for the other tasks of its gang.
+    running,  ///< The task is running.
+    saving,   ///< The task was stopped and is saving its progress.
 };
 
-/// One attempt of a task on one machine, as far as the leader knows. It exists from the placement until there is
-/// proof that the task is not on the machine (gone_proof.hpp) and counts for room, quota and zones all that time.
-/// Its machine owns it; its job lists it.
+/// One attempt of a task on one machine, as far as the leader knows. An entry exists from the placement until there is
+/// proof that the task is not on the machine (gone_proof.hpp). For all that time it counts against the machine's
+/// resources, the team's quota and the zone rules. The machine owns its entries; the job keeps pointers to them.
 struct Entry {
     PropagateConst<Machine*> machine = nullptr;
     PropagateConst<Job*> job = nullptr;
     /// The task's index in its job.
     std::uint32_t index = 0;
     std::uint64_t attempt = 0;
-    /// The agent epoch of the machine when the task was placed: a later one ends it.
+    /// The machine's agent epoch when the task was placed. When a later epoch begins, the task no longer exists.
     std::uint64_t agent_epoch = 0;
-    /// The fencing token that its launch carried.
+    /// The fencing token of the launch order.
     std::uint64_t fencing_token = 0;
     Phase phase = Phase::intent;
-    /// Its record is in the store.
+    /// The store holds a record of the entry.
     bool recorded = false;
-    /// A heartbeat of this machine has listed it.
+    /// A heartbeat of this machine has listed the task.
     bool seen = false;
-    /// It must end.
+    /// The task is to be stopped.
     bool stop = false;
-    /// It is stopped in order to be started elsewhere.
+    /// The task is being stopped in order to be started on another machine.
     bool moving = false;
-    /// Seconds that it may take to save its progress once it is stopped.
+    /// Seconds that the task has for saving its progress after the stop.
     double drain_s = 0;
-    /// When the stop was last sent; below zero: it is to be sent.
+    /// When the stop order was last sent; negative: not sent yet.
     double stop_at = -1;
     double placed_at = 0;
-    /// When it was first reported as running; below zero: not yet.
+    /// When the task was first reported as running; negative: not yet.
     double running_at = -1;
-    /// The number of the last heartbeat that listed it (ClusterState::heartbeat_seq_).
+    /// The sequence number of the last heartbeat that listed the task (ClusterState::heartbeat_seq_).
     std::uint64_t listed = 0;
-    /// The number of the record that names it; -1: none yet.
+    /// The number of the store record that contains the entry; -1: none yet.
     int slot = -1;
-    /// The record that still names it while it moves to another; -1: none.
+    /// While the entry is being moved to another store record, the number of the old one that still contains it; -1:
+    /// none.
     int carried_from = -1;
-    /// Its positions in the lists of its machine, its job and its record.
+    /// The entry's positions in the lists of its machine, its job and its store record.
     std::size_t at_machine = 0, at_job = 0, at_slot = 0;
 };
 
