--- a/src/cluster/cluster_state.hpp
+++ b/src/cluster/cluster_state.hpp
@@ -1,6 +1,6 @@
-// The one place that changes the state of the cluster. It takes what happened (heartbeats, answers, the list of
-// machines) and what policies propose, checks every rule of the protocol that a placement could break, and says what
-// follows. No I/O, clock or randomness. All on the thread of the event loop.
+// The only class that modifies the state of the cluster. It takes events (heartbeats, replies to orders, the cloud's
+// list of machines) and the proposals of policies, checks every protocol rule that a placement could violate, and emits
+// the resulting effects. It uses no I/O, clock or randomness, and runs on the event loop's thread only.
 #pragma once
 
 #include "bounded_cache.hpp"
@@ -18,42 +18,43 @@
 
 namespace heronshift::cluster {
 
-/// What a user is told of a job.
+/// The status of a job as reported to users.
 struct JobView {
     std::string_view status;
     /// Numbers of tasks.
     std::uint64_t done = 0, running = 0;
-    /// It may be over in the store already: only a fresh read of the store tells (docs/safety.md, 24).
+    /// The final state was sent to the store and not confirmed: the job may already be over in the store, which only a
+    /// fresh read of the store can tell (docs/safety.md, 24).
     bool settling = false;
 };
 
-/// Is told what has to be stored. ClusterState does not know what the store holds.
+/// Is notified of every change that has to be stored. ClusterState itself does not know what the store holds.
 class PersistenceListener {
 public:
     virtual ~PersistenceListener() = default;
     virtual void added(Job& job) = 0;
     virtual void added(Entry& entry) = 0;
     virtual void removed(Entry& entry) = 0;
-    /// The order in which final states are stored.
+    /// The priority with which final states are stored; earlier values come first.
     enum class Urgency : std::uint8_t {
-        cancelled,                 ///< A user waits for the answer.
-        done,                      ///< All tasks are done, or none is left of a job that is over.
-        cancelled_with_dependency, ///< A job that it needs was cancelled; nobody waits.
+        cancelled,                 ///< A user is waiting for the answer.
+        done,                      ///< All tasks are done, or no entry is left of a job that is over.
+        cancelled_with_dependency, ///< A job that it needs was cancelled; no user is waiting.
     };
-    /// The final state of the job is to be stored, or that none of its tasks is left.
+    /// The job's final state is to be stored, or the fact that no entry of the finished job is left.
     virtual void final_due(Job& job, Urgency urgency) = 0;
-    /// More tasks of the job are done.
+    /// At least one more task of the job is done.
     virtual void progressed(Job& job) = 0;
-    /// The job no longer waits for others.
+    /// The job no longer waits for other jobs.
     virtual void became_ready(Job& job) = 0;
 };
 
 /// Jobs, tasks, machines and teams of one leader's term, and all rules for changing them.
 class ClusterState final : public Proposals {
 public:
-    /// Effects are appended to `out`.
+    /// All effects are appended to `out`, which must outlive this object.
     ClusterState(const Settings& settings, std::uint64_t term, double now, double wall, std::vector<Effect>& out);
-    /// To be called before anything else.
+    /// Must be called before any other member function.
     void set_persistence(PersistenceListener& listener) {
         persistence_ = &listener;
     }
@@ -64,22 +65,23 @@
         data_.now = now, data_.wall = wall;
     }
 
-    // What happened.
+    // Events.
     void add_job(JobStored& command);
     void cancel(const CancellationRequested& command);
-    /// A job that others need was looked up in the store.
+    /// Handles the result of looking up a needed job in the store.
     void found(JobFound& command);
     void receive_heartbeat(const HeartbeatReceived& command);
-    /// Orders, or a request for a heartbeat, have an outcome.
+    /// Handles the outcome of an order batch or a heartbeat request.
     void answered(const OrdersAnswered& command);
     void rented(const Rented& command);
     void released(const Released& command);
     void listed(const MachinesListed& command);
     void types_known(std::vector<MachineType>&& types);
-    /// Takes machines whose lease has surely expired for lost, and forgets those that are gone for good.
+    /// Marks machines whose lease has certainly expired as lost, and removes machines that are not up and no
+    /// longer listed.
     void expire_leases();
 
-    // What policies propose, see proposals.hpp.
+    // Proposals of policies, see proposals.hpp.
     bool place(const Job& job, const Machine& machine) override;
     void drop_settled(const Job& job, bool all) override;
     void stop(const Entry& entry, double drain_s) override;
@@ -109,7 +111,7 @@
     void log(LogLine::Level level, std::string text) override {
         effects_.emplace_back(LogLine{level, std::move(text)});
     }
-    /// A pass of placement begins: attempts of different passes differ.
+    /// Begins a scheduling pass. The pass number is part of the attempt number, which differs between passes.
     void begin_pass() {
         ++pass_counter_;
     }
@@ -118,24 +120,26 @@
         return pass_counter_;
     }
 
-    /// Sends the orders and the requests for heartbeats that are due.
+    /// Sends all orders and heartbeat requests that are due.
     void send_due_orders();
-    /// Looks up jobs that others need and that are not known here: finished before this term, or accepted by another
-    /// node a moment ago.
+    /// Looks up needed jobs that this leader does not know: they finished before this term, or another node accepted
+    /// them a moment ago.
     void find_dependencies();
 
-    /// The store holds the final state of this job. A cancellation cancels all that need it, directly or not: as the
-    /// first one is stored, every later leader finds the same (docs/safety.md, 14 and 15).
+    /// To be called once the store holds the final state of this job. A cancellation also cancels all jobs that need
+    /// it, directly or indirectly. As the first cancellation is stored, every later leader reaches the same result
+    /// (docs/safety.md, 14 and 15).
     void dependency_settled(const std::string& id, Final final_state);
-    /// The job is over: stops its tasks and has the final state stored. Nobody is told before it is.
+    /// Ends the job: stops its tasks and requests that its final state be stored. The final state is not reported to
+    /// anyone before it is stored.
     void finalize(Job& job, Final final_state, bool cancelled_with_dependency = false);
-    /// Keeps the stored final state of a job that is about to be forgotten.
+    /// Caches the stored final state of a job that is about to be removed with `forget_job`.
     void remember_final(const Job& job);
     void forget_job(Job& job);
 
-    /// None: not known here. An answer is never older than what was told before.
+    /// The status of the job; none if this leader does not know it. A status is never older than one reported before.
     [[nodiscard]] std::optional<JobView> job(const std::string& id) const;
-    /// The term is over: another leader has come, or may have.
+    /// The term has ended, because there is another leader or may be one.
     [[nodiscard]] bool resigned() const {
         return resigned_;
     }
@@ -145,21 +149,21 @@
     void store_is_late() {
         data_.unserved_at = data_.now;
     }
-    /// Placement has seen what changed.
+    /// To be called at the beginning of a scheduling pass, which covers all changes so far.
     void settled() {
         needs_scheduling_ = false;
     }
     [[nodiscard]] bool needs_scheduling() const {
         return needs_scheduling_;
     }
-    /// Seconds after which a lease has surely expired.
+    /// Seconds after which a lease granted now has certainly expired on the machine.
     [[nodiscard]] double lease_expiry_s() const;
     /// Totals of this term.
     struct Counters {
         std::uint64_t launched = 0, lost = 0, preempted = 0, moved = 0;
-        /// Heartbeats that came late, or a second time.
+        /// Heartbeats that arrived late or as a duplicate.
         std::uint64_t stale_heartbeats = 0;
-        /// Heartbeats of machines that were given back.
+        /// Heartbeats of machines that were released to the cloud.
         std::uint64_t heartbeats_of_gone_machines = 0;
     };
     [[nodiscard]] const Counters& counters() const {
@@ -167,9 +171,9 @@
     }
 
 private:
-    friend class heronshift::ClusterRecords; // what a failover reads is entered as it stands
+    friend class heronshift::ClusterRecords; // restores the stored state directly at a failover
 
-    // What a policy was given const is ours to write.
+    // Policies hold const references to objects that this class owns and may modify.
     static Job& own(const Job& job) {
         return const_cast<Job&>(job); // NOLINT(cppcoreguidelines-pro-type-const-cast)
     }
@@ -180,13 +184,13 @@
         return const_cast<Entry&>(entry); // NOLINT(cppcoreguidelines-pro-type-const-cast)
     }
 
-    /// A task whose end a heartbeat reports, with its entry.
+    /// A task that a heartbeat reports as ended, with its entry.
     struct EndedTask {
         Entry* entry;
         const ReportedTask* report;
     };
 
-    // job_lifecycle.cpp: from the submission until the job is forgotten
+    // job_lifecycle.cpp: jobs from their submission until they are removed
     Job* find_job(const std::string& id);
     [[nodiscard]] int team_index(const std::string& name) const;
     [[nodiscard]] double start_objective_s(const JobSpec& spec) const;
@@ -196,7 +200,7 @@
     void count_offered_work(const Job& job);
     void record_run_time(Job& job, const Machine& machine, double ran);
 
-    // entries.cpp: from the placement of a task until it is proven gone
+    // entries.cpp: entries from the placement of a task until it is proven gone
     Entry& add_entry(Machine& machine, Job& job, std::uint32_t index, std::uint64_t attempt);
     void remove_entry(Entry& entry);
     static PropagateConst<std::unique_ptr<Entry>> unlink_entry(Entry& entry);
@@ -213,7 +217,7 @@
     void blame_job(Job& job);
     void blame_machine(Machine& machine, const Job& job);
 
-    // machine_lifecycle.cpp: what is known of them, rentals and the list
+    // machine_lifecycle.cpp: machine properties, rentals, releases and the cloud's list of machines
     Machine* find_machine(const std::string& id);
     Machine& learn_machine(const std::string& id, const std::string& addr, const std::string& type,
                            const std::string& zone, bool spot);
@@ -229,7 +233,7 @@
     void note_no_capacity(const Pending& rental);
     void record_spot_loss();
 
-    // heartbeats.cpp: what a heartbeat changes
+    // heartbeats.cpp: handling of heartbeats
     bool outdated(const Heartbeat& heartbeat);
     bool copy_of_departed(const Heartbeat& heartbeat);
     void log_stale_heartbeats();
@@ -253,7 +257,7 @@
     void acknowledge(Machine& machine, const Heartbeat& heartbeat, bool overtaken);
     std::vector<Order> standing_orders(Machine& machine);
 
-    // orders.cpp: orders to machines and their outcome
+    // orders.cpp: orders to machines and their outcomes
     static Order stop_order(const Entry& entry);
     void want_orders(Machine& machine) {
         dispatch_queue_.add(machine);
@@ -268,7 +272,7 @@
     void orders_not_executed(Machine& machine, const OrdersAnswered& command);
     void outcome_open(Machine& machine);
 
-    // dependencies.cpp: jobs that wait for others
+    // dependencies.cpp: jobs that wait for other jobs
     void join(Job& job);
     void wait_for_dependencies(Job& job);
     void become_ready(Job& job);
@@ -283,16 +287,18 @@
     std::uint64_t pass_counter_ = 0, batch_seq_ = 0, claim_seq_ = 0, heartbeat_seq_ = 0;
     Counters counters_;
     DependencyTracker dependencies_;
-    // Final states are immutable, so old ones may be answered from here. It holds more jobs than
-    // a watch can lag behind, so a late event never brings a finished job back (docs/safety.md, 10).
+    // The most recent final states of removed jobs. Final states never change, so requests may be answered from this
+    // cache. It holds more jobs than can finish while a watch event is delayed, so a late event never restores a
+    // finished job (docs/safety.md, 10).
     BoundedCache<Final> recent_finals_;
     DepartedMachines departed_;
-    std::size_t releases_under_way_ = 0; // machines
+    std::size_t releases_under_way_ = 0; // number of machines
     double stale_heartbeats_logged_at_ = -1e18;
     DispatchQueue dispatch_queue_;
     HeartbeatRequests heartbeat_requests_;
     std::unordered_map<std::string, int> image_ids_;
-    std::unordered_map<std::string, std::vector<int>> image_hints_; // of machines not known yet
+    // Cached images of machines that are not tracked yet.
+    std::unordered_map<std::string, std::vector<int>> image_hints_;
 };
 
 } // namespace heronshift::cluster
--- a/src/cluster/gone_proof.cpp
+++ b/src/cluster/gone_proof.cpp
@@ -8,7 +8,8 @@
 namespace heronshift::cluster {
 namespace {
 
-// Steady clocks drift apart by up to 0.05%; twice that, and a part of report_s for timer steps.
+// Steady clocks drift apart by up to 0.05%. The factor allows for twice that; the margin, a fraction of report_s,
+// covers the granularity of timers.
 constexpr double clock_drift = 1.001;
 constexpr double lease_margin_heartbeats = 0.05;
 
@@ -39,7 +40,7 @@
 }
 
 bool proves_not_executed(const OrdersAnswered& answer) {
-    // 409: the agent's answer to orders with an old fencing token or agent epoch.
+    // 409 is the agent's reply to orders with an outdated fencing token or agent epoch.
     return answer.status == http_status::conflict || !answer.sent;
 }
 
--- a/src/cluster/gone_proof.hpp
+++ b/src/cluster/gone_proof.hpp
@@ -1,10 +1,12 @@
-// What proves that a task is not on a machine, or that a launch can no longer be executed. All conclusions of that
-// kind are drawn here, and only from what the arguments say: silence proves nothing, and whatever is not proven
-// counts as running (docs/safety.md). Each function names its point there and the tests that fail without it.
+// The conditions that prove that a task is not on a machine, or that a launch can no longer be executed. All such
+// conclusions are drawn in this file, from the arguments alone: the absence of messages proves nothing, and a task
+// counts as running until the opposite is proven (docs/safety.md). Each function refers to its point in that document
+// and to the tests that fail without it.
 //
-// Two more proofs need no condition: the cloud lists the machine as failed, or has answered a release of it
-// (safety.md 7; `Core.AReleasedMachineStaysGoneWhateverALateListSays`). When a whole machine is lost, by these or by
-// its lease, an entry in Phase::storing stays until its transaction has an outcome (`ClusterState::lose_entries`).
+// Two more proofs need no condition: the cloud lists the machine as failed, or has confirmed its release (safety.md 7;
+// `Core.AReleasedMachineStaysGoneWhateverALateListSays`). When a whole machine is lost, by one of these two or because
+// its lease expired, an entry in Phase::storing is kept until the outcome of its transaction is known
+// (`ClusterState::lose_entries`).
 #pragma once
 
 #include "cluster/entry.hpp"
@@ -16,46 +18,47 @@
 
 namespace heronshift::cluster {
 
-/// The agent that sent this heartbeat has seen a fencing token of the term, so no launch of an earlier leader that is
-/// still on its way can be executed there any more (safety.md 5;
+/// The agent that sent this heartbeat has seen a fencing token of this term, so it will refuse every launch of an
+/// earlier leader that is still in transit (safety.md 5;
 /// `Core.AMachineIsUsedOnceItHasShownThisTermsFencingToken`, `GoneProof.OnlyATokenOfTheTermShowsThatTheTermWasSeen`).
 [[nodiscard]] bool has_seen_term(const Heartbeat& heartbeat, std::uint64_t term);
 
-/// The heartbeat shows a later state of the machine than any before. An older one says nothing about what is there
-/// now (safety.md 6; `Core.ACopyOfAHeartbeatIsNoHeartbeat`,
+/// The heartbeat shows a later state of the machine than every heartbeat received before. An older one proves nothing
+/// about the tasks that are on the machine now (safety.md 6; `Core.ACopyOfAHeartbeatIsNoHeartbeat`,
 /// `GoneProof.HeartbeatsAreOrderedByEpochAndThenByCounter`).
 [[nodiscard]] bool is_newest(const Heartbeat& heartbeat, const Machine& machine);
 
-/// A newer agent epoch has begun on the machine since the task was placed. It began with no tasks, and launches for
-/// an earlier one are refused (safety.md 6; `GoneProof.ANewerEpochEndsATaskOfAnEarlierOne`. Without it
-/// `Core.ANewAgentEpochMeansThatAllTasksAreGone` still passes, since a task that was seen is gone by `proves_gone`.)
+/// A newer agent epoch has begun on the machine since the task was placed. An epoch begins with no tasks, and the agent
+/// refuses launches for an earlier epoch (safety.md 6; `GoneProof.ANewerEpochEndsATaskOfAnEarlierOne`. Without this
+/// check `Core.ANewAgentEpochMeansThatAllTasksAreGone` still passes, since `proves_gone` covers a task that was seen
+/// before.)
 [[nodiscard]] bool ended_by_epoch(const Entry& entry, const Heartbeat& heartbeat);
 
-/// The machine's newest heartbeat, which does not list the task, proves that it is not there and will not be: it had
-/// been there before, or the agent has seen a higher fencing token than that of the launch and will refuse it
-/// (safety.md 4 and 5; `Core.AnIncrementedTokenSeenInAHeartbeatSettlesALostLaunch` without the token,
-/// `Core.AfterAFailoverOnlyAHeartbeatThatHasSeenOurTermClearsAnIntent` and `Core.AnOldHeartbeatProvesNothing` if any
-/// token will do).
+/// The machine's newest heartbeat does not list the task, and proves that the task is not there and will not start
+/// there: an earlier heartbeat listed it, or the agent has seen a higher fencing token than that of the launch and will
+/// refuse the launch (safety.md 4 and 5; `Core.AnIncrementedTokenSeenInAHeartbeatSettlesALostLaunch` fails if the token
+/// is not considered, `Core.AfterAFailoverOnlyAHeartbeatThatHasSeenOurTermClearsAnIntent` and
+/// `Core.AnOldHeartbeatProvesNothing` fail if any token is accepted).
 [[nodiscard]] bool proves_gone(const Entry& unlisted, const Heartbeat& newest);
 
-/// The launch was never sent, so the task is not there (safety.md 5;
+/// The launch was never sent, so the task is not on the machine (safety.md 5;
 /// `GoneProof.AHeartbeatSaysNothingAboutALaunchThatIsStillToBeSent`).
 [[nodiscard]] bool never_sent(const Entry& entry);
 
-/// The launch was sent and its outcome is not known: the machine may still execute it. A cancellation is stored only
-/// once no such launch of the job is left (safety.md 27; `LateCommands`, `GoneProof.ALaunchIsOpenUntilItWasSeen`).
+/// The launch was sent and its outcome is unknown: the machine may still execute it. The cancellation of a job is
+/// stored only once the job has no such launch (safety.md 27; `LateCommands`, `GoneProof.ALaunchIsOpenUntilItWasSeen`).
 [[nodiscard]] bool launch_open(const Entry& entry);
 
 /// The answer proves that none of the orders was executed or will be: they were never sent, or the agent refused them
-/// for their fencing token or epoch (safety.md 4;
+/// because of their fencing token or agent epoch (safety.md 4;
 /// `GoneProof.OnlyARefusalOrOrdersThatWereNeverSentAreSurelyNotExecuted`).
 [[nodiscard]] bool proves_not_executed(const OrdersAnswered& answer);
 
-/// Seconds after which a lease that was granted or renewed now has surely expired on the machine, which counts it by
-/// its own clock.
+/// Seconds after which a lease that is granted or renewed now has certainly expired on the machine, which measures it
+/// with its own clock.
 [[nodiscard]] double lease_surely_expires_after_s(const Settings& settings);
 
-/// The agent has ended all tasks by itself, as nobody has renewed its lease (safety.md 7;
+/// The machine's lease has certainly expired without a renewal, so its agent has ended all tasks (safety.md 7;
 /// `Core.ASilentMachineIsOccupiedUntilItsLeaseHasSurelyExpired`).
 [[nodiscard]] bool lease_surely_expired(const Machine& machine, double now, const Settings& settings);
 
--- a/src/cluster/team.cpp
+++ b/src/cluster/team.cpp
@@ -6,7 +6,7 @@
 namespace heronshift::cluster {
 namespace {
 
-constexpr double rounding = 1e-6; // sums of fractions may exceed a limit by as much
+constexpr double rounding = 1e-6; // tolerance for floating-point sums at a limit
 constexpr double unlimited_tasks = 1e6;
 
 } // namespace
@@ -37,7 +37,7 @@
             continue;
         cpus += job->spec.each.cpus * job->spec.tasks;
         gpus += job->spec.each.gpus * job->spec.tasks;
-        // A guarantee of nothing that the job uses is no guarantee for it.
+        // A job is only guaranteed if the team has a guarantee for at least one resource that the job uses.
         const bool some = limits.cpus > 0 || (limits.gpus > 0 && job->spec.each.gpus > 0);
         job->guaranteed = some && (limits.cpus <= 0 || cpus <= limits.cpus + rounding) &&
                           (limits.gpus <= 0 || gpus <= limits.gpus + rounding);
