--- a/src/cluster/job.cpp
+++ b/src/cluster/job.cpp
@@ -14,7 +14,7 @@
     if (task.queued || task.done || task.live > 0)
         return;
     task.queued = true;
-    // A task that comes back was placed early, so its place is near the front.
+    // A task that is queued again was placed early, so its position is near the front.
     const bool last = pending.empty() || pending.back() < index;
     pending.insert(last ? pending.end() : std::lower_bound(pending.begin(), pending.end(), index), index);
 }
--- a/src/cluster/machine.cpp
+++ b/src/cluster/machine.cpp
@@ -24,7 +24,7 @@
         firm -= spec.each;
     if (!entries.empty())
         return;
-    used = firm = {}; // sums of fractions leave a rest
+    used = firm = {}; // floating-point sums may leave a remainder
     empty_since = now;
 }
 
--- a/src/cluster/machine.hpp
+++ b/src/cluster/machine.hpp
@@ -1,4 +1,4 @@
-// Machines as the leader tracks them: what they report, whether they can be reached, and their leases.
+// Machines as the leader tracks them: their reported state, reachability and leases.
 #pragma once
 
 #include "cluster/entry.hpp"
@@ -14,105 +14,110 @@
 
 namespace heronshift::cluster {
 
-/// Whether a machine is in use.
+/// Whether a machine can run tasks.
 enum class Status : std::uint8_t {
-    booting, ///< Rented or listed; no heartbeat has come yet.
-    up,      ///< It reports, or may run what a record names; its lease is watched.
-    lost,    ///< Its lease has surely expired, or the cloud says that it has failed.
+    booting, ///< Rented or listed; no heartbeat has arrived yet.
+    up,      ///< Sends heartbeats, or may run tasks that a stored record names; its lease is monitored.
+    lost,    ///< Its lease has certainly expired, or the cloud lists it as failed.
 };
 
-/// An image on a machine.
+/// An image in a machine's cache, or on its way there.
 struct CachedImage {
     /// Index in `ClusterData::image_gb`.
     int image = -1;
-    /// It is in the cache; else it is being fetched.
+    /// The image is in the cache; otherwise it is being fetched.
     bool ready = false;
-    /// When it was last used.
+    /// When the image was last used.
     double used = 0;
 };
 
-/// A machine and all that may be on it.
+/// A machine and all tasks that may be on it.
 ///
-/// Invariants: `used` is the sum over `entries` of what their jobs use, `firm` that of the entries which no other
-/// task displaces; both are zero without entries. The lease never starts earlier than the last heartbeat that was
-/// answered. `fencing_token` never falls.
+/// Invariants: `used` is the sum of the resources of all `entries`, and `firm` the sum over those that other tasks do
+/// not displace; both are zero without entries. `lease_started_at` is never earlier than the last answered heartbeat.
+/// `fencing_token` never decreases.
 struct Machine {
     std::string id;
-    /// HOST:PORT for orders; empty: not known yet.
+    /// HOST:PORT to which orders are sent; empty: not known yet.
     std::string addr;
     /// Indices in `ClusterData::types` and `Settings::zones`; -1: not known.
     int type = -1, zone = -1;
     std::string type_name, zone_name;
     bool spot = false;
     Status status = Status::booting;
-    /// Of the newest heartbeat or answer to orders.
+    /// Agent epoch and counter of the newest heartbeat, including those in replies to orders.
     std::uint64_t agent_epoch = 0, counter = 0;
-    /// The token that orders to it carry.
+    /// The fencing token that orders to the machine carry.
     std::uint64_t fencing_token = 0;
-    /// Of its newest heartbeat that was no answer to orders.
+    /// Counter of the newest heartbeat that the machine sent by itself, not in a reply to orders.
     std::uint64_t heartbeat_counter = 0;
-    /// The last heartbeat that was answered, or a later moment at which its lease may have begun. Its lease counts
-    /// from there.
+    /// The start of the machine's lease, for judging when it has certainly expired: the time of the last answered
+    /// heartbeat, or a later time at which the lease may have begun.
     double lease_started_at = -1;
-    /// The last sign of life.
+    /// When the newest heartbeat arrived.
     double last_heartbeat_at = -1;
-    /// A heartbeat has shown a fencing token of this term. That heartbeats come proves nothing; what they show does.
+    /// A heartbeat has contained a fencing token of this term. The mere arrival of heartbeats does not prove that the
+    /// machine has seen the term.
     bool proven = false;
-    /// The highest fencing token that one of its heartbeats was answered with, and when first.
+    /// The highest fencing token sent in an answer to one of the machine's heartbeats, and when it was first sent.
     std::uint64_t acknowledged_token = 0;
     double token_acknowledged_at = -1;
-    /// The highest fencing token that orders carried to it. Of a lower or equal one that it shows, nobody knows whether
-    /// an order or an answer to a heartbeat brought it.
+    /// The highest fencing token sent with orders. If the machine shows this token or a lower one, it may have received
+    /// it with an order or with an answer to a heartbeat.
     std::uint64_t ordered_token = 0;
-    /// When one of its heartbeats was last answered, and whether that one had come through another controller.
+    /// When one of the machine's heartbeats was last answered, and whether another controller had relayed the
+    /// heartbeat.
     double last_answered_at = -1;
     bool last_relayed = false;
-    /// It may have missed an answer: it is to prove that it hears them, by a higher token than it showed then.
+    /// The machine may have missed an answer. It has to prove that answers reach it, by showing a higher token than
+    /// `token_when_doubted`, the highest one that it showed when the doubt arose.
     bool hearing_in_doubt = false;
     std::uint64_t token_when_doubted = 0;
-    /// Its lease has run out although a heartbeat was answered shortly before; not counted yet.
+    /// The machine's lease expired although a heartbeat had been answered shortly before. Reset once it is counted as a
+    /// missed answer.
     bool expired_though_answered = false;
-    /// Answers that it surely missed since it last proved that it hears them.
+    /// Number of answers that the machine certainly missed since it last proved that answers reach it.
     int missed_answers = 0;
-    /// Since when no answer reaches it though its heartbeats come; below zero: it can be reached.
+    /// Since when answers do not reach the machine although its heartbeats arrive; negative: answers reach it.
     double inbound_unreachable_since = -1;
-    /// Orders do not reach it directly: they go through other controllers until then.
+    /// Until then orders are relayed through other controllers, because they did not reach the machine directly.
     double relay_orders_until = -1;
     double known_since = 0, up_since = -1;
     std::vector<PropagateConst<std::unique_ptr<Entry>>> entries;
-    /// In use, and in all.
+    /// Resources in use, and the machine's total resources.
     Resources used, whole;
-    /// Used by tasks that no other task displaces.
+    /// The part of `used` by tasks that other tasks do not displace.
     Resources firm;
-    /// It is to become empty and to be given back.
+    /// The machine is to be emptied and then released.
     bool retiring = false;
-    /// A silent spot machine that is given back, so that it is surely gone.
+    /// A spot machine without heartbeats that is presumed dead and released, so that it is certainly gone.
     bool presumed_dead = false;
     double asked_at = -1;
     bool pool = false, draining = false, bad = false, releasing = false, release_asked = false;
     double release_retry = 0;
-    /// When it is reclaimed, by its notice.
+    /// When the cloud will reclaim the machine, according to its notice.
     double notice_until = -1;
-    /// Since when it has no entries; below zero: it has some.
+    /// Since when the machine has no entries; negative: it has entries.
     double empty_since = -1;
     double avoid_until = 0, listed_at = -1;
-    /// Its images, as far as known.
+    /// The images that are known to be on the machine.
     std::vector<CachedImage> images;
     std::set<std::string> failed_jobs;
-    /// The batch of orders without an answer; 0: none.
+    /// The number of the unanswered batch of orders; 0: none.
     std::uint64_t batch = 0;
-    /// That batch has no orders and only asks for a heartbeat.
+    /// The unanswered batch contains no orders and only requests a heartbeat.
     bool asked = false;
-    /// It is queued for orders.
+    /// The machine is in the DispatchQueue.
     bool wants_orders = false;
-    /// It is queued for a request for a heartbeat.
+    /// The machine is in the queue of HeartbeatRequests.
     bool to_be_asked = false;
-    /// Room is being made for this job. Only compared, since the job may be gone.
+    /// The job for which resources are reserved here. Used for comparisons only, since the job may no longer exist.
     const void* reserved_for = nullptr;
     Priority reserved_priority = Priority::low;
     double reserved_until = -1;
     int reserved_tasks = 0;
-    /// Until when it is taken for slow: its tasks take far longer than those of the same job elsewhere.
+    /// Until when the machine is considered slow, because its tasks run far longer than those of the same job
+    /// elsewhere, and how often it was considered slow.
     double slow_until = -1;
     int slow_seen = 0;
 
@@ -123,25 +128,27 @@
         return std::any_of(images.begin(), images.end(),
                            [&](const CachedImage& cached) { return cached.image == image && cached.ready; });
     }
-    /// The index of its zone in `Job::zone_live`, whose last one is for an unknown zone.
+    /// The index of the machine's zone in `Job::zone_live`, whose last element is for an unknown zone.
     [[nodiscard]] std::size_t zone_index(std::size_t known_zones) const {
         return zone < 0 ? known_zones : static_cast<std::size_t>(zone);
     }
-    /// The entry of the attempt that a heartbeat reports; null: none.
+    /// The entry of the reported attempt; null: none.
     [[nodiscard]] Entry* find_entry(const ReportedTask& task);
-    /// Counts what one task of the job uses.
+    /// Adds the resources of one task of the job to those in use.
     void occupy(const JobSpec& spec);
-    /// The opposite of `occupy`, once the entry is out of `entries`.
+    /// Reverses `occupy`. To be called after the entry was removed from `entries`.
     void vacate(const JobSpec& spec, double now);
-    /// An image is in use here, and in the cache if it is `ready`. The cache keeps the images used last; those that
-    /// cannot fit in beside them are forgotten, if its size in GB is known. `image_gb` has the sizes of all images.
+    /// Records that an image is used on the machine, and that it is in the cache if `ready`. The cache keeps the most
+    /// recently used images. If its size `cache_gb` is known, images that cannot fit besides those are removed from
+    /// `images`. `image_gb` contains the sizes of all images.
     void use_image(int image, bool ready, double now, std::optional<double> cache_gb,
                    const std::vector<double>& image_gb);
-    /// Counts the lease from now on, or from later if it did: for whatever may have started or renewed it by now.
+    /// Moves the start of the lease to now, unless it is later already. To be called for every event that may have
+    /// started or renewed the lease.
     void extend_lease_to(double now) {
         lease_started_at = std::max(lease_started_at, now);
     }
-    /// No new task is placed here before this time.
+    /// Prevents placements on the machine before this time.
     void avoid_at_least_until(double time) {
         avoid_until = std::max(avoid_until, time);
     }
--- a/src/cluster/order_queues.cpp
+++ b/src/cluster/order_queues.cpp
@@ -7,7 +7,8 @@
 namespace {
 
 constexpr std::size_t min_asked_at_once = 40;
-constexpr int sockets_per_asked = 16; // of fd_limit; a fifth of it is free for outgoing requests
+// One request per 16 file descriptors of fd_limit, a fifth of which is available for outgoing requests.
+constexpr int sockets_per_asked = 16;
 
 } // namespace
 
@@ -52,9 +53,10 @@
         --under_way_;
 }
 
-// All machines within a lease, if each takes its whole time to answer, as far as there are sockets: 64 at once with
-// fd_limit 1024, for which 2,000 machines that do not answer take two leases and a half. Machines that can reach
-// us need no question: they report by themselves within report_s.
+// As many concurrent requests as are needed to ask all machines within one lease if every request runs into its
+// timeout, but limited by the available sockets. With fd_limit 1024 the limit is 64 requests, and asking 2,000 machines
+// that do not answer takes two and a half leases. Machines that can reach this leader do not depend on a request: they
+// send a heartbeat by themselves within report_s.
 std::size_t HeartbeatRequests::max_at_once(std::size_t machines) const {
     const double answer_s = settings_.report_s / 2;
     const auto within_lease = static_cast<std::size_t>(static_cast<double>(machines) * answer_s / settings_.lease_s);
--- a/src/cluster/order_queues.hpp
+++ b/src/cluster/order_queues.hpp
@@ -1,4 +1,4 @@
-// Which machines are to be sent orders, and which are to be asked for a heartbeat.
+// Queues of the machines to which orders, or requests for a heartbeat, are to be sent.
 #pragma once
 
 #include "cluster/machine.hpp"
@@ -13,14 +13,14 @@
 
 namespace heronshift::cluster {
 
-/// Machines for which there may be orders, each once, in the order in which they were added.
+/// Machines for which there may be orders. Contains each machine once, in the order of insertion.
 class DispatchQueue {
 public:
     void add(Machine& machine);
-    /// The machine is about to be destroyed.
+    /// Must be called before the machine is destroyed.
     void forget(const Machine& machine);
-    /// Empties the queue and calls dispatch(Machine&) for each. A machine that is added meanwhile waits for the next
-    /// call, unless its turn is still to come in this one.
+    /// Empties the queue and calls dispatch(Machine&) for each machine. A machine that is added during this call waits
+    /// for the next call, unless dispatch has yet to be called for it in this one.
     template <class Dispatch> void drain(Dispatch&& dispatch) {
         for (auto* machine : std::exchange(queue_, {})) {
             machine->wants_orders = false;
@@ -32,25 +32,26 @@
     std::vector<Machine*> queue_;
 };
 
-/// Machines that are to be asked for a heartbeat: after a failover, and those that have not shown a fencing token of
-/// the leader's term. Only some are asked at a time, since those that do not answer hold a socket each.
+/// Machines that are to be asked for a heartbeat: all machines after a failover, and those that have not shown a
+/// fencing token of the leader's term. The number of concurrent requests is limited, since each unanswered request
+/// occupies a socket.
 class HeartbeatRequests {
 public:
     explicit HeartbeatRequests(const Settings& settings) : settings_(settings) {}
 
-    /// Queues the machine unless it is queued, however often it reports before its turn: machines that cannot be
-    /// reached stay unproven, and 2,000 of them would queue up faster than they can be asked.
+    /// Queues the machine unless it is queued already. Machines that cannot be reached stay unproven and call for this
+    /// with each heartbeat; with 2,000 of them, the queue would otherwise grow faster than it is processed.
     void add(Machine& machine);
-    /// Queues the machine in any case.
+    /// Queues the machine even if it is queued already.
     void add_again(const Machine& machine) {
         queue_.push_back(machine.id);
     }
-    /// The id of the machine whose turn it is, as long as not too many are being asked; `machines`: how many there are.
-    /// It may be gone.
+    /// Takes the id of the next machine to be asked; none if the maximum number of requests is in flight. The machine
+    /// may no longer exist. `machines` is the number of all machines.
     [[nodiscard]] std::optional<std::string> next(std::size_t machines);
     void sent(Machine& machine);
     void answered(Machine& machine);
-    /// The machine is about to be destroyed.
+    /// Must be called before the machine is destroyed.
     void forget(const Machine& machine);
 
 private:
--- a/src/cluster/proposals.hpp
+++ b/src/cluster/proposals.hpp
@@ -1,58 +1,62 @@
-// What policies may propose. ClusterState checks each proposal on the one state that counts, and no rule depends on a
-// policy being right.
+// The interface through which policies propose changes to the cluster. ClusterState checks each proposal against the
+// authoritative state, so that no protocol rule depends on a policy being correct.
 #pragma once
 
 #include "cluster/cluster_data.hpp"
 
 namespace heronshift::cluster {
 
-/// The changes that a policy may propose. Called from within a pass, on the thread of the event loop; each takes effect
-/// at once, so that the view shows it to the next decision.
+/// The changes that a policy may propose. All functions are called during a scheduling pass, on the event loop's
+/// thread. Each change takes effect immediately and is visible to the policy's next decision.
 class Proposals {
 public:
     virtual ~Proposals() = default;
-    /// Places one more task of the job there. False: a rule forbids it (said in the log), or no task waits.
+    /// Places the job's next pending task on the machine. Returns false if a rule forbids it, which is logged, or if no
+    /// task is pending.
     virtual bool place(const Job& job, const Machine& machine) = 0;
-    /// Removes from the pending tasks those that are done or placed meanwhile: all of them, or only the first ones.
+    /// Removes tasks that have been placed or done since from the job's pending tasks: all of them if `all`, otherwise
+    /// only those before the first task that is still to be placed.
     virtual void drop_settled(const Job& job, bool all) = 0;
-    /// Stops a task, which has so many seconds to save its progress.
+    /// Stops a task and gives it `drain_s` seconds to save its progress.
     virtual void stop(const Entry& entry, double drain_s) = 0;
-    /// Stops a task at once, for the sake of another job.
+    /// Stops a task immediately in favor of another job.
     virtual void preempt(const Entry& entry) = 0;
-    /// Stops a task in order to start it elsewhere.
+    /// Stops a task in order to start it on another machine.
     virtual void move_away(const Entry& entry, double drain_s) = 0;
-    /// Keeps room on a machine for so many tasks of the job until then, against jobs of this priority and below.
+    /// Reserves resources on a machine for this number of tasks of the job until this time. The reservation holds
+    /// against jobs of priority `against` and lower.
     virtual void reserve(const Machine& machine, const Job& job, int tasks, double until, Priority against) = 0;
-    /// Room for the job was looked for, and may come free until then.
+    /// Records that resources for the job were requested, and that the job waits for them until this time.
     virtual void room_asked(const Job& job, double until) = 0;
-    /// Room in a good place is being made for the job's replicas, or no longer is.
+    /// Records whether resources are being freed for the job's replicas on machines that suit them well.
     virtual void good_room(const Job& job, bool being_made) = 0;
-    /// All tasks of the gang are placed again.
+    /// All tasks of the gang are being placed again.
     virtual void gang_whole(const Job& job) = 0;
-    /// Determines for each job whether it is within its team's guarantee.
+    /// Determines for each job whether it is within its team's guaranteed resources.
     virtual void mark_guarantees() = 0;
-    /// The machines of the pool for services, and the largest replica.
+    /// Sets the machines of the pool for services, and the resources of the largest service replica.
     virtual void set_pool(const std::vector<const Machine*>& pool, const Resources& service_shape) = 0;
-    /// What a task uses of the work that waits most.
+    /// Sets the resources that one task uses in the most common kind of waiting work.
     virtual void set_common_shape(const Resources& resources) = 0;
-    /// The task takes too long on its machine.
+    /// Counts that the machine was considered slow because of this task's run time.
     virtual void blame(const Entry& entry) = 0;
-    /// The machine is slow, until then.
+    /// Marks the machine as slow until this time.
     virtual void slow(const Machine& machine, double until) = 0;
-    /// The machine is to become empty and to be given back, or not after all.
+    /// Marks the machine to be emptied and released if `leave`, or revokes that.
     virtual void retire(const Machine& machine, bool leave) = 0;
+    /// Requests machines from the cloud.
     virtual void rent(const Pending& rental) = 0;
-    /// How many spot machines are up.
+    /// Sets the number of spot machines that are up.
     virtual void count_spot(std::size_t machines) = 0;
-    /// Asks the machine for a heartbeat.
+    /// Queues a request for a heartbeat to the machine.
     virtual void ask(const Machine& machine) = 0;
-    /// The machine is taken for dead, which proves nothing about its tasks.
+    /// Presumes that the machine is dead. This proves nothing about its tasks.
     virtual void presume_dead(const Machine& machine) = 0;
-    /// The machine takes no more work; its release is about to be asked for.
+    /// Stops placements on the machine, whose release is about to be requested with `release`.
     virtual void give_back(const Machine& machine) = 0;
-    /// Asks the cloud to take these machines back, as far as they can be remembered as gone.
+    /// Requests the release of these machines from the cloud, limited to as many as DepartedMachines has capacity for.
     virtual void release(std::vector<std::string> machines) = 0;
-    /// More could be placed in the next pass.
+    /// Requests a scheduling pass, since more tasks could be placed.
     virtual void request_pass() = 0;
     virtual void log(LogLine::Level level, std::string text) = 0;
 };
