--- a/src/cluster/dependencies.cpp
+++ b/src/cluster/dependencies.cpp
@@ -1,5 +1,5 @@
-// Jobs that wait for others: when they are ready, what a cancellation cancels with it, and how urgent those that need a
-// job make it.
+// Jobs that wait for other jobs: when they become ready, how a cancellation cascades to dependents, and how the urgency
+// of a job propagates to the jobs that it needs.
 #include "cluster/cluster_state.hpp"
 
 #include <algorithm>
@@ -9,10 +9,10 @@
 namespace heronshift::cluster {
 namespace {
 
-constexpr double estimate_slack = 1.3; // owners' estimates of chained work are wrong by a third
+constexpr double estimate_slack = 1.3; // owners' run time estimates of dependent jobs are off by up to a third
 
-// The job is needed by one of this priority that has to start by then (below zero: at any time). Whether that makes it
-// more urgent than it was.
+// Raises the urgency of a job that is needed by a job of this priority, which has to start by `latest_start` (negative:
+// at any time). Returns whether the needed job became more urgent.
 bool raise_urgency(Job& needed, Priority priority, double latest_start) {
     bool changed = false;
     if (priority < needed.priority) {
@@ -28,9 +28,10 @@
 
 } // namespace
 
-// From now on it is work like any other: it waits for room, counts to its team and may be rented for.
+// Makes the job eligible for scheduling: from now on its tasks wait for resources, count for its team and may cause
+// machines to be rented.
 void ClusterState::join(Job& job) {
-    job.tasks.resize(job.spec.tasks); // a flood of waiting jobs costs no memory for tasks
+    job.tasks.resize(job.spec.tasks); // allocated only now, so that jobs waiting for others use no memory for tasks
     if (job.team >= 0)
         data_.teams[static_cast<std::size_t>(job.team)].add(job);
     log(LogLine::Level::debug,
@@ -44,9 +45,9 @@
     needs_scheduling_ = true;
 }
 
-// A need counts as met only once the store holds that it is done: what only this memory knows might
-// be run again by the next leader, and then a start would have been too early (docs/safety.md, 14;
-// `NothingIsReadyBeforeTheStoreHasTheFinalState`).
+// A dependency counts as met only once the store holds that the needed job is done. If only this leader's memory held
+// that, the next leader might run the needed job again, and the dependent would have started too early (docs/safety.md,
+// 14; `NothingIsReadyBeforeTheStoreHasTheFinalState`).
 void ClusterState::wait_for_dependencies(Job& job) {
     job.waits = true;
     job.ready_recorded = false;
@@ -67,7 +68,7 @@
             dependencies_.schedule_lookup(id, data_.now);
     }
     if (job.spec.dependencies_damaged) {
-        job.unmet.emplace_back(); // never settled
+        job.unmet.emplace_back(); // an empty id is never settled, so the job waits until it is cancelled
         log(LogLine::Level::warning, fmt::format("job {} waits: its record does not say for which jobs", job.spec.id));
     }
     log(LogLine::Level::debug,
@@ -114,8 +115,9 @@
         become_ready(job);
 }
 
-// The backward pass: a job is as urgent as the most urgent that needs it, and is to be done before
-// the latest start of those. It goes on only where it changes something.
+// Propagates urgency from dependents to the jobs that they need (a backward pass over the dependency graph): a job is
+// as urgent as its most urgent dependent, and has to be done before the latest start of each dependent. Stops at jobs
+// whose urgency does not change.
 void ClusterState::propagate_urgency(Job& from) {
     std::vector<Job*> stack{&from};
     while (!stack.empty()) {
@@ -132,7 +134,7 @@
     }
 }
 
-// When the job has to start in order to be done in time; below zero: at any time.
+// The latest time at which the job can start and still be done in time; negative: no limit.
 double ClusterState::latest_start_of(const Job& job) const {
     const double due = data_.due_at(job);
     return due < 0 ? -1 : due - estimate_slack * std::max(1.0, job.spec.estimate_s) - data_.settings.report_s;
@@ -167,7 +169,7 @@
     case Known::open:
         if (command.job)
             add_job(*command.job);
-        // Settled by its own end, or else asked for again.
+        // The end of the needed job normally settles the dependency. It is looked up again in case that does not happen.
         dependencies_.schedule_lookup(command.id, data_.now + settings.lease_s);
         break;
     case Known::no_answer:
--- a/src/cluster/entries.cpp
+++ b/src/cluster/entries.cpp
@@ -1,4 +1,4 @@
-// Tasks on machines, from their placement until they are proven gone: where they count, and what becomes of them.
+// Entries of tasks on machines, from the placement until the task is proven gone: accounting, stops and task results.
 #include "cluster/cluster_state.hpp"
 #include "cluster/gone_proof.hpp"
 
@@ -9,14 +9,14 @@
 namespace {
 
 constexpr std::uint8_t max_failures_counted = 200;
-// A job without success that fails on so many machines is at fault itself.
+// A job none of whose tasks ever succeeded is considered faulty itself after failures on this many machines.
 constexpr std::size_t job_fault_machines = 3;
-// A machine that fails tasks of so many jobs is at fault.
+// A machine on which tasks of this many jobs failed is considered faulty.
 constexpr std::size_t machine_fault_jobs = 2;
 constexpr double max_retry_pause_leases = 3;
 constexpr int max_retry_doublings = 6;
 
-// The phase that a reported state stands for; that of an ended task stays.
+// The phase that corresponds to a reported state. For an ended task, its current phase.
 Phase phase_of(TaskState state, Phase current) {
     switch (state) {
     case TaskState::fetching:
@@ -56,7 +56,8 @@
     return entry;
 }
 
-// Takes the entry out of the lists of its job and its machine, whose last one takes its place in each.
+// Removes the entry from the lists of its job and its machine. The last element of each list takes the entry's
+// position.
 PropagateConst<std::unique_ptr<Entry>> ClusterState::unlink_entry(Entry& entry) {
     auto& machine = *entry.machine;
     auto& job = *entry.job;
@@ -97,12 +98,13 @@
 
 void ClusterState::restart_after_loss(Job& job, const Entry& gone) {
     job.queue_task(gone.index);
-    // The loss of an earlier attempt, which an old record may name, says nothing about the present one.
+    // An old record may contain an entry of an earlier attempt, whose loss does not affect the current attempt.
     if (job.spec.shape == Shape::gang && gone.attempt == job.gang_attempt)
         break_gang(job);
 }
 
-// A gang that has lost a task is stopped whole; it starts again once every old task is proven gone (docs/safety.md, 8).
+// Stops all tasks of a gang that has lost one. The gang starts again once every old task is proven gone
+// (docs/safety.md, 8).
 void ClusterState::break_gang(Job& job) {
     if (job.gang_breaking || job.live == 0)
         return;
@@ -182,7 +184,7 @@
     auto& machine = *entry.machine;
     auto& job = *entry.job;
     machine.failed_jobs.clear();
-    // How long a task ran that an earlier leader started is not known.
+    // The run time of a task that an earlier leader started is not known.
     const bool started_by_us = entry.attempt >> attempt_counter_bits == data_.term;
     if (entry.running_at >= 0 && job.tasks[entry.index].saved_s <= 0 && started_by_us)
         record_run_time(job, machine, data_.now - entry.running_at);
@@ -204,7 +206,8 @@
         blame_machine(machine, job);
 }
 
-// The job is tried again with a growing pause, and no machine is taken out of use because of it (docs/safety.md, 13).
+// Delays the next attempt of a faulty job with exponential backoff. Its failures do not count against any machine
+// (docs/safety.md, 13).
 void ClusterState::blame_job(Job& job) {
     const double pause_s = data_.settings.report_s * (1 << std::min(job.error_streak, max_retry_doublings));
     job.not_before = data_.now + std::min(data_.settings.lease_s * max_retry_pause_leases, pause_s);
--- a/src/cluster/heartbeats.cpp
+++ b/src/cluster/heartbeats.cpp
@@ -1,4 +1,4 @@
-// What a heartbeat changes: which tasks are on its machine, which are proven gone, and whether the machine hears us.
+// Handling of heartbeats: which tasks are on the machine, which are proven gone, and whether answers reach the machine.
 #include "cluster/cluster_state.hpp"
 
 #include "cluster/gone_proof.hpp"
@@ -12,11 +12,13 @@
 namespace heronshift::cluster {
 namespace {
 
-constexpr int max_missed_answers = 2; // one is lost now and then
-constexpr double worker_waits_s = 4;  // for the answer to a heartbeat, says the protocol
+// A machine counts as unreachable after this many missed answers. A single one may be lost in normal operation.
+constexpr int max_missed_answers = 2;
+// The protocol's timeout for the answer to a heartbeat.
+constexpr double worker_waits_s = 4;
 
-// A machine sends no further heartbeat before it has the answer or has waited for it: heartbeats that follow each other
-// faster were held on their way.
+// Heartbeats that arrive at shorter intervals than this were delayed in transit: a machine sends its next heartbeat
+// only after it has received the answer to the last one or waited for it until the timeout.
 double held_together_s(const Settings& settings) {
     return std::min(settings.report_s, worker_waits_s) / 2;
 }
@@ -25,7 +27,8 @@
     return {Verb::reap, task.job, task.index, task.attempt, 0};
 }
 
-// A copy of a heartbeat that was taken, or one that a later one has overtaken. Answers to orders do not count here.
+// Whether the heartbeat is a duplicate of one received before or was overtaken by a later one. Heartbeats in replies to
+// orders are not considered.
 bool already_heard(const Heartbeat& heartbeat, const Machine& machine) {
     return std::tie(heartbeat.agent_epoch, heartbeat.counter) <=
            std::tie(machine.agent_epoch, machine.heartbeat_counter);
@@ -36,15 +39,15 @@
     machine.token_when_doubted = std::max(machine.token_when_doubted, heartbeat.fencing_token);
 }
 
-// That the machine shows this token or a lower one does not prove that it has heard an answer since it was doubted.
+// If the machine shows this token or a lower one, that does not prove that an answer reached it since the doubt arose.
 std::uint64_t highest_ambiguous_token(const Machine& machine) {
     return std::max(machine.ordered_token, machine.token_when_doubted);
 }
 
 } // namespace
 
-// The agent has seen the token of a later leader. That ends our term, however old the heartbeat is (docs/safety.md, 4;
-// `Core.AHigherTermInAHeartbeatEndsTheTerm`).
+// Whether the agent has seen the token of a later leader. That ends this leader's term, however old the heartbeat is
+// (docs/safety.md, 4; `Core.AHigherTermInAHeartbeatEndsTheTerm`).
 bool ClusterState::outdated(const Heartbeat& heartbeat) {
     if (heartbeat.fencing_token >> token_counter_bits <= data_.term)
         return false;
@@ -54,8 +57,8 @@
     return true;
 }
 
-// Of a machine that was lost and forgotten: what is no newer than its last heartbeat is no sign of life
-// (docs/safety.md, 28; `LargeFleet`).
+// Whether the heartbeat is from a lost machine that is no longer tracked, and is not newer than the last one received
+// from that machine. It does not show that the machine is alive (docs/safety.md, 28; `LargeFleet`).
 bool ClusterState::copy_of_departed(const Heartbeat& heartbeat) {
     const auto* last = departed_.find(heartbeat.machine);
     return last != nullptr &&
@@ -69,9 +72,9 @@
         log(LogLine::Level::info, "old reports come late, they count for nothing");
 }
 
-// Copies of heartbeats may come late, from seconds to well over a lease, and in any order: they count for nothing,
-// not even as a sign of life. Else a machine that is long gone would keep its tasks for as long as they come
-// (`Core.ACopyOfAHeartbeatIsNoHeartbeat`).
+// Duplicates of heartbeats may arrive in any order and with delays from seconds to well over a lease. They are ignored,
+// and do not even show that the machine is alive. Otherwise a machine that no longer exists would keep its tasks for as
+// long as duplicates arrive (`Core.ACopyOfAHeartbeatIsNoHeartbeat`).
 void ClusterState::receive_heartbeat(const HeartbeatReceived& command) {
     const auto& heartbeat = command.heartbeat;
     const auto refuse = [&] {
@@ -91,7 +94,7 @@
     auto& machine = learn_machine(heartbeat.machine, heartbeat.addr, heartbeat.type, heartbeat.zone, heartbeat.spot);
     if (already_heard(heartbeat, machine))
         return refuse_stale(counters_.stale_heartbeats);
-    // One that an answer to orders has overtaken was sent before that.
+    // A reply to orders that was sent after this heartbeat has arrived before it.
     const bool overtaken = heartbeat.agent_epoch == machine.agent_epoch && heartbeat.counter <= machine.counter;
     note_route(machine, command);
     std::vector<Order> orders;
@@ -100,14 +103,15 @@
     ask_for_proof_of_hearing(machine, heartbeat);
     acknowledge(machine, heartbeat, overtaken);
     if (!machine.proven)
-        heartbeat_requests_.add(machine); // an answer to empty orders proves that it is there
+        heartbeat_requests_.add(
+            machine); // a reply to an empty batch of orders proves that the machine has seen this term
     auto stops = standing_orders(machine);
     orders.insert(orders.end(), stops.begin(), stops.end());
     effects_.emplace_back(AnswerHeartbeat{command.handle, http_status::ok, machine.fencing_token, std::move(orders)});
 }
 
-// A machine stays with the controller that answers it. One that has left it, or has sent what did not come here, may
-// have missed an answer.
+// A machine keeps sending its heartbeats to the controller that answers them. If it has changed the controller, or if
+// some of its heartbeats did not arrive here, it may have missed an answer.
 void ClusterState::note_route(Machine& machine, const HeartbeatReceived& command) {
     const bool first = machine.last_answered_at < 0;
     const bool route_changed = command.relayed != machine.last_relayed;
@@ -117,7 +121,7 @@
     machine.last_relayed = command.relayed;
 }
 
-// The heartbeat is about to be answered, which renews the lease and tells the fencing token.
+// Records that the heartbeat is about to be answered. The answer renews the lease and contains the fencing token.
 void ClusterState::acknowledge(Machine& machine, const Heartbeat& heartbeat, bool overtaken) {
     machine.heartbeat_counter = heartbeat.counter;
     machine.extend_lease_to(overtaken ? machine.last_heartbeat_at : data_.now);
@@ -128,14 +132,14 @@
     }
 }
 
-// A heartbeat, or the answer to orders, which is one as well. `orders`: what the machine is to be told about tasks of
-// which nothing is tracked here, or which have ended.
+// Applies a heartbeat or the one in a reply to orders. Appends to `orders` the orders for reported tasks that are not
+// tracked or have ended.
 void ClusterState::apply_heartbeat(Machine& machine, const Heartbeat& heartbeat, std::vector<Order>& orders) {
     const bool seen_term = has_seen_term(heartbeat, data_.term);
     if (seen_term)
         machine.fencing_token = std::max(machine.fencing_token, heartbeat.fencing_token);
     if (!is_newest(heartbeat, machine))
-        return; // its list of tasks is as old as itself
+        return; // its list of tasks is outdated
     if (seen_term) {
         data_.unproven_machines.erase(machine.id);
         needs_scheduling_ = needs_scheduling_ || !machine.proven;
@@ -158,7 +162,7 @@
         take_notice(machine, heartbeat.notice_s);
 }
 
-// All tasks of earlier epochs are gone, and orders for those are void.
+// All tasks of earlier epochs are gone, and the agent refuses orders for those epochs.
 void ClusterState::begin_agent_epoch(Machine& machine, const Heartbeat& heartbeat) {
     for (std::size_t i = machine.entries.size(); i-- > 0;)
         if (ended_by_epoch(*machine.entries[i], heartbeat)) {
@@ -169,13 +173,13 @@
         lease_restarted(machine);
     machine.agent_epoch = heartbeat.agent_epoch;
     machine.failed_jobs.clear();
-    // The lease of a new agent epoch counts from its beginning, which was at the latest now: it holds without any
-    // heartbeat that we answered (docs/safety.md, 6).
+    // The lease of a new agent epoch starts with the epoch, that is, now at the latest. It is valid even if this leader
+    // has not answered any heartbeat of the epoch (docs/safety.md, 6).
     machine.extend_lease_to(data_.now);
 }
 
 void ClusterState::mark_up(Machine& machine) {
-    machine.extend_lease_to(data_.now); // it may report to nobody yet
+    machine.extend_lease_to(data_.now); // its lease has begun even if no leader has answered it yet
     machine.status = Status::up;
     if (machine.up_since < 0) {
         machine.up_since = data_.now;
@@ -187,8 +191,8 @@
     needs_scheduling_ = true;
 }
 
-// Marks and updates the entries of the tasks that the heartbeat lists; returns those that have ended. Tasks without
-// an entry get one, or orders.
+// Updates the entries of the tasks that the heartbeat lists and sets their `listed` to `mark`; returns the tasks that
+// have ended. For a listed task without an entry, adds an entry or an order.
 std::vector<ClusterState::EndedTask> ClusterState::match_listed_tasks(Machine& machine, const Heartbeat& heartbeat,
                                                                       std::uint64_t mark, std::vector<Order>& orders) {
     std::vector<EndedTask> ended;
@@ -217,7 +221,8 @@
         orders.push_back(reap_order(task));
 }
 
-// A task that we do not know to be here. It occupies its place all the same.
+// Handles a live task that was not known to be on the machine. It uses the machine's resources, so it gets an entry
+// even if it is to be stopped.
 void ClusterState::take_unknown_live_task(Machine& machine, const ReportedTask& task, std::uint64_t mark,
                                           std::vector<Order>& orders) {
     auto* job = find_job(task.job);
@@ -233,7 +238,7 @@
         stop_entry(entry, 0);
 }
 
-// Of the entries that the newest heartbeat does not list, those that are proven gone; then those that have ended.
+// Removes the entries that the newest heartbeat does not list and that are proven gone, then those of the ended tasks.
 void ClusterState::remove_gone(Machine& machine, const Heartbeat& heartbeat, std::uint64_t mark,
                                const std::vector<EndedTask>& ended) {
     std::vector<Entry*> gone;
@@ -248,8 +253,8 @@
         remove_entry(*entry);
 }
 
-// A task that is done is forgotten by its machine only once the store holds that it is (docs/safety.md, 6;
-// `Core.DoneIsReapedOnlyOnceTheStoreHoldsIt`).
+// Whether the machine may discard its record of the ended task. For a task that is done, the store has to hold that
+// first (docs/safety.md, 6; `Core.DoneIsReapedOnlyOnceTheStoreHoldsIt`).
 bool ClusterState::may_reap(const ReportedTask& task) {
     if (task.cause != ExitCause::done)
         return true;
@@ -267,17 +272,18 @@
     needs_scheduling_ = true;
 }
 
-// Its lease ran out, as a heartbeat says or an answer to orders.
+// A heartbeat or a reply to orders shows that the machine's lease expired and a new agent epoch began.
 void ClusterState::lease_restarted(Machine& machine) {
-    ++machine.fencing_token; // that it shows this one, told from now on, will prove that it hears
-    // Heartbeats that were held and come all at once are no sign of a missed answer.
+    ++machine.fencing_token; // once the machine shows this token, answers are proven to reach it
+    // Heartbeats that were delayed and arrive in a burst are no sign of a missed answer.
     const double answered_s = data_.now - machine.last_answered_at;
     machine.expired_though_answered = machine.last_answered_at >= 0 && answered_s > held_together_s(data_.settings) &&
                                       answered_s < data_.settings.lease_s / 2;
 }
 
-// A heartbeat that was sent after the answer with the token should have come, and yet shows a lower one; or a lease
-// that the answer should have renewed. Nothing is concluded from an equal token: an order may have brought it.
+// Whether the machine certainly missed an answer: the heartbeat was sent after the answer with the acknowledged token
+// should have arrived and still shows a lower token, or a lease expired that the answer should have renewed. An equal
+// token proves nothing, since the machine may have received it with an order.
 bool ClusterState::answer_was_missed(Machine& machine, const Heartbeat& heartbeat) const {
     const bool expired = std::exchange(machine.expired_though_answered, false);
     const bool lacks_token = heartbeat.fencing_token < machine.acknowledged_token &&
@@ -285,10 +291,10 @@
     return expired || lacks_token;
 }
 
-// Heartbeats may come while their answers do not reach the machine: its lease ends, it begins anew, and all that is
-// placed there is lost again. Only a token that no order has carried proves that it hears answers; neither that
-// heartbeats come nor any other token takes back what was counted (docs/safety.md, 30;
-// `InboundUnreachable.OneMachineGetsNothingMoreAndIsGivenBack`).
+// Heartbeats may arrive while the answers to them do not reach the machine. Its lease then expires again and again, it
+// begins a new agent epoch each time, and all tasks placed there are lost. Only a token that was not sent with any
+// order proves that answers reach the machine. Neither further heartbeats nor any other token resets the count of
+// missed answers (docs/safety.md, 30; `InboundUnreachable.OneMachineGetsNothingMoreAndIsGivenBack`).
 void ClusterState::update_inbound_reachability(Machine& machine, const Heartbeat& heartbeat) {
     if (answer_was_missed(machine, heartbeat)) {
         ++machine.missed_answers;
@@ -309,8 +315,10 @@
             : fmt::format("machine {} hears again", machine.id));
 }
 
-// While it is in doubt, the answer tells a token that the machine can have from nowhere else, unless it still lacks one
-// that it was told. Orders under way are not made void for that: the next heartbeat will do.
+// While it is in doubt whether answers reach the machine, raises the fencing token, so that the next answer contains a
+// token that the machine cannot have received in any other way. Not done if the machine has not yet shown a token that
+// it was sent earlier, nor while a batch of orders is unanswered: a raised token would invalidate that batch, and the
+// next heartbeat is early enough.
 void ClusterState::ask_for_proof_of_hearing(Machine& machine, const Heartbeat& heartbeat) {
     const bool lacks_token = heartbeat.fencing_token < machine.acknowledged_token;
     if (!machine.hearing_in_doubt || lacks_token || machine.batch != 0)
@@ -319,11 +327,12 @@
         ++machine.fencing_token;
 }
 
-// The stops that its tasks have to be told, with each heartbeat until they have ended.
+// The stop orders for the machine's tasks. They are repeated with each answer to a heartbeat until the tasks have
+// ended.
 std::vector<Order> ClusterState::standing_orders(Machine& machine) {
     std::vector<Order> out;
     for (auto& entry : machine.entries) {
-        // A second stop of a saving task with no grace would end it before it has saved.
+        // A repeated stop without a grace period would end a saving task before its progress is saved.
         const bool saves = entry->phase == Phase::saving && entry->drain_s > 0;
         if (!entry->stop || entry->phase < Phase::sent || saves)
             continue;
--- a/src/cluster/job_lifecycle.cpp
+++ b/src/cluster/job_lifecycle.cpp
@@ -1,4 +1,5 @@
-// Jobs from their submission until they are forgotten: cancellations, completion, and what is learned from them.
+// Jobs from their submission until they are removed: cancellation, completion, and the averages that are derived from
+// them.
 #include "cluster/cluster_state.hpp"
 #include "cluster/gone_proof.hpp"
 
@@ -11,15 +12,19 @@
 namespace heronshift::cluster {
 namespace {
 
-constexpr double max_gaps = 50;              // between array jobs, averaged
-constexpr double run_time_retention = 0.995; // of the sums of run times, with each task that is done
-constexpr double max_run_estimates = 5;      // a task counts for so many times its estimate at most
-
-// A job takes three changes of the store (its record, its final state, the end of its record), so no more than
-// a third of write_rps finish in a second. What a watch tells is no older than any other message; besides, a store
-// that keeps its last 10,000 changes for watchers (store/engine.hpp) has those of some 3,300 jobs. Where memory
-// bounds the table instead, at 14,745 jobs with 72 MB, an event older than all of these would bring a finished job
-// back: that takes more than 70 changes a second for all of max_message_age_s with a lease of 20 s.
+// Intervals between array jobs over which their mean is taken.
+constexpr double max_gaps = 50;
+// Factor by which the sums of run times decay with each task that is done.
+constexpr double run_time_retention = 0.995;
+// Limit for the run time of one task in the sums, as a multiple of its estimate.
+constexpr double max_run_estimates = 5;
+
+// The cache of final states must hold all jobs that can finish within max_message_age_s, the maximum age of a watch
+// event; an older event for a job that is no longer cached would restore the finished job. Each job takes three changes
+// of the store (adding its record, its final state, removing its record), so at most a third of write_rps jobs finish
+// per second. Besides, a store that keeps its last 10,000 changes for watchers (store/engine.hpp) covers about 3,300
+// jobs. Where memory limits the cache instead, to 14,745 jobs with 72 MB, an event older than all cached jobs would
+// require more than 70 changes per second during all of max_message_age_s with a lease of 20 s.
 constexpr double changes_per_job = 3;
 constexpr double finals_memory_share = 1.0 / 32;
 constexpr std::size_t final_bytes = 160;
@@ -60,7 +65,7 @@
     return index;
 }
 
-// Only services have an objective for their start; below zero: none.
+// The objective for the time until the first start, in seconds. Only services have one; negative: none.
 double ClusterState::start_objective_s(const JobSpec& spec) const {
     double within_s = -1;
     if (spec.shape == Shape::service)
@@ -111,8 +116,8 @@
         finalize(*known, Final::cancelled);
 }
 
-// Nobody has any use for what runs after a cancellation was asked for, so its tasks are stopped at once; the answer
-// still waits for the store.
+// The tasks are stopped immediately, as their results are no longer needed. The answer to a cancellation request is
+// sent only after the final state is stored.
 void ClusterState::finalize(Job& job, Final final_state, bool cancelled_with_dependency) {
     job.final = final_state;
     log(LogLine::Level::debug,
@@ -131,10 +136,10 @@
         store_cancellation(job);
 }
 
-// Whoever reads the final state may tell the user that the job is cancelled, and from then on none of its tasks may
-// start. So it is stored only once no launch is open, of this leader or an earlier one: seen in a heartbeat, refused,
-// ruled out by a raised fencing token, or its machine's lease has run out: a launch that comes seconds late is executed
-// all the same (docs/safety.md, 27; `LateCommands`).
+// Any node that reads the final state may report the job as cancelled to the user, and from then on none of its tasks
+// may start. A launch that arrives seconds late is still executed, so the final state is stored only once no launch of
+// this leader or an earlier one has an unknown outcome: each was seen in a heartbeat, refused, or ruled out by a raised
+// fencing token, or its machine's lease has expired (docs/safety.md, 27; `LateCommands`).
 void ClusterState::store_cancellation(Job& job) {
     const auto open =
         std::count_if(job.entries.begin(), job.entries.end(), [](const auto& e) { return launch_open(*e); });
@@ -192,7 +197,7 @@
     data_.jobs.erase(std::string(job.spec.id));
 }
 
-// The work that array jobs bring, averaged over a while: how much room is kept for those to come.
+// Updates the average offered load of array jobs, which determines how much capacity is kept for future jobs.
 void ClusterState::count_offered_work(const Job& job) {
     if (job.spec.shape != Shape::array)
         return;
@@ -200,7 +205,7 @@
     const double over = data_.average_s();
     const double left = std::exp(-(data_.now - learned.offered_at) / over);
     const double more = data_.work_left(job) / over * std::exp(-std::max(0.0, data_.now - job.ready) / over);
-    if (data_.now - job.ready < data_.settings.report_s) { // not one read at a failover
+    if (data_.now - job.ready < data_.settings.report_s) { // not a job that was read from the store at a failover
         learned.gaps = std::min(learned.gaps + 1, max_gaps);
         learned.gap_s += (data_.now - learned.offered_at - learned.gap_s) / learned.gaps;
     }
@@ -209,13 +214,14 @@
     learned.offered_at = data_.now;
 }
 
-// Tasks of one job take much the same time, so the longest of those that are through tells what is
-// too long, long before any estimate would.
+// Tasks of one array job have similar run times, so the longest completed run shows which running tasks take too long,
+// much earlier than the owner's estimate would.
 void ClusterState::record_run_time(Job& job, const Machine& machine, double ran) {
     if (job.spec.shape != Shape::array)
         return;
     if (job.spec.estimate_s > 0) {
-        // Most estimates may be too low for a while. Sums, since single ones are often wrong by half.
+        // Corrects for a period in which most estimates are too low. Uses sums, because individual estimates are often
+        // wrong by half.
         auto& learned = data_.learned;
         learned.ran_s = run_time_retention * learned.ran_s + std::min(ran, max_run_estimates * job.spec.estimate_s);
         learned.estimated_s = run_time_retention * learned.estimated_s + job.spec.estimate_s;
