--- a/src/cluster/machine_lifecycle.cpp
+++ b/src/cluster/machine_lifecycle.cpp
@@ -1,4 +1,4 @@
-// What is known of machines: their types, images and leases, rentals, releases and the cloud's list.
+// Machines from their rental until they are removed: types, zones, images, lease expiry, releases and the cloud's list.
 #include "cluster/cluster_state.hpp"
 #include "cluster/gone_proof.hpp"
 
@@ -8,10 +8,12 @@
 namespace heronshift::cluster {
 namespace {
 
-// A machine that the list has not named for so long is gone for good, or never was there.
+// A machine that is absent from the cloud's list for longer than this no longer exists, or never existed. The time is
+// the sum of multiples of list_lag_s and lease_s.
 constexpr double unlisted_list_lags = 4;
 constexpr double unlisted_leases = 2;
-constexpr double no_capacity_heartbeats = 2; // until a refused type is asked for again, in report_s
+// Time until a kind of machine is requested again after the cloud had no capacity for it, in units of report_s.
+constexpr double no_capacity_heartbeats = 2;
 
 } // namespace
 
@@ -37,7 +39,7 @@
             machine.zone = static_cast<int>(i);
     if (machine.zone < 0)
         return;
-    for (auto& entry : machine.entries) { // counted as in an unknown zone until now
+    for (auto& entry : machine.entries) { // were counted in the unknown zone
         --entry->job->zone_live[zones.size()];
         ++entry->job->zone_live[static_cast<std::size_t>(machine.zone)];
     }
@@ -62,7 +64,7 @@
     return machine;
 }
 
-// The machine of this name, tracked from now on if it was not, with what was not known of it.
+// Returns the machine with this id. Adds it if it is not tracked yet, and fills in properties that were not known.
 Machine& ClusterState::learn_machine(const std::string& id, const std::string& addr, const std::string& type,
                                      const std::string& zone, bool spot) {
     auto& slot = data_.machines[id];
@@ -112,7 +114,8 @@
     data_.machines.erase(it);
 }
 
-// All tasks here are proven gone (gone_proof.hpp); what a transaction under way names is settled by its outcome.
+// Removes the entries of a machine whose tasks are all proven gone (gone_proof.hpp). Entries in a transaction with an
+// unknown outcome are kept until the outcome is known.
 void ClusterState::lose_entries(Machine& machine) {
     for (std::size_t i = machine.entries.size(); i-- > 0;)
         if (machine.entries[i]->phase != Phase::storing)
@@ -127,13 +130,13 @@
         if (may_be_forgotten(*machine))
             remove.push_back(id);
     }
-    // Without room for what was last heard of it, a machine stays tracked as lost until there is.
+    // A machine stays tracked as lost until `departed_` has capacity for its record.
     remove.resize(departed_.room_for(remove.size(), data_.now));
     for (const auto& id : remove)
         forget_machine(id, false);
 }
 
-// Its lease has surely expired.
+// Marks a machine whose lease has certainly expired as lost.
 void ClusterState::lose_machine(Machine& machine) {
     if (!machine.entries.empty())
         log(LogLine::Level::warning,
@@ -148,7 +151,8 @@
     data_.unproven_machines.erase(machine.id);
 }
 
-// Gone from the list for good, or never there: nothing of it is left to keep.
+// Whether the machine no longer exists or never existed according to the cloud's list, and has no entries or unanswered
+// orders.
 bool ClusterState::may_be_forgotten(const Machine& machine) const {
     const auto& settings = data_.settings;
     const bool unlisted = data_.now - std::max(machine.listed_at, machine.known_since) >
@@ -176,11 +180,12 @@
         note_no_capacity(rental);
         data_.rentals.erase(it);
         break;
-    case RentOutcome::failed: // surely not executed
+    case RentOutcome::failed: // certainly not executed
         data_.rentals.erase(it);
         break;
     case RentOutcome::unknown:
-        // The answer was lost: the same claim again, so that nothing is rented twice (docs/safety.md, 12).
+        // The answer was lost. Repeats the request with the same claim, so that nothing is rented twice
+        // (docs/safety.md, 12).
         rental.in_flight = true;
         effects_.emplace_back(Rent{command.claim, rental.type, rental.zone, rental.spot, rental.count});
         break;
@@ -203,10 +208,10 @@
             machine->release_retry = data_.now + data_.settings.report_s;
             continue;
         }
-        // By the time of the answer the machine and everything on it are gone.
+        // The cloud has confirmed the release, so the machine and all its tasks are gone.
         lose_entries(*machine);
         if (!machine->entries.empty())
-            continue; // asked again once the store has answered
+            continue; // the release is requested again once the store has answered
         forget_machine(id, true);
     }
     needs_scheduling_ = true;
@@ -214,14 +219,14 @@
 
 void ClusterState::listed(const MachinesListed& command) {
     for (const auto& listed_machine : command.machines) {
-        // The list lags: what was released may still be in it for a while.
+        // The list may be outdated and still contain a machine that was released.
         if (departed_.released(listed_machine.id))
             continue;
         auto& machine = learn_machine(listed_machine.id, listed_machine.addr, listed_machine.type, listed_machine.zone,
                                       listed_machine.spot);
         machine.listed_at = data_.now;
-        // Known from records or a heartbeat first, as after a failover, it is older than that. Taken for new, it
-        // would not be emptied for a while after each change of leadership.
+        // After a failover, a machine may first become known from records or a heartbeat, although it is older. If it
+        // counted as new, it could not be emptied for some time after each change of leadership.
         machine.known_since = std::min(machine.known_since, data_.now - listed_machine.age_s);
         if (listed_machine.status == "failed" && !machine.releasing) {
             log(LogLine::Level::info, fmt::format("machine {} has failed", machine.id));
--- a/src/cluster/orders.cpp
+++ b/src/cluster/orders.cpp
@@ -1,4 +1,4 @@
-// Orders to machines and requests for heartbeats: what is sent, and what follows from their outcome.
+// Sends orders and heartbeat requests to machines, and handles their outcomes.
 #include "cluster/cluster_state.hpp"
 
 #include "cluster/gone_proof.hpp"
@@ -10,12 +10,13 @@
 namespace heronshift::cluster {
 namespace {
 
-// To a machine at once; the rest follow its answer. A machine runs tens of tasks, however many machines there are.
+// Maximum number of orders to a machine in one batch; further orders are sent after its reply. A machine runs tens of
+// tasks, independently of the size of the fleet.
 constexpr std::size_t max_orders = 200;
 
 constexpr int no_answer = 0;
 
-// The launch was sent with this token, and no heartbeat has settled it.
+// The launch was sent with this token, and its outcome is unknown.
 bool outstanding(const Entry& entry, std::uint64_t fencing_token) {
     return launch_open(entry) && entry.fencing_token == fencing_token;
 }
@@ -29,7 +30,7 @@
 void ClusterState::send_due_orders() {
     dispatch_queue_.drain([this](Machine& machine) {
         if (machine.batch == 0)
-            dispatch(machine); // else once the answer is in
+            dispatch(machine); // otherwise `answered` queues it again when the reply arrives
     });
     request_heartbeats();
 }
@@ -68,7 +69,8 @@
             want_orders(machine);
             continue;
         }
-        // Each launch is sent once: repeated after a reap it would start the task again (docs/safety.md, 4).
+        // Each launch is sent only once: if it were repeated after the task had been reaped, the task would start again
+        // (docs/safety.md, 4).
         entry.phase = Phase::sent;
         entry.fencing_token = machine.fencing_token;
         ++counters_.launched;
@@ -83,8 +85,9 @@
                                      std::move(orders), data_.now < machine.relay_orders_until});
 }
 
-// After a failover agents find us one by one as their heartbeats to others fail. Asked directly they
-// tell at once what they run, and having seen our term they prove what they do not run.
+// After a failover, agents find the new leader one by one, as their heartbeats to other controllers fail. When asked
+// directly, they report their tasks immediately, and since they have then seen the new term, their reports also prove
+// which tasks they do not run.
 void ClusterState::request_heartbeats() {
     while (const auto id = heartbeat_requests_.next(data_.machines.size())) {
         auto* machine = find_machine(*id);
@@ -108,7 +111,7 @@
     const auto& heartbeat = command.heartbeat;
     if (heartbeat && outdated(*heartbeat))
         return;
-    // The other way next time: this one may be cut though heartbeats come.
+    // Switches between direct and relayed orders, since this route may be interrupted although heartbeats arrive.
     if (command.status == no_answer)
         machine->relay_orders_until = data_.now < machine->relay_orders_until ? -1 : data_.now + data_.settings.lease_s;
     if (machine->asked)
@@ -124,21 +127,22 @@
 
 void ClusterState::request_answered(Machine& machine, const OrdersAnswered& command) {
     heartbeat_requests_.answered(machine);
-    std::vector<Order> orders; // told with its next heartbeat
+    std::vector<Order> orders; // discarded; determined again and sent with the answer to the next heartbeat
     if (command.heartbeat)
         apply_heartbeat(machine, *command.heartbeat, orders);
     want_orders(machine);
 }
 
-// The answer is the heartbeat after the orders: what it does not list did not start.
+// The reply contains a heartbeat that the agent created after executing the orders: a launched task that it does not
+// list did not start.
 void ClusterState::orders_executed(Machine& machine, const Heartbeat& heartbeat) {
     const auto fencing_token = machine.fencing_token;
     for (auto& entry : machine.entries)
         if (outstanding(*entry, fencing_token) && heartbeat.counter > machine.counter)
             mark_seen(*entry);
-    std::vector<Order> orders; // told with its next heartbeat
+    std::vector<Order> orders; // discarded; determined again and sent with the answer to the next heartbeat
     apply_heartbeat(machine, heartbeat, orders);
-    // A newer heartbeat overtook this answer without settling a launch: raise the fencing token.
+    // If a newer heartbeat overtook this reply, the outcome of a launch may still be unknown. Raises the fencing token.
     if (std::any_of(machine.entries.begin(), machine.entries.end(),
                     [&](const auto& entry) { return outstanding(*entry, fencing_token); }))
         ++machine.fencing_token;
@@ -150,16 +154,17 @@
         if (outstanding(*machine.entries[i], fencing_token))
             remove_entry(*machine.entries[i]);
     for (auto& entry : machine.entries)
-        entry->stop_at = entry->stop ? data_.now : entry->stop_at; // answers to heartbeats repeat the stops
+        entry->stop_at = entry->stop ? data_.now : entry->stop_at; // answers to heartbeats repeat the stop orders
     if (!command.sent)
         machine.avoid_at_least_until(data_.now + data_.settings.report_s / 2);
-    std::vector<Order> orders; // told with its next heartbeat
+    std::vector<Order> orders; // discarded; determined again and sent with the answer to the next heartbeat
     if (command.heartbeat)
         apply_heartbeat(machine, *command.heartbeat, orders);
 }
 
-// The orders may still be executed, minutes later. Raising the fencing token and seeing the raised one in a heartbeat
-// proves that they no longer can be (docs/safety.md, 4; `Core.AnIncrementedTokenSeenInAHeartbeatSettlesALostLaunch`).
+// The orders may still be executed, even minutes later. Raises the fencing token: once a heartbeat shows the raised
+// token, the orders can no longer be executed (docs/safety.md, 4;
+// `Core.AnIncrementedTokenSeenInAHeartbeatSettlesALostLaunch`).
 void ClusterState::outcome_open(Machine& machine) {
     ++machine.fencing_token;
     machine.avoid_at_least_until(data_.now + data_.settings.report_s / 2);
--- a/src/cluster/placement_rules.cpp
+++ b/src/cluster/placement_rules.cpp
@@ -1,4 +1,4 @@
-// The rules of where a task may run, and other questions about the state.
+// The placement rules, and other values derived from the cluster's state.
 #include "cluster/cluster_data.hpp"
 
 #include <cmath>
@@ -6,7 +6,7 @@
 namespace heronshift::cluster {
 namespace {
 
-constexpr double offered_leases = 3; // lengths of a lease over which offered work is averaged
+constexpr double offered_leases = 3; // averaging period for offered work, in units of lease_s
 constexpr double never = 1e18;
 
 } // namespace
@@ -45,7 +45,7 @@
     const auto zone = static_cast<std::size_t>(machine.zone);
     if (spec.one_zone && job.live > 0 && job.zone_live[zone] != job.live)
         return false;
-    // What is in an unknown zone may be in any.
+    // Entries in an unknown zone may be in any zone, so they count for this one.
     return !spec.spread || job.zone_live[zone] + job.zone_live.back() < (spec.tasks + 1) / 2;
 }
 
--- a/src/cluster/proposals.cpp
+++ b/src/cluster/proposals.cpp
@@ -1,4 +1,4 @@
-// What policies propose, checked and entered.
+// Checks the proposals of policies and applies them.
 #include "cluster/cluster_state.hpp"
 
 #include <algorithm>
@@ -7,12 +7,12 @@
 namespace heronshift::cluster {
 namespace {
 
-// How often a machine is taken for slow because of one task; more are not counted.
+// Limit of `Task::blamed`, the number of times that a machine was considered slow because of one task.
 constexpr std::uint8_t max_blamed = 4;
 
 } // namespace
 
-// Every placement comes through here; a rule that it would break stops it, whoever planned it.
+// Every placement by a policy is made here and rejected if it would violate a rule.
 bool ClusterState::place(const Job& job, const Machine& machine) {
     auto& j = own(job);
     auto& m = own(machine);
@@ -26,12 +26,12 @@
         j.tasks[i].queued = false;
         if (j.tasks[i].done || j.tasks[i].live > 0)
             continue;
-        // A task is placed once a pass at most, so the pass makes the attempt unique.
+        // A task is placed at most once per pass, so the pass number makes the attempt unique.
         const auto attempt = (data_.term << attempt_counter_bits) + pass_counter_;
         if (j.spec.shape == Shape::gang)
             j.gang_attempt = attempt;
         add_entry(m, j, i, attempt);
-        // What was made room for is there: others may have the rest.
+        // Once all tasks with reserved resources are placed, the reservation ends.
         if (m.reserved_for == &j && --m.reserved_tasks <= 0)
             m.reserved_for = nullptr;
         return true;
@@ -125,7 +125,7 @@
 }
 
 void ClusterState::rent(const Pending& rental) {
-    // The term makes the name unique among all leaders there ever were.
+    // The term makes the claim unique among the claims of all leaders, past and future.
     const auto claim = fmt::format("r-{}-{}", data_.term, ++claim_seq_);
     data_.rentals[claim] = rental;
     effects_.emplace_back(Rent{claim, rental.type, rental.zone, rental.spot, rental.count});
@@ -150,8 +150,8 @@
                                           m.id, m.entries.size()));
 }
 
-// A machine that is given back must stay known as gone for as long as late messages may name it. Without room for
-// that it stays rented, takes no work, and is asked for again.
+// A released machine must remain known as gone for as long as late messages may refer to it. While `departed_` has no
+// capacity for its record, the machine stays rented without taking tasks, and its release is requested again later.
 void ClusterState::release(std::vector<std::string> machines) {
     const auto room = departed_.room_for(releases_under_way_ + machines.size(), data_.now);
     const auto may_go = std::min(machines.size(), room - std::min(room, releases_under_way_));
--- a/src/core/core.cpp
+++ b/src/core/core.cpp
@@ -10,14 +10,17 @@
 namespace heronshift {
 namespace {
 
-// How often each part has its turn, as parts of report_s.
+// How often each part of a step runs per report_s, the heartbeat interval.
 constexpr double ticks_a_report = 20;
 constexpr double passes_a_report = 60;
 constexpr double fleet_plans_a_report = 3;
-constexpr double retries_a_report = 10; // of a step that may not act
+constexpr double retries_a_report = 10; // of a step while this node may not act as leader
 
-constexpr double jobs_a_pass = 2000;      // waiting ones, which one pass in report_s / passes_a_report is meant for
-constexpr double late_store_a_report = 3; // a transaction without an answer for report_s / 3 is late
+// Number of waiting jobs up to which passes follow each other at report_s / passes_a_report; with more, passes are
+// rarer.
+constexpr double jobs_a_pass = 2000;
+// The store is late once a transaction has had no answer for report_s / 3.
+constexpr double late_store_a_report = 3;
 
 struct MachineTotals {
     std::size_t up = 0, live_tasks = 0, inbound_unreachable = 0;
@@ -33,7 +36,7 @@
     return totals;
 }
 
-// Seconds since the oldest job was ready of those with nothing running, by class and by team.
+// For each class and each team, the seconds for which the oldest ready job without entries has waited.
 struct OldestWaits {
     std::map<std::string, double> by_class, by_team;
 };
@@ -49,8 +52,9 @@
     return waits;
 }
 
-// What is wrong with a record is said with the first step (`ClusterRecords.ADamagedRecordIsNamedInTheLog`). All else
-// that reading the records brings up is decided anew then.
+// Of the effects of reading the stored records, only warnings, such as those about damaged records, are kept; the first
+// step returns them (`ClusterRecords.ADamagedRecordIsNamedInTheLog`). All other effects are determined again in that
+// step.
 bool is_warning(const Effect& effect) {
     const auto* line = std::get_if<LogLine>(&effect);
     return line != nullptr && line->level == LogLine::Level::warning;
@@ -109,9 +113,10 @@
     return std::exchange(effects_, {});
 }
 
-// All other commands wait until the leader may act again. Acting on them now would be wrong: a leader that is cut off
-// would take the machines that it cannot hear for lost and give them back, with all that runs there under its
-// successor (docs/safety.md, 1; `Core.ALeaderThatMayNotActCommandsNobody`).
+// Refuses heartbeats and leaves all other commands waiting until the leader may act again. A leader that is cut off
+// from the network must not act: it would consider the machines that it receives no heartbeats from as lost and release
+// them, together with the tasks that run there under its successor (docs/safety.md, 1;
+// `Core.ALeaderThatMayNotActCommandsNobody`).
 void Core::refuse_heartbeats(std::vector<Command>& commands) {
     std::erase_if(commands, [this](const Command& command) {
         const auto* heartbeat = std::get_if<HeartbeatReceived>(&command);
@@ -131,10 +136,9 @@
     cluster_.request_pass();
 }
 
-// A pass looks at all that waits, so events gather for a moment first. With many jobs passes are rarer: if they
-// followed each other at once they would take the whole event loop, and the leadership would be lost for want of
-// renewals
-// (`Core.ManyWaitingJobsMakePassesRarer`).
+// A pass considers all waiting jobs, so several events are collected before each pass. With many waiting jobs, passes
+// are rarer: without pauses between them they would occupy the event loop completely, the leader could not renew its
+// lease, and it would lose the leadership (`Core.ManyWaitingJobsMakePassesRarer`).
 void Core::schedule(double now) {
     cluster_.settled();
     cluster_.begin_pass();
@@ -160,7 +164,7 @@
 double Core::next_wake(double now) const {
     double next = next_tick_;
     if (records_.waiting())
-        next = std::min(next, now + 1 / settings_.state_write_rps); // as the budget allows
+        next = std::min(next, now + 1 / settings_.state_write_rps); // as the budget for writes allows
     if (cluster_.needs_scheduling())
         next = std::min(next, next_schedule_);
     return next;
--- a/src/core/core.hpp
+++ b/src/core/core.hpp
@@ -1,8 +1,9 @@
-// One leader's term: commands in, effects out. step(commands, now) -> effects is the only way in; no
-// I/O, clock or randomness of its own, so that a recorded term can be run again (replay/). One thread.
+// The deterministic state machine of one leader's term: it takes commands and returns effects. All changes go through
+// step(commands, now) -> effects. It uses no I/O, clock or randomness, so that a recorded term can be replayed
+// (replay/). Not thread-safe.
 //
-// The core only sequences: the state and its rules are in cluster/, the policies, which read a const view and propose,
-// in scheduling/, and what the store holds in persistence/.
+// The core only defines the sequence of the steps. The state and its rules are in cluster/; the policies, which read a
+// const view and make proposals, are in scheduling/; the management of stored records is in persistence/.
 #pragma once
 
 #include "cluster/cluster_state.hpp"
@@ -25,31 +26,34 @@
 
 class Core {
 public:
-    /// Begins a term with what the store held when the leadership was taken. `settings` must outlive it. `now` is
-    /// seconds of the steady clock, `wall` seconds since 1970.
+    /// Begins a term from `stored`, the contents of the store when this node became the leader. `settings` must outlive
+    /// the core. `now` is in seconds of the steady clock, `wall` in seconds since 1970.
     Core(const Settings& settings, std::uint64_t term, const Snapshot& stored, double now, double wall);
     Core(const Core&) = delete;
     Core& operator=(const Core&) = delete;
 
-    /// Takes the commands in their order and returns what is to be done, in that order. `may_act`: this node may act as
-    /// leader at this moment. While it may not, it refuses heartbeats and leaves all else among the commands until it
-    /// may again.
+    /// Applies the commands in their order and returns the effects in the order in which they are to be carried out.
+    /// `may_act` says whether this node may act as leader at this moment. If not, heartbeats are refused and all other
+    /// commands remain in `commands` until it may act again.
     std::vector<Effect> step(std::vector<Command>& commands, double now, double wall, bool may_act = true);
-    /// When step() wants to be called even if no command comes.
+    /// The time at which step() has to be called even if there are no commands.
     [[nodiscard]] double wake_at() const {
         return wake_at_;
     }
 
-    /// None: not known here, ask the store. An answer is never older than what was told before.
+    /// The status of the job; none if this leader does not know it, so that the store has to be asked. A status is
+    /// never older than one reported before.
     [[nodiscard]] std::optional<JobView> view(const std::string& id) const {
         return cluster_.job(id);
     }
     [[nodiscard]] std::vector<metrics::Value> metrics() const;
 
-    /// The shape of a job that is alive here, which proves that it was accepted.
+    /// The shape of a job that this leader knows, which proves that the job was accepted; none if it does not.
     [[nodiscard]] std::optional<Shape> shape_of(const std::string& id) const;
 
-    /// For tests: what is believed to be on machines.
+    // For tests.
+
+    /// Number of the job's tasks that may be on machines.
     [[nodiscard]] std::size_t live_tasks(const std::string& job) const;
     [[nodiscard]] std::size_t machines_up() const;
     [[nodiscard]] std::size_t machine_count() const {
