--- a/src/cluster/cluster_state.hpp
+++ b/src/cluster/cluster_state.hpp
@@ -287,7 +287,7 @@
     std::uint64_t pass_counter_ = 0, batch_seq_ = 0, claim_seq_ = 0, heartbeat_seq_ = 0;
     Counters counters_;
     DependencyTracker dependencies_;
-    // The most recent final states of removed jobs. Final states never change, so requests may be answered from this
+    // The most recent final states of removed jobs. As they never change, requests may be answered from this
     // cache. It holds more jobs than can finish while a watch event is delayed, so a late event never restores a
     // finished job (docs/safety.md, 10).
     BoundedCache<Final> recent_finals_;
