--- a/src/cluster/dependencies.cpp
+++ b/src/cluster/dependencies.cpp
@@ -11,8 +11,8 @@
 
 constexpr double estimate_slack = 1.3; // owners' run time estimates of dependent jobs are off by up to a third
 
-// Raises the urgency of a job that is needed by a job of this priority, which has to start by `latest_start` (negative:
-// at any time). Returns whether the needed job became more urgent.
+// Raises the urgency of `needed` for a dependent that has this priority and has to start by `latest_start` (negative:
+// at any time). Returns whether `needed` became more urgent.
 bool raise_urgency(Job& needed, Priority priority, double latest_start) {
     bool changed = false;
     if (priority < needed.priority) {
@@ -169,7 +169,8 @@
     case Known::open:
         if (command.job)
             add_job(*command.job);
-        // The end of the needed job normally settles the dependency. It is looked up again in case that does not happen.
+        // The end of the needed job normally settles the dependency. It is looked up again in case that does not
+        // happen.
         dependencies_.schedule_lookup(command.id, data_.now + settings.lease_s);
         break;
     case Known::no_answer:
--- a/src/cluster/heartbeats.cpp
+++ b/src/cluster/heartbeats.cpp
@@ -102,9 +102,9 @@
     update_inbound_reachability(machine, heartbeat);
     ask_for_proof_of_hearing(machine, heartbeat);
     acknowledge(machine, heartbeat, overtaken);
+    // The reply to an empty batch of orders proves that the machine has seen this term.
     if (!machine.proven)
-        heartbeat_requests_.add(
-            machine); // a reply to an empty batch of orders proves that the machine has seen this term
+        heartbeat_requests_.add(machine);
     auto stops = standing_orders(machine);
     orders.insert(orders.end(), stops.begin(), stops.end());
     effects_.emplace_back(AnswerHeartbeat{command.handle, http_status::ok, machine.fencing_token, std::move(orders)});
--- a/src/cluster/job_lifecycle.cpp
+++ b/src/cluster/job_lifecycle.cpp
@@ -12,7 +12,7 @@
 namespace heronshift::cluster {
 namespace {
 
-// Intervals between array jobs over which their mean is taken.
+// Maximum number of intervals between array jobs that their running mean is based on.
 constexpr double max_gaps = 50;
 // Factor by which the sums of run times decay with each task that is done.
 constexpr double run_time_retention = 0.995;
@@ -205,7 +205,7 @@
     const double over = data_.average_s();
     const double left = std::exp(-(data_.now - learned.offered_at) / over);
     const double more = data_.work_left(job) / over * std::exp(-std::max(0.0, data_.now - job.ready) / over);
-    if (data_.now - job.ready < data_.settings.report_s) { // not a job that was read from the store at a failover
+    if (data_.now - job.ready < data_.settings.report_s) { // excludes jobs read from the store at a failover
         learned.gaps = std::min(learned.gaps + 1, max_gaps);
         learned.gap_s += (data_.now - learned.offered_at - learned.gap_s) / learned.gaps;
     }
--- a/src/cluster/proposals.hpp
+++ b/src/cluster/proposals.hpp
@@ -6,7 +6,7 @@
 
 namespace heronshift::cluster {
 
-/// The changes that a policy may propose. All functions are called during a scheduling pass, on the event loop's
+/// The changes that a policy may propose. All functions are called during a step of the core, on the event loop's
 /// thread. Each change takes effect immediately and is visible to the policy's next decision.
 class Proposals {
 public:
