--- a/src/leadership/candidate_policy.cpp
+++ b/src/leadership/candidate_policy.cpp
@@ -5,16 +5,25 @@
 namespace heronshift::leadership {
 namespace {
 
-// In heartbeat intervals (report_s):
-constexpr double silent_workers_heartbeats = 2;     // without a heartbeat of any worker
-constexpr double lost_zones_heartbeats = 1.5;       // the same if no zone answers requests either
-constexpr double steady_candidate_heartbeats = 0.5; // for so long a candidate must have been better
-// In worker leases (lease_s):
-constexpr double no_heartbeat_yet_leases = 0.5; // without a heartbeat in this term
-constexpr double inactive_leases = 0.5;         // for so long the leader may be one that may not act
-// In lengths of the store lease:
-constexpr double refused_ttls = 0.7;      // since the last renewal
-constexpr double served_news_ttls = 0.25; // a peer that was served longer ago is no successor
+// In heartbeat intervals (`report_s`).
+// Time without a heartbeat from any worker after which the workers count as silent.
+constexpr double silent_workers_heartbeats = 2;
+// The same time-out if workers in no zone answer requests either.
+constexpr double lost_zones_heartbeats = 1.5;
+// How long a peer must have been a better candidate before the leader resigns in its favour.
+constexpr double steady_candidate_heartbeats = 0.5;
+
+// In worker lease durations (`lease_s`).
+// Time after the beginning of a term without a first heartbeat after which the workers count as silent.
+constexpr double no_heartbeat_yet_leases = 0.5;
+// How long a leader may stay in place while its lease does not allow it to act.
+constexpr double inactive_leases = 0.5;
+
+// In TTLs of the store lease.
+// Time since the last successful renewal was sent after which failing renewals count as refused by the store.
+constexpr double refused_ttls = 0.7;
+// Age up to which a peer's report that the store serves it makes the peer a possible successor.
+constexpr double served_news_ttls = 0.25;
 
 } // namespace
 
@@ -27,7 +36,7 @@
     if (candidate && leader.now - better_candidate_since_ > steady_candidate_heartbeats * settings_.report_s &&
         (leader.workers_silent || leader.now - leader.acquired_at > settings_.lease_s))
         return Resignation{ResignReason::better_candidate, {*leader.better_candidate}, {}};
-    // Where all others are known to be no better, this node stays.
+    // If every peer is known not to be a better candidate, a resignation would gain nothing.
     if (leader.workers_silent && leader.store_reachable && !candidate && !leader.no_better_candidate)
         return Resignation{ResignReason::no_worker_heartbeats, {}, {}};
     return std::nullopt;
--- a/src/leadership/candidate_policy.hpp
+++ b/src/leadership/candidate_policy.hpp
@@ -1,6 +1,7 @@
 /// @file
-/// When a leader should step down for the sake of a better one. Pure: no clock, no I/O. Whether a node may act is
-/// never decided here but by LeaderLease alone, so a wrong decision costs time and breaks no rule.
+/// Decides when an active leader should step down, for instance because another controller is a better candidate. Pure
+/// functions of their arguments: no clock, no I/O. Whether a node may act as leader is decided by LeaderLease alone, so
+/// a wrong decision made here delays work but violates no invariant.
 #pragma once
 
 #include "heronshift/config.hpp"
@@ -14,81 +15,89 @@
 
 namespace heronshift::leadership {
 
-/// What an active leader knows of itself and its peers. Times are seconds of the monotonic clock.
+/// What an active leader knows about itself and its peers. Times are seconds of the monotonic clock.
 struct LeaderObservation {
     double now = 0;
-    double acquired_at = 0;       ///< When the term began.
-    bool store_reachable = false; ///< By this node.
-    bool workers_silent = false;  ///< See CandidatePolicy::workers_silent.
-    std::optional<std::string> better_candidate;
-    bool no_better_candidate = false; ///< All peers are known, and none is better.
+    double acquired_at = 0;                      ///< When the current term began.
+    bool store_reachable = false;                ///< Whether this node reaches the store.
+    bool workers_silent = false;                 ///< The result of CandidatePolicy::workers_silent.
+    std::optional<std::string> better_candidate; ///< A peer that is a better candidate than this node.
+    bool no_better_candidate = false;            ///< The state of every peer is known, and none is a better candidate.
 };
 
-/// What an active leader has heard of its workers.
+/// What an active leader has received from its workers. Times are seconds of the monotonic clock.
 struct WorkerObservation {
     double now = 0;
-    double acquired_at = 0;
-    double last_heartbeat_at = 0; ///< Of any worker, whichever way it came.
-    bool all_zones_lost = false;  ///< Workers do not answer requests either.
+    double acquired_at = 0;       ///< When the current term began.
+    double last_heartbeat_at = 0; ///< Newest heartbeat of any worker, received directly or through another controller.
+    bool all_zones_lost = false;  ///< In every zone, workers do not answer requests either.
 };
 
-/// How the renewals of the store lease go.
+/// The state of the store lease's renewals. Times are seconds of the monotonic clock.
 struct RenewalObservation {
     double now = 0;
     double renewed_at = 0;     ///< When the newest successful renewal was sent.
-    double failed_sent_at = 0; ///< When the newest failed renewal was sent; below zero: none.
+    double failed_sent_at = 0; ///< When the newest failed renewal was sent; below zero: no renewal has failed.
     double store_lease_ttl_s = 0;
 };
 
-/// A peer that the store has answered while it did not answer the leader.
+/// A peer that was answered by the store while the leader was not.
 struct ServedPeer {
     std::string name;
-    double asked_at = 0; ///< When the request was sent to which it said so.
+    double asked_at = 0; ///< When the leader sent the request in whose answer the peer reported this.
     membership::Eligibility eligibility;
 };
 
-/// Decides for an active leader. Remembers only since when a candidate has been the better one.
+/// Decides whether an active leader steps down. Its only state is the time since which a peer has been a better
+/// candidate.
 class CandidatePolicy {
 public:
-    /// With fewer machines, silence of all of them is too likely to be their own fault.
+    /// With fewer machines, it is too likely that all of them are silent because of faults of their own rather than
+    /// because the leader is cut off from them.
     static constexpr std::size_t min_machines_to_judge = 4;
 
-    /// Keeps the reference.
+    /// Keeps a reference to the settings.
     explicit CandidatePolicy(const Settings& settings) : settings_(settings) {}
 
-    /// Forgets the candidates of the term before.
+    /// Discards what is known about candidates from the previous term.
     void begin_term() {
         better_candidate_since_ = -1;
     }
 
-    /// Whether an active leader should step down. To be asked at regular times: a candidate must stay the better one
-    /// for a while. Candidates are ordered by Eligibility, the store before workers; a change for a better candidate
-    /// comes at most once a worker lease, unless this node hears from no worker. Nothing is given up while the store is
-    /// out of reach, since nobody could take it then and all worker leases would run out.
+    /// Returns a resignation if the active leader should step down. Must be called regularly, because a peer has to be
+    /// the better candidate for some time before the leader resigns in its favour. Candidates are compared by
+    /// Eligibility, which ranks access to the store before access to workers. To limit changes of leader, the leader
+    /// resigns for a better candidate no earlier than one worker lease after its term began, unless it hears from no
+    /// worker. It does not resign while it cannot reach the store: no other node could acquire the leadership during an
+    /// outage of the store, and all worker leases would expire.
     [[nodiscard]] std::optional<Resignation> decide(const LeaderObservation& leader);
 
-    /// No worker was heard from for longer than all of them need to report. The patience is less if no zone answers,
-    /// and more if none was heard from in this term yet.
+    /// Whether no worker has been heard from for longer than all of them need to send a heartbeat. The time-out is
+    /// shorter if workers in no zone answer requests, and longer if no heartbeat has been received in this term yet.
     [[nodiscard]] bool workers_silent(const WorkerObservation& workers) const;
 
-    /// For so long nobody may have been able to act, since the end of the validity or since the acquisition. A store
-    /// whose answers come too late keeps the store lease alive for a leader that may not act.
+    /// Whether the leader has been unable to act for so long that it should resign. `inactive_since`: when its validity
+    /// ended, or when it acquired the leadership if it has not been valid since. Without this check, a store that
+    /// answers too late would keep the store lease alive for a leader that may not act.
     [[nodiscard]] bool inactive_for_too_long(double now, double inactive_since) const;
 
-    /// The store serves others but not this leader, so its store lease will run out (invariants 26 and 29 of
-    /// docs/safety.md; fails without it: LeaderCutOffScenarios, LateLoop). A single refusal is often the beginning of
-    /// an outage for all, in which a change of leaders leaves nobody who may act: so a good part of the store lease
-    /// must have passed. And a renewal sent after the last successful one must have failed: an old renewal alone may
-    /// mean that this node's own event loop was late.
+    /// Whether the store refuses this leader's renewals. If it still serves peers, the leader is cut off alone and
+    /// should hand over to one of them before its store lease expires (invariants 26 and 29 of docs/safety.md; fails
+    /// without this check: LeaderCutOffScenarios, LateLoop). Two conditions must hold. Most of the store lease's TTL
+    /// must have passed since the last successful renewal was sent, because a single refused renewal is often the
+    /// beginning of an outage for all nodes, in which a change of leader would leave no node that may act. And a
+    /// renewal sent after the last successful one must have failed, because an old renewal alone may only mean that
+    /// this node's own event loop was delayed.
     [[nodiscard]] static bool store_refuses_renewals(const RenewalObservation& renewals);
 
-    /// The peers that said so a moment ago, the best first. Older news may be from before an outage.
+    /// Names the `served` peers that may be asked to take over, the best candidate first. Peers whose report is too old
+    /// are left out, because the store may have gone down for them too since.
     [[nodiscard]] static std::vector<std::string> successors(std::vector<ServedPeer> served, double now,
                                                              double store_lease_ttl_s);
 
 private:
     const Settings& settings_;
-    double better_candidate_since_ = -1; // below zero: there is none
+    double better_candidate_since_ = -1; // below zero: no peer is a better candidate
 };
 
 } // namespace heronshift::leadership
