--- a/src/leadership/election_state_machine.cpp
+++ b/src/leadership/election_state_machine.cpp
@@ -8,22 +8,26 @@
 namespace heronshift::leadership {
 namespace {
 
-// Seconds:
 constexpr double acquisition_step_timeout_s = 1;
 constexpr double revoke_timeout_s = 1;
 constexpr double takeover_timeout_s = 1;
 constexpr double min_watch_delay_s = 0.01;
-// In heartbeat intervals (report_s):
-constexpr double look_heartbeats = 1.0 / 10;      // between looks at the links
-constexpr double leader_seen_heartbeats = 2;      // what the store said is taken for true
-constexpr double leader_forgotten_heartbeats = 2; // without the store's or a peer's word
 
-// Short, so that others take over soon: outages of the store are bridged by extension votes.
+// In heartbeat intervals (`report_s`).
+// Interval between checks of the links.
+constexpr double look_heartbeats = 1.0 / 10;
+// How long the leader named by the store counts as current.
+constexpr double leader_seen_heartbeats = 2;
+// Time without confirmation by the store or a peer after which the leader counts as unknown.
+constexpr double leader_forgotten_heartbeats = 2;
+
+// The store lease is short, so that another node can take over soon after the leader has failed. Outages of the store
+// that last longer are bridged by extension votes.
 double lease_ttl_s(const Settings& settings) {
     return std::min(settings.report_s, settings.lease_s / 5);
 }
 
-// Planned changes are news, all others deserve a look.
+// Planned changes of leader are logged as information, all others as warnings.
 spdlog::level::level_enum log_level(ResignReason reason) {
     const bool planned = reason == ResignReason::shutting_down || reason == ResignReason::better_candidate;
     return planned ? spdlog::level::info : spdlog::level::warn;
@@ -78,7 +82,7 @@
            now - leader_read_at_ < leader_seen_heartbeats * settings_.report_s && hints_.store_reachable();
 }
 
-// The follower.
+// Watching the leader record as a follower.
 
 void ElectionStateMachine::watch_leader(ElectionActions& actions) const {
     if (role_ == Role::follower)
@@ -130,12 +134,14 @@
     leader_read_at_ = now;
     if (free_since_ < 0)
         free_since_ = now;
-    // An extension vote that this node has given (docs/safety.md, "Outages"; fails without it: ExtensionVotes).
+    // An extension vote that this node has given forbids it to become leader for a while (docs/safety.md, "Outages";
+    // fails without this check: ExtensionVotes).
     const bool may_acquire = leader_lease_.may_acquire(now);
     spdlog::debug("leader absent may_acquire={}", may_acquire);
     if (!may_acquire)
         return watch_leader_after(actions, std::max(min_watch_delay_s, leader_lease_.not_before() - now));
-    // A better candidate goes first; but views may be wrong, so nobody waits for ever.
+    // Better candidates get the first chance. The delay is limited, because the view that a peer is a better candidate
+    // may be wrong.
     const double wait_s = free_since_ + hints_.candidacy_delay_s() - now;
     if (wait_s > 0)
         return watch_leader_after(actions, std::min(wait_s, settings_.report_s / 8));
@@ -147,7 +153,8 @@
     leader_read_at_ = now;
     free_since_ = -1;
     if (record.node == settings_.name) {
-        // This node has just started: the process that was leader under its name is dead (invariant 3).
+        // The record names this node although this process is a follower: the node has restarted, and the process that
+        // was leader under its name has ended (invariant 3).
         leader_lease_.previous_process_was_leader();
         spdlog::info("revoking lease of previous process lease={} term={}", record.store_lease, record.term);
         return add(actions, RevokePreviousLease{record.store_lease, settings_.report_s / 2});
@@ -159,13 +166,14 @@
     add(actions, FollowLeader{revision, settings_.report_s});
 }
 
-// While the store does not answer this node, its peers may know who is the leader. That is a hint, for passing requests
-// on and sending workers to the right place.
+// While the store does not answer this node, its peers may know who the leader is. What they report is only a hint: it
+// is used to forward requests and to redirect workers to the leader.
 void ElectionStateMachine::learn_leader_from_peers(ElectionActions& actions, double now) {
     const auto reported = hints_.reported_leader();
     if (sees_leader(now) || (reported && reported->leader == leader_ && reported->term == leader_term_))
         leader_known_at_ = now;
-    // What was known long ago is worse than nothing: others would be sent to a leader that is none.
+    // An outdated leader is worse than an unknown one: requests and workers would be sent to a node that may no longer
+    // be the leader.
     if (role_ == Role::follower && !leader_.empty() &&
         now - leader_known_at_ > leader_forgotten_heartbeats * settings_.report_s) {
         spdlog::info("leader unknown");
@@ -173,8 +181,8 @@
     }
     if (!reported || reported->leader == settings_.name || reported->leader == leader_)
         return;
-    // Cut off from the store, a leader whose validity has run out would never learn that another has taken its place,
-    // and would keep its machines waiting.
+    // A leader that is cut off from the store and whose validity has ended would not learn from the store that another
+    // node has become leader, and would keep its machines waiting.
     if (is_leader() && reported->term > term_)
         return resign(actions, {ResignReason::newer_term_reported,
                                 {},
@@ -193,7 +201,7 @@
     leader_term_ = reported.term;
 }
 
-// The acquisition.
+// Acquiring the leadership.
 
 void ElectionStateMachine::acquire(ElectionActions& actions, double now) {
     role_ = Role::acquiring;
@@ -232,7 +240,8 @@
     return actions;
 }
 
-// Invariant 1: there must be no leader, and the term counter must be as it was read.
+// Invariant 1: the claim succeeds only if there is no leader record and the term counter is unchanged since it was
+// read.
 void ElectionStateMachine::claim(ElectionActions& actions, std::uint64_t term, std::uint64_t term_counter_revision) {
     term_ = term;
     add(actions, ClaimLeadership{LeaderRecord{settings_.name, store_lease_, term_}, term_counter_revision,
@@ -242,8 +251,8 @@
 ElectionActions ElectionStateMachine::claim_answered(std::uint64_t epoch, double now, StoreOutcome outcome,
                                                      std::uint64_t revision) {
     ElectionActions actions;
-    // Before the epoch is looked at: a claim given up long ago may still be applied (invariant 26; fails without it:
-    // ExtensionVotes.AreNotGivenWhileAnAttemptMayStillBeApplied).
+    // This is checked before the epoch, because a claim that this node has given up may still be applied later
+    // (invariant 26; fails without this check: ExtensionVotes.AreNotGivenWhileAnAttemptMayStillBeApplied).
     if (may_be_applied(outcome))
         leader_lease_.acquisition_in_doubt();
     if (epoch != epoch_)
@@ -270,7 +279,7 @@
     leader_term_ = term_;
     acquired_at_ = now;
     leader_lease_.begin();
-    // Validity counts from when the store lease was asked for (invariant 1).
+    // Validity counts from when the request for the store lease was sent (invariant 1).
     leader_lease_.store_lease_renewed(store_lease_requested_at_);
     candidate_policy_.begin_term();
     served_peers_.clear();
@@ -288,7 +297,7 @@
     role_ = Role::leader;
 }
 
-// The leader's lease.
+// Renewing the leader lease.
 
 void ElectionStateMachine::renew(ElectionActions& actions, double now) {
     const double ttl_s = leader_lease_.ttl_s();
@@ -325,7 +334,7 @@
         extension_granted(peer, sent_at, now);
     if (answer.vote == ExtensionVoteAnswer::Vote::refused && answer.served_by_store) {
         served_peers_[peer] = sent_at;
-        // Some more may say so before one of them is chosen.
+        // Wait for the answers of further peers before a successor is chosen.
         add(actions, CheckServedPeersAfter{leader_lease_.ttl_s() / 40});
     }
     return actions;
@@ -426,7 +435,7 @@
     ElectionActions actions;
     if (role_ != Role::follower)
         return actions;
-    ++epoch_; // the watch under way is replaced
+    ++epoch_; // the read below replaces the pending read, wait or timer
     watch_leader(actions);
     return actions;
 }
--- a/src/leadership/election_state_machine.hpp
+++ b/src/leadership/election_state_machine.hpp
@@ -1,11 +1,12 @@
 /// @file
-/// The roles of a node in the election of the leader, as a state machine without I/O, clock or threads: each input has
-/// the time with it and returns what is to be done. Besides that it reads LinkHints and writes log lines.
+/// A node's role in the election of the leader, as a state machine without I/O, clock or threads: each input carries
+/// the current time if it needs it, and returns the actions to perform. Besides its inputs, the state machine reads
+/// LinkHints; besides its actions, it writes log lines.
 ///
-/// A follower watches the leader's record. If there is none, it acquires the leadership in three steps: it creates a
-/// store lease, reads the term counter, and writes both records in one transaction. Then it loads what the store holds,
-/// and is the leader. Whether the leader may act is decided by LeaderLease alone. See docs/safety.md, invariants 1 to
-/// 3, 26 and 29, and "Outages".
+/// A follower watches the leader record. If there is no leader record, the follower acquires the leadership in three
+/// steps: it creates a store lease, reads the term counter, and writes the leader record and the term counter in one
+/// transaction. Then it loads the stored cluster state, and becomes the leader once that is complete. Whether the
+/// leader may act is decided by LeaderLease alone. See docs/safety.md, invariants 1 to 3, 26 and 29, and "Outages".
 #pragma once
 
 #include "heronshift/config.hpp"
@@ -22,35 +23,37 @@
 
 namespace heronshift::leadership {
 
-/// Returned actions are to be performed in their order, at once and before the next input. Nothing throws.
+/// The caller must perform the returned actions in their order, immediately and before the next input. No function
+/// throws.
 class ElectionStateMachine {
 public:
     enum class Role : std::uint8_t {
         follower,
-        acquiring, ///< A store lease is created and the claim is made.
-        loading,   ///< The claim succeeded; what the store holds is being read.
+        acquiring, ///< Creating a store lease, reading the term counter or claiming the leadership.
+        loading,   ///< The claim succeeded; the stored cluster state is being read.
         leader,
     };
-    /// How often things happened in this process.
+    /// Counts of events since this process started.
     struct Counts {
         std::uint64_t acquisitions = 0;
-        std::uint64_t handovers = 0;                    ///< To a peer that was asked to take over.
-        std::uint64_t resignations_without_workers = 0; ///< For want of worker heartbeats.
+        std::uint64_t handovers = 0;                    ///< Resignations after which peers were asked to take over.
+        std::uint64_t resignations_without_workers = 0; ///< Resignations for lack of worker heartbeats.
     };
 
-    /// Keeps the references. `now`: when the process started.
+    /// Keeps references to the settings and the hints. `now`: when the process started.
     ElectionStateMachine(const Settings& settings, const LinkHints& hints, double now);
 
-    /// Begins to watch the leader's record.
+    /// Begins to watch the leader record.
     [[nodiscard]] ElectionActions start();
-    /// What time brings: renewals, and several times a heartbeat interval a look at the links. To be called often.
+    /// Does the work that is due by time: renews the store lease, and several times per heartbeat interval checks the
+    /// state of the links. Must be called often.
     [[nodiscard]] ElectionActions tick(double now);
-    /// Steps down, whatever the progress; a follower does nothing. This node stops acting before it tells anybody,
-    /// since a successor may decide from the moment it hears of it (invariant 26).
+    /// Steps down, also while acquiring or loading; does nothing as a follower. This node stops acting before it
+    /// announces its resignation, since a successor may make decisions from the moment it learns of it (invariant 26).
     [[nodiscard]] ElectionActions resign(const Resignation& resignation);
 
-    // Answers to actions. `epoch` is the action's; those of an earlier epoch are dropped.
-    /// `record`: the leader's record, if it could be read; `revision`: its revision.
+    // Results of actions. `epoch` is the epoch of the action; results from an earlier epoch are ignored.
+    /// `record`: the leader record, if it could be read; `revision`: the revision of the record.
     [[nodiscard]] ElectionActions leader_read(std::uint64_t epoch, double now, StoreOutcome outcome,
                                               const std::optional<LeaderRecord>& record, std::uint64_t revision);
     [[nodiscard]] ElectionActions leader_changed(std::uint64_t epoch, StoreOutcome outcome);
@@ -62,23 +65,24 @@
                                                     const std::optional<TermCounter>& counter, std::uint64_t revision);
     [[nodiscard]] ElectionActions claim_answered(std::uint64_t epoch, double now, StoreOutcome outcome,
                                                  std::uint64_t revision);
-    /// All that the store holds has been read: this node is the leader.
+    /// The stored cluster state has been read completely: this node becomes the leader.
     void state_loaded();
-    /// `sent_at`: when the renewal was sent, since validity counts from then.
+    /// `sent_at`: when the renewal was sent; the renewed validity counts from this time.
     [[nodiscard]] ElectionActions store_lease_renewed(std::uint64_t epoch, double now, double sent_at,
                                                       StoreOutcome outcome);
     [[nodiscard]] ElectionActions extension_vote_received(std::uint64_t epoch, double now, double sent_at,
                                                           const std::string& peer, const ExtensionVoteAnswer& answer);
     [[nodiscard]] ElectionActions served_peers_due(std::uint64_t epoch, double now);
 
-    // Requests of peers.
-    /// Votes on a peer's request. `own_read`: what has become of a read that this node made for it, which tells whether
-    /// the store is down or only the peer is cut off.
+    // Requests from peers.
+    /// Votes on a peer's request. `own_read`: the outcome of a store read that this node made because of the request.
+    /// It shows whether the store is down or only the peer is cut off from it.
     [[nodiscard]] ExtensionVoteAnswer vote(const ExtensionVoteRequest& request, double now, StoreOutcome own_read);
-    /// A leader has stepped down and its store lease has ended: looks at the leader's record at once.
+    /// This node has accepted to take over from a leader that has stepped down and whose store lease has ended. Reads
+    /// the leader record at once.
     [[nodiscard]] ElectionActions takeover_accepted();
 
-    /// This node may act as leader at this moment.
+    /// Whether this node may act as leader at this moment.
     [[nodiscard]] bool valid(double now) const {
         return is_leader() && leader_lease_.valid(now);
     }
@@ -88,24 +92,26 @@
     [[nodiscard]] bool is_leader() const {
         return role_ == Role::leader;
     }
-    /// Until when this node may act if it hears nothing more; 0: it may not.
+    /// Until when this node may act as leader unless its validity is extended further; 0 or a time in the past: it may
+    /// not act.
     [[nodiscard]] double active_until() const {
         return is_leader() ? leader_lease_.until() : 0;
     }
-    /// The leader as far as this node knows; may be empty.
+    /// The name of the leader as far as this node knows; empty: unknown.
     [[nodiscard]] const std::string& leader() const {
         return leader_;
     }
+    /// The term of the last leader that this node has learned of.
     [[nodiscard]] std::uint64_t leader_term() const {
         return leader_term_;
     }
-    /// The store told this node a short while ago who the leader is.
+    /// Whether this node recently learned from the store itself, not from a peer, who the leader is.
     [[nodiscard]] bool sees_leader(double now) const;
-    /// This node's newest term.
+    /// The newest term that this node has claimed.
     [[nodiscard]] std::uint64_t term() const {
         return term_;
     }
-    /// When this node's newest term began.
+    /// When this node's newest term began, that is, when its claim succeeded.
     [[nodiscard]] double acquired_at() const {
         return acquired_at_;
     }
@@ -144,22 +150,23 @@
     LeaderLease leader_lease_;
     CandidatePolicy candidate_policy_;
     Role role_ = Role::follower;
-    std::uint64_t epoch_ = 0; // raised whenever answers to what was asked before no longer count
+    std::uint64_t epoch_ = 0; // incremented whenever results of actions requested so far must be ignored
     std::string leader_;
     std::uint64_t leader_term_ = 0;
     std::uint64_t term_ = 0;
-    std::uint64_t store_lease_ = 0; // 0: none
+    std::uint64_t store_lease_ = 0; // 0: this node has no store lease
     double store_lease_requested_at_ = 0;
     double next_renewal_at_ = 0;
     double next_look_at_ = 0;
     double acquired_at_ = 0;
-    // Below zero: never, or not so.
-    double leader_read_at_ = -1;  // the store told this node who the leader is, or that there is none
-    double leader_known_at_ = -1; // the store or a peer has confirmed the leader
-    double free_since_ = -1;      // no leader's record has been seen since
-    double failed_renewal_sent_at_ = -1;
-    std::map<std::string, double> served_peers_; // by the store, as they said: when they were asked
-    bool extended_by_votes_ = false;             // in this term, for the log
+    // Times; below zero: it has not happened, or does not hold at present.
+    double leader_read_at_ = -1;         // the store last named the leader, or said that there is none
+    double leader_known_at_ = -1;        // the store or a peer last confirmed the leader
+    double free_since_ = -1;             // the leader record has been absent since then
+    double failed_renewal_sent_at_ = -1; // the newest failed renewal was sent
+    // Peers that reported being served by the store, each with the time at which this node asked it.
+    std::map<std::string, double> served_peers_;
+    bool extended_by_votes_ = false; // whether this term's first extension by votes has been logged
     Counts counts_;
 };
 
