--- a/src/leadership/leader_election.cpp
+++ b/src/leadership/leader_election.cpp
@@ -22,7 +22,7 @@
 
 } // namespace
 
-// Hints.
+// LeaderElection::Hints.
 
 bool LeaderElection::Hints::store_reachable() const {
     return members_.store() != membership::Reachability::unreachable;
@@ -68,7 +68,7 @@
     return members_.eligibility(peer);
 }
 
-// Inputs.
+// Public functions and requests from peers.
 
 LeaderElection::LeaderElection(const Settings& settings, TimerQueue& timers, store::StateStore& store, Peers& peers,
                                const membership::Membership& members, metrics::Timings& timings, Host& host)
@@ -145,7 +145,7 @@
          value(counts.resignations_without_workers)}};
 }
 
-// Actions.
+// Performing the actions of the state machine.
 
 void LeaderElection::perform(ElectionActions actions) {
     for (const auto& action : actions)
--- a/src/leadership/leader_election.hpp
+++ b/src/leadership/leader_election.hpp
@@ -1,10 +1,11 @@
 /// @file
-/// Leadership of the cluster: one key of the store, held under a store lease, names the leader; a second one counts
-/// terms and transactions and outlives the store lease (invariants 1 to 3 of docs/safety.md).
+/// Leadership of the cluster. One key of the store names the leader and is attached to the leader's store lease, so it
+/// is deleted when the lease ends. A second key counts terms and transactions and outlives the store lease (invariants
+/// 1 to 3 of docs/safety.md).
 ///
-/// ElectionStateMachine decides; LeaderElection performs what it asks for: calls of the store, requests to peers,
-/// timers. It holds the transactions of the term and the reading of the stored state, and reports to its Host. It takes
-/// no decisions about jobs, users or machines.
+/// ElectionStateMachine makes the decisions; LeaderElection performs the actions that it requests: store calls,
+/// requests to peers and timers. LeaderElection also owns the term's transactions and the loading of the stored state,
+/// and reports to its Host. It makes no decisions about jobs, users or machines.
 #pragma once
 
 #include "heronshift/config.hpp"
@@ -27,84 +28,90 @@
 
 namespace heronshift::leadership {
 
-/// All functions are called on the loop's thread. Nothing throws on a failure of the store or of peers.
+/// All functions must be called on the event loop's thread. Failures of the store or of peers throw no exceptions.
 class LeaderElection {
 public:
-    /// Whom the leadership serves. Called on the loop's thread.
+    /// The component that acts on changes of leadership. Its functions are called on the event loop's thread.
     class Host {
     public:
         virtual ~Host() = default;
-        /// This node is the leader and all that the store holds has been read.
+        /// This node has become the leader, and the stored cluster state has been read completely.
         virtual void leadership_acquired(std::uint64_t term, Snapshot&& stored) = 0;
-        /// This node is not the leader any more: all that was under way is void.
+        /// This node is no longer the leader: all work in progress for the term must be discarded, and outcomes of its
+        /// pending transactions will not be reported.
         virtual void leadership_lost() = 0;
-        /// Other nodes have accepted these jobs since.
+        /// Other nodes have accepted these jobs since the stored state was read or since the previous call.
         virtual void jobs_stored_by_others(std::vector<codec::StoredJob>&& jobs) = 0;
-        /// The oldest transaction that was sent has this outcome.
+        /// The outcome of the pending transaction is known.
         virtual void committed(TxnOutcome outcome) = 0;
-        /// How many machines should send heartbeats.
+        /// How many machines are expected to send heartbeats.
         virtual std::size_t machines_up() const = 0;
     };
 
-    /// Keeps the references.
+    /// Keeps all references.
     LeaderElection(const Settings& settings, TimerQueue& timers, store::StateStore& store, Peers& peers,
                    const membership::Membership& members, metrics::Timings& timings, Host& host);
 
     void start();
-    /// To be called often, some sixty times a heartbeat interval or more.
+    /// Must be called often, at least about sixty times per heartbeat interval.
     void tick();
-    /// Steps down, so that another node can take over at once.
+    /// Steps down on shutdown, so that another node can take over at once.
     void stop();
-    /// Sends a transaction of this term; its outcome comes by Host::committed.
+    /// Sends a transaction of this term; its outcome is reported through Host::committed.
     void commit(Commit commit) {
         transactions_.send(std::move(commit));
     }
-    /// Steps down since a worker has seen a fencing token above those of this term; `why` is for the log.
+    /// Steps down because a worker has seen a fencing token higher than those of this term. `why` is written to the
+    /// log.
     void resign(const std::string& why);
 
-    /// This node may act as leader at this moment.
+    /// Whether this node may act as leader at this moment.
     [[nodiscard]] bool valid() const {
         return machine_.valid(timers_.now());
     }
-    /// This node is the leader; whether it may act is what valid() says.
+    /// Whether this node is the leader. Whether it may act is a separate question, answered by valid().
     [[nodiscard]] bool is_leader() const {
         return machine_.is_leader();
     }
-    /// The leadership is being taken: soon this node acts, or another does.
+    /// Whether this node is acquiring the leadership or loading the stored state: soon it or another node will be the
+    /// active leader.
     [[nodiscard]] bool is_acquiring() const {
         return machine_.role() == ElectionStateMachine::Role::acquiring ||
                machine_.role() == ElectionStateMachine::Role::loading;
     }
-    /// Until when, by the monotonic clock, this node may act if it hears nothing more; 0: it may not.
+    /// Until when, on the monotonic clock, this node may act as leader unless its validity is extended further; 0 or a
+    /// time in the past: it may not act.
     [[nodiscard]] double active_until() const {
         return machine_.active_until();
     }
-    /// The leader as far as this node knows; may be empty.
+    /// The name of the leader as far as this node knows; empty: unknown.
     [[nodiscard]] const std::string& leader() const {
         return machine_.leader();
     }
+    /// The term of the last leader that this node has learned of.
     [[nodiscard]] std::uint64_t leader_term() const {
         return machine_.leader_term();
     }
-    /// The store told this node a short while ago who the leader is.
+    /// Whether this node recently learned from the store itself, not from a peer, who the leader is.
     [[nodiscard]] bool sees_leader() const {
         return machine_.sees_leader(timers_.now());
     }
-    /// When this node's newest term began, by the monotonic clock.
+    /// When this node's newest term began, on the monotonic clock.
     [[nodiscard]] double acquired_at() const {
         return machine_.acquired_at();
     }
     [[nodiscard]] std::vector<metrics::Value> metrics() const;
 
-    /// POST /peer/promise. This node reads the leader's record first: that tells whether the store is down or only the
-    /// peer is cut off from it.
+    /// Handles POST /peer/promise. Before it votes, this node reads the leader record, which shows whether the store is
+    /// down or only the requesting peer is cut off from it.
     void handle_extension_vote_request(const HttpRequest& request, const Responder& res);
-    /// POST /peer/take. Such a request may come minutes late or twice: the store lease that it names is ended only if
-    /// the leader's record still names all of the request, and a lease that has ended never comes back.
+    /// Handles POST /peer/take. The request may arrive minutes late or twice. Therefore the store lease that it names
+    /// is revoked only if the leader record still has the node, the store lease and the term of the request. That is
+    /// safe because a store lease that has ended is never valid again.
     void handle_takeover_request(const HttpRequest& request, const Responder& res);
 
 private:
-    // The hints come from membership and the host.
+    // Takes the hints from Membership and the host.
     class Hints final : public LinkHints {
     public:
         Hints(const membership::Membership& members, const Host& host) : members_(members), host_(host) {}
--- a/src/leadership/leader_lease.cpp
+++ b/src/leadership/leader_lease.cpp
@@ -5,18 +5,22 @@
 namespace heronshift {
 namespace {
 
-// Steady clocks drift apart by up to 0.05%; four times that, and some for timer steps.
+// Steady clocks drift apart by up to 0.05%. The allowance is four times that.
 constexpr double clock_drift = 0.002;
+// Safety margin of every deadline, because timers fire in steps.
 constexpr double timer_s = 0.1;
-// In lengths of the store lease:
-constexpr double store_leases_gone_ttls = 3;  // after which none of an attempt's is left
-constexpr double missed_renewals_ttls = 0.25; // without a renewal extension votes are asked for
+
+// In TTLs of the store lease.
+// Time with an answering store after which no store lease of a claim with an unknown outcome can still exist.
+constexpr double store_leases_gone_ttls = 3;
+// Time since the last successful renewal was sent after which extension votes are requested.
+constexpr double missed_renewals_ttls = 0.25;
 
 } // namespace
 
 LeaderLease::LeaderLease(double ttl_s, std::size_t peers, double now)
     : ttl_s_(ttl_s), peers_(peers),
-      // The process before may have promised just before it ended.
+      // An earlier process may have given an extension vote just before it ended, and this process does not know of it.
       not_before_(now + ttl_s / 2 * (1 + clock_drift) + timer_s) {}
 
 void LeaderLease::begin() {
@@ -41,7 +45,8 @@
 }
 
 bool LeaderLease::extension_granted(const std::string& peer, double sent, double now) {
-    // An expiry cannot be mended: whoever became leader meanwhile may have lost it again.
+    // Validity that has expired cannot be restored: another node may have become leader meanwhile, even if it has lost
+    // the leadership again since.
     if (!valid(now))
         return false;
     auto& until = extension_votes_[peer];
@@ -60,14 +65,15 @@
         served_since_ = -1;
     else if (served_since_ < 0)
         served_since_ = now;
-    // Leases live longer through an outage, so only time in which the store answered counts.
+    // Store leases may live longer through an outage of the store, so only time in which the store answered counts.
     if (served_since_ >= 0 && now - served_since_ > store_leases_gone_ttls * ttl_s_)
         acquisition_in_doubt_ = false;
 }
 
 bool LeaderLease::grant_extension(double length_s, double now, bool follower, bool store_failed) {
-    // An attempt of this node that is still under way could break the promise later. A longer promise than leaders ask
-    // for would be forgotten by a process that starts again at once: it keeps just extension_s (see the constructor).
+    // A claim of this node whose outcome is unknown could make it leader later, despite its vote. Votes for longer than
+    // leaders request (`extension_s`) are refused because they would not survive a restart: a new process waits only
+    // for that time (see the constructor).
     if (!follower || !store_failed || acquisition_in_doubt_ || length_s > extension_s() * (1 + clock_drift))
         return false;
     not_before_ = std::max(not_before_, now + length_s * (1 + clock_drift) + timer_s);
--- a/src/leadership/leader_lease.hpp
+++ b/src/leadership/leader_lease.hpp
@@ -1,11 +1,12 @@
 /// @file
-/// For how long a node may act as leader, and from when it may become leader. Pure: no clock, no I/O, no threads; all
+/// Computes until when a node may act as leader, and from when it may become leader. No clock, no I/O, no threads; all
 /// times are seconds of one monotonic clock.
 ///
-/// The store lease gives validity that counts from when its renewal was sent (invariant 1 of docs/safety.md). While the
-/// store answers nobody, extension votes of all other controllers carry the leader on: each promises not to become
-/// leader for a while, and only if a read of its own has just failed, since a peer that the store serves shows that the
-/// leader alone is cut off (docs/safety.md, "Outages"; fails without it: ExtensionVotes).
+/// Each renewal of the store lease makes the leader valid for a period that counts from when the renewal was sent
+/// (invariant 1 of docs/safety.md). While the store answers no node, extension votes from all other controllers extend
+/// the validity. With its vote, a controller promises not to become leader for a while. It votes only if a store read
+/// of its own has just failed: if the store serves the voter, the leader alone is cut off and should lose the
+/// leadership (docs/safety.md, "Outages"; fails without this rule: ExtensionVotes).
 #pragma once
 
 #include <cstddef>
@@ -14,34 +15,34 @@
 
 namespace heronshift {
 
-/// Validity as leader, and the extension votes that a follower has given.
+/// Tracks the validity of this node as leader, and the extension votes that it has given as follower.
 class LeaderLease {
 public:
-    /// `ttl_s`: the store lease's length; `peers`: how many other controllers there are; `now`: when this process
-    /// started.
+    /// `ttl_s`: the TTL of the store lease; `peers`: the number of other controllers; `now`: when this process started.
     LeaderLease(double ttl_s, std::size_t peers, double now);
 
     [[nodiscard]] double ttl_s() const {
         return ttl_s_;
     }
-    /// For how long a vote extends the validity.
+    /// How long a vote extends the validity, counted from when it was requested.
     [[nodiscard]] double extension_s() const {
         return ttl_s_ / 2;
     }
 
-    // As leader.
+    // Used as leader.
 
-    /// Forgets all validity, at the beginning of a term and at its end.
+    /// Discards all validity. Called when a term begins and when it ends.
     void begin();
-    /// The store has confirmed the store lease to a request sent at `sent`.
+    /// The store has granted or renewed the store lease, in answer to a request sent at `sent`.
     void store_lease_renewed(double sent);
-    /// `peer` has voted on a request sent at `sent`. True: votes carry the leader for longer than the store lease.
+    /// `peer` has granted an extension, in answer to a request sent at `sent`. Returns whether extension votes now keep
+    /// the leader valid beyond the end of its store lease.
     bool extension_granted(const std::string& peer, double sent, double now);
-    /// This node may act.
+    /// Whether this node may act as leader.
     [[nodiscard]] bool valid(double now) const {
         return now < until();
     }
-    /// Until when this node may act if it hears nothing more.
+    /// Until when this node may act as leader unless its validity is extended further.
     [[nodiscard]] double until() const {
         return store_lease_until_ > extended_until_ ? store_lease_until_ : extended_until_;
     }
@@ -49,29 +50,31 @@
     [[nodiscard]] double renewed_at() const {
         return renewed_;
     }
-    /// The store lease is not being renewed: extension votes should be asked for.
+    /// Whether renewals of the store lease are overdue, so that extension votes should be requested.
     [[nodiscard]] bool wants_extension_votes(double now) const;
 
-    // As follower.
+    // Used as follower.
 
-    /// No vote of this node, or of the process before it, stands against becoming leader.
+    /// Whether no extension vote given by this node, in this process or an earlier one, forbids it to become leader.
     [[nodiscard]] bool may_acquire(double now) const {
         return now >= not_before_;
     }
     [[nodiscard]] double not_before() const {
         return not_before_;
     }
-    /// The leader was an earlier process of this node: votes of that one were for itself.
+    /// An earlier process of this node was the leader, so it cannot have voted for another leader. Removes the initial
+    /// wait that covers votes of an earlier process.
     void previous_process_was_leader() {
         not_before_ = 0;
     }
-    /// The outcome of this node's claim is open: it may still be applied while its store lease lives. Until no such
-    /// store lease can be left, this node votes for nobody (invariant 26).
+    /// The outcome of this node's claim is unknown: the claim may still be applied as long as its store lease lives.
+    /// This node grants no extension until every such store lease must have expired (invariant 26).
     void acquisition_in_doubt();
-    /// This node has read from the store or renewed its store lease, or failed to. Renewals count too: a leader that
-    /// has just stepped down must be able to vote for its successor.
+    /// Records whether a store read or a renewal of the store lease was answered. Renewals count too, so that a leader
+    /// that has just stepped down can vote for its successor.
     void record_store_answer(bool ok, double now);
-    /// Votes for the leader for `length_s`, if that may be; `store_failed`: a read made for it has just failed.
+    /// Votes to extend the leader's validity by `length_s`, if this node may vote; returns whether it did. `follower`:
+    /// whether this node is a follower; `store_failed`: whether a store read made for this vote has just failed.
     bool grant_extension(double length_s, double now, bool follower, bool store_failed);
 
 private:
@@ -80,10 +83,10 @@
     double store_lease_until_ = 0;
     double renewed_ = 0;
     double extended_until_ = 0;
-    std::map<std::string, double> extension_votes_; // by peer: until when
+    std::map<std::string, double> extension_votes_; // the end of the extension granted by each peer
     double not_before_;
-    double served_since_ = -1;         // the store has answered every time since; below zero: it has just failed
-    bool acquisition_in_doubt_ = true; // the process before may have left an attempt under way
+    double served_since_ = -1;         // the store has answered every call since then; below zero: the last call failed
+    bool acquisition_in_doubt_ = true; // initially true: an earlier process may have left a claim pending
 };
 
 } // namespace heronshift
