--- a/src/leadership/peer_messages.cpp
+++ b/src/leadership/peer_messages.cpp
@@ -93,7 +93,7 @@
     case TakeoverAnswer::outdated:
         break;
     }
-    return {http_status::conflict, codec::error_answer("the office does not name this hold")};
+    return {http_status::conflict, codec::error_answer("the leader record names another node, term or store lease")};
 }
 
 bool takeover_accepted(const HttpReply& reply) {
--- a/src/leadership/resignation.hpp
+++ b/src/leadership/resignation.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Why a leader steps down, and who should follow it.
+/// Why a leader steps down, and which peers should take over from it.
 #pragma once
 
 #include <cstdint>
@@ -11,27 +11,28 @@
 
 /// Why a leader steps down.
 enum class ResignReason : std::uint8_t {
-    shutting_down,        ///< The process ends.
+    shutting_down,        ///< The process is shutting down.
     better_candidate,     ///< A peer reaches more of the cluster.
-    no_worker_heartbeats, ///< No worker has been heard from for long.
-    store_unavailable,    ///< The store has not answered for long.
+    no_worker_heartbeats, ///< No worker has been heard from for too long.
+    store_unavailable,    ///< The leader has not been allowed to act for too long, as the store did not answer in time.
     store_serves_peer,    ///< The store serves a peer but not this node.
-    newer_term_reported,  ///< A peer was told by the store of another leader in a later term.
-    newer_term_stored,    ///< The term counter names another term.
-    store_lease_expired,  ///< The store says that the leader's store lease has ended.
-    outcome_unknown,      ///< The validity ran out before the outcome of a transaction was known.
-    newer_fencing_token,  ///< A worker has seen a fencing token above those of this term.
+    newer_term_reported,  ///< A peer has learned from the store that another node is leader in a later term.
+    newer_term_stored,    ///< The term counter in the store names another term.
+    store_lease_expired,  ///< The store reports that the leader's store lease no longer exists.
+    outcome_unknown,      ///< The leader's validity ended before the outcome of a transaction was known.
+    newer_fencing_token,  ///< A worker has seen a fencing token higher than those of this term.
 };
 
-/// The reason as it stands in the log: its name in lower case with underscores.
+/// The reason as written to the log: the name of the enumerator.
 [[nodiscard]] std::string_view to_string(ResignReason reason);
 
 /// The decision to step down.
 struct Resignation {
     ResignReason reason = ResignReason::shutting_down;
-    /// Peers to be asked to take over, the best first; none: whoever finds the leadership free takes it.
+    /// Peers to ask to take over, the best candidate first. If there are none, the first node that finds no leader
+    /// record acquires the leadership.
     std::vector<std::string> successors;
-    /// Further fields for the log line; may be empty.
+    /// Additional `key=value` fields for the log line; may be empty.
     std::string details;
 };
 
--- a/src/leadership/state_loader.cpp
+++ b/src/leadership/state_loader.cpp
@@ -17,7 +17,8 @@
 void StateLoader::read_all(const Loaded& loaded) {
     ++epoch_;
     stored_ = {};
-    // All at once: only jobs can still change, by other nodes, and those changes are followed.
+    // The prefixes are read concurrently. They need not be read at one revision: other nodes can only change jobs, and
+    // changes of jobs are followed.
     const std::pair<std::string_view, std::vector<codec::Item>*> prefixes[] = {
         {persistence::job_prefix, &stored_.jobs},
         {persistence::intent_prefix, &stored_.intents},
@@ -37,7 +38,7 @@
         });
 }
 
-// Everything below a prefix, page by page.
+// Appends all items whose keys have the prefix and come after `since` to `into`, page by page; then calls `next`.
 void StateLoader::load(const std::string& prefix, const std::string& since, std::vector<codec::Item>* into,
                        const std::function<void()>& next) {
     const auto epoch = epoch_;
@@ -94,13 +95,13 @@
 }
 
 void StateLoader::handle_changes(store::Answer&& answer) {
-    const auto epoch = epoch_; // reporting jobs may end the term
+    const auto epoch = epoch_; // kept because reporting jobs may end the term, which changes `epoch_`
     switch (store_outcome(answer)) {
     case StoreOutcome::ok:
         revision_ = std::max(revision_, answer.revision);
         report_jobs(answer.items);
         return follow_after(0, epoch);
-    case StoreOutcome::compacted: // too far behind: everything is read again
+    case StoreOutcome::compacted: // the store no longer has the changes since `revision_`: read all jobs again
         stored_ = {};
         return load(std::string(persistence::job_prefix), "", &stored_.jobs, [this, epoch] {
             report_jobs(std::exchange(stored_, {}).jobs);
--- a/src/leadership/state_loader.hpp
+++ b/src/leadership/state_loader.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Reads what the store holds of the cluster: all of it when a term begins, and from then on the jobs that other nodes
-/// accept.
+/// Reads the cluster state from the store: all of it when a term begins, and after that the jobs that other nodes
+/// accept and store.
 #pragma once
 
 #include "heronshift/config.hpp"
@@ -15,21 +15,22 @@
 
 namespace heronshift::leadership {
 
-/// Runs on the loop's thread. A call that fails is made again until stop(); nothing throws.
+/// Must be used on the event loop's thread only. Store calls that fail are retried until stop(). No function throws.
 class StateLoader {
 public:
     using Loaded = std::function<void(Snapshot&&)>;
     using JobsStored = std::function<void(std::vector<codec::StoredJob>&&)>;
 
-    /// Keeps the references.
+    /// Keeps all references.
     StateLoader(const Settings& settings, TimerQueue& timers, store::StateStore& store)
         : settings_(settings), timers_(timers), store_(store) {}
 
-    /// Reads everything; `loaded` is called once, unless stopped before.
+    /// Reads the whole cluster state, then calls `loaded` once, unless stop() is called before.
     void read_all(const Loaded& loaded);
-    /// Reports the jobs stored since read_all(), which must have succeeded.
+    /// From now on calls `jobs_stored` with jobs that were stored after read_all() read the jobs. Must be called after
+    /// read_all() has completed.
     void follow_jobs(JobsStored jobs_stored);
-    /// No callback is called any more.
+    /// Stops reading and following; no callback is called after this.
     void stop() {
         ++epoch_;
         stored_ = {};
@@ -46,10 +47,10 @@
     const Settings& settings_;
     TimerQueue& timers_;
     store::StateStore& store_;
-    std::uint64_t epoch_ = 0;    // answers to calls of an earlier one are dropped
-    std::uint64_t revision_ = 0; // up to which jobs are known
-    Snapshot stored_;            // as far as it has been read
-    int prefixes_left_ = 0;      // to be read
+    std::uint64_t epoch_ = 0;    // results of calls made in an earlier epoch are ignored
+    std::uint64_t revision_ = 0; // the store's revision up to which the jobs have been read
+    Snapshot stored_;            // what has been read so far
+    int prefixes_left_ = 0;      // prefixes that are not read completely yet
     JobsStored jobs_stored_;
 };
 
--- a/src/leadership/store_outcome.hpp
+++ b/src/leadership/store_outcome.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// What became of a call to the state store, as the leadership code distinguishes it. Statuses of store::Answer are
-/// mapped here and nowhere else in this folder.
+/// The outcome of a call to the state store, as far as the leadership code distinguishes outcomes. This is the only
+/// place in this folder where statuses of store::Answer are interpreted.
 #pragma once
 
 #include "heronshift/store/store.hpp"
@@ -9,36 +9,37 @@
 
 namespace heronshift::leadership {
 
-/// See store::Answer for the statuses.
+/// See store::Answer for the statuses from which the outcomes are derived.
 enum class StoreOutcome : std::uint8_t {
     ok,
-    not_found,    ///< No such key or lease.
-    conflict,     ///< A guard failed; the transaction did nothing.
-    invalid,      ///< The store does not allow the call; it was not executed.
-    compacted,    ///< The changes asked for are no longer kept.
-    rate_limited, ///< Above the store's limits; not executed.
-    unavailable,  ///< The store says that it has surely not executed the call.
+    not_found,    ///< The key or lease does not exist.
+    conflict,     ///< A guard failed; the transaction had no effect.
+    invalid,      ///< The store rejected the call as invalid; it was not executed.
+    compacted,    ///< The store no longer keeps the requested changes.
+    rate_limited, ///< The store's rate limit was exceeded; the call was not executed.
+    unavailable,  ///< The store guarantees that it has not executed the call.
     not_sent,     ///< The call never left this node.
-    no_answer,    ///< The call may have been executed, or may be later.
-    unreadable,   ///< Something answered, but not in the store's words; the call may have been executed.
+    no_answer,    ///< The call may have been executed, or may be executed later.
+    unreadable,   ///< The answer does not follow the store's protocol; the call may have been executed.
     unexpected,   ///< Any other status.
 };
 
-/// Maps the status of an answer.
+/// Derives the outcome from the status of an answer.
 [[nodiscard]] StoreOutcome store_outcome(const store::Answer& answer);
 
-/// The store served this node nothing: it is down, or out of reach from here. Being over a limit is an answer.
+/// Whether the store did not serve the call: it is down, or this node cannot reach it. An exceeded rate limit is not a
+/// failure, since the store has answered.
 [[nodiscard]] constexpr bool is_store_failure(StoreOutcome outcome) {
     return outcome == StoreOutcome::unavailable || outcome == StoreOutcome::not_sent ||
            outcome == StoreOutcome::no_answer;
 }
 
-/// A write with this outcome may have been applied, or may still be.
+/// Whether a write with this outcome may have been applied, or may be applied later.
 [[nodiscard]] constexpr bool may_be_applied(StoreOutcome outcome) {
     return outcome == StoreOutcome::no_answer || outcome == StoreOutcome::unreadable;
 }
 
-/// The store itself says that it has not executed the call.
+/// Whether the store itself has reported that it did not execute the call.
 [[nodiscard]] constexpr bool is_refused(StoreOutcome outcome) {
     return outcome == StoreOutcome::rate_limited || outcome == StoreOutcome::unavailable ||
            outcome == StoreOutcome::invalid;
--- a/src/leadership/transaction_queue.cpp
+++ b/src/leadership/transaction_queue.cpp
@@ -7,7 +7,9 @@
 namespace heronshift::leadership {
 namespace {
 
-constexpr int max_tries = 3; // to settle an outcome while this node may not act
+// A transaction that is not applied is sent again. After this many repeated sends, the term ends instead if this node
+// may not act as leader.
+constexpr int max_tries = 3;
 
 } // namespace
 
@@ -44,7 +46,7 @@
     const auto outcome = store_outcome(answer);
     if (outcome == StoreOutcome::ok)
         return applied(answer.revision);
-    // Of a transaction that was sent before, an earlier copy may have been applied.
+    // If the transaction has been sent before, an earlier copy may have been applied even though this one was refused.
     if (!is_refused(outcome) || tries > 0)
         return resolve(std::move(commit), tries + 1);
     if (outcome == StoreOutcome::invalid)
@@ -59,7 +61,8 @@
     });
 }
 
-// The outcome is open, or a guard failed: the term counter says whether the transaction was applied (invariant 2).
+// Called when the outcome is unknown or a guard failed. Reads the term counter, which shows whether the transaction was
+// applied (invariant 2).
 void TransactionQueue::resolve(Commit commit, int tries) {
     store_.get(term_counter_key, settings_.report_s / 3,
                [this, epoch = epoch_, commit = std::move(commit), tries](store::Answer&& answer) mutable {
--- a/src/leadership/transaction_queue.hpp
+++ b/src/leadership/transaction_queue.hpp
@@ -1,6 +1,7 @@
 /// @file
-/// The transactions of one term. Each guards the leader's record and the term counter and raises the counter, so that
-/// each makes all earlier ones that are still under way fail (invariant 2 of docs/safety.md).
+/// The transactions of one term. Each transaction is guarded by the revisions of the leader record and of the term
+/// counter, and increments the counter. Once a transaction has been applied, the guards of all earlier transactions
+/// that have not reached the store yet fail (invariant 2 of docs/safety.md).
 #pragma once
 
 #include "heronshift/config.hpp"
@@ -16,32 +17,32 @@
 
 namespace heronshift::leadership {
 
-/// Sends one transaction at a time and settles its outcome. All functions and callbacks run on the loop's thread; a
-/// failure of the store is an outcome and throws nothing.
+/// Sends one transaction at a time and determines its outcome. All functions and callbacks run on the event loop's
+/// thread. A failure of the store is reported as an outcome, not as an exception.
 class TransactionQueue {
 public:
-    /// What the queue reports and asks.
+    /// How the queue reports to its owner and queries it.
     struct Callbacks {
-        /// The transaction's outcome is known.
+        /// The outcome of the pending transaction is known.
         std::function<void(TxnOutcome)> committed;
         /// A transaction has shown that the term is over.
         std::function<void(ResignReason)> term_over;
-        /// Whether this node may act as leader. Not asked while the queue waits for answers.
+        /// Returns whether this node may act as leader. Not called while the queue waits for an answer of the store.
         std::function<bool()> valid;
     };
 
-    /// Keeps the references. The time that transactions take is counted in `timings`.
+    /// Keeps all references. The durations of successful transactions are recorded in `timings`.
     TransactionQueue(const Settings& settings, TimerQueue& timers, store::StateStore& store, metrics::Timings& timings,
                      Callbacks callbacks)
         : settings_(settings), timers_(timers), store_(store), timings_(timings), callbacks_(std::move(callbacks)) {}
 
-    /// Begins a term; `revision` is the one in which its claim wrote both records.
+    /// Begins a term. `revision`: the revision at which the term's claim wrote the leader record and the term counter.
     void begin(std::uint64_t term, std::uint64_t revision);
-    /// Ends the term: outcomes that are still open are reported to nobody.
+    /// Ends the term: the outcome of a pending transaction is not reported any more.
     void stop() {
         ++epoch_;
     }
-    /// Sends a transaction; the one before must have been reported by Callbacks::committed.
+    /// Sends a transaction. The outcome of the previous one must have been reported through Callbacks::committed.
     void send(Commit commit) {
         send(std::move(commit), 0);
     }
@@ -60,11 +61,11 @@
     store::StateStore& store_;
     metrics::Timings& timings_;
     Callbacks callbacks_;
-    std::uint64_t epoch_ = 0; // of the term: answers to calls of an earlier one are dropped
+    std::uint64_t epoch_ = 0; // changes with the term; results of calls made in an earlier epoch are ignored
     std::uint64_t term_ = 0;
     std::uint64_t leader_key_revision_ = 0;
     std::uint64_t term_counter_revision_ = 0;
-    std::uint64_t transactions_ = 0; // of this term that were applied
+    std::uint64_t transactions_ = 0; // how many transactions of this term were applied
 };
 
 } // namespace heronshift::leadership
