--- a/src/leadership/candidate_policy.hpp
+++ b/src/leadership/candidate_policy.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// Decides when an active leader should step down, for instance because another controller is a better candidate. Pure
-/// functions of their arguments: no clock, no I/O. Whether a node may act as leader is decided by LeaderLease alone, so
-/// a wrong decision made here delays work but violates no invariant.
+/// Decides when an active leader should step down, for instance because another controller is a better candidate. No
+/// clock, no I/O. Whether a node may act as leader is decided by LeaderLease alone, so a wrong decision made here
+/// delays work but violates no invariant.
 #pragma once
 
 #include "heronshift/config.hpp"
