--- a/src/membership/eligibility.cpp
+++ b/src/membership/eligibility.cpp
@@ -6,14 +6,15 @@
 namespace heronshift::membership {
 namespace {
 
-// A share of report_s: an answer that was under way when an outage began may take so long.
+// Fraction of report_s: how long an answer that was in flight when an outage began may still take to arrive.
 constexpr double answer_heartbeats = 1.0 / 10;
-// A share of lease_s: how long a leadership is left to a better candidate.
+// Fraction of lease_s: how long this node waits before it tries to acquire a free leadership, so that a better
+// candidate can acquire it first.
 constexpr double candidacy_delay_leases = 1.0 / 4;
-// A share of report_s: the head start of each equal candidate that comes earlier by name.
+// Fraction of report_s: how long this node waits for each equally eligible candidate whose name sorts before its own.
 constexpr double stagger_heartbeats = 1.0 / 40;
 
-// Whether the candidate could go through the controller of the other view to the zone.
+// Whether the candidate can reach the zone's workers by relaying through the controller that sent the view `other`.
 bool relays_for(const PeerView& candidate, const PeerView& other, const std::string& zone) {
     const auto link = candidate.peers.find(other.node);
     return other.node != candidate.node && zone_reach(other, zone) == Reachability::reachable &&
@@ -35,7 +36,8 @@
     };
     Eligibility out;
     out.store = counts(candidate.store) ? 1 : 0;
-    // The cloud is asked for only while the leader cannot reach it, so it is unknown to most.
+    // Only the leader calls the cloud regularly; the others probe it only while the leader cannot reach it. Most
+    // controllers therefore don't know whether they reach it, and an unknown link counts as working here.
     out.cloud = candidate.cloud != Reachability::unreachable ? 1 : 0;
     for (const auto& zone : zones) {
         if (counts(zone_reach(candidate, zone)))
--- a/src/membership/eligibility.hpp
+++ b/src/membership/eligibility.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// How well each controller could lead, by the views. Pure functions: no state, no clock, no I/O; any thread.
+/// Ranks the controllers as candidates for the leadership by the links that their views report. Pure functions: no
+/// state, no clock, no I/O; callable from any thread.
 #pragma once
 
 #include "heronshift/config.hpp"
@@ -13,52 +14,57 @@
 
 namespace heronshift::membership {
 
-/// How well a controller could be the leader; greater is a better candidate. Compared in this order: the store, the
-/// workers that it reaches itself, those that it reaches through another controller, the cloud.
+/// How well connected a controller is; a greater value is a better candidate for the leadership. The members are
+/// compared in the order of their declaration: the state store, the zones whose workers the controller reaches
+/// directly, the zones that it reaches through another controller, the cloud.
 struct Eligibility {
-    /// 1 if it reaches the store, else 0.
+    /// 1 if the controller reaches the state store, else 0.
     int store = 0;
-    /// Zones whose workers it reaches itself.
+    /// Number of zones whose workers it reaches directly.
     int zones = 0;
-    /// Further zones whose workers it reaches through another controller.
+    /// Number of zones whose workers it reaches only through another controller.
     int zones_by_others = 0;
-    /// 1 unless it is known not to reach the cloud.
+    /// 0 if it is known not to reach the cloud, else 1.
     int cloud = 0;
     auto operator<=>(const Eligibility&) const = default;
 };
-/// As text, for log lines.
+/// Formats an eligibility for log lines.
 std::string describe(const Eligibility& eligibility);
 
-/// How links that nothing is known about are counted.
+/// How `evaluate` counts links to the store and to zones whose state is unknown.
 enum class UnknownLinks { as_unreachable, as_reachable };
 
-/// The eligibility of the controller whose view is given. A zone that it does not reach itself counts as reached
-/// through another if one of `all_views` reaches it and answers this controller; its own view may be among them.
+/// The eligibility of the controller that sent the view `candidate`. A zone that it does not reach directly counts as
+/// reached through another controller if the view of that controller, one of `all_views`, says that it reaches the
+/// zone, and `candidate` says that the controller answers it. `all_views` may contain the candidate's own view, which
+/// is skipped.
 [[nodiscard]] Eligibility evaluate(const PeerView& candidate, const std::vector<const PeerView*>& all_views,
                                    const std::vector<std::string>& zones, UnknownLinks unknown_links);
 
-/// Whether a controller could do the work of a leader at all: it reaches the store and some workers.
+/// Whether a controller could act as leader at all: it reaches the store, and the workers of at least one zone directly
+/// or through another controller.
 [[nodiscard]] bool could_lead(const Eligibility& eligibility);
 
-/// Whether a peer's answer at that time shows that the failure of this node's own link is this node's alone: true while
-/// the link is not lost, and for an answer from after it had begun to fail. Answers that were under way at that moment
-/// prove nothing: in an outage of the store itself the views of all peers say for a moment that it is there, and a
-/// leader that believed them would resign for nothing (docs/safety.md, 26; AnsweredSinceLost in
-/// tests/test_membership.cpp).
+/// Whether a service (the store or the cloud) that last answered a peer at `answered_at` works for that peer although
+/// this node's own link to the service has failed. True while `own_link` is not lost, and if the service answered after
+/// `own_link` had begun to fail. An answer that was in flight when the failures began proves nothing: at the start of
+/// an outage of the store itself, the views of all peers still report it as reachable for a moment, and a leader that
+/// relied on them would resign without need (docs/safety.md, 26; AnsweredSinceLost in tests/test_membership.cpp).
 [[nodiscard]] bool answered_since_lost(std::optional<double> answered_at, const LinkHealth& own_link, double report_s);
 
-/// A peer and its eligibility.
 struct Candidate {
     std::string name;
     Eligibility eligibility;
 };
 
-/// The best of the peers that are better than this node, the first of equal ones; none: there is none.
+/// The name of the most eligible peer, if it is more eligible than this node; the first of several equal ones. Empty if
+/// no peer is more eligible.
 [[nodiscard]] std::optional<std::string> best_above(const Eligibility& own, const std::vector<Candidate>& peers);
 
-/// For how long this node leaves a free leadership to others, in seconds: to a better candidate for a share of a lease,
-/// to equal ones that come earlier by name for a moment each, so that not all try at once. A node that reaches no
-/// worker yields too, unless `no_better_candidate` says that all others are known to be no better.
+/// How long this node waits before it tries to acquire a free leadership, in seconds: a fraction of a lease if a peer
+/// is a better candidate, else a shorter time for each equal candidate whose name sorts before this node's, so that
+/// they don't all try at once. A node that reaches no worker also waits for the fraction of a lease, unless
+/// `no_better_candidate` says that every other controller is known not to be a better candidate.
 [[nodiscard]] double candidacy_delay_s(const Settings& settings, const Eligibility& own,
                                        const std::vector<Candidate>& peers, bool no_better_candidate);
 
--- a/src/membership/link_health.cpp
+++ b/src/membership/link_health.cpp
@@ -9,7 +9,8 @@
     failures_in_row_ = 0;
     if (!succeeding_since_)
         succeeding_since_ = now;
-    // What was lost has to work for a while: else every flap would move the leadership or the workers.
+    // A lost link counts as reachable only after it has worked for min_recovery_s: otherwise a flapping link would move
+    // the leadership or redirect the workers each time.
     if (lost() && now - *succeeding_since_ < thresholds_.min_recovery_s)
         return false;
     return std::exchange(reach_, Reachability::reachable) == Reachability::unreachable;
--- a/src/membership/link_health.hpp
+++ b/src/membership/link_health.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Whether something can be reached, concluded from the requests to it that succeeded and failed. No clock and no I/O:
-/// times are seconds on the node's monotonic clock and are passed in. Not thread-safe.
+/// Infers whether the other end of a link can be reached from the requests over it that succeeded and failed. No clock
+/// and no I/O: the caller passes all times, in seconds on the node's monotonic clock. Not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -8,47 +8,47 @@
 
 namespace heronshift::membership {
 
-/// What is concluded about a link.
+/// The inferred state of a link.
 enum class Reachability : std::uint8_t { unknown, reachable, unreachable };
 
-/// How much evidence it takes to change a conclusion.
+/// When a link changes between reachable and unreachable.
 struct FailureThresholds {
-    /// How long the last success must be ago before the link is taken for lost, in seconds.
+    /// How long ago the last success must be before the link counts as lost, in seconds; without any success, the first
+    /// failure.
     double min_outage_s = 0;
-    /// Failures in a row that it takes besides.
+    /// How many consecutive failures are required in addition.
     int min_failures = 1;
-    /// How long a lost link must work without a failure before it is taken for working again, in seconds.
+    /// How long a lost link must work without a failure before it counts as reachable again, in seconds.
     double min_recovery_s = 0;
 };
 
-/// The state of one link.
+/// The state of one link, updated with the result of each request over it.
 class LinkHealth {
 public:
-    /// A link about which nothing is known yet.
+    /// The link's state is unknown at first.
     explicit LinkHealth(FailureThresholds thresholds) : thresholds_(thresholds) {}
 
-    /// Counts a success; true if that made a lost link reachable again.
+    /// Records a successful request. Returns true if it made a lost link reachable again.
     bool record_success(double now);
-    /// Counts a failure; true if that made the link unreachable.
+    /// Records a failed request. Returns true if it made the link unreachable.
     bool record_failure(double now);
 
-    /// The conclusion.
     [[nodiscard]] Reachability reach() const {
         return reach_;
     }
-    /// Whether the link is taken for unreachable.
     [[nodiscard]] bool lost() const {
         return reach_ == Reachability::unreachable;
     }
-    /// The time of the last success; none: never.
+    /// The time of the last success; empty if there was none.
     [[nodiscard]] std::optional<double> succeeded_at() const {
         return succeeded_at_;
     }
-    /// The time of the last failure; none: never.
+    /// The time of the last failure; empty if there was none.
     [[nodiscard]] std::optional<double> failed_at() const {
         return failed_at_;
     }
-    /// Since when every attempt has failed; meaningful, and there, only while the link is lost.
+    /// The time of the first of the latest consecutive failures. Never empty while the link is lost, and meaningful
+    /// only then.
     [[nodiscard]] std::optional<double> failing_since() const {
         return failing_since_;
     }
@@ -57,7 +57,8 @@
     FailureThresholds thresholds_;
     Reachability reach_ = Reachability::unknown;
     std::optional<double> succeeded_at_, failed_at_;
-    std::optional<double> failing_since_, succeeding_since_; // the first of the failures, of the successes in a row
+    // The times of the first of the latest consecutive failures and of the first of the latest consecutive successes.
+    std::optional<double> failing_since_, succeeding_since_;
     int failures_in_row_ = 0;
 };
 
--- a/src/membership/machine_samples.cpp
+++ b/src/membership/machine_samples.cpp
@@ -5,7 +5,7 @@
 namespace heronshift::membership {
 namespace {
 
-// For how many leases an address is worth asking.
+// After how many leases without a heartbeat an address is no longer probed.
 constexpr double max_age_leases = 2;
 
 } // namespace
--- a/src/membership/machine_samples.hpp
+++ b/src/membership/machine_samples.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// A few machines of one zone that are asked whether they answer. A sample is enough, no larger for a larger fleet: one
-/// answer shows that the zone can be reached.
+/// A few machines of one zone that are probed to find out whether the zone can be reached. The sample doesn't grow with
+/// the fleet, since a single answer shows that the zone can be reached.
 #pragma once
 
 #include "heronshift/config.hpp"
@@ -11,35 +11,35 @@
 
 namespace heronshift::membership {
 
-/// Machines of a zone that are remembered, at most.
+/// The largest number of sampled machines of a zone.
 inline constexpr std::size_t max_samples = 4;
-/// After how many heartbeat intervals a machine counts as silent.
+/// After how many heartbeat intervals (report_s) without a heartbeat a machine counts as silent.
 inline constexpr double silence_heartbeats = 1.5;
 
-/// The addresses of the sampled machines, each with the time of its last heartbeat (seconds, monotonic clock). Used on
-/// the loop's thread only.
+/// The addresses of the sampled machines, each with the time of its last heartbeat (seconds, monotonic clock). To be
+/// used on the loop's thread only.
 class MachineSamples {
 public:
-    /// Nothing is remembered yet. Keeps the reference.
+    /// The sample is empty at first. Keeps a reference to the settings.
     explicit MachineSamples(const Settings& settings) : settings_(settings) {}
 
-    /// A machine was heard. The same machines are kept for as long as they report, so that the connections to them
-    /// stay open; one that is silent makes room for another.
+    /// Records a heartbeat of the machine at this address. Sampled machines stay in the sample for as long as they send
+    /// heartbeats, so that the connections to them stay open; when the sample is full, a new machine replaces a silent
+    /// one, if there is any.
     void heard_from(const std::string& address, double now);
-    /// Takes the sample of another controller in place of this one.
+    /// Replaces this sample by that of another controller, with `heard_at` as the time of each machine's heartbeat.
     void replace(const std::vector<std::string>& addresses, double heard_at);
-    /// Forgets a machine.
+    /// Removes the machine at this address from the sample.
     void forget(const std::string& address);
-    /// Forgets all.
     void clear() {
         samples_.clear();
     }
-    /// Forgets those that are too old to be worth asking, and the silent ones where others still report: a machine
-    /// that was released answers nobody, and its silence must not make the zone look unreachable.
+    /// Removes the machines whose last heartbeat is too old, and the silent machines if others of the sample still send
+    /// heartbeats: a released machine answers no probe, and that must not make the zone look unreachable.
     void drop_stale(double now);
-    /// The next machines to ask, in turn; fewer if fewer are known.
+    /// The addresses of the next machines to probe, in rotation: `max_count` of them, or all if the sample is smaller.
     [[nodiscard]] std::vector<std::string> take_turn(std::size_t max_count);
-    /// Those that were heard within a machine's lease.
+    /// The addresses of the machines whose last heartbeat is less than a machine's lease (lease_s) old.
     [[nodiscard]] std::vector<std::string> heard_within_lease(double now) const;
     [[nodiscard]] bool empty() const {
         return samples_.empty();
