--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -9,15 +9,16 @@
 namespace heronshift::membership {
 namespace {
 
-// Shares of report_s, in which each machine reports once, give or take a quarter.
-constexpr double exchange_heartbeats = 1.0 / 3;         // between two exchanges of views
-constexpr double urgent_exchange_heartbeats = 1.0 / 30; // the same where something has changed
+// Intervals and timeouts as fractions of report_s, the interval at which each machine sends a heartbeat, plus or minus
+// a quarter.
+constexpr double exchange_heartbeats = 1.0 / 3;         // between two exchanges of views with the peers
+constexpr double urgent_exchange_heartbeats = 1.0 / 30; // the same if something has changed
 constexpr double exchange_timeout_heartbeats = 1.0 / 4;
 constexpr double probe_heartbeats = 1.0 / 2; // between two rounds of probes
 constexpr double probe_timeout_heartbeats = 1.0 / 4;
-constexpr double store_quiet_heartbeats = 1.0 / 3; // without an answer of the store: it is probed
+constexpr double store_quiet_heartbeats = 1.0 / 3; // without an answer from the store before it is probed
 constexpr double silence_checks_per_heartbeat = 10;
-// A share of lease_s.
+// The interval between two probes of the cloud, as a fraction of lease_s.
 constexpr double cloud_probe_leases = 1.0 / 2;
 
 FailureThresholds service_thresholds(const Settings& settings) {
@@ -74,11 +75,11 @@
     return it == zones_.end() ? nullptr : &it->second;
 }
 
-// --- evidence ---
+// --- results of requests ---
 
 void Membership::link_changed(const std::string& target, Reachability state) {
     ++link_changes_;
-    exchange_soon_ = true; // the others should know
+    exchange_soon_ = true; // so that the peers learn of it soon
     spdlog::info("link changed target=\"{}\" state={}", target, to_text(state));
 }
 
@@ -120,7 +121,7 @@
         health->stop_probing(addr);
 }
 
-// --- scheduled work ---
+// --- periodic work ---
 
 void Membership::tick() {
     const double now = timers_.now();
@@ -140,7 +141,7 @@
     }
 }
 
-// Peers that the store does not serve learn only from this who is the leader now.
+// Peers that cannot reach the store learn of the new leader only through the exchange of views.
 void Membership::announce_change_of_leader() {
     const bool is_active_leader = host_.is_active_leader();
     if (is_active_leader == was_active_leader_)
@@ -154,7 +155,8 @@
     return now >= next_exchange_ || (exchange_soon_ && now >= next_exchange_ - head_start_s);
 }
 
-// While this node is the active leader, machines should report to it; where none does, it is cut off from them.
+// While this node is the active leader, the machines should send their heartbeats to it. If none of a zone's machines
+// does, the link to that zone is lost.
 void Membership::check_silence() {
     if (!host_.is_active_leader())
         return;
@@ -182,7 +184,8 @@
     probe_cloud();
 }
 
-// Any key will do: the answer counts through store_answered, like those to all other calls.
+// Reads an arbitrary key: only whether an answer comes matters, and that is recorded by `store_answered`, as for all
+// calls to the store.
 void Membership::probe_store() {
     if (store_probe_pending_ || timers_.now() - store_answered_at_ < store_quiet_heartbeats * settings_.report_s)
         return;
@@ -204,7 +207,8 @@
     }
 }
 
-// Calls to the cloud are few: the others look only when it is the leader that cannot reach it.
+// Calls to the cloud should be few, so the other controllers probe it only while the leader's view says that the leader
+// cannot reach it.
 void Membership::probe_cloud() {
     const double now = timers_.now();
     const auto* leader = peers_.find_fresh(host_.leader(), now);
@@ -267,7 +271,8 @@
     auto received = view(reply.body);
     if (!received || received->node != name)
         return;
-    // The reply was made after its request was sent, however long it took to come: these are lower bounds.
+    // The peer made its reply after this node had sent the request, however long the reply took to arrive. The time of
+    // the request less the reported age is therefore a lower bound on the time at which the service answered the peer.
     const auto note_answer = [sent_at](std::optional<double>& answered_at, std::optional<double> age_s) {
         if (age_s)
             answered_at = std::max(answered_at.value_or(sent_at - *age_s), sent_at - *age_s);
@@ -291,13 +296,13 @@
         return;
     const double made_at = view_made_at(view.sent, timers_.wall(), timers_.now(), settings_.time_bound_s);
     if (made_at < peer->view_made_at)
-        return; // overtaken by a newer one
+        return; // a newer view has arrived before this one
     learn_machines(view);
     peer->view = std::move(view);
     peer->view_made_at = made_at;
 }
 
-// The active leader hears the machines itself.
+// The active leader needs no addresses from its peers: it gets the machines' heartbeats itself.
 void Membership::learn_machines(const PeerView& view) {
     if (host_.is_active_leader())
         return;
@@ -306,7 +311,7 @@
             zone->learn_machines(addresses, view.is_active_leader, timers_.now());
 }
 
-// --- conclusions about this node's links ---
+// --- state of this node's links ---
 
 Reachability Membership::reach(const ZoneHealth& zone) const {
     return zone.reach(host_.is_active_leader());
@@ -336,8 +341,9 @@
     return !store_link_.lost() || peers_.any_fresh(timers_.now());
 }
 
-// Where the others are there and have no store either, it is an outage, in which everybody waits. Where nobody can be
-// asked, this node may be the only one that is cut off.
+// If the store is lost but a peer is reached, a request may be relayed through it; if no peer reaches the store either,
+// it is an outage of the store itself, and users have to wait whichever controller they ask. If neither the store nor a
+// peer is reached, this node may be the only one that is cut off, and users should go to another controller.
 bool Membership::can_serve() const {
     return host_.is_active_leader() || has_any_link();
 }
@@ -350,7 +356,8 @@
     return views;
 }
 
-// What a peer reaches counts only if that is newer than the failure here.
+// If this node has lost its own link to the store or the cloud, a peer counts as reaching that service only if it was
+// answered after this node's failures began.
 Eligibility Membership::sure_eligibility(const PeerState& peer, const std::vector<const PeerView*>& views) const {
     auto eligibility = evaluate(peer.view, views, settings_.zones, UnknownLinks::as_unreachable);
     if (!answered_since_lost(peer.store_answered_at, store_link_, settings_.report_s))
@@ -417,7 +424,7 @@
     return peers_.reported_leader(timers_.now());
 }
 
-// --- other ways ---
+// --- relays ---
 
 std::optional<std::string> Membership::with_store(const std::string& preferred) const {
     return relays_.to_store(preferred, timers_.now());
--- a/src/membership/membership.hpp
+++ b/src/membership/membership.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Which links of this controller work, and what its peers last said of theirs. Everything here is a hint: no safety
-/// rule depends on it, a wrong or outdated view only costs time.
+/// Tracks which links of this controller work, and which links its peers last reported as working. All of this is a
+/// hint: no safety rule depends on it, and a wrong or outdated view only costs time.
 #pragma once
 
 #include "heronshift/config.hpp"
@@ -24,55 +24,57 @@
 
 namespace heronshift::membership {
 
-/// Collects evidence about the links to the state service, the cloud, the peers and the workers of each zone, exchanges
-/// views with the peers, probes what has been quiet, and answers the questions of the other parts about all this. Used
-/// on the loop's thread only; it must outlive the requests that it has sent.
+/// Tracks the health of the links to the state store, the cloud, the peers and the workers of each zone from the
+/// results of requests. Exchanges views with the peers, probes links that have carried no traffic for a while, and
+/// tells the other components which links work and which peers to relay through. To be used on the loop's thread only;
+/// must outlive the requests that it has sent.
 class Membership {
 public:
-    /// What it asks of the controller that it belongs to.
+    /// What Membership needs to know from its controller.
     class Host {
     public:
         virtual ~Host() = default;
-        /// The leader as far as this node knows; empty: none is known.
+        /// The name of the leader as far as this node knows; empty if it knows of none.
         [[nodiscard]] virtual const std::string& leader() const = 0;
         [[nodiscard]] virtual std::uint64_t leader_term() const = 0;
-        /// Whether the store itself told this node who the leader is.
+        /// Whether this node learned from the store itself, rather than from a peer, who the leader is.
         [[nodiscard]] virtual bool sees_leader() const = 0;
         /// Whether this node is the leader and may act.
         [[nodiscard]] virtual bool is_active_leader() const = 0;
-        /// Since when it has been the leader; seconds on the monotonic clock.
+        /// When this node became the leader, in seconds on the monotonic clock.
         [[nodiscard]] virtual double active_since() const = 0;
-        /// How many machines should report to this node, by zone; asked only while it is the active leader.
+        /// How many machines should send heartbeats to this node, by zone. Called only while it is the active leader.
         [[nodiscard]] virtual std::map<std::string, std::size_t> machines_by_zone() const = 0;
     };
-    /// Keeps all references.
+    /// Keeps references to all arguments.
     Membership(const Settings& settings, TimerQueue& timers, store::StateStore& store, Executor& executor, Peers& peers,
                Host& host);
 
-    /// Does what is due: judges silence, probes, exchanges views. To be called often: the shortest interval in it is a
-    /// thirtieth of report_s.
+    /// Does the periodic work that is due: checks zones for missing heartbeats, sends probes, exchanges views. To be
+    /// called at least every thirtieth of report_s, which is the shortest of its intervals.
     void tick();
-    /// Answers POST /peer/view: takes the peer's view, replies with this node's; 400 for what is not a view.
+    /// Handles POST /peer/view: stores the peer's view and replies with this node's own; replies 400 if the body is not
+    /// a view.
     void handle_view(const HttpRequest& request, const Responder& res);
 
-    /// Evidence from those who use the links: whether a request was answered.
+    /// Called by the users of a link with the result of each request: whether it was answered.
     void store_answered(bool ok);
     void cloud_answered(bool ok);
     void peer_answered(const std::string& name, bool ok);
-    /// A machine's heartbeat came from the machine itself.
+    /// Records a heartbeat that the machine sent to this node directly.
     void heartbeat_received(const std::string& zone, const std::string& addr);
-    /// A machine's heartbeat came through another controller.
+    /// Records a heartbeat that another controller relayed.
     void heartbeat_relayed(const std::string& zone, const std::string& addr);
-    /// A machine is given back, or hears no controller: that it does not answer says nothing of this node's links.
-    /// Probed further, a few such machines would make their zone look unreachable, and the leader would resign
-    /// (`ReleasedMachines`, `MissedAnswers`).
+    /// Stops probing a machine that is being released, or that no controller can reach: its missing answers say nothing
+    /// about this node's links. If such machines were still probed, a few of them would make their zone look
+    /// unreachable, and the leader would resign (`ReleasedMachines`, `MissedAnswers`).
     void stop_probing(const std::string& zone, const std::string& addr);
-    /// A machine answered a request.
+    /// Records that a machine answered a request of this node, directly or relayed.
     void machine_answered() {
         last_worker_heartbeat_at_ = timers_.now();
     }
 
-    /// What is concluded about this node's own links; unknown for names that are not in the settings.
+    /// The state of this node's own links; unknown for names that are not in the settings.
     [[nodiscard]] Reachability store() const {
         return store_link_.reach();
     }
@@ -80,39 +82,47 @@
     [[nodiscard]] bool any_zone_lost() const;
     [[nodiscard]] bool all_zones_lost() const;
     [[nodiscard]] Reachability peer(const std::string& name) const;
-    /// The last sign of any worker, direct or relayed, in seconds on the monotonic clock; `never` (below zero): none.
+    /// When the last heartbeat or answer of any machine came, directly or relayed, in seconds on the monotonic clock;
+    /// `never` (below zero) if none came yet.
     [[nodiscard]] double last_worker_heartbeat_at() const {
         return last_worker_heartbeat_at_;
     }
 
-    /// Whether all peers are known by fresh views, and none of them could lead.
+    /// Whether this node has a fresh view of every peer, and none of the peers could lead.
     [[nodiscard]] bool no_better_candidate() const;
-    /// Whether this node reaches the store or hears from any other controller.
+    /// Whether the link to the store is not lost, or this node has a fresh view of at least one peer.
     [[nodiscard]] bool has_any_link() const;
-    /// The best of the peers with fresh views, if it is surely a better candidate than this node.
+    /// The most eligible of the peers with fresh views, if it is more eligible than this node even if the peers'
+    /// eligibility is taken as by `eligibility` and this node's as by `own_eligibility`.
     [[nodiscard]] std::optional<std::string> better_candidate() const;
-    /// This node's eligibility; links that nothing is known about count as working.
+    /// This node's eligibility; unknown links count as reachable.
     [[nodiscard]] Eligibility own_eligibility() const;
-    /// A peer's eligibility as far as it is sure; none at all without a fresh view of it.
+    /// A peer's eligibility; its unknown links to the store and to zones count as unreachable. The store and the cloud
+    /// count only if they have answered the peer since this node's own link to them began to fail, if that is lost. All
+    /// members are 0 if there is no fresh view of the peer.
     [[nodiscard]] Eligibility eligibility(const std::string& peer) const;
-    /// For how long this node leaves a free leadership to others, in seconds.
+    /// How long this node waits before it tries to acquire a free leadership, in seconds, so that a better candidate
+    /// can acquire it first.
     [[nodiscard]] double candidacy_delay_s() const;
-    /// While the store does not answer this node: a peer that it has answered since.
+    /// A peer that the store has answered since this node lost its own link to the store; empty if there is none, or
+    /// while this node's link is not lost.
     [[nodiscard]] std::optional<std::string> served_instead() const;
-    /// Who is the leader by what a peer was told by the store; none: no peer says so.
+    /// The leader according to the peers that know it from the store or lead themselves; empty if there is no such
+    /// peer.
     using ReportedLeader = membership::ReportedLeader;
     [[nodiscard]] std::optional<ReportedLeader> reported_leader() const;
 
-    /// A peer that reaches the store and is reached from here: the preferred one, if it is among them.
+    /// A peer that reaches the store and that this node reaches: `preferred` if it does, else the first by name.
     [[nodiscard]] std::optional<std::string> with_store(const std::string& preferred) const;
-    /// A peer that reaches the workers of a zone and is reached from here; they take turns.
+    /// A peer that reaches the workers of the zone and that this node reaches; if there are several, they are returned
+    /// in rotation.
     [[nodiscard]] std::optional<std::string> relay_to(const std::string& zone);
-    /// Whether a worker of this zone should report to the leader itself.
+    /// Whether a worker of this zone should send its heartbeats to the leader directly.
     [[nodiscard]] bool leader_reaches(const std::string& leader, const std::string& zone) const;
-    /// Whether this node can do something for users, by itself or through another.
+    /// Whether this node can serve users, by itself or through another controller.
     [[nodiscard]] bool can_serve() const;
 
-    /// The links' states and counts of what was done, for monitoring.
+    /// The states of the links, and counters of link changes, sent views and probes.
     [[nodiscard]] std::vector<metrics::Value> metrics() const;
 
 private:
@@ -150,8 +160,8 @@
 
     double next_exchange_ = 0, next_probe_ = 0, next_silence_check_ = 0, next_cloud_probe_ = 0;
     bool store_probe_pending_ = false;
-    bool exchange_soon_ = false;     // there is something that the peers should know
-    bool was_active_leader_ = false; // when the peers were last told
+    bool exchange_soon_ = false;     // something changed: send the next views without waiting for the full interval
+    bool was_active_leader_ = false; // at the last check for a change of leadership
     std::uint64_t exchanges_ = 0, probes_ = 0, link_changes_ = 0;
 };
 
--- a/src/membership/observed_clients.hpp
+++ b/src/membership/observed_clients.hpp
@@ -1,6 +1,7 @@
 /// @file
-/// A store and peers that tell how each request went, so that the state of the links is known from ordinary use. They
-/// pass everything on unchanged; used on the loop's thread only.
+/// Decorators of the store client and the peer client that report whether each request was answered, so that the state
+/// of the links is known from ordinary traffic. They pass requests and answers on unchanged. To be used on the loop's
+/// thread only.
 #pragma once
 
 #include "heronshift/store/store.hpp"
@@ -13,22 +14,23 @@
 
 namespace heronshift::membership {
 
-/// Whether the store service itself has answered. Refusals such as 429 are answers; no answer, a bad gateway and an
-/// unavailable service are not, and the request may have failed on this side.
+/// Whether the answer came from the store service itself. A refusal such as 429 does. A missing answer, 502 (bad
+/// gateway) and 503 (unavailable) don't: the request may have failed on this side of the link.
 [[nodiscard]] inline bool is_from_store(const store::Answer& answer) {
     constexpr int no_answer = 0, bad_gateway = 502, unavailable = 503;
     return answer.status != no_answer && answer.status != bad_gateway && answer.status != unavailable;
 }
 
-/// A store that reports after each call whether it was answered.
+/// Wraps a store client and reports after each call whether the store answered it.
 class ObservedStore final : public store::StateStore {
 public:
     explicit ObservedStore(std::unique_ptr<store::StateStore> inner) : inner_(std::move(inner)) {}
-    /// Called before the caller gets the answer.
+    /// Called with the result of each call, before the caller gets the answer.
     std::function<void(bool ok)> on_answer;
 
     void call(store::Call&& call, double timeout_s, store::Callback done) override {
-        // A follow that stays open proves nothing: it does so during an outage, too.
+        // The result of a `Follow` call is not reported: such a call also stays open during an outage, so it proves
+        // nothing about the link.
         if (std::holds_alternative<store::Follow>(call))
             return inner_->call(std::move(call), timeout_s, std::move(done));
         inner_->call(std::move(call), timeout_s, [this, done = std::move(done)](store::Answer&& answer) {
@@ -45,11 +47,11 @@
     std::unique_ptr<store::StateStore> inner_;
 };
 
-/// Peers that report after each request whether the peer answered.
+/// Wraps a peer client and reports after each request whether the peer answered.
 class ObservedPeers final : public Peers {
 public:
     explicit ObservedPeers(std::unique_ptr<Peers> inner) : inner_(std::move(inner)) {}
-    /// Called before the caller gets the reply.
+    /// Called with the peer's name and the result of each request, before the caller gets the reply.
     std::function<void(const std::string& name, bool ok)> on_answer;
 
     void request(Lane lane, const std::string& name, const char* method, const std::string& path, std::string body,
--- a/src/membership/peer_view.cpp
+++ b/src/membership/peer_view.cpp
@@ -8,12 +8,12 @@
 
 using codec::Json;
 
-// Bounds on what comes from outside. There is a handful of zones and controllers for any number of machines; entries
-// beyond the bound count as not said.
+// Limits on received views. Even the largest fleets have only a handful of zones and controllers; entries beyond the
+// limit are ignored.
 constexpr std::size_t max_entries = 64;
 constexpr std::size_t max_name_length = 128;
 
-// A time that is not known, as it is written.
+// Stands in the JSON for an age that is not known.
 constexpr double no_age = -1;
 
 constexpr std::string_view text_reachable = "works", text_unreachable = "lost", text_unknown = "unknown";
@@ -75,7 +75,7 @@
     return it != json.end() && it->is_boolean() && it->get<bool>();
 }
 
-// Calls visit(name, value) for each entry of an object, within the bounds.
+// Calls visit(name, value) for each entry of the object in this field, within the limits.
 template <class Visit> void for_each_entry(const Json& json, const char* field, Visit visit) {
     const auto it = json.find(field);
     if (it == json.end() || !it->is_object())
--- a/src/membership/peer_views.cpp
+++ b/src/membership/peer_views.cpp
@@ -5,7 +5,7 @@
 namespace heronshift::membership {
 namespace {
 
-// A view goes out three times in a heartbeat interval.
+// For how many heartbeat intervals a view counts as fresh. Each controller sends its view three times in one interval.
 constexpr double fresh_heartbeats = 1;
 
 FailureThresholds peer_thresholds(const Settings& settings) {
@@ -15,7 +15,7 @@
 } // namespace
 
 double view_made_at(double sent, double wall, double now, double time_bound_s) {
-    // Both clocks may be wrong by the bound.
+    // Each of the two clocks may be wrong by the bound, in opposite directions.
     const double late = std::max(0.0, wall - sent - 2 * time_bound_s);
     return now - late;
 }
--- a/src/membership/peer_views.hpp
+++ b/src/membership/peer_views.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// The other controllers: the link to each, and the newest view that came from it. A view is a hint that may be wrong
-/// or out of date; only fresh ones are used.
+/// The state of the other controllers: for each, the health of the link to it and its newest view. A view is a hint
+/// that may be wrong or outdated; only fresh views are used.
 #pragma once
 
 #include "heronshift/config.hpp"
@@ -15,44 +15,44 @@
 
 namespace heronshift::membership {
 
-/// A time on the monotonic clock earlier than any that it shows: of what has not happened yet.
+/// Stands for the time of an event that has not happened yet; earlier than any time of the monotonic clock.
 inline constexpr double never = -1;
 
-/// When a view was made, on this node's monotonic clock: now, less what it was delayed on the way beyond what the bound
-/// on wall clock errors explains. All in seconds; sent and wall since 1970.
+/// The time at which a view that arrives now was made, on this node's monotonic clock: `now` less the view's delay on
+/// the way. The delay is the difference of the wall clocks, `wall` - `sent`, as far as it exceeds what clock errors of
+/// up to `time_bound_s` on both sides explain. All values in seconds, `sent` and `wall` since 1970.
 [[nodiscard]] double view_made_at(double sent, double wall, double now, double time_bound_s);
-/// Whether a view made then still says something: not if some three exchanges have been missed.
+/// Whether a view made at `made_at` may still be used: false after about three missed exchanges.
 [[nodiscard]] bool is_fresh(double made_at, double now, double report_s);
 
-/// What is known of one peer.
+/// What this node knows about one peer.
 struct PeerState {
-    /// A peer about which nothing is known yet.
     explicit PeerState(const Settings& settings);
     LinkHealth link;
     PeerView view;
     double view_made_at = never;
-    /// The state service and the cloud answered the peer then or later; none: not known.
+    /// Lower bounds on the times at which the store and the cloud last answered the peer; empty if not known.
     std::optional<double> store_answered_at, cloud_answered_at;
-    /// A view was sent and not answered yet.
+    /// A view was sent to the peer, and its reply is outstanding.
     bool exchange_pending = false;
 };
 
-/// Who is the leader by what a peer was told by the store.
+/// The leader according to a peer that knows it from the store or leads itself.
 struct ReportedLeader {
     std::string leader;
     std::uint64_t term = 0;
 };
 
-/// All peers of the settings, in order of their names. Used on the loop's thread only.
+/// The state of all peers in the settings, in order of their names. To be used on the loop's thread only.
 class PeerViews {
 public:
-    /// Keeps the reference.
+    /// Keeps a reference to the settings.
     explicit PeerViews(const Settings& settings);
 
-    /// The state of one peer; null if it is not in the settings.
+    /// The state of one peer; null if the peer is not in the settings.
     [[nodiscard]] PeerState* find(const std::string& name);
     [[nodiscard]] const PeerState* find(const std::string& name) const;
-    /// The state of one peer, if its view is fresh; else null.
+    /// The state of one peer if its view is fresh, else null.
     [[nodiscard]] const PeerState* find_fresh(const std::string& name, double now) const;
     [[nodiscard]] std::map<std::string, PeerState>& all() {
         return peers_;
@@ -65,9 +65,10 @@
     }
     [[nodiscard]] bool any_fresh(double now) const;
     [[nodiscard]] bool all_fresh(double now) const;
-    /// The fresh views, in order of name; valid until the next call that changes a view.
+    /// The fresh views, in order of the peers' names; the pointers are valid until a view is changed.
     [[nodiscard]] std::vector<const PeerView*> fresh_views(double now) const;
-    /// Who is the leader by the fresh view of the greatest term; none: no view says so.
+    /// The leader according to the fresh view with the highest term, among those whose sender knows the leader from the
+    /// store or leads itself; empty if there is no such view.
     [[nodiscard]] std::optional<ReportedLeader> reported_leader(double now) const;
 
 private:
--- a/src/membership/zone_health.cpp
+++ b/src/membership/zone_health.cpp
@@ -5,12 +5,14 @@
 namespace heronshift::membership {
 namespace {
 
-// A few machines may well be silent together without the zone being cut off: they are given more time.
+// In a zone of fewer than small_fleet_machines machines, all of them may well miss a heartbeat at the same time
+// although the zone is reachable, so they may be silent for longer.
 constexpr std::size_t small_fleet_machines = 4;
 constexpr double small_fleet_silence_heartbeats = 2.5;
 constexpr std::size_t probes_per_round = 2;
 
-// The silence itself is what lasted, so one look is enough.
+// A single failure suffices and no time has to pass: the failure is recorded only after the zone's machines have been
+// silent for more than a heartbeat interval.
 FailureThresholds inbound_thresholds(const Settings& settings) {
     return {.min_outage_s = 0, .min_failures = 1, .min_recovery_s = settings.report_s / 2};
 }
@@ -47,7 +49,7 @@
 
 ZoneHealth::SilenceCheck ZoneHealth::check_silence(std::size_t machines, double active_since, double now) {
     if (machines == 0) {
-        samples_.clear(); // released: that they are silent says nothing
+        samples_.clear(); // the zone's machines were released, so their silence says nothing about the link
         return SilenceCheck::unchanged;
     }
     auto result = SilenceCheck::unchanged;
--- a/src/membership/zone_health.hpp
+++ b/src/membership/zone_health.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Whether this controller reaches the workers of one zone, by two kinds of evidence: inbound, the heartbeats that
-/// should come while this node is the active leader, and outbound, the probes of a few machines.
+/// Infers whether this controller reaches the workers of one zone. Two links are tracked: inbound, by the heartbeats
+/// that should arrive while this node is the active leader, and outbound, by the answers of a few machines to probes.
 #pragma once
 
 #include "membership/link_health.hpp"
@@ -12,51 +12,58 @@
 
 namespace heronshift::membership {
 
-/// The health of one zone. No clock and no I/O: times are seconds on the node's monotonic clock. Used on the loop's
-/// thread only.
+/// The health of the links to one zone. No clock and no I/O: the caller passes all times, in seconds on the node's
+/// monotonic clock. To be used on the loop's thread only.
 class ZoneHealth {
 public:
-    /// What a look at the zone's silence has changed.
+    /// What a call of `check_silence` has changed.
     enum class SilenceCheck {
         unchanged,
-        inbound_reset, ///< nothing is concluded from earlier silence any more
-        lost,          ///< no machine is heard: the zone is taken for unreachable
+        inbound_reset, ///< the state inferred from earlier silence was discarded
+        lost,          ///< no machine's heartbeat arrives: the zone now counts as unreachable
     };
 
-    /// A zone about which nothing is known yet. Keeps the reference.
+    /// The state of both links is unknown at first. Keeps a reference to the settings.
     explicit ZoneHealth(const Settings& settings);
 
-    /// A machine's own heartbeat came; true if that made the inbound link reachable again.
+    /// Records a heartbeat that a machine sent to this node directly. Returns true if it made the lost inbound link
+    /// reachable again.
     bool record_heartbeat(const std::string& address, double now);
-    /// A machine's heartbeat came through another controller. It says nothing about this node's links, but the machine
-    /// is there: without it the only machines left to probe would be ones that were released long ago.
+    /// Records a heartbeat that another controller relayed. It says nothing about this node's links, but it shows that
+    /// the machine exists and can be probed. Without these machines, only long-released ones might be left to probe.
     void record_relayed_heartbeat(const std::string& address, double now);
-    /// That this machine does not answer says nothing of the zone.
+    /// Stops probing this machine: its missing answers say nothing about the link to the zone.
     void stop_probing(const std::string& address) {
         samples_.forget(address);
     }
-    /// Judges the silence of the zone's machines; to be called regularly while this node is the active leader, with
-    /// the number of machines that should report to it and the time since which it has been active. Machines that
-    /// report through another controller were told to, so their silence here says nothing: the conclusion is dropped
-    /// once a probe is answered again (finish_probe), and after a lease in any case.
+    /// Marks the inbound link as lost if the zone's machines have sent no heartbeat for too long. To be called
+    /// regularly while this node is the active leader, with the number of machines that should send heartbeats to it,
+    /// and with the time at which it became the leader. Machines whose heartbeats are relayed have been redirected
+    /// because the inbound link was lost, so their silence on the direct path does not show that it is still lost. A
+    /// lost inbound link therefore returns to unknown when a lost outbound link recovers (`finish_probe`), and after
+    /// one lease in any case.
     SilenceCheck check_silence(std::size_t machines, double active_since, double now);
 
-    /// Begins a round of probes: the addresses to ask. Empty while a round is under way, or if no machine is known.
+    /// Starts a round of probes and returns the addresses to probe; empty if a round is in progress or no machine is
+    /// known.
     [[nodiscard]] std::vector<std::string> start_probe_round(double now);
-    /// One of the round's probes has ended: answered or not; none: this executor cannot probe. A round in which nobody
-    /// answered counts as one failure. True if that changed the outbound link.
+    /// Records the result of one probe of the round: whether the machine answered, or empty if this executor cannot
+    /// probe. A round in which no machine answered counts as one failure, unless the executor cannot probe. Returns
+    /// true if the outbound link was lost or recovered by this result.
     bool finish_probe(std::optional<bool> answered, double now);
 
-    /// Takes over the machines that a peer knows of. Those of the active leader are current. What others only remember
-    /// is used where nothing is known, but counts as a lease old, so that it is not handed on: else it would never
-    /// expire.
+    /// Adopts the machines that a peer has listed in its view. Addresses from the active leader are current and replace
+    /// the sample. Addresses from another peer may be outdated: they are used only if the sample is empty, and count as
+    /// one lease old, so that this node doesn't share them in turn; otherwise controllers would pass them around
+    /// forever.
     void learn_machines(const std::vector<std::string>& addresses, bool from_active_leader, double now);
-    /// The machines worth telling the peers.
+    /// The machines to list in this node's view: those whose last heartbeat is less than a lease old.
     [[nodiscard]] std::vector<std::string> machines_to_share(double now) const {
         return samples_.heard_within_lease(now);
     }
 
-    /// The conclusion. Inbound evidence counts only while this node is the active leader: workers report to no other.
+    /// Whether the zone's workers can be reached. The inbound link counts only while this node is the active leader,
+    /// since workers send their heartbeats only to the active leader.
     [[nodiscard]] Reachability reach(bool is_active_leader) const;
 
 private:
@@ -65,9 +72,11 @@
 
     const Settings& settings_;
     LinkHealth inbound_, outbound_;
-    std::optional<double> silent_since_; // the last heartbeat of either kind, or reset: silence counts from there
+    // When silence began to count: the time of the last heartbeat, direct or relayed, or of the last reset of the
+    // inbound link.
+    std::optional<double> silent_since_;
     MachineSamples samples_;
-    std::size_t probes_sent_ = 0, probes_finished_ = 0; // of the round under way
+    std::size_t probes_sent_ = 0, probes_finished_ = 0; // of the latest round
     bool round_answered_ = false;
 };
 
