--- a/src/workers/heartbeat_handler.cpp
+++ b/src/workers/heartbeat_handler.cpp
@@ -10,29 +10,37 @@
 namespace heronshift::workers {
 namespace {
 
-constexpr double worker_waits_s = 4; // for the answer to a heartbeat, says the protocol
-// At each controller a machine waits for the answer and then a second, and its heartbeat takes time to come.
+// How long a machine waits for the answer to a heartbeat, as the protocol prescribes.
+constexpr double worker_waits_s = 4;
+// The longest time that a machine spends at one controller before it tries the next: it waits for the answer and then
+// for one more second, and its heartbeat takes time to arrive.
 constexpr double max_visit_s = worker_waits_s * 3 / 2;
-constexpr double relay_s = worker_waits_s / 2;           // so that there is time for both ways
-constexpr double max_pending_s = worker_waits_s * 3 / 4; // how long reports wait while the leader changes
-// Reports that wait through a failover, by the memory they hold: 9 MB of 72, some 10,000 with five tasks each. A
-// report beyond is answered 503 at once, and its machine tries the next controller.
+constexpr double relay_s = worker_waits_s / 2;           // leaves time for the paths from and to the machine
+constexpr double max_pending_s = worker_waits_s * 3 / 4; // longest wait of a heartbeat for a new leader
+// Share of the memory limit for heartbeats that wait during a failover: 9 MB of 72 MB, enough for about 10,000
+// heartbeats with five tasks each. Any further heartbeat is answered 503 at once, and its machine tries the next
+// controller.
 constexpr double pending_memory_share = 1.0 / 8;
-// Machines that were sent to the leader: 9,437 at 72 MB. Of more, those are forgotten that were sent to an earlier
-// leader or longer than a lease ago; without any such, a further machine is sent to the leader each time that it comes.
+// Share of the memory limit for the table of machines that were redirected to the leader: 9,437 entries at 72 MB. When
+// the table is full, the entries of machines that were redirected to an earlier leader, or were last seen longer than
+// `remember_s_` ago, are removed. If there are none, a machine without an entry is redirected to the leader each time
+// that its heartbeat arrives here.
 constexpr double redirected_memory_share = 1.0 / 32;
 constexpr std::size_t redirected_bytes = 256;
-// Jobs whose first launch is timed: 9,216 at 72 MB. Beyond, launches of the oldest are missing from the histogram.
+// Share of the memory limit for the jobs whose first launch is timed: 9,216 jobs at 72 MB. If there are more, the
+// launches of the oldest jobs are missing from the histogram.
 constexpr double timed_jobs_memory_share = 1.0 / 64;
 constexpr std::size_t timed_job_bytes = 128;
-// Relays under way, of fd_limit: 51 at 1024. A third of 6,000 machines, relayed by four controllers with report_s 3,
-// are 167 reports a second each, so the bound holds if the leader answers within 0.3 s on average. Beyond, a heartbeat
-// is answered 503 and its machine tries the next controller.
+// Limits the relays in flight to fd_limit divided by this number: 51 at an fd_limit of 1024. If a third of 6,000
+// machines is relayed by four controllers with report_s 3, each of them relays 167 heartbeats a second, which stays
+// within the limit if the leader answers within 0.3 s on average. Any further heartbeat is answered 503, and its
+// machine tries the next controller.
 constexpr int sockets_per_relay = 20;
-// Since a heartbeat came: until when it may still be relayed, and by when it is answered.
+// Times after the arrival of a heartbeat: until when a relay of it may still begin, and by when the relay has ended, so
+// that the answer reaches the machine in time.
 constexpr double relayed_until_s = worker_waits_s * 3 / 4, answered_by_s = worker_waits_s * 7 / 8;
 constexpr std::string_view peer_relay = "/peer/relay?to=";
-constexpr std::string_view no_orders = "{}"; // the body of an answer that says nothing
+constexpr std::string_view no_orders = "{}"; // body of an answer without orders
 
 Executor::HeartbeatDone answer_to(const Responder& res) {
     return [res](const HeartbeatResponse& response) {
@@ -44,7 +52,7 @@
     };
 }
 
-// What a machine showed, and which way its heartbeat goes from here.
+// Logs the fields of a heartbeat that matter for its routing, and what is done with the heartbeat.
 void log_route(const Heartbeat& heartbeat, std::string_view route) {
     spdlog::debug("heartbeat machine={} epoch={} counter={} fencing_token={} route={}", heartbeat.machine,
                   heartbeat.agent_epoch, heartbeat.counter, heartbeat.fencing_token, route);
@@ -67,7 +75,8 @@
     });
 }
 
-// What a heartbeat is told that this node must not take.
+// The answer to a heartbeat that this node must not handle because it is not the active leader: 421 with the leader's
+// name, or 503 if no other node is known to lead.
 HeartbeatResponse HeartbeatHandler::not_leader_response() const {
     const auto& leader = host_.leader();
     if (leader.empty() || leader == settings_.name)
@@ -80,7 +89,7 @@
         return answer_to(res)(not_leader_response());
     auto heartbeat = codec::heartbeat(request.body);
     if (!heartbeat) {
-        spdlog::warn("malformed heartbeat");
+        spdlog::warn("heartbeat rejected reason=malformed");
         return res.send(http_status::bad_request, codec::error_answer("malformed report"));
     }
     const auto other = not_leader_response();
@@ -116,11 +125,12 @@
     return size;
 }
 
-// While the leadership passes from one to another, a heartbeat waits for a moment: sent away, its machine might
-// find no other node that it reaches before its lease has run out.
+// Hands the heartbeat to the core if this node is the active leader. During a change of leadership the heartbeat waits
+// for a short time instead: if it were rejected, its machine might find no other controller that it can reach before
+// its lease expires.
 void HeartbeatHandler::take(PendingHeartbeat&& pending) {
     if (!host_.is_active_leader()) {
-        // Cut off from the store and from all others, this node would not hear who has it.
+        // A node that is cut off from the store and from all other controllers would not learn who the new leader is.
         if (pending_bytes_ + pending.bytes() > max_pending_bytes_ || !members_.has_any_link())
             return pending.done({});
         keep_waiting(std::move(pending));
@@ -139,9 +149,9 @@
         retry(std::move(pending));
 }
 
-// Where another controller has become the leader, a heartbeat is relayed there if its machine would not reach it.
-// Redirected, such a machine would try all other controllers first, which may not reach the leader either, until its
-// lease has run out.
+// If another controller has become the leader and the machine would not reach it, the heartbeat is relayed there. If
+// the machine were redirected instead, it would try all other controllers first, which may not reach the leader either,
+// until its lease expires.
 void HeartbeatHandler::retry(PendingHeartbeat&& pending) {
     if (host_.is_active_leader())
         return take(std::move(pending));
@@ -161,7 +171,8 @@
     pending_heartbeats_.push_back(std::move(pending));
 }
 
-// Room for one more machine. False: all of them were sent to this leader within a lease.
+// Makes room in `redirected_` for one more machine, if necessary. False if the table stays full: all its machines were
+// redirected to the present leader and seen within `remember_s_`, or the last cleanup is less than report_s ago.
 bool HeartbeatHandler::make_room_for_redirected() {
     if (redirected_.size() < max_redirected_)
         return true;
@@ -176,15 +187,19 @@
     return redirected_.size() < max_redirected_;
 }
 
-// A heartbeat is relayed if the leader says that it does not hear from that zone, or if its machine was redirected to
-// the leader and is back: once if that went fast (refused, or not ready), for `remember_s_` if it waited there in vain.
-// Where the leader cannot be reached from here either, the machine tries the next controller; redirected once more, it
-// could be sent to and fro between two controllers that know of an old leader only, until its lease has run out.
+// Decides what to do with a heartbeat while another node leads.
 //
-// A machine that no answer reaches tries all controllers in turn. Unless all of them relay what it sends, the leader
-// hears it once in a turn only, and cannot tell in time that it hears nothing; so one that is back is known for as long
-// as a turn takes, and what was longer ago counts for nothing (docs/safety.md, 30;
-// `InboundUnreachable.OneMachineGetsNothingMoreAndIsGivenBack`).
+// The heartbeat is relayed if the leader's view says that the leader does not reach the machine's zone, or if the
+// machine was redirected to the leader and has returned here. A machine that returned quickly was refused, or the
+// leader was not ready: one heartbeat is relayed. A machine that returned only after worker_waits_s waited there
+// without an answer: its heartbeats are relayed for `remember_s_`. If this node does not reach the leader either, a
+// returned machine tries the next controller. If it were redirected once more, two controllers that both know only of
+// an old leader could send it back and forth until its lease expires.
+//
+// A machine that receives no answers tries all controllers in turn. Unless all of them relay its heartbeats, the leader
+// receives only one in each such round, and cannot detect in time that no answer reaches the machine. A returned
+// machine is therefore remembered for as long as a round takes, and a redirection that is longer ago is ignored
+// (docs/safety.md, 30; `InboundUnreachable.OneMachineGetsNothingMoreAndIsGivenBack`).
 HeartbeatHandler::Route HeartbeatHandler::route_of(const Heartbeat& heartbeat) {
     const auto& leader = host_.leader();
     const bool reached = members_.peer(leader) != membership::Reachability::unreachable;
@@ -203,13 +218,15 @@
     machine = {leader, now, 0, now};
     if (known || !host_.is_of_leader_term(heartbeat.fencing_token))
         return Route::leader;
-    // It has heard this leader and left it all the same: answers from there do not reach it any more.
+    // The machine's fencing token is of this leader's term, so an answer of this leader has reached it; that it tries
+    // another controller nevertheless shows that the leader's answers don't reach it any more.
     machine.relay_until = now + remember_s_;
     machine.sent_at.reset();
     return reached ? Route::relay : Route::next;
 }
 
-// Whether a machine that was redirected to the present leader could do nothing there.
+// Whether a machine that was redirected to the present leader has returned from it without success, or its heartbeats
+// are still being relayed since it returned earlier (`relay_until`).
 bool HeartbeatHandler::is_back(Redirected& machine, double now) const {
     const bool back = machine.sent_at.has_value();
     if (back && now - *machine.sent_at >= worker_waits_s)
@@ -217,7 +234,7 @@
     return back || now < machine.relay_until;
 }
 
-// False: as many relays as there may be are under way.
+// Counts one more relay in flight. False if there are max_relays_ already.
 bool HeartbeatHandler::begin_relay() {
     if (relaying_ >= max_relays_) {
         ++timings_.refused;
@@ -236,8 +253,9 @@
     auto on_reply = [this, kept = std::make_shared<Heartbeat>(std::move(heartbeat)), res, since,
                      leader = host_.leader()](const HttpReply& reply) {
         --relaying_;
-        // Whatever the leader said, and nothing that it did not say. Where it has just given the leadership up, the
-        // machine is told who has it next.
+        // An answer of the leader is passed on unchanged, and this node never makes up one in its name. If the leader
+        // did not take the heartbeat, for example because it has just resigned, the heartbeat waits for the next
+        // leader, and the machine is then told who that is.
         if (reply.status == http_status::ok || reply.status == http_status::misdirected_request)
             return res.send(reply.status, reply.body);
         take({std::move(*kept), false, answer_to(res), since, std::nullopt, leader});
@@ -275,17 +293,17 @@
     timings_.heartbeat.add(timers_.now() - heartbeat.since);
     record_launches(effect.orders);
     const bool taken = effect.status == http_status::ok;
-    // A late copy, which the core refuses, says nothing of the way that it came.
+    // The core refuses a late copy of a heartbeat; such a copy says nothing about the present state of its path.
     if (taken)
         record_way(heartbeat);
-    // A 200 renews a lease, so it is sent only while nobody else can be the leader.
+    // A 200 renews the machine's lease, so it is sent only while no other node can be the leader.
     if (taken && host_.is_active_leader())
         heartbeat.done({http_status::ok, effect.fencing_token, std::move(effect.orders), {}});
     else
         heartbeat.done({});
 }
 
-// The controller by way of which orders go; none: they go directly.
+// The peer through which the orders are sent; empty if they are sent directly.
 std::optional<std::string> HeartbeatHandler::peer_for(const SendOrders& effect) const {
     if (!effect.prefer_relay && !members_.any_zone_lost())
         return std::nullopt;
@@ -317,7 +335,7 @@
             command.heartbeat = codec::heartbeat(reply.body);
             members_.machine_answered();
         } else if (reply.status == http_status::service_unavailable) {
-            command.sent = false; // the other surely did not pass them on
+            command.sent = false; // 503: the peer certainly did not forward the orders
         }
         done(std::move(command));
     };
@@ -338,7 +356,7 @@
         --relaying_;
         if (reply.status != http_status::no_answer)
             return res.send(reply.status, reply.body);
-        // 503 says that nothing was executed, so it is said only if nothing was sent.
+        // 503 tells the caller that no order was executed, so it is sent only if nothing was sent to the machine.
         res.send(reply.sent ? http_status::gateway_timeout : http_status::service_unavailable,
                  codec::error_answer("no answer of the machine"));
     };
--- a/src/workers/heartbeat_handler.hpp
+++ b/src/workers/heartbeat_handler.hpp
@@ -1,4 +1,4 @@
-// The heartbeats of machines and the orders sent to them.
+// Receives the machines' heartbeats and sends them orders, directly or through another controller.
 #pragma once
 
 #include "heronshift/executor/executor.hpp"
@@ -16,32 +16,34 @@
 
 namespace heronshift::workers {
 
-/// Carries heartbeats to the core and orders to machines, both also by way of another controller where the direct way
-/// is cut. It decides nothing: what a heartbeat means and which orders there are is the core's to say.
+/// Passes heartbeats to the core and orders to machines, both through another controller if the direct path is cut. It
+/// doesn't interpret them: the core decides what a heartbeat means and which orders are sent.
 ///
-/// A controller that relays is only a longer way: it never answers by itself, keeps, repeats or merges what it relays,
-/// and nothing is relayed twice (docs/safety.md).
+/// A controller that relays a message only lengthens its path: it doesn't answer it by itself, and doesn't store,
+/// repeat or merge what it relays. No message is relayed twice (docs/safety.md).
 ///
-/// It keeps the answers still owed to machines, the machines that were lately redirected to the leader, and the budget
-/// of relays. It uses the executor, the peers and membership; of leadership and core it knows what its Host says.
+/// Its state: the heartbeats whose answer is outstanding, the machines that were recently redirected to the leader, and
+/// the number of relays in flight. It uses the executor, the peers and the membership; what it needs to know of the
+/// leadership and the core it asks its `Host`.
 ///
-/// All calls and callbacks on the thread of the node's loop.
+/// All calls and callbacks run on the thread of the node's loop.
 class HeartbeatHandler {
 public:
-    /// What the handler needs of the node around it.
+    /// What the handler needs to know from its node.
     class Host {
     public:
         virtual ~Host() = default;
-        /// This node may act as the leader at this moment.
+        /// Whether this node may act as the leader at this moment.
         [[nodiscard]] virtual bool is_active_leader() const = 0;
-        /// This node is acquiring the leadership, which takes a moment.
+        /// Whether this node is acquiring the leadership, which takes a short time.
         [[nodiscard]] virtual bool is_acquiring() const = 0;
-        /// The name of the leader: a hint, may be empty.
+        /// The name of the leader as far as this node knows: a hint, empty if not known.
         [[nodiscard]] virtual const std::string& leader() const = 0;
+        /// Whether the fencing token was issued in the term of the leader that this node knows of.
         [[nodiscard]] virtual bool is_of_leader_term(std::uint64_t fencing_token) const = 0;
-        /// Empty: not known.
+        /// The zone of the machine; empty if not known.
         [[nodiscard]] virtual std::string zone_of(const std::string& machine) const = 0;
-        /// Nothing that any controller says reaches the machine, though its heartbeats come.
+        /// Whether no answer or order of any controller reaches the machine, although its heartbeats arrive.
         [[nodiscard]] virtual bool is_inbound_unreachable(const std::string& machine) const = 0;
         /// Hands a command to the core.
         virtual void push(Command command) = 0;
@@ -49,48 +51,49 @@
     HeartbeatHandler(const Settings& settings, TimerQueue& timers, Executor& executor, Peers& peers,
                      membership::Membership& members, metrics::Timings& timings, Host& host);
 
-    /// A heartbeat of a machine (POST to codec::path_heartbeat). relayed: by another controller.
+    /// Handles a machine's heartbeat (POST to `codec::path_heartbeat`); `relayed`: another controller has relayed it.
     void handle_heartbeat(HttpRequest&& request, const Responder& res, bool relayed);
-    /// Orders that another controller wants passed on to a machine (POST to /peer/relay).
+    /// Forwards orders of another controller to a machine (POST to /peer/relay).
     void forward(HttpRequest&& request, const Responder& res);
-    /// Goes again through the heartbeats that came while the leadership changed hands. To be called some thirty times
-    /// in report_s, and when the leadership was acquired.
+    /// Retries the heartbeats that arrived during a change of leadership. To be called about thirty times per report_s,
+    /// and when this node has acquired the leadership.
     void retry_pending_heartbeats();
-    /// Sends those away that wait for the core's answer.
+    /// Answers the heartbeats that wait for the core's answer with 503.
     void on_leadership_lost();
 
-    /// The core's answer to HeartbeatReceived.
+    /// Sends the core's answer to a `HeartbeatReceived` command to the machine.
     void answer(AnswerHeartbeat&& effect);
-    /// Sends the core's orders to a machine, directly or by way of another controller.
+    /// Sends the core's orders to a machine, directly or through another controller.
     void send(const SendOrders& effect, std::function<void(OrdersAnswered&&)> done);
 
 private:
-    struct RawRequest { // a heartbeat as it came, so that it can be relayed
+    struct RawRequest { // a heartbeat's unparsed request, so that it can be relayed
         std::string body;
         Responder res;
     };
-    struct PendingHeartbeat { // a heartbeat that came while the leadership changed hands
+    struct PendingHeartbeat { // a heartbeat that arrived during a change of leadership
         Heartbeat heartbeat;
         bool relayed = false;
         Executor::HeartbeatDone done;
-        double since = 0;              // by the steady clock, in seconds
-        std::optional<RawRequest> raw; // none: it may not be relayed, or was already
-        std::string refused_by;        // a leader that did not take it
+        double since = 0;              // when it arrived, in seconds of the steady clock
+        std::optional<RawRequest> raw; // empty if it must not be relayed, or has been relayed already
+        std::string refused_by;        // the leader to which it was relayed in vain, if any
         [[nodiscard]] std::size_t bytes() const;
     };
-    // Where a heartbeat goes that this node must not take: the machine is redirected to the leader, this node relays
-    // it there, or the machine tries the next controller.
+    // What happens to a heartbeat that this node must not handle because another node leads: its machine is redirected
+    // to the leader (`leader`), this node relays it to the leader (`relay`), or its machine is answered 503 and tries
+    // the next controller (`next`).
     enum class Route : std::uint8_t { leader, relay, next };
-    // A machine that was redirected to the leader. Times are seconds of the steady clock.
+    // A machine that was redirected to a leader. Times are in seconds of the steady clock.
     struct Redirected {
         std::string leader;
-        std::optional<double> sent_at; // when it was last redirected; none: it has come back since
-        double relay_until = 0;        // its heartbeats are relayed until then
-        double seen_at = 0;            // when its last heartbeat came
+        std::optional<double> sent_at; // when it was last redirected; empty if it has returned since
+        double relay_until = 0;        // until when its heartbeats are relayed
+        double seen_at = 0;            // when its last heartbeat arrived here
     };
-    struct Unanswered { // a heartbeat that the core has
+    struct Unanswered { // a heartbeat that was handed to the core and is not answered yet
         Executor::HeartbeatDone done;
-        double since = 0; // by the steady clock, in seconds
+        double since = 0; // when it was handed to the core, in seconds of the steady clock
         std::string machine, zone, addr;
         bool relayed = false;
     };
@@ -120,12 +123,13 @@
     std::uint64_t handle_seq_ = 0;
     std::map<std::uint64_t, Unanswered> unanswered_; // by handle
     std::vector<PendingHeartbeat> pending_heartbeats_;
-    std::size_t pending_bytes_ = 0; // that those hold
+    std::size_t pending_bytes_ = 0; // memory held by pending_heartbeats_
     std::unordered_map<std::string, Redirected> redirected_;
-    double next_redirected_sweep_ = 0; // by the steady clock
+    double next_redirected_sweep_ = 0; // in seconds of the steady clock
     std::size_t max_redirected_, max_pending_bytes_;
-    std::size_t max_relays_, relaying_ = 0; // heartbeats and orders of others, under way
-    // For so long a redirected machine is known: a lease, or what it takes to try all controllers, if that is longer.
+    std::size_t max_relays_, relaying_ = 0; // relays in flight: heartbeats, and orders of other controllers
+    // How long a redirected machine is remembered after its last heartbeat: one lease, or the time that a machine needs
+    // to try all controllers if that is longer.
     double remember_s_;
 };
 
