--- a/src/persistence/backlog.hpp
+++ b/src/persistence/backlog.hpp
@@ -1,15 +1,15 @@
-/// How much of one kind of record waits for the store, for metrics and logs.
+/// The backlog of records that are not stored yet, for metrics and log lines.
 #pragma once
 
 #include <cstddef>
 
 namespace heronshift::persistence {
 
-/// The records of one kind that are due and not stored.
+/// The records of one kind that are due to be stored and are not stored yet.
 struct Backlog {
-    const char* kind = ""; ///< As metrics and logs name it.
+    const char* kind = ""; ///< The name of the kind in metrics and log lines.
     std::size_t count = 0;
-    double oldest_s = 0; ///< Since when the oldest is due; 0: none is.
+    double oldest_s = 0; ///< Seconds for which the oldest of these records has been due; 0 if `count` is 0.
 };
 
 } // namespace heronshift::persistence
--- a/src/persistence/cascade_records.cpp
+++ b/src/persistence/cascade_records.cpp
@@ -37,11 +37,12 @@
     if (oldest == nullptr)
         return false;
     const auto& data = cluster_.view();
-    const bool waited_in_earlier_term = oldest->submitted < data.started; // maybe, and nobody knows for how long
+    const bool waited_in_earlier_term = oldest->submitted < data.started; // It may have, for an unknown time.
     return waited_in_earlier_term || data.now - oldest->final_due_at >= settings_.report_s;
 }
 
-// The one with the fewest jobs, or a new one where that is half full: what a record holds already is written again.
+// Returns the record with the fewest jobs, or a new record if that one is more than half full. The jobs that a record
+// names already are written again with it, so a record that is nearly empty costs the fewest bytes.
 std::optional<std::size_t> ClusterRecords::CascadeRecords::record_with_room() {
     const auto least = std::min_element(records_.begin(), records_.end(),
                                         [](const Record& a, const Record& b) { return a.jobs.size() < b.jobs.size(); });
@@ -69,7 +70,7 @@
         in_flight_.jobs.push_back(&finals.take_dependent());
     }
     if (in_flight_.jobs.empty())
-        return; // not even one more fits
+        return; // The record has no room for even one more job.
     write(transaction, *number, size);
 }
 
@@ -149,13 +150,14 @@
     for (const auto& id : persistence::decode_cascade(item.value)) {
         auto* job = cluster_.find_job(id);
         if (job == nullptr || job->final_stored)
-            continue; // its own final state is stored
+            continue; // The job's own final record is stored.
         job->final = Final::cancelled;
         job->final_stored = true;
         job->cascade_record = static_cast<int>(number);
         jobs.push_back(job);
     }
-    for (auto* job : jobs) // once all are known to be over, so that none is cancelled again with another
+    // Only now, when `final` is set for all of these jobs, so that none is cancelled again as a dependent of another.
+    for (auto* job : jobs)
         finals.stored_in_cascade(*job);
 }
 
--- a/src/persistence/cascade_records.hpp
+++ b/src/persistence/cascade_records.hpp
@@ -1,4 +1,4 @@
-/// Cascade records: many jobs that are cancelled with their dependency, stored in one write.
+/// Cascade records: each names many jobs that were cancelled because a dependency was, in a single write.
 #pragma once
 
 #include "persistence/cluster_records.hpp"
@@ -11,45 +11,49 @@
 
 namespace heronshift {
 
-/// A job that a cancelled one cancels with it takes two writes like any other that is over: its final state is put, its
-/// record removed. While jobs end as fast as the store takes these, such jobs would wait for as long as the rush lasts,
-/// and their time counts from when the user was told of the first cancellation, whoever leads by then. So those that
-/// have waited for report_s, or may have waited in an earlier term, are named in a cascade record, hundreds in one
-/// write, before anything else of that transaction. From then on their final state is stored: every controller answers
-/// it, and a new leader reads it. Their own records follow when there is room. (Invariant 15; `CancellationCascades`.)
+/// Stores the final states of dependents, that is, of jobs that were cancelled because a dependency was cancelled.
 ///
-/// A job stays in its record until the store holds its own final state, so whoever reads the cascade records before the
-/// final state misses neither.
+/// A dependent takes two writes, like any other job that is over: one puts its final record, one removes its job
+/// record. While other jobs end as fast as the store accepts these writes, dependents would have to wait until the
+/// load drops. But the time limit for cancelling them counts from the moment at which the user was told of the first
+/// cancellation, even if another controller has become the leader since. Dependents that have waited for `report_s`, or
+/// that may have waited in an earlier term, are therefore named in a cascade record: hundreds of them in one write,
+/// which goes into the transaction before all others. From then on their final state counts as stored: every controller
+/// reports it to clients, and a new leader reads it. The dependents' own records are written later, as transactions
+/// have room for them. (Invariant 15; `CancellationCascades`.)
+///
+/// A job stays in its cascade record until the store holds the job's own final record. A reader that reads the cascade
+/// records first and the final record afterwards therefore always finds the final state in one of them.
 class ClusterRecords::CascadeRecords {
 public:
     CascadeRecords(cluster::ClusterState& cluster, const Settings& settings, const StoreLimits& limits)
         : cluster_(cluster), settings_(settings), limits_(limits) {}
 
-    /// Names the dependents that have waited for too long, as many as one record takes.
+    /// If dependents have waited for too long, adds a write that names as many of them as fit into one cascade record.
     void collect(persistence::TransactionBuilder& transaction, FinalStates& finals);
-    /// Removes a record that names nobody any more. Not urgent.
+    /// Adds the removal of one cascade record that names no jobs any more. Not urgent.
     void collect_empty(persistence::TransactionBuilder& transaction);
-    /// Whether more than half of the records are in use.
+    /// Whether more than half of the `max_cascade_records` records name jobs.
     [[nodiscard]] bool filling_up() const;
     void committed(bool applied, FinalStates& finals);
-    /// The store holds the job's own final state.
+    /// Takes the job out of its cascade record; to be called once the store holds the job's own final record.
     void forget(cluster::Job& job);
     void forget_in_flight() {
         in_flight_ = {};
     }
 
-    /// At a failover, once the jobs are read. What cannot be read is left out: their final state follows from that of
-    /// their dependency once more.
+    /// To be called at a failover, after the jobs are loaded. Job ids that cannot be read are skipped: those jobs are
+    /// cancelled once more when the final state of their dependency is processed.
     void load(const std::vector<codec::Item>& items, FinalStates& finals);
 
 private:
     struct Record {
         std::vector<cluster::Job*> jobs;
-        bool stored = false; // the store holds it, maybe with jobs that have left it since
+        bool stored = false; // The store holds this record; its copy may still name jobs that have left `jobs`.
     };
     struct InFlight {
-        std::optional<std::size_t> written, removed; // numbers of records
-        std::vector<cluster::Job*> jobs;             // that the written one names for the first time
+        std::optional<std::size_t> written, removed; // Record numbers.
+        std::vector<cluster::Job*> jobs;             // The jobs that record `written` names for the first time.
     };
 
     [[nodiscard]] bool overdue(const FinalStates& finals) const;
--- a/src/persistence/cluster_records.cpp
+++ b/src/persistence/cluster_records.cpp
@@ -1,4 +1,4 @@
-// When a transaction is built, of what kinds of records, and what follows from its outcome.
+// Builds transactions from the writes of all kinds of records and processes their outcomes.
 #include "persistence/cluster_records.hpp"
 
 #include "record_kinds.hpp"
@@ -14,16 +14,21 @@
 
 namespace {
 
-constexpr double record_share = 0.92; // of the longest value; the rest is for names and quoting
+// The share of the longest value that the store accepts; the rest is for field names and quoting.
+constexpr double record_share = 0.92;
 constexpr double bytes_a_kilobyte = 1024;
 
-// The leader's share of the store's budget of writes; the rest is left to submissions on all nodes.
+// The leader's share of the store's write budget. The rest is left for submissions, which all nodes write.
 constexpr double write_share = 0.7, write_share_while_cancelling = 0.85;
-constexpr double max_saved_s = 0.5, min_saved_writes = 4; // of that budget, unused
-constexpr double min_transaction_writes = 5;              // saved up before one is built, its own guard included
+// Unused write budget accumulates up to the writes of `max_saved_s` seconds, but at least up to `min_saved_writes`.
+constexpr double max_saved_s = 0.5, min_saved_writes = 4;
+// The write budget that has to accumulate before a transaction is built. One of these writes is the term counter, which
+// every transaction updates as its guard.
+constexpr double min_transaction_writes = 5;
 
 constexpr double backlog_check_s = 1;
-constexpr std::size_t min_record_bytes = 512, min_writes = 4; // however often the store calls them too large
+// The limits are not reduced below these, however often the store rejects a transaction as too large.
+constexpr std::size_t min_record_bytes = 512, min_writes = 4;
 
 } // namespace
 
@@ -84,8 +89,8 @@
     if (transaction_open_ || cluster_.resigned())
         return;
     refill_write_budget();
-    // A few writes are saved up first: intents alone would spend each as it comes, and final states would never find
-    // the two or three that they need together.
+    // Waits until the budget allows several writes. Otherwise intents would use up each single write as it becomes
+    // available, and final states, which need two or three writes in one transaction, would never be stored.
     if (write_budget_ < std::min(min_transaction_writes, max_saved_writes()))
         return;
     persistence::TransactionBuilder transaction(std::min(limits_.max_writes, static_cast<std::size_t>(write_budget_)) -
@@ -145,7 +150,7 @@
     const double now = cluster_.view().now;
     if (now < next_backlog_check_at_)
         return;
-    next_backlog_check_at_ = now + backlog_check_s; // counting looks at all that waits
+    next_backlog_check_at_ = now + backlog_check_s; // Computing the backlogs visits every record that is due.
     if (auto line = report_.late_records(backlogs(), now))
         cluster_.log(LogLine::Level::info, std::move(*line));
 }
@@ -157,7 +162,8 @@
     return values;
 }
 
-// The store takes less than the settings say: never as much again.
+// Called when the store rejects a transaction as too large, which means that it accepts less than the settings say. The
+// limits are not raised again.
 void ClusterRecords::reduce_limits() {
     limits_.max_record_bytes = std::max(limits_.max_record_bytes / 2, min_record_bytes);
     limits_.max_writes = std::max(limits_.max_writes / 2, min_writes);
--- a/src/persistence/cluster_records.hpp
+++ b/src/persistence/cluster_records.hpp
@@ -1,9 +1,9 @@
-/// The cluster's records in the store: read whole at a failover, then written a little at a time.
+/// The cluster's records in the store: read completely at a failover, then updated incrementally.
 ///
-/// The leader writes one transaction at a time, within its share of the store's budget of writes, most urgent
-/// records first. Nothing is told that is not stored, and no launch is sent before its intent is stored
-/// (invariants 5 and 10 in docs/safety.md). The classes of single record kinds are in src/persistence;
-/// heronshift/persistence/layout.hpp lists the keys.
+/// The leader has at most one transaction in flight. It stays within its share of the store's write budget and writes
+/// the most urgent records first. A final state is reported to clients only once it is stored, and a launch is sent
+/// only once its intent is stored (invariants 5 and 10 in docs/safety.md). src/persistence has a class for each kind of
+/// record; heronshift/persistence/layout.hpp lists the keys.
 #pragma once
 
 #include "cluster/cluster_state.hpp"
@@ -13,23 +13,25 @@
 
 namespace heronshift {
 
-/// What the store holds at a failover: the items below each prefix of the layout, in the order of their keys.
+/// The contents of the store at a failover: the items below each prefix of the layout, in the order of their keys.
 struct Snapshot {
     std::vector<codec::Item> jobs, intents, progress, images, learned;
     std::vector<codec::Item> cascades;
-    std::vector<codec::Item> earlier; ///< Of the earliest layout: a record for each machine and each job.
+    /// Records of the earliest layout, which had one for each machine and one for each job.
+    std::vector<codec::Item> earlier;
 };
 
-/// Sequences the record kinds: collects their writes into transactions and tells each the outcome.
+/// Combines the writes of all kinds of records into transactions, in order of urgency, and passes the outcome of each
+/// transaction back to them.
 ///
-/// Belongs to the thread of the core. It alone writes the members of cluster::Job and cluster::Entry that say where
-/// they are recorded (slot, at_slot, carried_from, recorded, bucket, ready_recorded, final_queued, final_turn,
-/// final_due_at, final_sent, final_stored, cascade_record).
+/// Used on the thread of the core only. No other class writes the members of `cluster::Job` and `cluster::Entry` that
+/// say where and whether they are stored (`slot`, `at_slot`, `carried_from`, `recorded`, `bucket`, `ready_recorded`,
+/// `final_queued`, `final_turn`, `final_due_at`, `final_sent`, `final_stored`, `cascade_record`).
 class ClusterRecords final : public cluster::PersistenceListener {
 public:
-    /// Enters what the store holds into the cluster state.
-    /// @param wall the wall clock, seconds since 1970
-    /// @param out takes the effects; it must outlive this object, as must the cluster and the settings
+    /// Loads the contents of the store into the cluster state.
+    /// @param wall the time by the wall clock, in seconds since 1970
+    /// @param out receives the effects; `out`, `cluster` and `settings` must outlive this object
     ClusterRecords(cluster::ClusterState& cluster, const Settings& settings, const Snapshot& stored, double wall,
                    std::vector<Effect>& out);
     ~ClusterRecords() override;
@@ -43,28 +45,29 @@
     void progressed(cluster::Job& job) override;
     void became_ready(cluster::Job& job) override;
 
-    /// Emits the next Commit, if something is due, the budget allows it and no other is in flight.
+    /// Emits the next `Commit`, if records are due, the write budget allows it and no other transaction is in flight.
     void collect_commit();
-    /// Takes the outcome of the transaction in flight. After one that was not applied its records are due again;
-    /// lost leadership makes the cluster state resign.
+    /// Processes the outcome of the transaction in flight. If it was not applied, its records are due again. If the
+    /// leadership is lost, the cluster state resigns.
     void committed(const Committed& command);
-    /// Whether urgent records wait for the budget of writes.
+    /// Whether final states, ready jobs or intents are due and no transaction is in flight: they wait for write budget.
     [[nodiscard]] bool waiting() const;
-    /// Whether the transaction in flight has had no answer for more than that many seconds.
+    /// Whether the transaction in flight was sent more than `after_s` seconds ago and has had no answer since.
     [[nodiscard]] bool late(double after_s) const {
         return transaction_open_ && cluster_.view().now - sent_at_ > after_s;
     }
-    /// Says in the log if records wait for the store for too long. To be called a few times a second.
+    /// Logs a line if records have been due for too long. To be called a few times a second.
     void log_late_records();
-    /// What was written in this term and what waits to be.
+    /// The number of writes and transactions of this term, and the backlog of each kind of record.
     [[nodiscard]] std::vector<metrics::Value> metrics() const;
-    /// Transactions applied in this term.
+    /// The number of transactions that were applied in this term.
     [[nodiscard]] std::uint64_t committed_count() const {
         return committed_count_;
     }
 
 private:
-    // One class for each record kind. They are nested, since ClusterState admits this class as its friend.
+    // One class for each kind of record. They are nested because `ClusterState` declares `ClusterRecords` its friend,
+    // and nested classes share that access.
     class CascadeRecords;
     class FinalStates;
     class ReadyRecords;
@@ -75,12 +78,12 @@
     class LearnedRates;
     struct Kinds;
 
-    /// What the store takes; halved whenever it calls a transaction too large.
+    /// The largest record and the largest transaction to send; halved whenever the store rejects one as too large.
     struct StoreLimits {
         std::size_t max_record_bytes, max_writes;
     };
 
-    // At a failover (load.cpp).
+    // Called at a failover; defined in load.cpp.
     void load(const Snapshot& stored, double wall);
     void load_jobs(const std::vector<codec::Item>& items, double wall);
     void load_earlier(const std::vector<codec::Item>& items);
@@ -100,7 +103,7 @@
     std::unique_ptr<Kinds> kinds_;
     persistence::WriteReport report_;
     bool transaction_open_ = false;
-    double sent_at_ = 0; ///< The transaction in flight.
+    double sent_at_ = 0; ///< When the transaction in flight was sent.
     double write_budget_, write_budget_at_;
     double next_backlog_check_at_ = 0;
     std::uint64_t committed_count_ = 0;
--- a/src/persistence/final_states.cpp
+++ b/src/persistence/final_states.cpp
@@ -12,10 +12,13 @@
 
 namespace {
 
-constexpr std::size_t many_due = 8; // more than these may take a whole transaction
+// With more jobs queued than this, every other transaction may be filled with final states.
+constexpr std::size_t many_due = 8;
+// Estimated sizes of the values.
 constexpr std::size_t final_record_bytes = 40, job_record_bytes = 300;
-// Nobody waits for the own records of jobs that a cascade record names. Once the cascade records fill up, one of so
-// many final states is of these, so that there is room for the next ones however long a rush lasts.
+// Nobody waits for the own records of jobs that a cascade record names, so they normally come last. Once more than half
+// of the cascade records are in use, one of every `cascaded_share` jobs written is one of these, so that cascade
+// records become free for further dependents however long the load stays high.
 constexpr std::size_t cascaded_share = 4;
 
 const char* status_of(const Job& job) {
@@ -61,7 +64,8 @@
             backlog_of("cancelled_with_dependency", dependents_), backlog_of("in_cascade_record", cascaded_)};
 }
 
-// Intents must not starve: where a transaction takes few writes, they get some of every other one.
+// Whether the next transaction has to leave room for intents, which must not starve: where a transaction takes only few
+// writes, at least every other one has room for an intent record.
 bool ClusterRecords::FinalStates::must_leave_room(bool intents_wait) {
     const bool many = cancelled_.size() + done_.size() + dependents_.size() + cascaded_.size() > many_due;
     const bool leave_room = intents_wait && (left_no_room_ || !many);
@@ -137,34 +141,37 @@
     }
 }
 
-// In the places that they had: a user who has waited through a refusal is not put behind all others.
+// Queues jobs again, at the positions that they had: a user who has already waited for a transaction that was refused
+// does not have to wait behind all other jobs.
 void ClusterRecords::FinalStates::retry(const std::vector<InFlight>& refused) {
     for (const auto& sent : refused)
         put_back(*sent.job, *sent.queue);
 }
 
 void ClusterRecords::FinalStates::put_back(Job& job, Queue& queue) {
-    job.final_sent = false; // surely not carried out
-    if (job.final_queued)   // meanwhile none of its tasks is left
+    job.final_sent = false; // It is certain that the transaction was not applied.
+    if (job.final_queued)   // It was queued again when its last task was gone, while the transaction was in flight.
         done_.erase(&job);
     push(queue, job, &queue == &done_ ? job.submitted : job.final_due_at);
 }
 
-// The final state may now be told.
+// Marks the final state as stored and reports it: to clients that wait for it and to the job's dependents.
 void ClusterRecords::FinalStates::stored(Job& job) {
     job.final_stored = true;
-    job.final_due_at = job.final_queued ? cluster_.view().now : -1; // what is left to do is to remove its record
+    // If the job is queued, only the removal of its job record is left to be written.
+    job.final_due_at = job.final_queued ? cluster_.view().now : -1;
     for (const auto request : job.cancels)
         effects_.emplace_back(AnswerCancellation{request, status_of(job)});
     job.cancels.clear();
     cluster_.dependency_settled(job.spec.id, job.final);
 }
 
-// The store keeps the final state; memory only holds jobs that are not over.
+// Removes a job from memory after its job record was removed from the store. Its final record stays in the store, so
+// memory does not have to hold jobs that are over.
 void ClusterRecords::FinalStates::forget_job(Job& job) {
     cluster_.remember_final(job);
     if (job.live > 0)
-        return; // a task has shown up on a machine meanwhile: it is stopped first
+        return; // A task of the job has since been found on a machine; it has to be stopped first.
     if (job.final_queued)
         for (auto* queue : {&cancelled_, &done_, &dependents_, &cascaded_})
             queue->erase(&job);
--- a/src/persistence/final_states.hpp
+++ b/src/persistence/final_states.hpp
@@ -1,4 +1,4 @@
-/// Final states of jobs, and what becomes of the jobs' records.
+/// The final states of jobs, and the update or removal of the job records that follows from them.
 #pragma once
 
 #include "persistence/cluster_records.hpp"
@@ -14,53 +14,60 @@
 
 namespace heronshift {
 
-/// A final state is told only once it is stored (invariant 10). The job's record is removed when none of its tasks is
-/// left on any machine; until then it names the final state, so that no later leader starts any of them.
+/// A final state is reported to clients only once it is stored (invariant 10). A job that is over takes two writes: a
+/// final record (f/JOB) and a change of its job record (j/JOB). The job record is removed once none of the job's tasks
+/// is left on any machine; until then it holds the final state, so that no later leader starts any of the tasks.
 ///
-/// What users wait for goes first, then jobs that are done, then those that were cancelled with a job that they need.
-/// The last of these do not depend on their turn: see CascadeRecords. Jobs that are done have their turn by the time of
-/// their submission, which no change of leader changes: in the order in which they are done, a job that the next leader
-/// runs again comes last again, in every term (`CascadeSoak`).
+/// Cancellations that a user waits for are written first, then jobs that are done, then dependents, that is, jobs that
+/// were cancelled because a dependency was. However long dependents stay queued here, their final state is stored in
+/// time, in a cascade record: see `CascadeRecords`. Done jobs are written in the order of their submission, which stays
+/// the same when the leader changes. If they were written in the order in which they finished, a job that every new
+/// leader runs again would come last again in every term (`CascadeSoak`).
 class ClusterRecords::FinalStates {
 public:
     FinalStates(cluster::ClusterState& cluster, std::vector<Effect>& effects, ReadyRecords& ready,
                 CascadeRecords& cascades)
         : cluster_(cluster), effects_(effects), ready_(ready), cascades_(cascades) {}
 
-    /// The job has a new final state, or none of its tasks is left.
+    /// Queues the job's writes. To be called when a job gets its final state, and again when none of its tasks is left
+    /// on any machine.
     void due(cluster::Job& job, Urgency urgency);
     [[nodiscard]] bool waiting() const {
         return !cancelled_.empty() || !done_.empty() || dependents_wait();
     }
-    /// Whether jobs wait that were cancelled since they depend on a cancelled one.
+    /// Whether dependents wait for a write. Those that a cascade record names count too: they wait for their own
+    /// records.
     [[nodiscard]] bool dependents_wait() const {
         return !dependents_.empty() || !cascaded_.empty();
     }
-    /// What waits, by kind.
+    /// The backlog of each queue.
     [[nodiscard]] std::vector<persistence::Backlog> backlog() const;
-    /// @param intents_wait whether intents are due: they get a share of the writes
+    /// Adds the writes of queued jobs to the transaction.
+    /// @param intents_wait whether intents are due; if so, some transactions leave room for them
     void collect(persistence::TransactionBuilder& transaction, bool intents_wait);
-    /// The outcome for final states whose job still has tasks on machines.
+    /// Processes the outcome of the transaction for jobs that still had tasks on machines when it was built.
     void committed(bool applied);
-    /// The outcome for the others, whose jobs are forgotten: to be called after all other record kinds, since
-    /// those may have the same jobs in flight.
+    /// Processes the outcome for jobs whose job record was to be removed, and forgets these jobs if it was. To be
+    /// called after all other kinds of records have processed the outcome, since they may have the same jobs in flight.
     void committed_removals(bool applied);
     void forget_in_flight() {
         named_in_flight_.clear();
         removed_in_flight_.clear();
     }
 
-    // For CascadeRecords.
+    // The functions below are called by `CascadeRecords`.
 
-    /// The job that has waited longest of those cancelled with a dependency and stored nowhere; null: there is none.
+    /// Of the dependents whose final state is in no record and in no transaction in flight, the one that has waited
+    /// longest; null if there is none.
     [[nodiscard]] const cluster::Job* oldest_dependent() const {
         return dependents_.empty() ? nullptr : *dependents_.begin();
     }
-    /// Takes that job out of its queue: its final state is on its way to the store in a cascade record.
+    /// Takes the job that `oldest_dependent` returns out of its queue, for a cascade record that is going to name it.
     cluster::Job& take_dependent();
-    /// It was not stored.
+    /// Puts a job that `take_dependent` returned back into its queue, since the cascade record was not stored.
     void give_back_dependent(cluster::Job& job);
-    /// A cascade record in the store names the job: it may be told, and its own records follow when there is room.
+    /// To be called when a cascade record in the store names the job. Reports the final state to clients and queues the
+    /// job's own records, to be written when a transaction has room.
     void stored_in_cascade(cluster::Job& job);
 
 private:
@@ -74,7 +81,7 @@
     using Queue = std::set<cluster::Job*, EarlierTurn>;
     struct InFlight {
         cluster::Job* job;
-        Queue* queue; // that it came from
+        Queue* queue; // The queue that the job was taken from.
     };
 
     bool must_leave_room(bool intents_wait);
@@ -95,10 +102,11 @@
     ReadyRecords& ready_;
     CascadeRecords& cascades_;
     Queue cancelled_, done_, dependents_;
-    Queue cascaded_;                 // stored in a cascade record
-    std::size_t since_cascaded_ = 0; // final states written since one of those
-    bool left_no_room_ = false;      // the last transaction had none for intents
-    // In flight: jobs whose record names the final state, and jobs whose record is removed.
+    Queue cascaded_;                 // Dependents that a cascade record in the store names.
+    std::size_t since_cascaded_ = 0; // The number of jobs written since the last one from `cascaded_`.
+    bool left_no_room_ = false;      // Whether the last transaction left no room for intents.
+    // Jobs of the transaction in flight: those whose job record gets the final state, and those whose job record is
+    // removed.
     std::vector<InFlight> named_in_flight_, removed_in_flight_;
 };
 
--- a/src/persistence/record_kinds.hpp
+++ b/src/persistence/record_kinds.hpp
@@ -1,4 +1,4 @@
-/// All record kinds of the cluster, together.
+/// Holds the objects for all kinds of cluster records.
 #pragma once
 
 #include "cascade_records.hpp"
--- a/src/persistence/transaction_builder.hpp
+++ b/src/persistence/transaction_builder.hpp
@@ -1,4 +1,4 @@
-/// One transaction of the store while it is put together, most urgent records first.
+/// Builds one transaction for the store. The most urgent records are added first.
 #pragma once
 
 #include "heronshift/messages.hpp"
@@ -9,16 +9,17 @@
 
 namespace heronshift::persistence {
 
-/// Counts writes and estimated bytes, so that a record kind can stop before the store would refuse the whole.
+/// Counts the writes and the estimated bytes of the transaction, so that no kind of record adds so much that the store
+/// would refuse the transaction.
 class TransactionBuilder {
 public:
     explicit TransactionBuilder(std::size_t max_writes) : max_writes_(max_writes) {}
 
-    /// Whether that many more writes are too many, or the bytes are used up.
+    /// Whether `more` further writes would exceed the maximum, or the maximum of bytes is exceeded already.
     [[nodiscard]] bool full(std::size_t more) const {
         return commit_.writes.size() + more > max_writes_ || bytes_ > max_bytes;
     }
-    /// @param size an estimate of the value's bytes
+    /// @param size the estimated bytes of the encoded value
     void put(std::string key, codec::Json value, std::size_t size) {
         bytes_ += size + bytes_around_value;
         commit_.writes.push_back({std::move(key), std::move(value), 0});
@@ -35,8 +36,10 @@
     }
 
 private:
-    static constexpr std::size_t max_bytes = 48UL * 1024;  // of the 64 KiB that a transaction may have
-    static constexpr std::size_t bytes_around_value = 100; // the key and the names of the fields
+    // A transaction may have 64 KiB. The sizes are estimates, and the limit is checked only before a write is added.
+    static constexpr std::size_t max_bytes = 48UL * 1024;
+    // The key and the field names of one write.
+    static constexpr std::size_t bytes_around_value = 100;
     Commit commit_;
     std::size_t max_writes_, bytes_ = 0;
 };
--- a/src/persistence/write_report.cpp
+++ b/src/persistence/write_report.cpp
@@ -9,7 +9,8 @@
 namespace heronshift::persistence {
 namespace {
 
-constexpr double min_pause_s = 1; // between two lines of one kind
+// The shortest time between two log lines of the same kind.
+constexpr double min_pause_s = 1;
 
 const char* name_of(TxnOutcome outcome) {
     switch (outcome) {
