--- a/src/persistence/image_hints.cpp
+++ b/src/persistence/image_hints.cpp
@@ -11,17 +11,18 @@
 namespace heronshift {
 namespace {
 
-// Estimated bytes of a record: what surrounds it, a machine, an image in a machine's list and an image's own entry.
+// Estimated bytes of an encoded record: those of an empty record, those around the id of a machine, those of an image
+// index in a machine's list and those around the name of an image.
 constexpr std::size_t bytes_of_record = 40, bytes_around_machine = 8, bytes_of_index = 4, bytes_around_image = 28;
 
-// Collects machines into one record, as long as it stays below the given length.
+// Builds a record from as many machines as fit into `max_bytes`.
 class RecordBuilder {
 public:
     RecordBuilder(const std::vector<const std::string*>& names, const std::vector<double>& sizes_gb,
                   std::size_t max_bytes)
         : names_(names), sizes_gb_(sizes_gb), max_bytes_(max_bytes) {}
 
-    // False if there is no room for it.
+    // Returns false, and adds nothing, if the record has no room for the machine.
     bool add(const cluster::Machine& machine) {
         const auto more = bytes_of(machine);
         if (size_ + more > max_bytes_)
@@ -65,13 +66,13 @@
     const std::vector<const std::string*>& names_;
     const std::vector<double>& sizes_gb_;
     std::size_t max_bytes_, size_ = bytes_of_record;
-    std::unordered_map<int, std::size_t> indices_; // of images in the record
+    std::unordered_map<int, std::size_t> indices_; // The index in the record, by the cluster's number of the image.
     persistence::ImageRecord record_;
 };
 
 } // namespace
 
-// By the cluster's number of the image.
+// Returns the names of the images, indexed by the cluster's number of the image.
 std::vector<const std::string*> ClusterRecords::ImageHints::image_names() const {
     std::vector<const std::string*> names(cluster_.view().image_gb.size());
     for (const auto& [name, id] : cluster_.image_ids_)
@@ -95,7 +96,8 @@
     transaction.put(persistence::image_key(number), persistence::encode_images(builder.record()), builder.size());
 }
 
-// All machines are written. Records beyond the last one are from a time when the cluster was larger.
+// Starts again with the first machine, since all machines are written. Records with numbers beyond the last one written
+// were needed when the cluster was larger, and are removed.
 void ClusterRecords::ImageHints::begin_anew() {
     for (auto number = next_record_; number < records_; ++number)
         obsolete_records_.add(persistence::image_key(number));
@@ -112,7 +114,7 @@
     if (const auto number = persistence::record_number(item.key); number)
         records_ = std::max(records_, *number + 1);
     const auto record = persistence::decode_images(item.value);
-    std::vector<int> ids; // of the cluster, by the index in the record
+    std::vector<int> ids; // The cluster's numbers of the images, by their index in the record; -1 if damaged.
     for (const auto& image : record.images)
         ids.push_back(image ? cluster_.image_id(image->name, image->size_gb) : -1);
     for (const auto& [machine, indices] : record.held)
--- a/src/persistence/image_hints.hpp
+++ b/src/persistence/image_hints.hpp
@@ -1,4 +1,4 @@
-/// Which machine holds which image, for the next leader.
+/// Stored hints for the next leader about which machines hold which images.
 #pragma once
 
 #include "persistence/cluster_records.hpp"
@@ -11,8 +11,9 @@
 
 namespace heronshift {
 
-/// Hints that spare the next leader fetches of images. Written now and then, a record with a share of the machines at a
-/// time; a write that is refused is not repeated.
+/// Stores which machines hold which images, so that the next leader can place tasks where their images are and fewer
+/// images have to be fetched again. Every 2 `report_s` one record is written, which covers a part of the machines, in
+/// the order of their ids. Since these are only hints, a write that was refused is not retried.
 class ClusterRecords::ImageHints {
 public:
     ImageHints(cluster::ClusterState& cluster, const Settings& settings, const StoreLimits& limits,
@@ -32,8 +33,9 @@
     const StoreLimits& limits_;
     ObsoleteRecords& obsolete_records_;
     double next_write_at_ = 0;
-    std::size_t next_record_ = 0, records_ = 0; // the number to be written next; how many there are in the store
-    std::string after_machine_;                 // the last one in the record before
+    // The number of the record to be written next, and how many records the store holds.
+    std::size_t next_record_ = 0, records_ = 0;
+    std::string after_machine_; // The last machine in the record that was written last.
 };
 
 } // namespace heronshift
--- a/src/persistence/intent_records.cpp
+++ b/src/persistence/intent_records.cpp
@@ -15,20 +15,26 @@
 
 namespace {
 
-constexpr double max_carried_share = 0.25; // of a record: what is written again together with new intents
-constexpr std::size_t few_unrecorded = 16; // all of them are written at once, in whatever order
-
-// A third of a line is the zone, and a task without rules about zones may as well be in an unknown one.
+// New intents go only into records whose live intents, which are written again with them, take less than this share of
+// the longest record.
+constexpr double max_carried_share = 0.25;
+// Up to this number of new intents are not sorted by urgency, since they all fit into one write.
+constexpr std::size_t few_unrecorded = 16;
+
+// Only these jobs have rules about zones. The intents of others are written without the zone, which would take a third
+// of a line.
 bool zone_matters(const Entry& entry) {
     return entry.job->spec.spread || entry.job->spec.one_zone;
 }
 
-// An intent is not stored before the job's record says that the job no longer waits for dependencies (invariant 14).
+// Whether the intent may be stored: not before the job record says that the job no longer waits for dependencies
+// (invariant 14).
 bool may_record(const Entry& entry) {
     return entry.job->ready_recorded || entry.job->final != cluster::Final::none;
 }
 
-// Tasks of a machine next to each other, and in that those of a job and an attempt, so that they become ranges.
+// The order of intents in a record: by machine, and for a machine by job and attempt, so that `intents::Writer` can
+// encode tasks of one attempt as ranges.
 bool precedes(const Entry& a, const Entry& b) {
     if (a.machine != b.machine)
         return a.machine->id < b.machine->id;
@@ -114,8 +120,8 @@
     return std::any_of(unrecorded_.begin(), unrecorded_.end(), [](const Entry* entry) { return may_record(*entry); });
 }
 
-// Where the store takes fewer intents than there are: the most urgent and the oldest first. They are taken from the
-// end.
+// Sorts the new intents for the case that the store accepts fewer than there are. `take_unrecorded` starts at the end,
+// so the most urgent ones are last, and the oldest are last of those with the same priority.
 void ClusterRecords::IntentRecords::order_by_urgency() {
     std::stable_sort(unrecorded_.begin(), unrecorded_.end(), [](const Entry* a, const Entry* b) {
         if (a->job->priority != b->job->priority)
@@ -130,15 +136,16 @@
     return std::find(in_flight_.begin(), in_flight_.end(), number) != in_flight_.end();
 }
 
-// Estimated from the share of the intents last written that is still live.
+// Estimates the bytes of the record's live intents from the size of the stored copy and the share of its intents that
+// is still live.
 double ClusterRecords::IntentRecords::live_bytes(const Record& record) const {
     return static_cast<double>(record.size * record.entries.size()) /
            static_cast<double>(std::max<std::size_t>(1, record.written));
 }
 
-// The record with the fewest live bytes has most room. Records in turn would each carry on the intents of services,
-// which stay for good, and half of every write would be what the store holds already. A new record is added where all
-// are too full.
+// Returns the record with the fewest bytes of live intents, which has the most room. If records were used in turn, each
+// of them would keep intents of services, which stay live indefinitely, and half of every write would repeat what the
+// store already holds. Adds a new record if all existing ones are too full.
 std::size_t ClusterRecords::IntentRecords::emptiest_record() {
     auto best = records_.size();
     double least = static_cast<double>(limits_.max_record_bytes) * max_carried_share;
@@ -156,8 +163,8 @@
     return best;
 }
 
-// Writes what is still live of a record and, as far as there is room, new intents and some of the oversized record.
-// False if the live intents alone do not fit any more.
+// Writes the live intents of a record and, as far as it has room, new intents and some of those in the oversized
+// record. Returns false if the live intents alone exceed the size limit.
 bool ClusterRecords::IntentRecords::write_record(persistence::TransactionBuilder& transaction, std::size_t number) {
     auto& record = records_[number];
     auto text = text_of(record.entries);
@@ -182,8 +189,8 @@
     return true;
 }
 
-// Moves an entry into the record. False if it may not fit: it is counted as a line of its own, which is its longest
-// form.
+// Moves an entry into the record. Returns false if it might not fit. The estimate assumes that the intent takes a line
+// of its own, which is the longest that it can be encoded to.
 bool ClusterRecords::IntentRecords::take(Entry& entry, std::size_t number, std::size_t& size) {
     size += text_of({&entry}).size() + 2;
     if (size > limits_.max_record_bytes)
@@ -204,8 +211,9 @@
     }
 }
 
-// Until the transaction is applied the oversized record names these intents too, so that none is ever missing from the
-// store (invariant 18; LongRecordsAreCarriedOnWithoutAGap).
+// Moves intents from the oversized record into this one. The stored copy of the oversized record keeps them until the
+// transaction is applied, so that none is ever missing from the store (invariant 18;
+// LongRecordsAreCarriedOnWithoutAGap).
 void ClusterRecords::IntentRecords::take_from_oversized(std::size_t number, std::size_t& size) {
     if (!oversized_)
         return;
@@ -220,8 +228,9 @@
         oversized_.reset();
 }
 
-// A record that names what is long gone would keep its place after a failover. When there is time, one is written
-// again.
+// After a failover, a task that a stored record still names occupies its machine although it is gone. When the
+// transaction has room, this rewrites one record that names such tasks, or a record that can take over intents of the
+// oversized one.
 void ClusterRecords::IntentRecords::rewrite_one_obsolete(persistence::TransactionBuilder& transaction) {
     const auto now = cluster_.view().now;
     if (now < next_rewrite_at_ || transaction.full(limits_.max_writes / 2) || any_recordable())
@@ -241,7 +250,7 @@
 
 void ClusterRecords::IntentRecords::committed(bool applied) {
     for (const auto number : std::exchange(in_flight_, {})) {
-        const auto entries = records_[number].entries; // a copy, since entries may leave the record
+        const auto entries = records_[number].entries; // A copy, since `settle` may move entries out of the record.
         for (auto* entry : entries)
             settle(*entry, applied);
         if (!applied)
@@ -288,19 +297,19 @@
         return;
     }
     auto& record = records_[*number];
-    record.obsolete += 1; // so that it is written again before long, whatever it named
+    record.obsolete += 1; // So that the record is rewritten soon, whatever it names.
     record.size = stored.size;
     record.written = std::max<std::size_t>(1, stored.content.intents.size());
 }
 
 void ClusterRecords::IntentRecords::load_intent(const intents::Intent& intent, int record) {
     auto* job = cluster_.find_job(intent.job);
-    // The record of a job goes only when none of its tasks is left anywhere.
+    // A job record is removed only when none of the job's tasks is left on any machine, so this intent is out of date.
     if (job == nullptr || intent.index >= job->tasks.size())
         return;
     auto& machine = cluster_.learn_machine(intent.machine, "", "", intent.zone, false);
     machine.agent_epoch = std::max(machine.agent_epoch, intent.agent_epoch);
-    // The leader before may have answered this machine until this one took over, so the lease counts from now.
+    // The previous leader may have renewed the machine's lease until this one took over, so it is taken to start now.
     machine.lease_started_at = cluster_.data_.now;
     machine.status = cluster::Status::up;
     for (const auto& entry : machine.entries)
@@ -309,9 +318,9 @@
     auto& entry = cluster_.add_entry(machine, *job, intent.index, intent.attempt);
     entry.phase = Phase::sent;
     entry.recorded = record >= 0;
-    // Only a heartbeat that has seen a token of this term proves anything: one from before the launch may arrive late,
-    // and there is no count of this machine's heartbeats to tell (invariant 5;
-    // AfterAFailoverOnlyAHeartbeatThatHasSeenOurTermClearsAnIntent).
+    // Only a heartbeat that has seen a fencing token of this term can prove that the task is not on the machine. A
+    // heartbeat sent before the launch may arrive late, and this leader does not know the machine's heartbeat counter,
+    // which would show that (invariant 5; AfterAFailoverOnlyAHeartbeatThatHasSeenOurTermClearsAnIntent).
     entry.fencing_token = (cluster_.data_.term << cluster::token_counter_bits) - 1;
     entry.agent_epoch = intent.agent_epoch;
     move(entry, record);
--- a/src/persistence/intent_records.hpp
+++ b/src/persistence/intent_records.hpp
@@ -1,4 +1,4 @@
-/// Write-ahead intents: which tasks may be on which machines.
+/// Write-ahead intent records: which tasks may be on which machines.
 #pragma once
 
 #include "persistence/cluster_records.hpp"
@@ -14,11 +14,13 @@
 
 namespace heronshift {
 
-/// A launch is sent only after the intent record that names it is stored (invariant 5; LaunchesOnlyWhatTheStoreHolds).
+/// Stores an intent for each entry, that is, for each placement of a task on a machine. A launch is sent only after the
+/// record that holds its intent is stored (invariant 5; LaunchesOnlyWhatTheStoreHolds).
 ///
-/// The records have room for many intents each. New ones are written, together with what is still live of it, into the
-/// record that has least of that, so that a launch costs its share of one write and no live intent is ever
-/// missing from the store. Entry::slot is the number of the record (-1: none yet), Entry::at_slot its place there.
+/// Each record has room for many intents. New intents go into the record with the fewest bytes of live intents, that
+/// is, of intents whose entry still exists. The record is written again with its live intents and the new ones. So one
+/// write stores many launches, and no live intent is ever missing from the store. `Entry::slot` is the number of the
+/// record that holds the intent (-1: none yet), `Entry::at_slot` its index in `Record::entries`.
 class ClusterRecords::IntentRecords {
 public:
     IntentRecords(cluster::ClusterState& cluster, const Settings& settings, const StoreLimits& limits,
@@ -26,7 +28,7 @@
 
     void add(cluster::Entry& entry);
     void remove(cluster::Entry& entry);
-    /// Whether there are intents that no record names yet.
+    /// Whether there are intents that are in no record yet.
     [[nodiscard]] bool waiting() const {
         return !unrecorded_.empty();
     }
@@ -37,13 +39,15 @@
         in_flight_.clear();
     }
 
-    // At a failover.
+    // The functions below are called at a failover.
     void load(const std::vector<codec::Item>& items);
-    /// Counts a task as on its machine until a heartbeat under this term lacks it, or the machine's lease has expired.
-    /// @param record the number of the record that names it; -1: none that stays
+    /// Takes the task to be on its machine until a heartbeat of this term does not list it or the machine's lease has
+    /// expired.
+    /// @param record the number of the record that holds the intent; -1 if none does, or if that record will be removed
     void load_intent(const intents::Intent& intent, int record);
-    /// Holds the machine occupied: a record that cannot be read may have named any task of it. Its heartbeat under this
-    /// term, or its expired lease, ends the doubt. Without a name, which means any machine, only time does.
+    /// Marks the machine as unproven, since a record that cannot be read may have named any task as being on it. Until
+    /// a heartbeat of the machine in this term, or the expiry of its lease, no task is placed on any machine. If
+    /// `machine` is empty, the record may have named any machine, and only the expiry of all leases ends this.
     /// (ADamagedRecordKeepsItsMachineOccupiedUntilItIsProven)
     void hold_unproven(const std::string& machine);
 
@@ -51,8 +55,9 @@
     static constexpr int no_record = -1;
     struct Record {
         std::vector<cluster::Entry*> entries;
-        std::size_t obsolete = 0;          // intents that the store's copy names though they are gone
-        std::size_t size = 0, written = 0; // bytes and intents of the store's copy
+        std::size_t obsolete = 0; // The number of intents in the stored copy whose entry no longer exists.
+        // The bytes and the number of intents of the stored copy.
+        std::size_t size = 0, written = 0;
     };
 
     void load_record(const codec::Item& item);
@@ -81,8 +86,9 @@
     std::vector<cluster::Entry*> unrecorded_;
     std::size_t next_rewritten_ = 0;
     double next_rewrite_at_ = 0;
-    std::optional<std::size_t> oversized_; // a record that no longer fits: what is live of it goes into others
-    std::vector<std::size_t> in_flight_;   // numbers of records
+    // The number of a record whose live intents exceed the size limit; they are moved to other records.
+    std::optional<std::size_t> oversized_;
+    std::vector<std::size_t> in_flight_; // The numbers of the records in the transaction in flight.
 };
 
 } // namespace heronshift
--- a/src/persistence/intents.cpp
+++ b/src/persistence/intents.cpp
@@ -10,7 +10,7 @@
 
 constexpr std::string_view unknown_zone = "-";
 
-// Takes a number off the front of the text; false if there is none.
+// Removes a number from the front of the text and decodes it. Returns false if the text does not start with one.
 template <class Number> bool take_number(std::string_view& text, Number& out) {
     const auto [parsed, error] = std::from_chars(text.data(), text.data() + text.size(), out);
     if (error != std::errc() || parsed == text.data())
@@ -19,7 +19,7 @@
     return true;
 }
 
-// Takes what stands before the next separator off the front of the text, and the separator.
+// Removes the text before the next separator, and the separator, from the front of the text. Returns the former.
 std::string_view next_word(std::string_view& text, char separator) {
     const auto at = text.find(separator);
     const auto word = text.substr(0, at);
@@ -27,7 +27,7 @@
     return word;
 }
 
-// "JOB/FIRST-LAST:ATTEMPT" on the machine of `line`; false if it is malformed.
+// Decodes "JOB/FIRST-LAST:ATTEMPT", with the machine of `line`. Returns false if it is malformed.
 bool read_tasks(std::string_view word, const Intent& line, std::vector<Intent>& out) {
     const auto slash = word.find('/');
     const auto colon = word.rfind(':');
@@ -47,7 +47,8 @@
     return true;
 }
 
-// One machine and its tasks; false if any of it is malformed. `machine` has what could be read of the machine.
+// Decodes a line, that is, a machine and its tasks. Returns false if any of it is malformed. `machine` receives what
+// can be read of the machine.
 bool read_line(std::string_view line, Intent& machine, std::vector<Intent>& out) {
     machine.machine = next_word(line, ' ');
     machine.zone = next_word(line, ' ');
@@ -127,7 +128,8 @@
 }
 
 std::string ranges_of(const std::vector<bool>& bits, std::size_t max_bytes) {
-    constexpr std::size_t max_range_bytes = 14; // a separator and two indices below codec::max_tasks
+    // Enough for a comma, a hyphen and two indices below `codec::max_tasks`.
+    constexpr std::size_t max_range_bytes = 14;
     std::string out;
     for (std::size_t first = 0; first < bits.size();) {
         if (!bits[first]) {
--- a/src/persistence/intents.hpp
+++ b/src/persistence/intents.hpp
@@ -1,8 +1,8 @@
-/// The text of write-ahead intent records and of done tasks.
+/// The text encoding of write-ahead intent records and of sets of done tasks.
 ///
-/// Text rather than JSON objects, which would be three times as long: every byte is written again when its
-/// record is. One line for a machine: "MACHINE ZONE AGENT-EPOCH" and then its tasks, "JOB/FIRST-LAST:ATTEMPT" or
-/// "JOB/INDEX:ATTEMPT"; "-" stands for an unknown zone.
+/// Intents are encoded as text because JSON objects would be three times as long, and a record is written as a whole
+/// whenever an intent is added to it. Each line is for one machine: "MACHINE ZONE AGENT-EPOCH", followed by its tasks
+/// as "JOB/FIRST-LAST:ATTEMPT" or "JOB/INDEX:ATTEMPT". "-" stands for an unknown zone.
 #pragma once
 
 #include <cstdint>
@@ -12,23 +12,23 @@
 
 namespace heronshift::intents {
 
-/// One task that may be on a machine from the moment its record is stored.
+/// An attempt of a task that may be on a machine from the moment at which the record of the intent is stored.
 struct Intent {
-    std::string machine, zone; ///< The zone is empty where it is unknown.
+    std::string machine, zone; ///< `zone` is empty if it is unknown or not stored.
     std::uint64_t agent_epoch = 0;
     std::string job;
-    std::uint32_t index = 0; ///< Of the task in its job.
+    std::uint32_t index = 0; ///< The index of the task in its job.
     std::uint64_t attempt = 0;
     friend bool operator==(const Intent&, const Intent&) = default;
 };
 
-/// Encodes one record line by line; neighbouring tasks of one attempt become a range. The tasks of a machine must
-/// be added one after the other.
+/// Encodes one record. Tasks of one job and attempt that are added in the order of their indices, without a gap, become
+/// a range. All tasks of a machine must be added one after the other.
 class Writer {
 public:
     void add(std::string_view machine, std::string_view zone, std::uint64_t agent_epoch, std::string_view job,
              std::uint32_t index, std::uint64_t attempt);
-    /// The text; the writer is empty then.
+    /// Returns the text and leaves the writer empty.
     [[nodiscard]] std::string take();
 
 private:
@@ -39,22 +39,24 @@
     bool open_ = false;
 };
 
-/// What a record said, as far as it can be read.
+/// The contents of a record, as far as they can be decoded.
 struct Read {
     std::vector<Intent> intents;
-    std::vector<std::string> unproven; ///< Machines whose line is damaged: they may hold any task.
-    bool damaged = false;              ///< There are lines that do not even name a machine.
+    std::vector<std::string> unproven; ///< Machines whose line is damaged, so that any task may be on them.
+    bool damaged = false;              ///< Whether there are damaged lines from which not even the machine can be read.
 };
-/// Decodes a record. A line is read up to its first damaged task; its machine is then unproven as well.
+/// Decodes a record. Of a damaged line, the tasks before the first damaged one are decoded, and its machine is added to
+/// `unproven`.
 [[nodiscard]] Read read(std::string_view text);
 
-/// Set bits as ranges, "0-3,7"; what does not fit into max_bytes is left out.
+/// Encodes the indices of the set bits as ranges, such as "0-3,7". Ranges that do not fit into `max_bytes` are left
+/// out.
 [[nodiscard]] std::string ranges_of(const std::vector<bool>& bits, std::size_t max_bytes);
-/// Takes the next range off the front of the text. False at its end, and where it is malformed or beyond
-/// codec::max_tasks.
+/// Removes the next range from the front of the text and decodes it. Returns false if the text is empty or the range is
+/// malformed or reaches beyond `codec::max_tasks`.
 [[nodiscard]] bool parse_range(std::string_view& text, std::uint32_t& first, std::uint32_t& last);
 
-/// Calls f for each index in the ranges, up to the first malformed one.
+/// Calls `f` for each index in the ranges, up to the first malformed range.
 template <class F> void each_in_ranges(std::string_view text, F f) {
     std::uint32_t first = 0, last = 0;
     while (parse_range(text, first, last))
--- a/src/persistence/obsolete_records.hpp
+++ b/src/persistence/obsolete_records.hpp
@@ -1,4 +1,4 @@
-/// Keys of records that mean nothing any more, to be removed.
+/// Removes stored records that are no longer used.
 #pragma once
 
 #include "persistence/cluster_records.hpp"
@@ -12,7 +12,8 @@
 
 namespace heronshift {
 
-/// Records of earlier layouts and those that a larger cluster needed. Removing them is not urgent.
+/// The keys of records to be removed: those of earlier layouts, those that were needed when the cluster was larger and
+/// intent records with an invalid number. Removing them is not urgent.
 class ClusterRecords::ObsoleteRecords {
 public:
     void add(std::string key) {
