--- a/src/persistence/layout.hpp
+++ b/src/persistence/layout.hpp
@@ -1,29 +1,29 @@
-/// Keys of the store's records of jobs and of the cluster.
+/// The keys of the records of jobs and of the cluster in the store.
 ///
-/// Two other keys, of the leader election, are not of this layout (src/leadership). The values are encoded
-/// and decoded by heronshift/codec.hpp (jobs and final states) and by src/persistence/stored_records.hpp (the
-/// rest). Prefixes, and the contents below them, are part of stored data: a new content needs a new prefix,
-/// and what a version no longer writes stays readable.
+/// The two keys of the leader election are not part of this layout; see src/leadership. The values are encoded and
+/// decoded by heronshift/codec.hpp (jobs and final states) and by src/persistence/stored_records.hpp (all others).
+/// The prefixes, and the format of the values below each of them, are stored data. A new format therefore needs a new
+/// prefix, and records that a version no longer writes must stay readable.
 ///
-/// | prefix | key           | content                                              | written by                       |
+/// | prefix | key           | value                                                | written by                       |
 /// |--------|---------------|------------------------------------------------------|----------------------------------|
 /// | j/     | j/JOB         | a job: specification, times, final state             | the node it is submitted to; the |
-/// |        |               |                                                      | leader when it is ready or final |
+/// |        |               |                                                      | leader when it is ready or over  |
 /// | f/     | f/JOB         | the final state of a job, never changed or removed   | the leader                       |
 /// | i/     | i/NUMBER      | write-ahead intents: which tasks may be on which     | the leader, before it sends the  |
 /// |        |               | machines                                             | launches                         |
-/// | q/     | q/0 to q/63   | the done tasks of a share of the jobs                | the leader                       |
-/// | c/     | c/NUMBER      | which images a share of the machines holds (a hint)  | the leader                       |
+/// | q/     | q/0 to q/63   | the done tasks of a part of the jobs                 | the leader                       |
+/// | c/     | c/NUMBER      | which images a part of the machines holds (a hint)   | the leader                       |
 /// | l/     | l/0           | rates that a leader has measured (a hint)            | the leader                       |
-/// | x/     | x/0 to x/31   | jobs cancelled with a job that they need, whose own  | the leader                       |
-/// |        |               | f/JOB is not written yet                             |                                  |
+/// | x/     | x/0 to x/31   | jobs that were cancelled because a dependency was    | the leader                       |
+/// |        |               | and whose own f/JOB is not written yet               |                                  |
 /// | p/     | p/0 to p/15   | as q/, fewer and longer records                      | versions before q/; only read    |
 /// | m/     | m/MACHINE     | which tasks may be on this machine                   | versions before i/; read, then   |
 /// | d/     | d/JOB         | the done tasks of a job and its final state          | removed                          |
 ///
-/// Since which version: all of j/, f/, i/, q/, c/ and l/ are in 0.1.0, the only numbered version so far. Within it,
-/// i/ and p/ replaced m/ and d/, then q/ replaced p/ when jobs got dependencies; l/ came later and may be missing, and
-/// so did x/.
+/// Version 0.1.0, the only numbered one so far, has j/, f/, i/, q/, c/ and l/. During its development, i/ and p/
+/// replaced m/ and d/; then q/ replaced p/, when jobs got dependencies. l/ and x/ were added after that, so a store may
+/// be without them.
 #pragma once
 
 #include <cstddef>
@@ -40,14 +40,15 @@
 inline constexpr std::string_view image_prefix = "c/";
 inline constexpr std::string_view learned_prefix = "l/";
 inline constexpr std::string_view cascade_prefix = "x/";
-inline constexpr std::string_view previous_progress_prefix = "p/"; ///< Read only.
+inline constexpr std::string_view previous_progress_prefix = "p/"; ///< Only read, never written.
 inline constexpr std::string_view earlier_machine_prefix = "m/";   ///< Read, then removed.
 inline constexpr std::string_view earlier_job_prefix = "d/";       ///< Read, then removed.
 
-inline constexpr std::size_t first_intent_records = 32; ///< More are added when these fill up.
-inline constexpr std::size_t progress_records = 64;     ///< Fixed: jobs are spread over them by a hash.
+inline constexpr std::size_t first_intent_records = 32; ///< More records are added when these are full.
+/// Never changed, since the number of a job's progress record is a hash of its id modulo this number.
+inline constexpr std::size_t progress_records = 64;
 
-/// So few that all of them are read in one call, which gives 512 KiB at most.
+/// All cascade records have to fit into one read of the store, which returns at most 512 KiB.
 inline constexpr std::size_t max_cascade_records = 32;
 
 [[nodiscard]] inline std::string record_key(std::string_view prefix, std::string_view name) {
@@ -77,13 +78,13 @@
     return record_key(learned_prefix, "0");
 }
 
-/// The number in the key of an intent, image or cascade record. Empty if there is none, or one so large that no
-/// leader wrote it.
+/// Returns the number in the key of an intent, image or cascade record. Returns nothing if the key has no number, or
+/// one that is larger than any that a leader writes.
 [[nodiscard]] std::optional<std::size_t> record_number(const std::string& key);
 
-/// What follows the prefix of a key.
+/// Returns the part of a key that follows its prefix.
 [[nodiscard]] inline std::string name_in_key(const std::string& key) {
-    return key.substr(job_prefix.size()); // all prefixes are of one length
+    return key.substr(job_prefix.size()); // All prefixes have the same length.
 }
 
 } // namespace heronshift::persistence
--- a/src/persistence/learned_rates.cpp
+++ b/src/persistence/learned_rates.cpp
@@ -44,7 +44,8 @@
     auto& data = cluster_.data_;
     auto& learned = data.learned;
     const double decay = std::exp(-std::max(0.0, wall - record->written_at) / data.average_s());
-    // The jobs read from the store are a part of what is offered.
+    // The maximum rather than the sum: jobs loaded from the store count as offered work already, and the stored value
+    // includes them.
     learned.offered = std::max(learned.offered, record->offered_load * decay);
     learned.offered_ordinary = std::max(learned.offered_ordinary, record->offered_ordinary * decay);
     learned.spot_losses = record->spot_losses * decay;
--- a/src/persistence/learned_rates.hpp
+++ b/src/persistence/learned_rates.hpp
@@ -1,4 +1,4 @@
-/// Rates that a leader has measured, for the next one.
+/// Stores rates that a leader has measured, for the next leader.
 #pragma once
 
 #include "persistence/cluster_records.hpp"
@@ -7,9 +7,9 @@
 
 namespace heronshift {
 
-/// How much work comes in, how far estimates are off and how many spot machines are lost. Without it the next leader
-/// gives back machines that it needs a moment later (WhatALeaderLearnedGoesToTheNext). Written now and then; a write
-/// that is refused is not repeated.
+/// The record holds how much work is submitted, how far run time estimates are off and how many spot machines are lost.
+/// Without it, the next leader would release machines that it needs a moment later (WhatALeaderLearnedGoesToTheNext).
+/// It is written every 2 `report_s`; a write that was refused is not retried.
 class ClusterRecords::LearnedRates {
 public:
     LearnedRates(cluster::ClusterState& cluster, const Settings& settings, const StoreLimits& limits)
--- a/src/persistence/load.cpp
+++ b/src/persistence/load.cpp
@@ -1,4 +1,4 @@
-// Reading the cluster's records at a failover.
+// Loads the cluster's records at a failover.
 #include "persistence/cluster_records.hpp"
 
 #include "persistence/layout.hpp"
@@ -23,14 +23,14 @@
 
 } // namespace
 
-// The stored job as a command to the core: its times become ages. A time in the future, by a clock that is ahead, gives
-// the age 0.
+// Converts a stored job to a command for the core, with ages instead of times. A time in the future, written by a node
+// whose clock is ahead, becomes the age 0.
 JobStored job_stored(codec::StoredJob&& stored_job, double wall) {
     return {std::move(stored_job.spec), std::max(0.0, wall - stored_job.at),
             stored_job.ready < 0 ? -1 : std::max(0.0, wall - stored_job.ready), stored_job.waits};
 }
 
-// Jobs come first, since all other records name them.
+// Loads the jobs first, since other records refer to them.
 void ClusterRecords::load(const Snapshot& stored, double wall) {
     auto& kinds = *kinds_;
     load_jobs(stored.jobs, wall);
@@ -45,7 +45,7 @@
     cluster_.needs_scheduling_ = true;
 }
 
-// A record that cannot be read is left as it is: no version takes it for a job.
+// A record that cannot be read is left as it is, since no version takes it for a job.
 void ClusterRecords::load_jobs(const std::vector<codec::Item>& items, double wall) {
     for (const auto& item : items) {
         auto record = codec::stored_job(item.value, wall);
@@ -86,14 +86,15 @@
     const auto machine = persistence::name_in_key(item.key);
     const auto record = persistence::decode_earlier_machine(machine, item.value);
     for (const auto& intent : record.intents)
-        kinds_->intents.load_intent(intent, -1); // in no record of this layout yet
+        kinds_->intents.load_intent(intent, -1); // The intent is not yet in a record of the current layout.
     if (record.damaged)
         kinds_->intents.hold_unproven(machine);
 }
 
-// What follows for a job once all records are read.
+// Completes the state of a job once all records are loaded.
 void ClusterRecords::settle_loaded_job(Job& job) {
-    // What runs or is done does not wait; else machines would be rented for it (NothingIsRentedForWhatRunsAlready).
+    // Tasks that may be running or are done are no longer pending; otherwise machines would be rented for them
+    // (NothingIsRentedForWhatRunsAlready).
     std::erase_if(job.pending, [&](std::uint32_t index) {
         auto& task = job.tasks[index];
         if (!task.done && task.live == 0)
--- a/src/persistence/progress_records.cpp
+++ b/src/persistence/progress_records.cpp
@@ -15,8 +15,10 @@
 
 namespace {
 
-constexpr double max_share = 0.15;             // of the store's budget of writes
-constexpr std::size_t bytes_around_ranges = 6; // quotes and separators of a job
+// The share of the store's write budget that progress records may use.
+constexpr double max_share = 0.15;
+// The quotes and separators around the id and the ranges of one job.
+constexpr std::size_t bytes_around_ranges = 6;
 constexpr std::uint64_t fnv_offset = 14695981039346656037U, fnv_prime = 1099511628211U;
 
 std::vector<bool> done_tasks(const Job& job) {
@@ -32,7 +34,7 @@
                                                  const StoreLimits& limits)
     : cluster_(cluster), settings_(settings), limits_(limits), records_(progress_records) {}
 
-// FNV-1a, which is the same on every machine and in every version.
+// Uses FNV-1a, which gives the same result on every machine and in every version, unlike `std::hash`.
 std::size_t ClusterRecords::ProgressRecords::number_of(std::string_view job) {
     auto hash = fnv_offset;
     for (const char c : job)
@@ -91,8 +93,8 @@
             records_[number].changed = true;
 }
 
-// Records of the versions before are left as they are: their processes may become leader again, and what was done stays
-// done.
+// Progress records of previous versions (p/) are loaded but not removed, since a process of such a version may become
+// leader again. They stay valid: a done task stays done.
 void ClusterRecords::ProgressRecords::load(const std::vector<codec::Item>& items) {
     for (const auto& item : items)
         for (const auto& progress : persistence::decode_progress(item.value))
@@ -106,7 +108,7 @@
             return;
         job.tasks[index].done = job.tasks[index].stored = true;
         ++job.done;
-        job.had_success = true; // else a faulty machine is told from a bad job too late
+        job.had_success = true; // Otherwise it would take longer to tell a faulty machine from a faulty job.
     });
 }
 
--- a/src/persistence/progress_records.hpp
+++ b/src/persistence/progress_records.hpp
@@ -1,4 +1,4 @@
-/// The done tasks of jobs that are not final.
+/// Stores the done tasks of jobs that are not over.
 #pragma once
 
 #include "persistence/cluster_records.hpp"
@@ -10,16 +10,17 @@
 
 namespace heronshift {
 
-/// Jobs are spread over a fixed number of records. A change waits a while for others in its record: losing it costs
-/// only an image fetch, since a finished task that is started again ends at once. A worker is told to forget a done
-/// task only once it is stored (invariant 6; DoneIsReapedOnlyOnceTheStoreHoldsIt).
+/// Jobs are distributed over a fixed number of records. A changed record is written only after a delay, so that several
+/// changes share one write. Losing a change costs only an image fetch, since a done task that is started again ends at
+/// once. A worker is told to forget a done task only once the store holds that it is done (invariant 6;
+/// DoneIsReapedOnlyOnceTheStoreHoldsIt).
 class ClusterRecords::ProgressRecords {
 public:
     ProgressRecords(cluster::ClusterState& cluster, const Settings& settings, const StoreLimits& limits);
 
-    /// The record of a job. Every leader must find it in the same one.
+    /// Returns the number of the record that holds the job's done tasks. It must be the same for every leader.
     [[nodiscard]] static std::size_t number_of(std::string_view job);
-    /// Tasks of the job are newly done.
+    /// To be called when more tasks of the job are done; its record is then due to be written.
     void changed(const cluster::Job& job);
     void collect(persistence::TransactionBuilder& transaction);
     void committed(bool applied);
@@ -28,16 +29,16 @@
         records_in_flight_.clear();
     }
 
-    // At a failover.
+    // The functions below are called at a failover.
     void load(const std::vector<codec::Item>& items);
-    /// Marks tasks as done and stored.
-    /// @param ranges see intents::ranges_of()
+    /// Marks tasks as done and as stored.
+    /// @param ranges indices of tasks, in the format of `intents::ranges_of`
     static void load_done(cluster::Job& job, std::string_view ranges);
 
 private:
     struct Record {
         bool changed = false;
-        double changed_at = 0; // the first change that is not written
+        double changed_at = 0; // When the first change that is not written yet was made.
     };
     struct TasksInFlight {
         cluster::Job* job;
--- a/src/persistence/ready_records.hpp
+++ b/src/persistence/ready_records.hpp
@@ -1,4 +1,4 @@
-/// Job records that are written again when the job's dependencies are done.
+/// Rewrites the record of a job whose dependencies are all done.
 #pragma once
 
 #include "persistence/cluster_records.hpp"
@@ -11,8 +11,8 @@
 
 namespace heronshift {
 
-/// The record of a job that has become ready loses its dependencies: from then on any leader, of whatever version, may
-/// run it. It is written before the job's first intents or with them (invariant 14;
+/// When a job becomes ready, its dependencies are removed from its job record: from then on a leader of any version may
+/// run it. The record is written before the job's first intents or in the same transaction (invariant 14;
 /// TheVersionBeforeStartsNothingOfAJobThatWaits).
 class ClusterRecords::ReadyRecords {
 public:
--- a/src/persistence/stored_records.cpp
+++ b/src/persistence/stored_records.cpp
@@ -13,12 +13,13 @@
 
 namespace {
 
-// Intent records grow in number with the tasks on machines: 60,000 on 6,000 machines take some 200 of 15 KiB, or
-// 5,000 of the smallest size (min_record_bytes in cluster_records.cpp). A larger number was not written by a leader:
-// what its record names counts all the same, and the record is removed once that is stored elsewhere.
+// The largest record number that is taken as valid. The number of intent records grows with the number of tasks on
+// machines: 60,000 tasks on 6,000 machines take about 200 records of 15 KiB, or 5,000 of the smallest size
+// (`min_record_bytes` in cluster_records.cpp). A key with a larger number was not written by a leader. The intents in
+// such a record are loaded all the same, and the record is removed after they are stored in another one.
 constexpr std::size_t max_record_number = 100'000;
 
-// Names of fields: stored data, never to be changed.
+// The names of fields in stored records. They must not change.
 constexpr const char* field_intents = "t";
 constexpr const char* field_cancelled = "cancelled";
 constexpr const char* field_image_names = "names";
@@ -54,7 +55,7 @@
     return out;
 }
 
-// A measured quantity; below zero: missing or of no use.
+// Reads a measured quantity. Returns -1 if it is missing or invalid.
 double quantity(const Json& value, const char* name) {
     constexpr double limit = 1e12;
     const auto it = value.is_object() ? value.find(name) : value.end();
--- a/src/persistence/stored_records.hpp
+++ b/src/persistence/stored_records.hpp
@@ -1,8 +1,9 @@
-/// The values of stored records as types, with one encoder and one decoder for each kind.
+/// Types for the values of stored records, with one encoder and one decoder for each kind of record. For records that
+/// this version only reads there is just a decoder.
 ///
-/// Jobs and final states are in heronshift/codec.hpp, since nodes that do not lead use them as well. Encoders give the
-/// same bytes for the same record in all versions (tests/golden/records). Decoders keep what they can read of a
-/// damaged record, as each one says.
+/// Job records and final records are in heronshift/codec.hpp, since nodes other than the leader use them as well.
+/// Encoders produce the same bytes for the same record in all versions (tests/golden/records). Decoders return what can
+/// be read of a damaged record; the comment of each decoder has the details.
 #pragma once
 
 #include "heronshift/codec.hpp"
@@ -19,27 +20,27 @@
 /// i/NUMBER: write-ahead intents.
 struct IntentRecord {
     intents::Read content;
-    std::size_t size = 0; ///< Of its text, bytes.
+    std::size_t size = 0; ///< The bytes of the encoded text.
 };
-/// @param text made by intents::Writer
+/// @param text the output of `intents::Writer`
 [[nodiscard]] codec::Json encode_intents(std::string text);
-/// What cannot be read is marked in the content (unproven, damaged), never dropped in silence: the tasks that it
-/// named may be running (invariant 5; ADamagedRecordKeepsItsMachineOccupiedUntilItIsProven).
+/// Parts that cannot be read are reported in `content` (`unproven`, `damaged`) and never skipped silently, since the
+/// tasks that they named may be running (invariant 5; ADamagedRecordKeepsItsMachineOccupiedUntilItIsProven).
 [[nodiscard]] IntentRecord decode_intents(const codec::Json& value);
 
 /// q/NUMBER and p/NUMBER: the done tasks of some jobs.
 struct JobProgress {
     std::string job;
-    std::string done; ///< Ranges of indices, see intents::ranges_of().
+    std::string done; ///< Indices of tasks, in the format of `intents::ranges_of`.
 };
 [[nodiscard]] codec::Json encode_progress(std::vector<JobProgress> jobs);
-/// In the order of the jobs' ids. Leaves out jobs whose ranges are not a string; a malformed record has no jobs: what
-/// is lost is only run again.
+/// Returns the jobs in the order of their ids. Jobs whose ranges are not a string are left out, and a malformed record
+/// gives no jobs. That is safe: tasks whose progress is lost are only run again.
 [[nodiscard]] std::vector<JobProgress> decode_progress(const codec::Json& value);
 
-/// x/NUMBER: the ids of jobs that are cancelled since a job that they need is.
+/// x/NUMBER: the ids of jobs that were cancelled because a dependency was.
 [[nodiscard]] codec::Json encode_cascade(const std::vector<std::string>& jobs);
-/// Leaves out what is no string; a malformed record names nobody.
+/// Array elements that are not strings are left out, and a malformed record gives no jobs.
 [[nodiscard]] std::vector<std::string> decode_cascade(const codec::Json& value);
 
 /// c/NUMBER: which images some machines hold.
@@ -48,39 +49,41 @@
         std::string name;
         double size_gb = 0;
     };
-    std::vector<std::optional<Image>> images;                           ///< None: damaged.
-    std::vector<std::pair<std::string, std::vector<std::size_t>>> held; ///< Per machine: indices into images.
+    std::vector<std::optional<Image>> images; ///< Empty if the image's entry is damaged.
+    /// For each machine its id and the images that it holds, as indices in `images`.
+    std::vector<std::pair<std::string, std::vector<std::size_t>>> held;
 };
 [[nodiscard]] codec::Json encode_images(const ImageRecord& record);
-/// In the order of the machines' ids. A malformed record is empty; damaged images and indices are left out, so that
-/// every index is that of an image.
+/// Returns the machines in the order of their ids. A malformed record gives an empty result. In `held`, indices are
+/// left out if they are damaged or refer to no image or to a damaged one, so every remaining index refers to an image.
 [[nodiscard]] ImageRecord decode_images(const codec::Json& value);
 
-/// l/0: rates that a leader has measured, for the next one.
+/// l/0: rates that a leader has measured, for the next leader.
 struct LearnedRecord {
-    double written_at = 0;                         ///< Wall clock, seconds since 1970.
-    double offered_load = 0, offered_ordinary = 0; ///< Work that comes in, decayed to written_at.
-    double ran_s = 0, estimated_s = 0;             ///< Of finished tasks: run times, and their estimates.
-    double spot_losses = 0;                        ///< Decayed to written_at.
+    double written_at = 0;                         ///< By the wall clock, in seconds since 1970.
+    double offered_load = 0, offered_ordinary = 0; ///< Submitted work, averaged over time, decayed to `written_at`.
+    double ran_s = 0, estimated_s = 0; ///< The run times of finished tasks, and what was estimated for them.
+    double spot_losses = 0;            ///< Averaged over time, decayed to `written_at`.
 };
 [[nodiscard]] codec::Json encode_learned(const LearnedRecord& record);
-/// Empty if a number is missing, not finite, negative or beyond 1e12; offered_ordinary is 0 where it is missing, since
-/// earlier versions do not write it.
+/// Returns nothing if a number is missing, not finite, negative or beyond 1e12, or if `ran_s` or `estimated_s` is 0.
+/// Only `offered_ordinary` becomes 0 instead, since earlier versions do not write it.
 [[nodiscard]] std::optional<LearnedRecord> decode_learned(const codec::Json& value);
 
 /// m/MACHINE of the earliest layout: which tasks may be on this machine.
 struct EarlierMachineRecord {
     std::vector<intents::Intent> intents;
-    bool damaged = false; ///< Tasks that could not be read are missing.
+    bool damaged = false; ///< Whether there are tasks that could not be read and are missing from `intents`.
 };
 [[nodiscard]] EarlierMachineRecord decode_earlier_machine(const std::string& machine, const codec::Json& value);
 
 /// d/JOB of the earliest layout: its done tasks and its final state.
 struct EarlierJobRecord {
-    std::string done;  ///< Ranges of indices.
-    std::string final; ///< codec::status_done or another word for cancelled; empty: none yet.
+    std::string done; ///< Indices of tasks, in the format of `intents::ranges_of`.
+    /// `codec::status_done`, or any other text if the job was cancelled; empty if the job is not over.
+    std::string final;
 };
-/// Empty if it is no object.
+/// Returns nothing if the value is not an object.
 /// @throws codec::Json::type_error if one of the fields is not a string
 [[nodiscard]] std::optional<EarlierJobRecord> decode_earlier_job(const codec::Json& value);
 
