--- a/src/cluster/cluster_data.hpp
+++ b/src/cluster/cluster_data.hpp
@@ -31,27 +31,27 @@
 
 /// A request to the cloud to rent machines, kept until the cloud has answered. Its key is the claim, an id that makes
 /// the request idempotent.
-struct Pending {
+struct PendingRental {
     std::string type, zone;
     bool spot = false;
     int count = 0;
-    double asked = 0;
+    double requested_at = 0;
     /// A request with this claim has been sent and not answered.
     bool in_flight = true;
 };
 
 /// Averages over the recent past. They are kept in the store, so that the next leader continues with them.
-struct Learned {
-    /// Offered load of array jobs in CPUs (CPU seconds per second), averaged over `ClusterData::average_s`, and the
-    /// time of its last update.
+struct LearnedAverages {
+    /// Offered load of array jobs in CPUs (CPU seconds per second), averaged over `ClusterData::averaging_period_s`,
+    /// and the time of its last update.
     double offered = 0, offered_at = 0;
     /// The part of `offered` from jobs that do not allow spot machines.
-    double offered_ordinary = 0;
+    double offered_on_demand = 0;
     /// Mean interval in seconds between the arrivals of array jobs, and the number of intervals it is based on. Counts
     /// only jobs that arrived in this leader's term.
-    double gap_s = 0, gaps = 0;
-    /// Number of spot machines that were reclaimed or lost, decaying over `ClusterData::average_s`, and the time of its
-    /// last update.
+    double mean_gap_s = 0, gap_count = 0;
+    /// Number of spot machines that were reclaimed or lost, decaying over `ClusterData::averaging_period_s`, and the
+    /// time of its last update.
     double spot_losses = 0, spot_losses_at = 0;
     /// Decaying sums over recently finished tasks: their run time, and the run time that their owners estimated.
     double ran_s = 1, estimated_s = 1;
@@ -68,7 +68,7 @@
     std::uint64_t term = 0;
     double now = 0, wall = 0, started = 0;
     /// When the store last was late or refused a transaction; new jobs may then arrive that cannot be stored.
-    double unserved_at = -1e18;
+    double store_late_at = -1e18;
     std::vector<MachineType> types;
     std::vector<Team> teams;
     std::unordered_map<std::string, PropagateConst<std::unique_ptr<Job>>> jobs;
@@ -76,18 +76,18 @@
     /// Image sizes in GB, indexed by image number.
     std::vector<double> image_gb;
     /// Rental requests that the cloud has not answered, by claim.
-    std::map<std::string, Pending> rentals;
+    std::map<std::string, PendingRental> rentals;
     /// For "type/zone/spot", the time before which no machines of this kind are requested again, because the cloud had
     /// no capacity.
     std::map<std::string, double> no_capacity;
     /// The resources that one task uses in the most common kind of waiting work; those of the largest service replica.
     Resources common_shape, service_shape;
-    Learned learned;
+    LearnedAverages learned;
     /// Number of spot machines that were up at the last count.
     std::size_t spot_machines = 0;
     /// The cloud's list of machines has arrived once in this term, and the machines on it were queued for a heartbeat
     /// request.
-    bool asked_all = false;
+    bool listed_heartbeats_requested = false;
     /// Machines whose records in the store were damaged. Until each has reported with a fencing token of this term or
     /// its lease has certainly expired, any task read at the failover may be running on it (docs/safety.md, 5).
     std::set<std::string> unproven_machines;
@@ -104,13 +104,13 @@
         return nullptr;
     }
     /// Because of a damaged record, it is still unknown which tasks are running.
-    [[nodiscard]] bool unproven() const {
+    [[nodiscard]] bool has_unproven_machines() const {
         return !unproven_machines.empty() && now < unproven_until;
     }
     /// The period over which offered work and spot losses are averaged, in seconds.
-    [[nodiscard]] double average_s() const;
+    [[nodiscard]] double averaging_period_s() const;
     /// Estimated CPU seconds of the job's tasks that are not done, from its owner's estimate.
-    [[nodiscard]] double work_left(const Job& job) const;
+    [[nodiscard]] double remaining_work_cpu_s(const Job& job) const;
     /// When the job should be complete: the earliest of its owner's deadline, the time by which dependent jobs need it
     /// and, for a job without a deadline, the objective of its class. Negative: no limit.
     [[nodiscard]] double due_at(const Job& job) const;
@@ -122,7 +122,7 @@
     /// `ClusterState.RefusesAPlaceThatTheJobDoesNotAllow` and the tests after it).
     [[nodiscard]] const char* refusal(const Job& job, const Machine& machine) const;
     /// The part of `refusal` that concerns the machine's properties: its type, its zone, and spot or on-demand.
-    [[nodiscard]] bool allowed_there(const Job& job, const Machine& machine) const;
+    [[nodiscard]] bool satisfies_constraints(const Job& job, const Machine& machine) const;
 };
 
 } // namespace heronshift::cluster
--- a/src/cluster/cluster_state.hpp
+++ b/src/cluster/cluster_state.hpp
@@ -83,27 +83,27 @@
 
     // Proposals of policies, see proposals.hpp.
     bool place(const Job& job, const Machine& machine) override;
-    void drop_settled(const Job& job, bool all) override;
+    void prune_pending(const Job& job, bool all) override;
     void stop(const Entry& entry, double drain_s) override;
     void preempt(const Entry& entry) override;
     void move_away(const Entry& entry, double drain_s) override;
-    void gang_whole(const Job& job) override;
+    void gang_restarted(const Job& job) override;
     void reserve(const Machine& machine, const Job& job, int tasks, double until, Priority against) override;
-    void room_asked(const Job& job, double until) override;
-    void good_room(const Job& job, bool being_made) override;
+    void wait_for_resources(const Job& job, double until) override;
+    void freeing_preferred_machines(const Job& job, bool being_made) override;
     void set_pool(const std::vector<const Machine*>& pool, const Resources& service_shape) override;
     void set_common_shape(const Resources& resources) override;
     void mark_guarantees() override;
-    void blame(const Entry& entry) override;
+    void count_slow_detection(const Entry& entry) override;
     void slow(const Machine& machine, double until) override;
-    void retire(const Machine& machine, bool leave) override;
-    void rent(const Pending& rental) override;
-    void count_spot(std::size_t machines) override {
+    void set_retiring(const Machine& machine, bool should_retire) override;
+    void rent(const PendingRental& rental) override;
+    void set_spot_count(std::size_t machines) override {
         data_.spot_machines = machines;
     }
-    void ask(const Machine& machine) override;
+    void request_heartbeat(const Machine& machine) override;
     void presume_dead(const Machine& machine) override;
-    void give_back(const Machine& machine) override;
+    void begin_release(const Machine& machine) override;
     void release(std::vector<std::string> machines) override;
     void request_pass() override {
         needs_scheduling_ = true;
@@ -129,12 +129,12 @@
     /// To be called once the store holds the final state of this job. A cancellation also cancels all jobs that need
     /// it, directly or indirectly. As the first cancellation is stored, every later leader reaches the same result
     /// (docs/safety.md, 14 and 15).
-    void dependency_settled(const std::string& id, Final final_state);
+    void dependency_settled(const std::string& id, FinalState final_state);
     /// Ends the job: stops its tasks and requests that its final state be stored. The final state is not reported to
     /// anyone before it is stored.
-    void finalize(Job& job, Final final_state, bool cancelled_with_dependency = false);
+    void finalize(Job& job, FinalState final_state, bool cancelled_with_dependency = false);
     /// Caches the stored final state of a job that is about to be removed with `forget_job`.
-    void remember_final(const Job& job);
+    void cache_final_state(const Job& job);
     void forget_job(Job& job);
 
     /// The status of the job; none if this leader does not know it. A status is never older than one reported before.
@@ -146,11 +146,11 @@
     void resign() {
         resigned_ = true;
     }
-    void store_is_late() {
-        data_.unserved_at = data_.now;
+    void note_store_late() {
+        data_.store_late_at = data_.now;
     }
     /// To be called at the beginning of a scheduling pass, which covers all changes so far.
-    void settled() {
+    void clear_scheduling_request() {
         needs_scheduling_ = false;
     }
     [[nodiscard]] bool needs_scheduling() const {
@@ -174,13 +174,13 @@
     friend class heronshift::ClusterRecords; // restores the stored state directly at a failover
 
     // Policies hold const references to objects that this class owns and may modify.
-    static Job& own(const Job& job) {
+    static Job& mutable_ref(const Job& job) {
         return const_cast<Job&>(job); // NOLINT(cppcoreguidelines-pro-type-const-cast)
     }
-    static Machine& own(const Machine& machine) {
+    static Machine& mutable_ref(const Machine& machine) {
         return const_cast<Machine&>(machine); // NOLINT(cppcoreguidelines-pro-type-const-cast)
     }
-    static Entry& own(const Entry& entry) {
+    static Entry& mutable_ref(const Entry& entry) {
         return const_cast<Entry&>(entry); // NOLINT(cppcoreguidelines-pro-type-const-cast)
     }
 
@@ -208,58 +208,58 @@
     void break_gang(Job& job);
     void stop_entry(Entry& entry, double drain_s);
     void update_entry(Entry& entry, const ReportedTask& task);
-    void count_running(Entry& entry, Phase was);
+    void count_running(Entry& entry, Phase previous);
     void mark_seen(Entry& entry);
     void task_exited(Entry& entry, const ReportedTask& task);
     void task_done(Entry& entry);
     void task_failed(Entry& entry);
     void task_refused(Entry& entry);
-    void blame_job(Job& job);
-    void blame_machine(Machine& machine, const Job& job);
+    void back_off_job(Job& job);
+    void record_machine_failure(Machine& machine, const Job& job);
 
     // machine_lifecycle.cpp: machine properties, rentals, releases and the cloud's list of machines
     Machine* find_machine(const std::string& id);
-    Machine& learn_machine(const std::string& id, const std::string& addr, const std::string& type,
-                           const std::string& zone, bool spot);
+    Machine& find_or_add_machine(const std::string& id, const std::string& addr, const std::string& type,
+                                 const std::string& zone, bool spot);
     std::unique_ptr<Machine> new_machine(const std::string& id);
     void bind_type(Machine& machine);
     void bind_zone(Machine& machine);
     int image_id(const std::string& name, double gb);
     void use_image(Machine& machine, int image, bool ready);
-    void lose_entries(Machine& machine);
-    void lose_machine(Machine& machine);
+    void remove_lost_entries(Machine& machine);
+    void mark_lost(Machine& machine);
     [[nodiscard]] bool may_be_forgotten(const Machine& machine) const;
     void forget_machine(const std::string& id, bool released);
-    void note_no_capacity(const Pending& rental);
+    void note_no_capacity(const PendingRental& rental);
     void record_spot_loss();
 
     // heartbeats.cpp: handling of heartbeats
-    bool outdated(const Heartbeat& heartbeat);
-    bool copy_of_departed(const Heartbeat& heartbeat);
+    bool resign_if_superseded(const Heartbeat& heartbeat);
+    bool is_stale_from_departed(const Heartbeat& heartbeat);
     void log_stale_heartbeats();
     void apply_heartbeat(Machine& machine, const Heartbeat& heartbeat, std::vector<Order>& orders);
     void begin_agent_epoch(Machine& machine, const Heartbeat& heartbeat);
     void mark_up(Machine& machine);
-    std::vector<EndedTask> match_listed_tasks(Machine& machine, const Heartbeat& heartbeat, std::uint64_t mark,
+    std::vector<EndedTask> match_listed_tasks(Machine& machine, const Heartbeat& heartbeat, std::uint64_t heartbeat_seq,
                                               std::vector<Order>& orders);
-    void take_unknown_ended_task(const ReportedTask& task, std::vector<Order>& orders);
-    void take_unknown_live_task(Machine& machine, const ReportedTask& task, std::uint64_t mark,
-                                std::vector<Order>& orders);
-    void remove_gone(Machine& machine, const Heartbeat& heartbeat, std::uint64_t mark,
+    void handle_untracked_ended_task(const ReportedTask& task, std::vector<Order>& orders);
+    void adopt_untracked_task(Machine& machine, const ReportedTask& task, std::uint64_t heartbeat_seq,
+                              std::vector<Order>& orders);
+    void remove_gone(Machine& machine, const Heartbeat& heartbeat, std::uint64_t heartbeat_seq,
                      const std::vector<EndedTask>& ended);
     bool may_reap(const ReportedTask& task);
-    void take_notice(Machine& machine, double notice_s);
+    void handle_reclaim_notice(Machine& machine, double notice_s);
     void lease_restarted(Machine& machine);
     void update_inbound_reachability(Machine& machine, const Heartbeat& heartbeat);
     static void note_route(Machine& machine, const HeartbeatReceived& command);
     [[nodiscard]] bool answer_was_missed(Machine& machine, const Heartbeat& heartbeat) const;
-    static void ask_for_proof_of_hearing(Machine& machine, const Heartbeat& heartbeat);
+    static void request_inbound_proof(Machine& machine, const Heartbeat& heartbeat);
     void acknowledge(Machine& machine, const Heartbeat& heartbeat, bool overtaken);
-    std::vector<Order> standing_orders(Machine& machine);
+    std::vector<Order> repeated_stop_orders(Machine& machine);
 
     // orders.cpp: orders to machines and their outcomes
     static Order stop_order(const Entry& entry);
-    void want_orders(Machine& machine) {
+    void queue_for_orders(Machine& machine) {
         dispatch_queue_.add(machine);
     }
     void dispatch(Machine& machine);
@@ -270,7 +270,7 @@
     void request_answered(Machine& machine, const OrdersAnswered& command);
     void orders_executed(Machine& machine, const Heartbeat& heartbeat);
     void orders_not_executed(Machine& machine, const OrdersAnswered& command);
-    void outcome_open(Machine& machine);
+    void orders_outcome_unknown(Machine& machine);
 
     // dependencies.cpp: jobs that wait for other jobs
     void join(Job& job);
@@ -290,9 +290,9 @@
     // The most recent final states of removed jobs. As they never change, requests may be answered from this
     // cache. It holds more jobs than can finish while a watch event is delayed, so a late event never restores a
     // finished job (docs/safety.md, 10).
-    BoundedCache<Final> recent_finals_;
+    BoundedCache<FinalState> recent_final_states_;
     DepartedMachines departed_;
-    std::size_t releases_under_way_ = 0; // number of machines
+    std::size_t releases_in_flight_ = 0; // number of machines
     double stale_heartbeats_logged_at_ = -1e18;
     DispatchQueue dispatch_queue_;
     HeartbeatRequests heartbeat_requests_;
--- a/src/cluster/departed_machines.cpp
+++ b/src/cluster/departed_machines.cpp
@@ -17,7 +17,7 @@
 }
 
 DepartedMachines::DepartedMachines(const Settings& settings)
-    : keep_s_(max_message_age_s(settings)),
+    : retention_s_(max_message_age_s(settings)),
       capacity_(entries_in_share(settings.memory_mb, memory_share, record_bytes)) {}
 
 const DepartedMachine* DepartedMachines::find(const std::string& id) const {
@@ -30,10 +30,10 @@
     return machine != nullptr && machine->released;
 }
 
-std::size_t DepartedMachines::room_for(std::size_t wanted, double now) {
+std::size_t DepartedMachines::make_room_for(std::size_t wanted, double now) {
     while (!order_.empty() && records_.size() + wanted > capacity_) {
         const auto oldest = records_.find(order_.front());
-        if (now - oldest->second.machine.since <= keep_s_)
+        if (now - oldest->second.machine.since <= retention_s_)
             break;
         records_.erase(oldest);
         order_.pop_front();
--- a/src/cluster/departed_machines.hpp
+++ b/src/cluster/departed_machines.hpp
@@ -41,7 +41,7 @@
     [[nodiscard]] bool released(const std::string& id) const;
     /// How many of `wanted` more records fit now. Evicts the oldest records to make room, if they are older than
     /// max_message_age_s.
-    [[nodiscard]] std::size_t room_for(std::size_t wanted, double now);
+    [[nodiscard]] std::size_t make_room_for(std::size_t wanted, double now);
     void add(const std::string& id, const DepartedMachine& machine);
     /// To be called when the machine is tracked again.
     void erase(const std::string& id);
@@ -57,7 +57,7 @@
         DepartedMachine machine;
         std::list<std::string>::iterator place;
     };
-    double keep_s_;
+    double retention_s_;
     std::size_t capacity_;
     std::unordered_map<std::string, Record> records_;
     std::list<std::string> order_; // oldest departure first
--- a/src/cluster/dependencies.cpp
+++ b/src/cluster/dependencies.cpp
@@ -19,8 +19,8 @@
         needed.priority = priority;
         changed = true;
     }
-    if (latest_start >= 0 && (needed.latest < 0 || latest_start < needed.latest)) {
-        needed.latest = latest_start;
+    if (latest_start >= 0 && (needed.needed_by < 0 || latest_start < needed.needed_by)) {
+        needed.needed_by = latest_start;
         changed = true;
     }
     return changed;
@@ -51,32 +51,32 @@
 void ClusterState::wait_for_dependencies(Job& job) {
     job.waits = true;
     job.ready_recorded = false;
-    bool doomed = false;
+    bool dependency_cancelled = false;
     for (const auto& id : job.spec.dependencies) {
-        if (const auto* final_state = recent_finals_.find(id); final_state != nullptr) {
-            doomed = doomed || *final_state == Final::cancelled;
+        if (const auto* final_state = recent_final_states_.find(id); final_state != nullptr) {
+            dependency_cancelled = dependency_cancelled || *final_state == FinalState::cancelled;
             continue;
         }
         const auto* needed = find_job(id);
         if (needed != nullptr && needed->final_stored) {
-            doomed = doomed || needed->final == Final::cancelled;
+            dependency_cancelled = dependency_cancelled || needed->final == FinalState::cancelled;
             continue;
         }
-        job.unmet.push_back(id);
+        job.unmet_dependencies.push_back(id);
         dependencies_.add(id, job.spec.id);
         if (needed == nullptr)
             dependencies_.schedule_lookup(id, data_.now);
     }
     if (job.spec.dependencies_damaged) {
-        job.unmet.emplace_back(); // an empty id is never settled, so the job waits until it is cancelled
+        job.unmet_dependencies.emplace_back(); // an empty id is never settled, so the job waits until it is cancelled
         log(LogLine::Level::warning, fmt::format("job {} waits: its record does not say for which jobs", job.spec.id));
     }
-    log(LogLine::Level::debug,
-        fmt::format("job {} of class {} waits for {}", job.spec.id, job.spec.job_class, fmt::join(job.unmet, " ")));
+    log(LogLine::Level::debug, fmt::format("job {} of class {} waits for {}", job.spec.id, job.spec.job_class,
+                                           fmt::join(job.unmet_dependencies, " ")));
     propagate_urgency(job);
-    if (doomed)
-        finalize(job, Final::cancelled, true);
-    else if (job.unmet.empty())
+    if (dependency_cancelled)
+        finalize(job, FinalState::cancelled, true);
+    else if (job.unmet_dependencies.empty())
         become_ready(job);
 }
 
@@ -89,7 +89,7 @@
     join(job);
 }
 
-void ClusterState::dependency_settled(const std::string& id, Final final_state) {
+void ClusterState::dependency_settled(const std::string& id, FinalState final_state) {
     std::vector<std::string> settled{id};
     while (!settled.empty()) {
         const auto needed = std::move(settled.back());
@@ -98,20 +98,20 @@
             auto* job = find_job(dependent);
             if (job == nullptr || job->over() || !job->waits)
                 continue;
-            if (final_state == Final::done) {
+            if (final_state == FinalState::done) {
                 dependency_done(*job, needed);
                 continue;
             }
             log(LogLine::Level::info, fmt::format("job {} is cancelled, as {} is, which it needs", dependent, needed));
-            finalize(*job, Final::cancelled, true);
+            finalize(*job, FinalState::cancelled, true);
             settled.push_back(dependent);
         }
     }
 }
 
 void ClusterState::dependency_done(Job& job, const std::string& needed) {
-    std::erase(job.unmet, needed);
-    if (job.unmet.empty())
+    std::erase(job.unmet_dependencies, needed);
+    if (job.unmet_dependencies.empty())
         become_ready(job);
 }
 
@@ -126,7 +126,7 @@
         if (job.over())
             continue;
         const double latest_start = latest_start_of(job);
-        for (const auto& id : job.unmet) {
+        for (const auto& id : job.unmet_dependencies) {
             auto* needed = find_job(id);
             if (needed != nullptr && !needed->over() && raise_urgency(*needed, job.priority, latest_start))
                 stack.push_back(needed);
@@ -147,7 +147,7 @@
                 dependency_settled(*id, needed->final);
             continue;
         }
-        if (const auto* final_state = recent_finals_.find(*id); final_state != nullptr) {
+        if (const auto* final_state = recent_final_states_.find(*id); final_state != nullptr) {
             dependency_settled(*id, *final_state);
             continue;
         }
@@ -161,10 +161,10 @@
     const auto& settings = data_.settings;
     switch (command.state) {
     case Known::done:
-        dependency_settled(command.id, Final::done);
+        dependency_settled(command.id, FinalState::done);
         break;
     case Known::cancelled:
-        dependency_settled(command.id, Final::cancelled);
+        dependency_settled(command.id, FinalState::cancelled);
         break;
     case Known::open:
         if (command.job)
--- a/src/cluster/dependency_tracker.cpp
+++ b/src/cluster/dependency_tracker.cpp
@@ -39,7 +39,7 @@
 }
 
 std::optional<std::string> DependencyTracker::next_due_lookup(double now) {
-    while (lookups_under_way_ < max_concurrent_lookups && !lookups_.empty() && lookups_.begin()->first <= now) {
+    while (lookups_in_flight_ < max_concurrent_lookups && !lookups_.empty() && lookups_.begin()->first <= now) {
         auto id = std::move(lookups_.begin()->second);
         lookups_.erase(lookups_.begin());
         if (dependents_.contains(id))
--- a/src/cluster/dependency_tracker.hpp
+++ b/src/cluster/dependency_tracker.hpp
@@ -29,17 +29,17 @@
     /// Takes the next job whose lookup is due; none if the maximum number of lookups is already in flight.
     [[nodiscard]] std::optional<std::string> next_due_lookup(double now);
     void lookup_started() {
-        ++lookups_under_way_;
+        ++lookups_in_flight_;
     }
     void lookup_ended() {
-        if (lookups_under_way_ > 0)
-            --lookups_under_way_;
+        if (lookups_in_flight_ > 0)
+            --lookups_in_flight_;
     }
 
 private:
     std::unordered_map<std::string, std::set<std::string>> dependents_;
     std::multimap<double, std::string> lookups_; // due time and job id
-    std::size_t lookups_under_way_ = 0;
+    std::size_t lookups_in_flight_ = 0;
 };
 
 } // namespace heronshift::cluster
--- a/src/cluster/entries.cpp
+++ b/src/cluster/entries.cpp
@@ -44,8 +44,8 @@
     entry.agent_epoch = machine.agent_epoch;
     entry.fencing_token = machine.fencing_token;
     entry.placed_at = data_.now;
-    entry.at_machine = machine.entries.size() - 1;
-    entry.at_job = job.entries.size();
+    entry.machine_position = machine.entries.size() - 1;
+    entry.job_position = job.entries.size();
     job.entries.emplace_back(&entry);
     persistence_->added(entry);
     machine.occupy(job.spec);
@@ -61,14 +61,14 @@
 PropagateConst<std::unique_ptr<Entry>> ClusterState::unlink_entry(Entry& entry) {
     auto& machine = *entry.machine;
     auto& job = *entry.job;
-    if (entry.at_job + 1 < job.entries.size())
-        job.entries[entry.at_job] = std::move(job.entries.back());
-    job.entries[entry.at_job]->at_job = entry.at_job;
+    if (entry.job_position + 1 < job.entries.size())
+        job.entries[entry.job_position] = std::move(job.entries.back());
+    job.entries[entry.job_position]->job_position = entry.job_position;
     job.entries.pop_back();
-    auto owned = std::move(machine.entries[entry.at_machine]);
-    if (entry.at_machine + 1 < machine.entries.size()) {
-        machine.entries[entry.at_machine] = std::move(machine.entries.back());
-        machine.entries[entry.at_machine]->at_machine = entry.at_machine;
+    auto owned = std::move(machine.entries[entry.machine_position]);
+    if (entry.machine_position + 1 < machine.entries.size()) {
+        machine.entries[entry.machine_position] = std::move(machine.entries.back());
+        machine.entries[entry.machine_position]->machine_position = entry.machine_position;
     }
     machine.entries.pop_back();
     return owned;
@@ -118,8 +118,8 @@
         return;
     entry.stop = true;
     entry.drain_s = drain_s;
-    entry.stop_at = -1;
-    want_orders(*entry.machine);
+    entry.stop_sent_at = -1;
+    queue_for_orders(*entry.machine);
 }
 
 void ClusterState::mark_seen(Entry& entry) {
@@ -131,18 +131,18 @@
 
 void ClusterState::update_entry(Entry& entry, const ReportedTask& task) {
     mark_seen(entry);
-    const auto was = entry.phase;
-    entry.phase = phase_of(task.state, was);
-    count_running(entry, was);
+    const auto previous = entry.phase;
+    entry.phase = phase_of(task.state, previous);
+    count_running(entry, previous);
     if (entry.phase == Phase::running || entry.phase == Phase::waiting)
         use_image(*entry.machine, entry.job->image, true);
 }
 
-void ClusterState::count_running(Entry& entry, Phase was) {
+void ClusterState::count_running(Entry& entry, Phase previous) {
     auto& job = *entry.job;
-    if (was == Phase::running && entry.phase != Phase::running && job.running > 0)
+    if (previous == Phase::running && entry.phase != Phase::running && job.running > 0)
         --job.running;
-    if (entry.phase != Phase::running || was == Phase::running)
+    if (entry.phase != Phase::running || previous == Phase::running)
         return;
     ++job.running;
     if (entry.running_at < 0) {
@@ -201,14 +201,14 @@
     if (task.failures < max_failures_counted)
         ++task.failures;
     if (!job.had_success && job.error_machines.size() >= job_fault_machines)
-        blame_job(job);
+        back_off_job(job);
     else
-        blame_machine(machine, job);
+        record_machine_failure(machine, job);
 }
 
 // Delays the next attempt of a faulty job with exponential backoff. Its failures do not count against any machine
 // (docs/safety.md, 13).
-void ClusterState::blame_job(Job& job) {
+void ClusterState::back_off_job(Job& job) {
     const double pause_s = data_.settings.report_s * (1 << std::min(job.error_streak, max_retry_doublings));
     job.not_before = data_.now + std::min(data_.settings.lease_s * max_retry_pause_leases, pause_s);
     for (const auto& id : job.error_machines)
@@ -216,12 +216,12 @@
             machine->failed_jobs.erase(job.spec.id);
 }
 
-void ClusterState::blame_machine(Machine& machine, const Job& job) {
+void ClusterState::record_machine_failure(Machine& machine, const Job& job) {
     machine.failed_jobs.insert(job.spec.id);
     machine.avoid_at_least_until(data_.now + data_.settings.lease_s);
-    if (machine.bad || (machine.failed_jobs.size() < machine_fault_jobs && !job.had_success))
+    if (machine.out_of_service || (machine.failed_jobs.size() < machine_fault_jobs && !job.had_success))
         return;
-    machine.bad = true;
+    machine.out_of_service = true;
     log(LogLine::Level::warning, fmt::format("machine {} fails its tasks, taken out of use", machine.id));
 }
 
--- a/src/cluster/entry.hpp
+++ b/src/cluster/entry.hpp
@@ -51,19 +51,19 @@
     /// Seconds that the task has for saving its progress after the stop.
     double drain_s = 0;
     /// When the stop order was last sent; negative: not sent yet.
-    double stop_at = -1;
+    double stop_sent_at = -1;
     double placed_at = 0;
     /// When the task was first reported as running; negative: not yet.
     double running_at = -1;
     /// The sequence number of the last heartbeat that listed the task (ClusterState::heartbeat_seq_).
-    std::uint64_t listed = 0;
+    std::uint64_t last_listed_seq = 0;
     /// The number of the store record that contains the entry; -1: none yet.
     int slot = -1;
     /// While the entry is being moved to another store record, the number of the old one that still contains it; -1:
     /// none.
-    int carried_from = -1;
+    int moved_from_slot = -1;
     /// The entry's positions in the lists of its machine, its job and its store record.
-    std::size_t at_machine = 0, at_job = 0, at_slot = 0;
+    std::size_t machine_position = 0, job_position = 0, slot_position = 0;
 };
 
 } // namespace heronshift::cluster
--- a/src/cluster/gone_proof.hpp
+++ b/src/cluster/gone_proof.hpp
@@ -6,7 +6,7 @@
 // Two more proofs need no condition: the cloud lists the machine as failed, or has confirmed its release (safety.md 7;
 // `Core.AReleasedMachineStaysGoneWhateverALateListSays`). When a whole machine is lost, by one of these two or because
 // its lease expired, an entry in Phase::storing is kept until the outcome of its transaction is known
-// (`ClusterState::lose_entries`).
+// (`ClusterState::remove_lost_entries`).
 #pragma once
 
 #include "cluster/entry.hpp"
--- a/src/cluster/heartbeats.cpp
+++ b/src/cluster/heartbeats.cpp
@@ -15,12 +15,12 @@
 // A machine counts as unreachable after this many missed answers. A single one may be lost in normal operation.
 constexpr int max_missed_answers = 2;
 // The protocol's timeout for the answer to a heartbeat.
-constexpr double worker_waits_s = 4;
+constexpr double heartbeat_answer_timeout_s = 4;
 
 // Heartbeats that arrive at shorter intervals than this were delayed in transit: a machine sends its next heartbeat
 // only after it has received the answer to the last one or waited for it until the timeout.
-double held_together_s(const Settings& settings) {
-    return std::min(settings.report_s, worker_waits_s) / 2;
+double min_heartbeat_gap_s(const Settings& settings) {
+    return std::min(settings.report_s, heartbeat_answer_timeout_s) / 2;
 }
 
 Order reap_order(const ReportedTask& task) {
@@ -29,26 +29,26 @@
 
 // Whether the heartbeat is a duplicate of one received before or was overtaken by a later one. Heartbeats in replies to
 // orders are not considered.
-bool already_heard(const Heartbeat& heartbeat, const Machine& machine) {
+bool is_stale(const Heartbeat& heartbeat, const Machine& machine) {
     return std::tie(heartbeat.agent_epoch, heartbeat.counter) <=
            std::tie(machine.agent_epoch, machine.heartbeat_counter);
 }
 
-void doubt_hearing(Machine& machine, const Heartbeat& heartbeat) {
-    machine.hearing_in_doubt = true;
-    machine.token_when_doubted = std::max(machine.token_when_doubted, heartbeat.fencing_token);
+void doubt_inbound_reachability(Machine& machine, const Heartbeat& heartbeat) {
+    machine.inbound_in_doubt = true;
+    machine.token_at_doubt = std::max(machine.token_at_doubt, heartbeat.fencing_token);
 }
 
 // If the machine shows this token or a lower one, that does not prove that an answer reached it since the doubt arose.
 std::uint64_t highest_ambiguous_token(const Machine& machine) {
-    return std::max(machine.ordered_token, machine.token_when_doubted);
+    return std::max(machine.ordered_token, machine.token_at_doubt);
 }
 
 } // namespace
 
 // Whether the agent has seen the token of a later leader. That ends this leader's term, however old the heartbeat is
 // (docs/safety.md, 4; `Core.AHigherTermInAHeartbeatEndsTheTerm`).
-bool ClusterState::outdated(const Heartbeat& heartbeat) {
+bool ClusterState::resign_if_superseded(const Heartbeat& heartbeat) {
     if (heartbeat.fencing_token >> token_counter_bits <= data_.term)
         return false;
     resigned_ = true;
@@ -59,7 +59,7 @@
 
 // Whether the heartbeat is from a lost machine that is no longer tracked, and is not newer than the last one received
 // from that machine. It does not show that the machine is alive (docs/safety.md, 28; `LargeFleet`).
-bool ClusterState::copy_of_departed(const Heartbeat& heartbeat) {
+bool ClusterState::is_stale_from_departed(const Heartbeat& heartbeat) {
     const auto* last = departed_.find(heartbeat.machine);
     return last != nullptr &&
            std::tie(heartbeat.agent_epoch, heartbeat.counter) <= std::tie(last->agent_epoch, last->counter);
@@ -87,12 +87,13 @@
     };
     if (departed_.released(heartbeat.machine))
         return refuse_stale(counters_.heartbeats_of_gone_machines);
-    if (outdated(heartbeat))
+    if (resign_if_superseded(heartbeat))
         return refuse();
-    if (copy_of_departed(heartbeat))
+    if (is_stale_from_departed(heartbeat))
         return refuse_stale(counters_.stale_heartbeats);
-    auto& machine = learn_machine(heartbeat.machine, heartbeat.addr, heartbeat.type, heartbeat.zone, heartbeat.spot);
-    if (already_heard(heartbeat, machine))
+    auto& machine =
+        find_or_add_machine(heartbeat.machine, heartbeat.addr, heartbeat.type, heartbeat.zone, heartbeat.spot);
+    if (is_stale(heartbeat, machine))
         return refuse_stale(counters_.stale_heartbeats);
     // A reply to orders that was sent after this heartbeat has arrived before it.
     const bool overtaken = heartbeat.agent_epoch == machine.agent_epoch && heartbeat.counter <= machine.counter;
@@ -100,12 +101,12 @@
     std::vector<Order> orders;
     apply_heartbeat(machine, heartbeat, orders);
     update_inbound_reachability(machine, heartbeat);
-    ask_for_proof_of_hearing(machine, heartbeat);
+    request_inbound_proof(machine, heartbeat);
     acknowledge(machine, heartbeat, overtaken);
     // The reply to an empty batch of orders proves that the machine has seen this term.
-    if (!machine.proven)
+    if (!machine.term_seen)
         heartbeat_requests_.add(machine);
-    auto stops = standing_orders(machine);
+    auto stops = repeated_stop_orders(machine);
     orders.insert(orders.end(), stops.begin(), stops.end());
     effects_.emplace_back(AnswerHeartbeat{command.handle, http_status::ok, machine.fencing_token, std::move(orders)});
 }
@@ -117,7 +118,7 @@
     const bool route_changed = command.relayed != machine.last_relayed;
     const bool messages_missing = command.heartbeat.counter > machine.counter + 1;
     if (!first && (route_changed || messages_missing))
-        doubt_hearing(machine, command.heartbeat);
+        doubt_inbound_reachability(machine, command.heartbeat);
     machine.last_relayed = command.relayed;
 }
 
@@ -142,24 +143,24 @@
         return; // its list of tasks is outdated
     if (seen_term) {
         data_.unproven_machines.erase(machine.id);
-        needs_scheduling_ = needs_scheduling_ || !machine.proven;
-        machine.proven = true;
+        needs_scheduling_ = needs_scheduling_ || !machine.term_seen;
+        machine.term_seen = true;
     }
     if (heartbeat.agent_epoch > machine.agent_epoch)
         begin_agent_epoch(machine, heartbeat);
     machine.counter = heartbeat.counter;
     machine.last_heartbeat_at = data_.now;
     machine.presumed_dead = false;
-    if (machine.status != Status::up)
+    if (machine.status != MachineStatus::up)
         mark_up(machine);
-    const auto mark = ++heartbeat_seq_;
-    const auto ended = match_listed_tasks(machine, heartbeat, mark, orders);
-    remove_gone(machine, heartbeat, mark, ended);
+    const auto heartbeat_seq = ++heartbeat_seq_;
+    const auto ended = match_listed_tasks(machine, heartbeat, heartbeat_seq, orders);
+    remove_gone(machine, heartbeat, heartbeat_seq, ended);
     for (const auto& task : ended)
         if (may_reap(*task.report))
             orders.push_back(reap_order(*task.report));
     if (heartbeat.notice_s >= 0 && !machine.draining)
-        take_notice(machine, heartbeat.notice_s);
+        handle_reclaim_notice(machine, heartbeat.notice_s);
 }
 
 // All tasks of earlier epochs are gone, and the agent refuses orders for those epochs.
@@ -180,7 +181,7 @@
 
 void ClusterState::mark_up(Machine& machine) {
     machine.extend_lease_to(data_.now); // its lease has begun even if no leader has answered it yet
-    machine.status = Status::up;
+    machine.status = MachineStatus::up;
     if (machine.up_since < 0) {
         machine.up_since = data_.now;
         log(LogLine::Level::debug, fmt::format("machine {} is up, {:.0f} s after it was asked for", machine.id,
@@ -191,29 +192,30 @@
     needs_scheduling_ = true;
 }
 
-// Updates the entries of the tasks that the heartbeat lists and sets their `listed` to `mark`; returns the tasks that
-// have ended. For a listed task without an entry, adds an entry or an order.
+// Updates the entries of the tasks that the heartbeat lists and sets their `last_listed_seq` to `heartbeat_seq`;
+// returns the tasks that have ended. For a listed task without an entry, adds an entry or an order.
 std::vector<ClusterState::EndedTask> ClusterState::match_listed_tasks(Machine& machine, const Heartbeat& heartbeat,
-                                                                      std::uint64_t mark, std::vector<Order>& orders) {
+                                                                      std::uint64_t heartbeat_seq,
+                                                                      std::vector<Order>& orders) {
     std::vector<EndedTask> ended;
     for (const auto& task : heartbeat.tasks) {
         auto* entry = machine.find_entry(task);
         const bool has_ended = task.state == TaskState::ended;
         if (entry != nullptr)
-            entry->listed = mark;
+            entry->last_listed_seq = heartbeat_seq;
         if (entry != nullptr && has_ended)
             ended.push_back({entry, &task});
         else if (entry != nullptr)
             update_entry(*entry, task);
         else if (has_ended)
-            take_unknown_ended_task(task, orders);
+            handle_untracked_ended_task(task, orders);
         else
-            take_unknown_live_task(machine, task, mark, orders);
+            adopt_untracked_task(machine, task, heartbeat_seq, orders);
     }
     return ended;
 }
 
-void ClusterState::take_unknown_ended_task(const ReportedTask& task, std::vector<Order>& orders) {
+void ClusterState::handle_untracked_ended_task(const ReportedTask& task, std::vector<Order>& orders) {
     auto* job = find_job(task.job);
     if (job != nullptr && task.cause == ExitCause::done && task.index < job->tasks.size() && !job->over())
         mark_done(*job, task.index);
@@ -223,8 +225,8 @@
 
 // Handles a live task that was not known to be on the machine. It uses the machine's resources, so it gets an entry
 // even if it is to be stopped.
-void ClusterState::take_unknown_live_task(Machine& machine, const ReportedTask& task, std::uint64_t mark,
-                                          std::vector<Order>& orders) {
+void ClusterState::adopt_untracked_task(Machine& machine, const ReportedTask& task, std::uint64_t heartbeat_seq,
+                                        std::vector<Order>& orders) {
     auto* job = find_job(task.job);
     if (job == nullptr || task.index >= job->tasks.size()) {
         orders.push_back({Verb::stop, task.job, task.index, task.attempt, 0});
@@ -232,18 +234,18 @@
     }
     const bool wanted = job->wants_attempt(task.index, task.attempt);
     auto& entry = add_entry(machine, *job, task.index, task.attempt);
-    entry.listed = mark;
+    entry.last_listed_seq = heartbeat_seq;
     update_entry(entry, task);
     if (!wanted)
         stop_entry(entry, 0);
 }
 
 // Removes the entries that the newest heartbeat does not list and that are proven gone, then those of the ended tasks.
-void ClusterState::remove_gone(Machine& machine, const Heartbeat& heartbeat, std::uint64_t mark,
+void ClusterState::remove_gone(Machine& machine, const Heartbeat& heartbeat, std::uint64_t heartbeat_seq,
                                const std::vector<EndedTask>& ended) {
     std::vector<Entry*> gone;
     for (auto& entry : machine.entries)
-        if (entry->listed != mark && proves_gone(*entry, heartbeat))
+        if (entry->last_listed_seq != heartbeat_seq && proves_gone(*entry, heartbeat))
             gone.push_back(entry.get());
     for (const auto& task : ended) {
         task_exited(*task.entry, *task.report);
@@ -264,10 +266,10 @@
     return task.index >= job->tasks.size() || job->tasks[task.index].stored;
 }
 
-void ClusterState::take_notice(Machine& machine, double notice_s) {
+void ClusterState::handle_reclaim_notice(Machine& machine, double notice_s) {
     record_spot_loss();
     machine.draining = true;
-    machine.notice_until = data_.now + notice_s;
+    machine.reclaim_at = data_.now + notice_s;
     log(LogLine::Level::info, fmt::format("machine {} is taken back in {:.0f} s", machine.id, notice_s));
     needs_scheduling_ = true;
 }
@@ -277,7 +279,8 @@
     ++machine.fencing_token; // once the machine shows this token, answers are proven to reach it
     // Heartbeats that were delayed and arrive in a burst are no sign of a missed answer.
     const double answered_s = data_.now - machine.last_answered_at;
-    machine.expired_though_answered = machine.last_answered_at >= 0 && answered_s > held_together_s(data_.settings) &&
+    machine.expired_though_answered = machine.last_answered_at >= 0 &&
+                                      answered_s > min_heartbeat_gap_s(data_.settings) &&
                                       answered_s < data_.settings.lease_s / 2;
 }
 
@@ -287,7 +290,7 @@
 bool ClusterState::answer_was_missed(Machine& machine, const Heartbeat& heartbeat) const {
     const bool expired = std::exchange(machine.expired_though_answered, false);
     const bool lacks_token = heartbeat.fencing_token < machine.acknowledged_token &&
-                             data_.now - machine.token_acknowledged_at > held_together_s(data_.settings);
+                             data_.now - machine.token_acknowledged_at > min_heartbeat_gap_s(data_.settings);
     return expired || lacks_token;
 }
 
@@ -298,10 +301,10 @@
 void ClusterState::update_inbound_reachability(Machine& machine, const Heartbeat& heartbeat) {
     if (answer_was_missed(machine, heartbeat)) {
         ++machine.missed_answers;
-        doubt_hearing(machine, heartbeat);
-    } else if (machine.hearing_in_doubt && heartbeat.fencing_token > highest_ambiguous_token(machine)) {
+        doubt_inbound_reachability(machine, heartbeat);
+    } else if (machine.inbound_in_doubt && heartbeat.fencing_token > highest_ambiguous_token(machine)) {
         machine.missed_answers = 0;
-        machine.hearing_in_doubt = false;
+        machine.inbound_in_doubt = false;
     }
     const bool unreachable = machine.missed_answers >= max_missed_answers;
     if (unreachable == machine.inbound_unreachable())
@@ -319,9 +322,9 @@
 // token that the machine cannot have received in any other way. Not done if the machine has not yet shown a token that
 // it was sent earlier, nor while a batch of orders is unanswered: a raised token would invalidate that batch, and the
 // next heartbeat is early enough.
-void ClusterState::ask_for_proof_of_hearing(Machine& machine, const Heartbeat& heartbeat) {
+void ClusterState::request_inbound_proof(Machine& machine, const Heartbeat& heartbeat) {
     const bool lacks_token = heartbeat.fencing_token < machine.acknowledged_token;
-    if (!machine.hearing_in_doubt || lacks_token || machine.batch != 0)
+    if (!machine.inbound_in_doubt || lacks_token || machine.batch != 0)
         return;
     if (machine.fencing_token <= highest_ambiguous_token(machine))
         ++machine.fencing_token;
@@ -329,14 +332,14 @@
 
 // The stop orders for the machine's tasks. They are repeated with each answer to a heartbeat until the tasks have
 // ended.
-std::vector<Order> ClusterState::standing_orders(Machine& machine) {
+std::vector<Order> ClusterState::repeated_stop_orders(Machine& machine) {
     std::vector<Order> out;
     for (auto& entry : machine.entries) {
         // A repeated stop without a grace period would end a saving task before its progress is saved.
         const bool saves = entry->phase == Phase::saving && entry->drain_s > 0;
         if (!entry->stop || entry->phase < Phase::sent || saves)
             continue;
-        entry->stop_at = data_.now;
+        entry->stop_sent_at = data_.now;
         out.push_back(stop_order(*entry));
     }
     return out;
--- a/src/cluster/job.cpp
+++ b/src/cluster/job.cpp
@@ -5,7 +5,7 @@
 namespace heronshift::cluster {
 
 bool Job::wants_attempt(std::uint32_t index, std::uint64_t attempt) const {
-    return final == Final::none && !tasks[index].done && tasks[index].live == 0 &&
+    return final == FinalState::none && !tasks[index].done && tasks[index].live == 0 &&
            (spec.shape != Shape::gang || gang_attempt == attempt);
 }
 
@@ -23,15 +23,15 @@
     ++live;
     ++tasks[index].live;
     if (on_pool_machine)
-        ++on_pool;
+        ++entries_on_pool;
     ++zone_live[zone_index];
 }
 
 void Job::discount_entry(std::uint32_t index, std::size_t zone_index, bool on_pool_machine, Phase phase) {
     --live;
     --tasks[index].live;
-    if (on_pool > 0 && on_pool_machine)
-        --on_pool;
+    if (entries_on_pool > 0 && on_pool_machine)
+        --entries_on_pool;
     if (phase == Phase::running && running > 0)
         --running;
     --zone_live[zone_index];
--- a/src/cluster/job.hpp
+++ b/src/cluster/job.hpp
@@ -13,7 +13,7 @@
 namespace heronshift::cluster {
 
 /// The final state of a job. Once it is set to a value other than `none`, it never changes.
-enum class Final : std::uint8_t {
+enum class FinalState : std::uint8_t {
     none,      ///< The job is not over.
     done,      ///< All its tasks are done.
     cancelled, ///< A user cancelled the job or a job that it needs.
@@ -32,7 +32,7 @@
     /// Number of attempts that ended with an error.
     std::uint8_t failures = 0;
     /// How often a machine was considered slow because of this task's run time.
-    std::uint8_t blamed = 0;
+    std::uint8_t slow_detections = 0;
     /// Estimated seconds of the task's run time whose progress is known to be saved.
     float saved_s = 0;
 };
@@ -47,7 +47,7 @@
     /// Indices in `ClusterData::teams` and `ClusterData::image_gb`; -1: not known.
     int team = -1, image = -1;
     /// The number of the store record that holds the job's progress, that is, which of its tasks are done.
-    std::size_t bucket = 0;
+    std::size_t progress_record = 0;
     double submitted = 0;
     /// The start objective of the job's class: seconds from ready to the first start; negative: none.
     double start_within_s = -1;
@@ -58,17 +58,17 @@
     /// The job's record in the store does not say that the job waits for others.
     bool ready_recorded = true;
     /// The ids of the needed jobs that the store is not known to hold as done.
-    std::vector<std::string> unmet;
+    std::vector<std::string> unmet_dependencies;
     /// The most urgent among the job's own priority and the priorities of the jobs that need it.
     Priority priority = Priority::normal;
     /// The time by which the jobs that need this one require it to be done; negative: none.
-    double latest = -1;
+    double needed_by = -1;
     std::vector<Task> tasks;
     /// Indices of the tasks to be placed, ascending. May contain tasks that have been placed or done since.
     std::deque<std::uint32_t> pending;
     std::vector<PropagateConst<Entry*>> entries;
     std::uint32_t done = 0, live = 0, running = 0;
-    Final final = Final::none;
+    FinalState final = FinalState::none;
     /// The store holds the final state, in a record of its own or in a cascade record.
     bool final_stored = false;
     /// The number of the cascade record that holds the final state until the job's own record is written; -1: none.
@@ -76,7 +76,7 @@
     /// The final state is queued for storing.
     bool final_queued = false;
     /// Sort key of the final state in its storing queue: lower keys are stored first.
-    double final_turn = 0;
+    double final_sort_key = 0;
     /// When the final state first became due for storing; negative: not yet.
     double final_due_at = -1;
     /// The job is within its team's guaranteed resources.
@@ -91,7 +91,7 @@
     /// Number of entries for each zone index; the last element counts the entries in an unknown zone.
     std::vector<std::uint32_t> zone_live;
     /// Number of entries on machines of the pool for services.
-    std::uint32_t on_pool = 0;
+    std::uint32_t entries_on_pool = 0;
     /// The current attempt of a gang, shared by all its tasks.
     std::uint64_t gang_attempt = 0;
     /// The gang has lost a task, and all its other tasks are being stopped.
@@ -107,20 +107,20 @@
     std::uint32_t runs = 0;
     double longest_run = 0, run_sum = 0;
     /// Handles of the cancellation requests that have not been answered.
-    std::vector<std::uint64_t> cancels;
+    std::vector<std::uint64_t> cancel_handles;
     double first_start = -1;
     /// Until then the job waits for requested resources to become free, and no new search is made; negative: no
     /// request.
-    double room_until = -1;
+    double resource_wait_until = -1;
     /// Resources are being freed for the job's replicas on machines that suit them well.
-    bool good_room = false;
+    bool freeing_preferred_machines = false;
 
     [[nodiscard]] bool over() const {
-        return final != Final::none;
+        return final != FinalState::none;
     }
     /// The job is over and the store holds its final state, so the final state may be reported.
     [[nodiscard]] bool over_in_store() const {
-        return final != Final::none && final_stored;
+        return final != FinalState::none && final_stored;
     }
     /// Whether an attempt that a machine runs without an entry may continue there: the job is not over, the task is not
     /// done and has no other entry, and a gang's attempt is the current one. The index must be valid.
--- a/src/cluster/job_lifecycle.cpp
+++ b/src/cluster/job_lifecycle.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 // Maximum number of intervals between array jobs that their running mean is based on.
-constexpr double max_gaps = 50;
+constexpr double max_gap_count = 50;
 // Factor by which the sums of run times decay with each task that is done.
 constexpr double run_time_retention = 0.995;
 // Limit for the run time of one task in the sums, as a multiple of its estimate.
@@ -29,21 +29,21 @@
 constexpr double finals_memory_share = 1.0 / 32;
 constexpr std::size_t final_bytes = 160;
 
-std::size_t max_recent_finals(const Settings& settings) {
+std::size_t max_recent_final_states(const Settings& settings) {
     const double in_time = settings.state_write_rps / changes_per_job * max_message_age_s(settings);
     const auto in_memory = entries_in_share(settings.memory_mb, finals_memory_share, final_bytes);
     return std::clamp(static_cast<std::size_t>(in_time), min_table_entries, in_memory);
 }
 
-std::string_view status_of(Final final_state) {
-    return final_state == Final::done ? codec::status_done : codec::status_cancelled;
+std::string_view status_of(FinalState final_state) {
+    return final_state == FinalState::done ? codec::status_done : codec::status_cancelled;
 }
 
 } // namespace
 
 ClusterState::ClusterState(const Settings& settings, std::uint64_t term, double now, double wall,
                            std::vector<Effect>& out)
-    : data_(settings), effects_(out), recent_finals_(max_recent_finals(settings)), departed_(settings),
+    : data_(settings), effects_(out), recent_final_states_(max_recent_final_states(settings)), departed_(settings),
       heartbeat_requests_(settings) {
     data_.term = term;
     data_.now = data_.started = now;
@@ -76,7 +76,7 @@
 }
 
 void ClusterState::add_job(JobStored& command) {
-    if (data_.jobs.contains(command.spec.id) || recent_finals_.contains(command.spec.id))
+    if (data_.jobs.contains(command.spec.id) || recent_final_states_.contains(command.spec.id))
         return;
     auto job = std::make_unique<Job>();
     job->spec = std::move(command.spec);
@@ -111,24 +111,24 @@
         effects_.emplace_back(AnswerCancellation{command.handle, std::string(status_of(known->final))});
         return;
     }
-    known->cancels.push_back(command.handle);
+    known->cancel_handles.push_back(command.handle);
     if (!known->over())
-        finalize(*known, Final::cancelled);
+        finalize(*known, FinalState::cancelled);
 }
 
 // The tasks are stopped immediately, as their results are no longer needed. The answer to a cancellation request is
 // sent only after the final state is stored.
-void ClusterState::finalize(Job& job, Final final_state, bool cancelled_with_dependency) {
+void ClusterState::finalize(Job& job, FinalState final_state, bool cancelled_with_dependency) {
     job.final = final_state;
     log(LogLine::Level::debug,
         fmt::format("job {} of class {}, {} tasks, {} {:.1f} s after it was submitted{}", job.spec.id,
-                    job.spec.job_class, job.spec.tasks, final_state == Final::done ? "done" : "cancelled",
+                    job.spec.job_class, job.spec.tasks, final_state == FinalState::done ? "done" : "cancelled",
                     data_.now - job.submitted,
                     job.spec.deadline_s >= 0 ? fmt::format(", due after {:.1f} s", job.spec.deadline_s) : ""));
     for (auto& entry : job.entries)
         stop_entry(*entry, 0);
     needs_scheduling_ = true;
-    if (final_state != Final::cancelled)
+    if (final_state != FinalState::cancelled)
         persistence_->final_due(job, PersistenceListener::Urgency::done);
     else if (cancelled_with_dependency)
         persistence_->final_due(job, PersistenceListener::Urgency::cancelled_with_dependency);
@@ -162,7 +162,7 @@
     if (job.done < job.spec.tasks)
         persistence_->progressed(job);
     else if (!job.over())
-        finalize(job, Final::done);
+        finalize(job, FinalState::done);
 }
 
 std::optional<JobView> ClusterState::job(const std::string& id) const {
@@ -170,7 +170,7 @@
         return {};
     const auto* known = data_.find_job(id);
     if (known == nullptr) {
-        const auto* final_state = recent_finals_.find(id);
+        const auto* final_state = recent_final_states_.find(id);
         if (final_state == nullptr)
             return {};
         return JobView{status_of(*final_state), 0, 0};
@@ -186,14 +186,14 @@
     return view;
 }
 
-void ClusterState::remember_final(const Job& job) {
-    recent_finals_.add(job.spec.id, job.final);
+void ClusterState::cache_final_state(const Job& job) {
+    recent_final_states_.add(job.spec.id, job.final);
 }
 
 void ClusterState::forget_job(Job& job) {
     if (job.team >= 0)
         data_.teams[static_cast<std::size_t>(job.team)].remove(job);
-    dependencies_.remove(job.unmet, job.spec.id);
+    dependencies_.remove(job.unmet_dependencies, job.spec.id);
     data_.jobs.erase(std::string(job.spec.id));
 }
 
@@ -202,15 +202,15 @@
     if (job.spec.shape != Shape::array)
         return;
     auto& learned = data_.learned;
-    const double over = data_.average_s();
+    const double over = data_.averaging_period_s();
     const double left = std::exp(-(data_.now - learned.offered_at) / over);
-    const double more = data_.work_left(job) / over * std::exp(-std::max(0.0, data_.now - job.ready) / over);
+    const double more = data_.remaining_work_cpu_s(job) / over * std::exp(-std::max(0.0, data_.now - job.ready) / over);
     if (data_.now - job.ready < data_.settings.report_s) { // excludes jobs read from the store at a failover
-        learned.gaps = std::min(learned.gaps + 1, max_gaps);
-        learned.gap_s += (data_.now - learned.offered_at - learned.gap_s) / learned.gaps;
+        learned.gap_count = std::min(learned.gap_count + 1, max_gap_count);
+        learned.mean_gap_s += (data_.now - learned.offered_at - learned.mean_gap_s) / learned.gap_count;
     }
     learned.offered = learned.offered * left + more;
-    learned.offered_ordinary = learned.offered_ordinary * left + (job.spec.spot ? 0 : more);
+    learned.offered_on_demand = learned.offered_on_demand * left + (job.spec.spot ? 0 : more);
     learned.offered_at = data_.now;
 }
 
--- a/src/cluster/machine.cpp
+++ b/src/cluster/machine.cpp
@@ -14,17 +14,17 @@
 void Machine::occupy(const JobSpec& spec) {
     used += spec.each;
     if (spec.shape != Shape::array)
-        firm += spec.each;
+        non_preemptible += spec.each;
     empty_since = -1;
 }
 
 void Machine::vacate(const JobSpec& spec, double now) {
     used -= spec.each;
     if (spec.shape != Shape::array)
-        firm -= spec.each;
+        non_preemptible -= spec.each;
     if (!entries.empty())
         return;
-    used = firm = {}; // floating-point sums may leave a remainder
+    used = non_preemptible = {}; // floating-point sums may leave a remainder
     empty_since = now;
 }
 
--- a/src/cluster/machine.hpp
+++ b/src/cluster/machine.hpp
@@ -15,7 +15,7 @@
 namespace heronshift::cluster {
 
 /// Whether a machine can run tasks.
-enum class Status : std::uint8_t {
+enum class MachineStatus : std::uint8_t {
     booting, ///< Rented or listed; no heartbeat has arrived yet.
     up,      ///< Sends heartbeats, or may run tasks that a stored record names; its lease is monitored.
     lost,    ///< Its lease has certainly expired, or the cloud lists it as failed.
@@ -33,9 +33,9 @@
 
 /// A machine and all tasks that may be on it.
 ///
-/// Invariants: `used` is the sum of the resources of all `entries`, and `firm` the sum over those that other tasks do
-/// not displace; both are zero without entries. `lease_started_at` is never earlier than the last answered heartbeat.
-/// `fencing_token` never decreases.
+/// Invariants: `used` is the sum of the resources of all `entries`, and `non_preemptible` the sum over those that other
+/// tasks do not displace; both are zero without entries. `lease_started_at` is never earlier than the last answered
+/// heartbeat. `fencing_token` never decreases.
 struct Machine {
     std::string id;
     /// HOST:PORT to which orders are sent; empty: not known yet.
@@ -44,7 +44,7 @@
     int type = -1, zone = -1;
     std::string type_name, zone_name;
     bool spot = false;
-    Status status = Status::booting;
+    MachineStatus status = MachineStatus::booting;
     /// Agent epoch and counter of the newest heartbeat, including those in replies to orders.
     std::uint64_t agent_epoch = 0, counter = 0;
     /// The fencing token that orders to the machine carry.
@@ -58,7 +58,7 @@
     double last_heartbeat_at = -1;
     /// A heartbeat has contained a fencing token of this term. The mere arrival of heartbeats does not prove that the
     /// machine has seen the term.
-    bool proven = false;
+    bool term_seen = false;
     /// The highest fencing token sent in an answer to one of the machine's heartbeats, and when it was first sent.
     std::uint64_t acknowledged_token = 0;
     double token_acknowledged_at = -1;
@@ -70,9 +70,9 @@
     double last_answered_at = -1;
     bool last_relayed = false;
     /// The machine may have missed an answer. It has to prove that answers reach it, by showing a higher token than
-    /// `token_when_doubted`, the highest one that it showed when the doubt arose.
-    bool hearing_in_doubt = false;
-    std::uint64_t token_when_doubted = 0;
+    /// `token_at_doubt`, the highest one that it showed when the doubt arose.
+    bool inbound_in_doubt = false;
+    std::uint64_t token_at_doubt = 0;
     /// The machine's lease expired although a heartbeat had been answered shortly before. Reset once it is counted as a
     /// missed answer.
     bool expired_though_answered = false;
@@ -85,18 +85,18 @@
     double known_since = 0, up_since = -1;
     std::vector<PropagateConst<std::unique_ptr<Entry>>> entries;
     /// Resources in use, and the machine's total resources.
-    Resources used, whole;
+    Resources used, total;
     /// The part of `used` by tasks that other tasks do not displace.
-    Resources firm;
+    Resources non_preemptible;
     /// The machine is to be emptied and then released.
     bool retiring = false;
     /// A spot machine without heartbeats that is presumed dead and released, so that it is certainly gone.
     bool presumed_dead = false;
-    double asked_at = -1;
-    bool pool = false, draining = false, bad = false, releasing = false, release_asked = false;
-    double release_retry = 0;
+    double heartbeat_requested_at = -1;
+    bool pool = false, draining = false, out_of_service = false, releasing = false, release_requested = false;
+    double release_retry_at = 0;
     /// When the cloud will reclaim the machine, according to its notice.
-    double notice_until = -1;
+    double reclaim_at = -1;
     /// Since when the machine has no entries; negative: it has entries.
     double empty_since = -1;
     double avoid_until = 0, listed_at = -1;
@@ -106,11 +106,11 @@
     /// The number of the unanswered batch of orders; 0: none.
     std::uint64_t batch = 0;
     /// The unanswered batch contains no orders and only requests a heartbeat.
-    bool asked = false;
+    bool heartbeat_request_in_flight = false;
     /// The machine is in the DispatchQueue.
-    bool wants_orders = false;
+    bool queued_for_orders = false;
     /// The machine is in the queue of HeartbeatRequests.
-    bool to_be_asked = false;
+    bool heartbeat_request_queued = false;
     /// The job for which resources are reserved here. Used for comparisons only, since the job may no longer exist.
     const void* reserved_for = nullptr;
     Priority reserved_priority = Priority::low;
@@ -119,7 +119,7 @@
     /// Until when the machine is considered slow, because its tasks run far longer than those of the same job
     /// elsewhere, and how often it was considered slow.
     double slow_until = -1;
-    int slow_seen = 0;
+    int slow_count = 0;
 
     [[nodiscard]] bool inbound_unreachable() const {
         return inbound_unreachable_since >= 0;
--- a/src/cluster/machine_lifecycle.cpp
+++ b/src/cluster/machine_lifecycle.cpp
@@ -26,7 +26,7 @@
     for (std::size_t i = 0; i < data_.types.size(); ++i)
         if (data_.types[i].name == machine.type_name) {
             machine.type = static_cast<int>(i);
-            machine.whole = data_.types[i].room;
+            machine.total = data_.types[i].room;
         }
     if (machine.zone < 0)
         bind_zone(machine);
@@ -65,8 +65,8 @@
 }
 
 // Returns the machine with this id. Adds it if it is not tracked yet, and fills in properties that were not known.
-Machine& ClusterState::learn_machine(const std::string& id, const std::string& addr, const std::string& type,
-                                     const std::string& zone, bool spot) {
+Machine& ClusterState::find_or_add_machine(const std::string& id, const std::string& addr, const std::string& type,
+                                           const std::string& zone, bool spot) {
     auto& slot = data_.machines[id];
     if (!slot)
         slot = new_machine(id);
@@ -116,7 +116,7 @@
 
 // Removes the entries of a machine whose tasks are all proven gone (gone_proof.hpp). Entries in a transaction with an
 // unknown outcome are kept until the outcome is known.
-void ClusterState::lose_entries(Machine& machine) {
+void ClusterState::remove_lost_entries(Machine& machine) {
     for (std::size_t i = machine.entries.size(); i-- > 0;)
         if (machine.entries[i]->phase != Phase::storing)
             remove_entry(*machine.entries[i]);
@@ -125,19 +125,19 @@
 void ClusterState::expire_leases() {
     std::vector<std::string> remove;
     for (auto& [id, machine] : data_.machines) {
-        if (machine->status == Status::up && lease_surely_expired(*machine, data_.now, data_.settings))
-            lose_machine(*machine);
+        if (machine->status == MachineStatus::up && lease_surely_expired(*machine, data_.now, data_.settings))
+            mark_lost(*machine);
         if (may_be_forgotten(*machine))
             remove.push_back(id);
     }
     // A machine stays tracked as lost until `departed_` has capacity for its record.
-    remove.resize(departed_.room_for(remove.size(), data_.now));
+    remove.resize(departed_.make_room_for(remove.size(), data_.now));
     for (const auto& id : remove)
         forget_machine(id, false);
 }
 
 // Marks a machine whose lease has certainly expired as lost.
-void ClusterState::lose_machine(Machine& machine) {
+void ClusterState::mark_lost(Machine& machine) {
     if (!machine.entries.empty())
         log(LogLine::Level::warning,
             fmt::format("lease of {} has lapsed, {} tasks lost", machine.id, machine.entries.size()));
@@ -145,8 +145,8 @@
         counters_.lost += entry->phase >= Phase::sent;
     if (machine.spot)
         record_spot_loss();
-    lose_entries(machine);
-    machine.status = Status::lost;
+    remove_lost_entries(machine);
+    machine.status = MachineStatus::lost;
     machine.empty_since = data_.now;
     data_.unproven_machines.erase(machine.id);
 }
@@ -157,7 +157,7 @@
     const auto& settings = data_.settings;
     const bool unlisted = data_.now - std::max(machine.listed_at, machine.known_since) >
                           unlisted_list_lags * settings.list_lag_s + unlisted_leases * settings.lease_s;
-    return machine.status != Status::up && machine.entries.empty() && unlisted && machine.batch == 0;
+    return machine.status != MachineStatus::up && machine.entries.empty() && unlisted && machine.batch == 0;
 }
 
 void ClusterState::rented(const Rented& command) {
@@ -169,7 +169,7 @@
     switch (command.outcome) {
     case RentOutcome::rented:
         for (const auto& id : command.machines)
-            learn_machine(id, "", rental.type, rental.zone, rental.spot).known_since = rental.asked;
+            find_or_add_machine(id, "", rental.type, rental.zone, rental.spot).known_since = rental.requested_at;
         log(LogLine::Level::info, fmt::format("rented {} of {} {} in {}{}", command.machines.size(), rental.count,
                                               rental.type, rental.zone, rental.spot ? " (spot)" : ""));
         if (static_cast<int>(command.machines.size()) < rental.count)
@@ -192,24 +192,24 @@
     }
 }
 
-void ClusterState::note_no_capacity(const Pending& rental) {
+void ClusterState::note_no_capacity(const PendingRental& rental) {
     data_.no_capacity[fmt::format("{}/{}/{}", rental.type, rental.zone, rental.spot)] =
         data_.now + no_capacity_heartbeats * data_.settings.report_s;
 }
 
 void ClusterState::released(const Released& command) {
-    releases_under_way_ -= std::min(releases_under_way_, command.machines.size());
+    releases_in_flight_ -= std::min(releases_in_flight_, command.machines.size());
     for (const auto& id : command.machines) {
         auto* machine = find_machine(id);
         if (machine == nullptr)
             continue;
-        machine->release_asked = false;
+        machine->release_requested = false;
         if (!command.ok) {
-            machine->release_retry = data_.now + data_.settings.report_s;
+            machine->release_retry_at = data_.now + data_.settings.report_s;
             continue;
         }
         // The cloud has confirmed the release, so the machine and all its tasks are gone.
-        lose_entries(*machine);
+        remove_lost_entries(*machine);
         if (!machine->entries.empty())
             continue; // the release is requested again once the store has answered
         forget_machine(id, true);
@@ -222,22 +222,22 @@
         // The list may be outdated and still contain a machine that was released.
         if (departed_.released(listed_machine.id))
             continue;
-        auto& machine = learn_machine(listed_machine.id, listed_machine.addr, listed_machine.type, listed_machine.zone,
-                                      listed_machine.spot);
+        auto& machine = find_or_add_machine(listed_machine.id, listed_machine.addr, listed_machine.type,
+                                            listed_machine.zone, listed_machine.spot);
         machine.listed_at = data_.now;
         // After a failover, a machine may first become known from records or a heartbeat, although it is older. If it
         // counted as new, it could not be emptied for some time after each change of leadership.
         machine.known_since = std::min(machine.known_since, data_.now - listed_machine.age_s);
         if (listed_machine.status == "failed" && !machine.releasing) {
             log(LogLine::Level::info, fmt::format("machine {} has failed", machine.id));
-            lose_entries(machine);
-            machine.status = Status::lost;
-            machine.bad = true;
+            remove_lost_entries(machine);
+            machine.status = MachineStatus::lost;
+            machine.out_of_service = true;
         }
-        if (!data_.asked_all && listed_machine.status == "running")
+        if (!data_.listed_heartbeats_requested && listed_machine.status == "running")
             heartbeat_requests_.add(machine);
     }
-    data_.asked_all = true;
+    data_.listed_heartbeats_requested = true;
     needs_scheduling_ = true;
 }
 
@@ -250,7 +250,7 @@
 
 void ClusterState::record_spot_loss() {
     auto& learned = data_.learned;
-    const double kept = std::exp(-(data_.now - learned.spot_losses_at) / data_.average_s());
+    const double kept = std::exp(-(data_.now - learned.spot_losses_at) / data_.averaging_period_s());
     learned.spot_losses = learned.spot_losses * kept + 1;
     learned.spot_losses_at = data_.now;
 }
--- a/src/cluster/order_queues.hpp
+++ b/src/cluster/order_queues.hpp
@@ -23,7 +23,7 @@
     /// for the next call, unless dispatch has yet to be called for it in this one.
     template <class Dispatch> void drain(Dispatch&& dispatch) {
         for (auto* machine : std::exchange(queue_, {})) {
-            machine->wants_orders = false;
+            machine->queued_for_orders = false;
             dispatch(*machine);
         }
     }
@@ -43,7 +43,7 @@
     /// with each heartbeat; with 2,000 of them, the queue would otherwise grow faster than it is processed.
     void add(Machine& machine);
     /// Queues the machine even if it is queued already.
-    void add_again(const Machine& machine) {
+    void add_unconditionally(const Machine& machine) {
         queue_.push_back(machine.id);
     }
     /// Takes the id of the next machine to be asked; none if the maximum number of requests is in flight. The machine
@@ -55,11 +55,11 @@
     void forget(const Machine& machine);
 
 private:
-    [[nodiscard]] std::size_t max_at_once(std::size_t machines) const;
+    [[nodiscard]] std::size_t max_concurrent_requests(std::size_t machines) const;
 
     const Settings& settings_;
     std::deque<std::string> queue_;
-    std::size_t under_way_ = 0;
+    std::size_t requests_in_flight_ = 0;
 };
 
 } // namespace heronshift::cluster
--- a/src/cluster/orders.cpp
+++ b/src/cluster/orders.cpp
@@ -46,10 +46,10 @@
 void ClusterState::collect_stops(Machine& machine, std::vector<Order>& orders) {
     for (auto& entry : machine.entries) {
         if (orders.size() >= max_orders)
-            return want_orders(machine);
-        if (!entry->stop || entry->phase < Phase::sent || entry->stop_at >= 0)
+            return queue_for_orders(machine);
+        if (!entry->stop || entry->phase < Phase::sent || entry->stop_sent_at >= 0)
             continue;
-        entry->stop_at = data_.now;
+        entry->stop_sent_at = data_.now;
         orders.push_back(stop_order(*entry));
     }
 }
@@ -59,14 +59,14 @@
         auto& entry = *machine.entries[i];
         if (!never_sent(entry))
             continue;
-        const bool useless = entry.stop || entry.agent_epoch != machine.agent_epoch || machine.status != Status::up ||
-                             machine.addr.empty() || entry.job->over();
+        const bool useless = entry.stop || entry.agent_epoch != machine.agent_epoch ||
+                             machine.status != MachineStatus::up || machine.addr.empty() || entry.job->over();
         if (useless) {
             remove_entry(entry);
             continue;
         }
         if (orders.size() >= max_orders) {
-            want_orders(machine);
+            queue_for_orders(machine);
             continue;
         }
         // Each launch is sent only once: if it were repeated after the task had been reaped, the task would start again
@@ -93,10 +93,10 @@
         auto* machine = find_machine(*id);
         if (machine == nullptr)
             continue;
-        machine->to_be_asked = false;
+        machine->heartbeat_request_queued = false;
         if (machine->batch != 0 || machine->addr.empty())
             continue;
-        if (machine->proven && data_.now - machine->last_heartbeat_at < data_.settings.report_s)
+        if (machine->term_seen && data_.now - machine->last_heartbeat_at < data_.settings.report_s)
             continue;
         heartbeat_requests_.sent(*machine);
         send_orders(*machine, std::max<std::uint64_t>(1, machine->agent_epoch), {});
@@ -109,20 +109,20 @@
         return;
     machine->batch = 0;
     const auto& heartbeat = command.heartbeat;
-    if (heartbeat && outdated(*heartbeat))
+    if (heartbeat && resign_if_superseded(*heartbeat))
         return;
     // Switches between direct and relayed orders, since this route may be interrupted although heartbeats arrive.
     if (command.status == no_answer)
         machine->relay_orders_until = data_.now < machine->relay_orders_until ? -1 : data_.now + data_.settings.lease_s;
-    if (machine->asked)
+    if (machine->heartbeat_request_in_flight)
         return request_answered(*machine, command);
-    want_orders(*machine);
+    queue_for_orders(*machine);
     if (command.status == http_status::ok && heartbeat && heartbeat->agent_epoch == machine->agent_epoch)
         orders_executed(*machine, *heartbeat);
     else if (proves_not_executed(command))
         orders_not_executed(*machine, command);
     else
-        outcome_open(*machine);
+        orders_outcome_unknown(*machine);
 }
 
 void ClusterState::request_answered(Machine& machine, const OrdersAnswered& command) {
@@ -130,7 +130,7 @@
     std::vector<Order> orders; // discarded; determined again and sent with the answer to the next heartbeat
     if (command.heartbeat)
         apply_heartbeat(machine, *command.heartbeat, orders);
-    want_orders(machine);
+    queue_for_orders(machine);
 }
 
 // The reply contains a heartbeat that the agent created after executing the orders: a launched task that it does not
@@ -154,7 +154,8 @@
         if (outstanding(*machine.entries[i], fencing_token))
             remove_entry(*machine.entries[i]);
     for (auto& entry : machine.entries)
-        entry->stop_at = entry->stop ? data_.now : entry->stop_at; // answers to heartbeats repeat the stop orders
+        entry->stop_sent_at =
+            entry->stop ? data_.now : entry->stop_sent_at; // answers to heartbeats repeat the stop orders
     if (!command.sent)
         machine.avoid_at_least_until(data_.now + data_.settings.report_s / 2);
     std::vector<Order> orders; // discarded; determined again and sent with the answer to the next heartbeat
@@ -165,7 +166,7 @@
 // The orders may still be executed, even minutes later. Raises the fencing token: once a heartbeat shows the raised
 // token, the orders can no longer be executed (docs/safety.md, 4;
 // `Core.AnIncrementedTokenSeenInAHeartbeatSettlesALostLaunch`).
-void ClusterState::outcome_open(Machine& machine) {
+void ClusterState::orders_outcome_unknown(Machine& machine) {
     ++machine.fencing_token;
     machine.avoid_at_least_until(data_.now + data_.settings.report_s / 2);
     log(LogLine::Level::debug,
--- a/src/cluster/placement_rules.cpp
+++ b/src/cluster/placement_rules.cpp
@@ -11,18 +11,18 @@
 
 } // namespace
 
-double ClusterData::average_s() const {
+double ClusterData::averaging_period_s() const {
     return offered_leases * settings.lease_s;
 }
 
-double ClusterData::work_left(const Job& job) const {
+double ClusterData::remaining_work_cpu_s(const Job& job) const {
     return job.spec.each.cpus * (job.spec.tasks - job.done) * std::max(1.0, job.spec.estimate_s);
 }
 
 double ClusterData::due_at(const Job& job) const {
     double due = job.spec.deadline_s >= 0 ? job.submitted + job.spec.deadline_s : never;
-    if (job.latest >= 0)
-        due = std::min(due, job.latest);
+    if (job.needed_by >= 0)
+        due = std::min(due, job.needed_by);
     if (job.spec.deadline_s < 0 && !job.waits)
         for (const auto& objective : settings.objectives)
             if (objective.kind == "finished" && objective.job_class == job.spec.job_class)
@@ -34,7 +34,7 @@
     return job.team < 0 ? 0 : teams[static_cast<std::size_t>(job.team)].quota_room(job.spec.each);
 }
 
-bool ClusterData::allowed_there(const Job& job, const Machine& machine) const {
+bool ClusterData::satisfies_constraints(const Job& job, const Machine& machine) const {
     const auto& spec = job.spec;
     if (machine.zone < 0 || machine.type < 0 || (machine.spot && !spec.spot))
         return false;
@@ -54,13 +54,13 @@
         return "the jobs that it needs are not done";
     if (job.over())
         return "the job is over";
-    if (unproven())
+    if (has_unproven_machines())
         return "a damaged record leaves open what runs";
-    if (machine.status != Status::up || machine.draining || machine.releasing)
+    if (machine.status != MachineStatus::up || machine.draining || machine.releasing)
         return "the machine takes no work";
-    if (!allowed_there(job, machine))
+    if (!satisfies_constraints(job, machine))
         return "a type, zone or kind that the job does not allow";
-    if (!job.spec.each.fits(machine.whole - machine.used))
+    if (!job.spec.each.fits(machine.total - machine.used))
         return "no room";
     if (quota_room(job) < 1)
         return "the team's limit";
--- a/src/cluster/proposals.cpp
+++ b/src/cluster/proposals.cpp
@@ -7,17 +7,17 @@
 namespace heronshift::cluster {
 namespace {
 
-// Limit of `Task::blamed`, the number of times that a machine was considered slow because of one task.
-constexpr std::uint8_t max_blamed = 4;
+// Limit of `Task::slow_detections`, the number of times that a machine was considered slow because of one task.
+constexpr std::uint8_t max_slow_detections = 4;
 
 } // namespace
 
 // Every placement by a policy is made here and rejected if it would violate a rule.
 bool ClusterState::place(const Job& job, const Machine& machine) {
-    auto& j = own(job);
-    auto& m = own(machine);
-    if (const auto* why = data_.refusal(j, m); why != nullptr) {
-        log(LogLine::Level::warning, fmt::format("no task of job {} on {}: {}", j.spec.id, m.id, why));
+    auto& j = mutable_ref(job);
+    auto& m = mutable_ref(machine);
+    if (const auto* reason = data_.refusal(j, m); reason != nullptr) {
+        log(LogLine::Level::warning, fmt::format("no task of job {} on {}: {}", j.spec.id, m.id, reason));
         return false;
     }
     while (!j.pending.empty()) {
@@ -39,8 +39,8 @@
     return false;
 }
 
-void ClusterState::drop_settled(const Job& job, bool all) {
-    auto& j = own(job);
+void ClusterState::prune_pending(const Job& job, bool all) {
+    auto& j = mutable_ref(job);
     const auto settled = [&](std::uint32_t i) {
         const bool over = j.tasks[i].done || j.tasks[i].live > 0;
         if (over)
@@ -56,38 +56,38 @@
 }
 
 void ClusterState::stop(const Entry& entry, double drain_s) {
-    stop_entry(own(entry), drain_s);
+    stop_entry(mutable_ref(entry), drain_s);
 }
 
 void ClusterState::preempt(const Entry& entry) {
-    stop_entry(own(entry), 0);
+    stop_entry(mutable_ref(entry), 0);
     ++counters_.preempted;
 }
 
 void ClusterState::move_away(const Entry& entry, double drain_s) {
-    stop_entry(own(entry), drain_s);
-    own(entry).moving = true;
+    stop_entry(mutable_ref(entry), drain_s);
+    mutable_ref(entry).moving = true;
     ++counters_.moved;
 }
 
-void ClusterState::gang_whole(const Job& job) {
-    own(job).gang_breaking = false;
+void ClusterState::gang_restarted(const Job& job) {
+    mutable_ref(job).gang_breaking = false;
 }
 
 void ClusterState::reserve(const Machine& machine, const Job& job, int tasks, double until, Priority against) {
-    auto& m = own(machine);
+    auto& m = mutable_ref(machine);
     m.reserved_for = &job;
     m.reserved_priority = against;
     m.reserved_until = until;
     m.reserved_tasks = tasks;
 }
 
-void ClusterState::room_asked(const Job& job, double until) {
-    own(job).room_until = until;
+void ClusterState::wait_for_resources(const Job& job, double until) {
+    mutable_ref(job).resource_wait_until = until;
 }
 
-void ClusterState::good_room(const Job& job, bool being_made) {
-    own(job).good_room = being_made;
+void ClusterState::freeing_preferred_machines(const Job& job, bool being_made) {
+    mutable_ref(job).freeing_preferred_machines = being_made;
 }
 
 void ClusterState::set_pool(const std::vector<const Machine*>& pool, const Resources& service_shape) {
@@ -95,7 +95,7 @@
     for (auto& [id, machine] : data_.machines)
         machine->pool = false;
     for (const auto* machine : pool)
-        own(*machine).pool = true;
+        mutable_ref(*machine).pool = true;
 }
 
 void ClusterState::set_common_shape(const Resources& resources) {
@@ -107,42 +107,42 @@
         team.mark_guarantees();
 }
 
-void ClusterState::blame(const Entry& entry) {
-    auto& blamed = own(entry).job->tasks[entry.index].blamed;
-    if (blamed < max_blamed)
-        ++blamed;
+void ClusterState::count_slow_detection(const Entry& entry) {
+    auto& slow_detections = mutable_ref(entry).job->tasks[entry.index].slow_detections;
+    if (slow_detections < max_slow_detections)
+        ++slow_detections;
 }
 
 void ClusterState::slow(const Machine& machine, double until) {
-    own(machine).slow_until = until;
-    ++own(machine).slow_seen;
+    mutable_ref(machine).slow_until = until;
+    ++mutable_ref(machine).slow_count;
 }
 
-void ClusterState::retire(const Machine& machine, bool leave) {
-    own(machine).retiring = leave;
-    if (!leave)
+void ClusterState::set_retiring(const Machine& machine, bool should_retire) {
+    mutable_ref(machine).retiring = should_retire;
+    if (!should_retire)
         needs_scheduling_ = true;
 }
 
-void ClusterState::rent(const Pending& rental) {
+void ClusterState::rent(const PendingRental& rental) {
     // The term makes the claim unique among the claims of all leaders, past and future.
     const auto claim = fmt::format("r-{}-{}", data_.term, ++claim_seq_);
     data_.rentals[claim] = rental;
     effects_.emplace_back(Rent{claim, rental.type, rental.zone, rental.spot, rental.count});
 }
 
-void ClusterState::ask(const Machine& machine) {
-    own(machine).asked_at = data_.now;
-    heartbeat_requests_.add_again(machine);
+void ClusterState::request_heartbeat(const Machine& machine) {
+    mutable_ref(machine).heartbeat_requested_at = data_.now;
+    heartbeat_requests_.add_unconditionally(machine);
 }
 
 void ClusterState::presume_dead(const Machine& machine) {
-    own(machine).presumed_dead = true;
+    mutable_ref(machine).presumed_dead = true;
 }
 
-void ClusterState::give_back(const Machine& machine) {
-    auto& m = own(machine);
-    m.releasing = m.release_asked = true;
+void ClusterState::begin_release(const Machine& machine) {
+    auto& m = mutable_ref(machine);
+    m.releasing = m.release_requested = true;
     if (!m.presumed_dead)
         return;
     record_spot_loss();
@@ -153,12 +153,12 @@
 // A released machine must remain known as gone for as long as late messages may refer to it. While `departed_` has no
 // capacity for its record, the machine stays rented without taking tasks, and its release is requested again later.
 void ClusterState::release(std::vector<std::string> machines) {
-    const auto room = departed_.room_for(releases_under_way_ + machines.size(), data_.now);
-    const auto may_go = std::min(machines.size(), room - std::min(room, releases_under_way_));
+    const auto room = departed_.make_room_for(releases_in_flight_ + machines.size(), data_.now);
+    const auto may_go = std::min(machines.size(), room - std::min(room, releases_in_flight_));
     for (auto i = may_go; i < machines.size(); ++i)
         if (auto* machine = find_machine(machines[i]); machine != nullptr) {
-            machine->release_asked = false;
-            machine->release_retry = data_.now + data_.settings.report_s;
+            machine->release_requested = false;
+            machine->release_retry_at = data_.now + data_.settings.report_s;
         }
     if (may_go < machines.size())
         log(LogLine::Level::warning, fmt::format("{} machines stay rented for now: {} departed lately",
@@ -166,7 +166,7 @@
     machines.resize(may_go);
     if (machines.empty())
         return;
-    releases_under_way_ += machines.size();
+    releases_in_flight_ += machines.size();
     effects_.emplace_back(Release{std::move(machines)});
 }
 
--- a/src/cluster/proposals.hpp
+++ b/src/cluster/proposals.hpp
@@ -16,7 +16,7 @@
     virtual bool place(const Job& job, const Machine& machine) = 0;
     /// Removes tasks that have been placed or done since from the job's pending tasks: all of them if `all`, otherwise
     /// only those before the first task that is still to be placed.
-    virtual void drop_settled(const Job& job, bool all) = 0;
+    virtual void prune_pending(const Job& job, bool all) = 0;
     /// Stops a task and gives it `drain_s` seconds to save its progress.
     virtual void stop(const Entry& entry, double drain_s) = 0;
     /// Stops a task immediately in favor of another job.
@@ -27,11 +27,11 @@
     /// against jobs of priority `against` and lower.
     virtual void reserve(const Machine& machine, const Job& job, int tasks, double until, Priority against) = 0;
     /// Records that resources for the job were requested, and that the job waits for them until this time.
-    virtual void room_asked(const Job& job, double until) = 0;
+    virtual void wait_for_resources(const Job& job, double until) = 0;
     /// Records whether resources are being freed for the job's replicas on machines that suit them well.
-    virtual void good_room(const Job& job, bool being_made) = 0;
+    virtual void freeing_preferred_machines(const Job& job, bool being_made) = 0;
     /// All tasks of the gang are being placed again.
-    virtual void gang_whole(const Job& job) = 0;
+    virtual void gang_restarted(const Job& job) = 0;
     /// Determines for each job whether it is within its team's guaranteed resources.
     virtual void mark_guarantees() = 0;
     /// Sets the machines of the pool for services, and the resources of the largest service replica.
@@ -39,21 +39,21 @@
     /// Sets the resources that one task uses in the most common kind of waiting work.
     virtual void set_common_shape(const Resources& resources) = 0;
     /// Counts that the machine was considered slow because of this task's run time.
-    virtual void blame(const Entry& entry) = 0;
+    virtual void count_slow_detection(const Entry& entry) = 0;
     /// Marks the machine as slow until this time.
     virtual void slow(const Machine& machine, double until) = 0;
-    /// Marks the machine to be emptied and released if `leave`, or revokes that.
-    virtual void retire(const Machine& machine, bool leave) = 0;
+    /// Marks the machine to be emptied and released if `should_retire`, or revokes that.
+    virtual void set_retiring(const Machine& machine, bool should_retire) = 0;
     /// Requests machines from the cloud.
-    virtual void rent(const Pending& rental) = 0;
+    virtual void rent(const PendingRental& rental) = 0;
     /// Sets the number of spot machines that are up.
-    virtual void count_spot(std::size_t machines) = 0;
+    virtual void set_spot_count(std::size_t machines) = 0;
     /// Queues a request for a heartbeat to the machine.
-    virtual void ask(const Machine& machine) = 0;
+    virtual void request_heartbeat(const Machine& machine) = 0;
     /// Presumes that the machine is dead. This proves nothing about its tasks.
     virtual void presume_dead(const Machine& machine) = 0;
     /// Stops placements on the machine, whose release is about to be requested with `release`.
-    virtual void give_back(const Machine& machine) = 0;
+    virtual void begin_release(const Machine& machine) = 0;
     /// Requests the release of these machines from the cloud, limited to as many as DepartedMachines has capacity for.
     virtual void release(std::vector<std::string> machines) = 0;
     /// Requests a scheduling pass, since more tasks could be placed.
--- a/src/cluster/team.cpp
+++ b/src/cluster/team.cpp
@@ -6,7 +6,7 @@
 namespace heronshift::cluster {
 namespace {
 
-constexpr double rounding = 1e-6; // tolerance for floating-point sums at a limit
+constexpr double rounding_tolerance = 1e-6; // tolerance for floating-point sums at a limit
 constexpr double unlimited_tasks = 1e6;
 
 } // namespace
@@ -14,9 +14,9 @@
 int Team::quota_room(const Resources& each) const {
     double room = unlimited_tasks;
     if (limits.cpus_max > 0)
-        room = std::min(room, (limits.cpus_max - used.cpus + rounding) / each.cpus);
+        room = std::min(room, (limits.cpus_max - used.cpus + rounding_tolerance) / each.cpus);
     if (limits.gpus_max > 0 && each.gpus > 0)
-        room = std::min(room, (limits.gpus_max - used.gpus + rounding) / each.gpus);
+        room = std::min(room, (limits.gpus_max - used.gpus + rounding_tolerance) / each.gpus);
     return static_cast<int>(std::floor(std::max(0.0, room)));
 }
 
@@ -39,8 +39,8 @@
         gpus += job->spec.each.gpus * job->spec.tasks;
         // A job is only guaranteed if the team has a guarantee for at least one resource that the job uses.
         const bool some = limits.cpus > 0 || (limits.gpus > 0 && job->spec.each.gpus > 0);
-        job->guaranteed = some && (limits.cpus <= 0 || cpus <= limits.cpus + rounding) &&
-                          (limits.gpus <= 0 || gpus <= limits.gpus + rounding);
+        job->guaranteed = some && (limits.cpus <= 0 || cpus <= limits.cpus + rounding_tolerance) &&
+                          (limits.gpus <= 0 || gpus <= limits.gpus + rounding_tolerance);
     }
 }
 
--- a/src/core/core.cpp
+++ b/src/core/core.cpp
@@ -11,16 +11,16 @@
 namespace {
 
 // How often each part of a step runs per report_s, the heartbeat interval.
-constexpr double ticks_a_report = 20;
-constexpr double passes_a_report = 60;
-constexpr double fleet_plans_a_report = 3;
-constexpr double retries_a_report = 10; // of a step while this node may not act as leader
+constexpr double ticks_per_heartbeat = 20;
+constexpr double passes_per_heartbeat = 60;
+constexpr double fleet_plans_per_heartbeat = 3;
+constexpr double retries_per_heartbeat = 10; // of a step while this node may not act as leader
 
-// Number of waiting jobs up to which passes follow each other at report_s / passes_a_report; with more, passes are
+// Number of waiting jobs up to which passes follow each other at report_s / passes_per_heartbeat; with more, passes are
 // rarer.
-constexpr double jobs_a_pass = 2000;
+constexpr double jobs_per_pass = 2000;
 // The store is late once a transaction has had no answer for report_s / 3.
-constexpr double late_store_a_report = 3;
+constexpr double late_store_report_divisor = 3;
 
 struct MachineTotals {
     std::size_t up = 0, live_tasks = 0, inbound_unreachable = 0;
@@ -29,7 +29,7 @@
 MachineTotals machine_totals(const cluster::ClusterData& cluster) {
     MachineTotals totals;
     for (const auto& [id, machine] : cluster.machines) {
-        totals.up += machine->status == cluster::Status::up;
+        totals.up += machine->status == cluster::MachineStatus::up;
         totals.live_tasks += machine->entries.size();
         totals.inbound_unreachable += machine->inbound_unreachable();
     }
@@ -70,7 +70,7 @@
     std::erase_if(effects_, [](const Effect& effect) { return !is_warning(effect); });
 }
 
-void Core::take(Command& command) {
+void Core::apply(Command& command) {
     std::visit(Overloaded{
                    [this](JobStored& c) { cluster_.add_job(c); },
                    [this](JobFound& c) { cluster_.found(c); },
@@ -90,24 +90,24 @@
     cluster_.set_time(now, wall);
     if (!may_act) {
         refuse_heartbeats(commands);
-        wake_at_ = now + settings_.report_s / retries_a_report;
+        wake_at_ = now + settings_.report_s / retries_per_heartbeat;
         return std::exchange(effects_, {});
     }
     for (auto& command : commands)
-        take(command);
+        apply(command);
     commands.clear();
     if (now >= next_tick_)
         tick(now);
     if (cluster_.needs_scheduling() && now >= next_schedule_)
         schedule(now);
-    if (now >= next_rent_)
+    if (now >= next_fleet_plan_)
         adjust_fleet(now);
     if (now >= next_round_)
         rebalance(now);
     cluster_.find_dependencies();
-    records_.collect_commit();
-    if (records_.late(settings_.report_s / late_store_a_report))
-        cluster_.store_is_late();
+    records_.emit_commit();
+    if (records_.commit_overdue(settings_.report_s / late_store_report_divisor))
+        cluster_.note_store_late();
     cluster_.send_due_orders();
     wake_at_ = next_wake(now);
     return std::exchange(effects_, {});
@@ -127,12 +127,12 @@
 }
 
 void Core::tick(double now) {
-    next_tick_ = now + settings_.report_s / ticks_a_report;
+    next_tick_ = now + settings_.report_s / ticks_per_heartbeat;
     cluster_.expire_leases();
-    placement_.drain_noticed();
-    placement_.find_slow();
-    autoscaler_.watch_silent();
-    records_.log_late_records();
+    placement_.stop_on_reclaimed_machines();
+    placement_.check_slow_machines();
+    autoscaler_.check_silent_machines();
+    records_.log_overdue_records();
     cluster_.request_pass();
 }
 
@@ -140,18 +140,18 @@
 // are rarer: without pauses between them they would occupy the event loop completely, the leader could not renew its
 // lease, and it would lose the leadership (`Core.ManyWaitingJobsMakePassesRarer`).
 void Core::schedule(double now) {
-    cluster_.settled();
+    cluster_.clear_scheduling_request();
     cluster_.begin_pass();
     placement_.schedule();
-    const double load = static_cast<double>(placement_.waiting()) / jobs_a_pass;
-    next_schedule_ = now + settings_.report_s / passes_a_report * std::max(1.0, load);
+    const double load = static_cast<double>(placement_.waiting()) / jobs_per_pass;
+    next_schedule_ = now + settings_.report_s / passes_per_heartbeat * std::max(1.0, load);
 }
 
 void Core::adjust_fleet(double now) {
-    next_rent_ = now + settings_.report_s / fleet_plans_a_report;
-    autoscaler_.plan_capacity();
-    autoscaler_.plan_shrink();
-    autoscaler_.return_machines();
+    next_fleet_plan_ = now + settings_.report_s / fleet_plans_per_heartbeat;
+    autoscaler_.scale_up();
+    autoscaler_.scale_down();
+    autoscaler_.release_machines();
 }
 
 void Core::rebalance(double now) {
@@ -179,8 +179,8 @@
 
 std::size_t Core::machines_up() const {
     const auto& all = cluster_.view().machines;
-    return static_cast<std::size_t>(
-        std::count_if(all.begin(), all.end(), [](const auto& m) { return m.second->status == cluster::Status::up; }));
+    return static_cast<std::size_t>(std::count_if(
+        all.begin(), all.end(), [](const auto& m) { return m.second->status == cluster::MachineStatus::up; }));
 }
 
 std::size_t Core::live_tasks(const std::string& job) const {
@@ -193,24 +193,27 @@
     const auto& counters = cluster_.counters();
     const auto machines = machine_totals(cluster);
     const auto waits = oldest_waits(cluster);
-    const auto of = [](auto number) { return static_cast<double>(number); };
+    const auto as_double = [](auto number) { return static_cast<double>(number); };
     std::vector<metrics::Value> out{
-        {"heronshift_term", "of office", of(cluster.term)},
-        {"heronshift_jobs", "known to the holder", of(cluster.jobs.size())},
-        {"heronshift_machines", "rented, as far as known", of(cluster.machines.size())},
-        {"heronshift_machines_up", "that report", of(machines.up)},
-        {"heronshift_tasks_live", "on machines, or not surely off them", of(machines.live_tasks)},
-        {"heronshift_launches_total", "tasks sent to machines in this term", of(counters.launched)},
-        {"heronshift_lost_total", "tasks lost with their machine in this term", of(counters.lost)},
-        {"heronshift_preempted_total", "tasks stopped for others in this term", of(counters.preempted)},
-        {"heronshift_moved_total", "tasks moved in this term", of(counters.moved)},
-        {"heronshift_passes_total", "of placement over all that waits, in this term", of(cluster_.passes())},
-        {"heronshift_commits_total", "transactions in this term", of(records_.committed_count())},
-        {"heronshift_machines_deaf", "that report and do not hear", of(machines.inbound_unreachable)},
-        {"heronshift_reports_dropped_total", "copies, in this term", of(counters.stale_heartbeats), {{"why", "old"}}},
+        {"heronshift_term", "of office", as_double(cluster.term)},
+        {"heronshift_jobs", "known to the holder", as_double(cluster.jobs.size())},
+        {"heronshift_machines", "rented, as far as known", as_double(cluster.machines.size())},
+        {"heronshift_machines_up", "that report", as_double(machines.up)},
+        {"heronshift_tasks_live", "on machines, or not surely off them", as_double(machines.live_tasks)},
+        {"heronshift_launches_total", "tasks sent to machines in this term", as_double(counters.launched)},
+        {"heronshift_lost_total", "tasks lost with their machine in this term", as_double(counters.lost)},
+        {"heronshift_preempted_total", "tasks stopped for others in this term", as_double(counters.preempted)},
+        {"heronshift_moved_total", "tasks moved in this term", as_double(counters.moved)},
+        {"heronshift_passes_total", "of placement over all that waits, in this term", as_double(cluster_.passes())},
+        {"heronshift_commits_total", "transactions in this term", as_double(records_.committed_count())},
+        {"heronshift_machines_deaf", "that report and do not hear", as_double(machines.inbound_unreachable)},
         {"heronshift_reports_dropped_total",
          "copies, in this term",
-         of(counters.heartbeats_of_gone_machines),
+         as_double(counters.stale_heartbeats),
+         {{"why", "old"}}},
+        {"heronshift_reports_dropped_total",
+         "copies, in this term",
+         as_double(counters.heartbeats_of_gone_machines),
          {{"why", "machine gone"}}}};
     constexpr const char* help = "seconds since the oldest job of which nothing runs was ready";
     for (const auto& [name, wait_s] : waits.by_class)
--- a/src/core/core.hpp
+++ b/src/core/core.hpp
@@ -64,7 +64,7 @@
     }
 
 private:
-    void take(Command& command);
+    void apply(Command& command);
     void refuse_heartbeats(std::vector<Command>& commands);
     void tick(double now);
     void schedule(double now);
@@ -79,7 +79,7 @@
     scheduling::Placement placement_;
     scheduling::Rebalancer rebalancer_;
     scheduling::Autoscaler autoscaler_;
-    double wake_at_ = 0, next_tick_ = 0, next_round_ = 0, next_rent_ = 0, next_schedule_ = 0;
+    double wake_at_ = 0, next_tick_ = 0, next_round_ = 0, next_fleet_plan_ = 0, next_schedule_ = 0;
 };
 
 } // namespace heronshift
--- a/src/leadership/candidate_policy.hpp
+++ b/src/leadership/candidate_policy.hpp
@@ -54,7 +54,7 @@
 public:
     /// With fewer machines, it is too likely that all of them are silent because of faults of their own rather than
     /// because the leader is cut off from them.
-    static constexpr std::size_t min_machines_to_judge = 4;
+    static constexpr std::size_t min_machines_to_judge_silence = 4;
 
     /// Keeps a reference to the settings.
     explicit CandidatePolicy(const Settings& settings) : settings_(settings) {}
--- a/src/leadership/election_actions.hpp
+++ b/src/leadership/election_actions.hpp
@@ -24,8 +24,8 @@
     double block_s = 0;         ///< How long the call may wait for a change.
 };
 /// Starts a timer, after which the leader record is read again. Its expiry goes to
-/// ElectionStateMachine::leader_watch_due.
-struct WatchLeaderAfter {
+/// ElectionStateMachine::leader_read_due.
+struct ReadLeaderAfter {
     double delay_s = 0;
 };
 /// Revokes the store lease that an earlier process of this node left behind. The result goes to
@@ -94,10 +94,10 @@
 struct ElectionAction {
     /// Passed back with the result. Results of actions from an earlier epoch are ignored.
     std::uint64_t epoch = 0;
-    std::variant<ReadLeader, FollowLeader, WatchLeaderAfter, RevokePreviousLease, CreateStoreLease, ReadTermCounter,
+    std::variant<ReadLeader, FollowLeader, ReadLeaderAfter, RevokePreviousLease, CreateStoreLease, ReadTermCounter,
                  ClaimLeadership, BeginTerm, EndTerm, RevokeStoreLease, RenewStoreLease, RequestExtensionVotes,
                  CheckServedPeersAfter, OfferTakeover>
-        what;
+        operation;
 };
 using ElectionActions = std::vector<ElectionAction>;
 
--- a/src/leadership/election_state_machine.cpp
+++ b/src/leadership/election_state_machine.cpp
@@ -11,15 +11,15 @@
 constexpr double acquisition_step_timeout_s = 1;
 constexpr double revoke_timeout_s = 1;
 constexpr double takeover_timeout_s = 1;
-constexpr double min_watch_delay_s = 0.01;
+constexpr double min_leader_read_delay_s = 0.01;
 
 // In heartbeat intervals (`report_s`).
 // Interval between checks of the links.
-constexpr double look_heartbeats = 1.0 / 10;
+constexpr double link_check_interval_heartbeats = 1.0 / 10;
 // How long the leader named by the store counts as current.
-constexpr double leader_seen_heartbeats = 2;
+constexpr double max_leader_read_age_heartbeats = 2;
 // Time without confirmation by the store or a peer after which the leader counts as unknown.
-constexpr double leader_forgotten_heartbeats = 2;
+constexpr double leader_unconfirmed_timeout_heartbeats = 2;
 
 // The store lease is short, so that another node can take over soon after the leader has failed. Outages of the store
 // that last longer are bridged by extension votes.
@@ -54,7 +54,7 @@
 
 ElectionActions ElectionStateMachine::start() {
     ElectionActions actions;
-    watch_leader(actions);
+    read_leader(actions);
     return actions;
 }
 
@@ -62,9 +62,9 @@
     ElectionActions actions;
     if (holds_leadership() && now >= next_renewal_at_)
         renew(actions, now);
-    if (now < next_look_at_)
+    if (now < next_link_check_at_)
         return actions;
-    next_look_at_ = now + look_heartbeats * settings_.report_s;
+    next_link_check_at_ = now + link_check_interval_heartbeats * settings_.report_s;
     if (valid(now)) {
         consider_better_candidates(actions, now);
         return actions;
@@ -79,38 +79,38 @@
     if (valid(now))
         return true;
     return role_ == Role::follower && leader_read_at_ >= 0 &&
-           now - leader_read_at_ < leader_seen_heartbeats * settings_.report_s && hints_.store_reachable();
+           now - leader_read_at_ < max_leader_read_age_heartbeats * settings_.report_s && hints_.store_reachable();
 }
 
 // Watching the leader record as a follower.
 
-void ElectionStateMachine::watch_leader(ElectionActions& actions) const {
+void ElectionStateMachine::read_leader(ElectionActions& actions) const {
     if (role_ == Role::follower)
         add(actions, ReadLeader{settings_.report_s / 2});
 }
 
-void ElectionStateMachine::watch_leader_after(ElectionActions& actions, double delay_s) const {
-    add(actions, WatchLeaderAfter{delay_s});
+void ElectionStateMachine::read_leader_after(ElectionActions& actions, double delay_s) const {
+    add(actions, ReadLeaderAfter{delay_s});
 }
 
-ElectionActions ElectionStateMachine::leader_watch_due(std::uint64_t epoch) {
+ElectionActions ElectionStateMachine::leader_read_due(std::uint64_t epoch) {
     ElectionActions actions;
     if (epoch == epoch_)
-        watch_leader(actions);
+        read_leader(actions);
     return actions;
 }
 
 ElectionActions ElectionStateMachine::leader_changed(std::uint64_t epoch, StoreOutcome outcome) {
     ElectionActions actions;
     if (epoch == epoch_)
-        watch_leader_after(actions, outcome == StoreOutcome::ok ? 0 : settings_.report_s / 6);
+        read_leader_after(actions, outcome == StoreOutcome::ok ? 0 : settings_.report_s / 6);
     return actions;
 }
 
 ElectionActions ElectionStateMachine::previous_lease_revoked(std::uint64_t epoch) {
     ElectionActions actions;
     if (epoch == epoch_)
-        watch_leader_after(actions, min_watch_delay_s);
+        read_leader_after(actions, min_leader_read_delay_s);
     return actions;
 }
 
@@ -121,37 +121,38 @@
         return actions;
     leader_lease_.record_store_answer(outcome == StoreOutcome::ok || outcome == StoreOutcome::not_found, now);
     if (outcome == StoreOutcome::not_found)
-        leadership_is_free(actions, now);
+        handle_leader_absent(actions, now);
     else if (record)
-        leader_observed(actions, now, *record, revision);
+        handle_leader_observed(actions, now, *record, revision);
     else
-        watch_leader_after(actions, settings_.report_s / 6);
+        read_leader_after(actions, settings_.report_s / 6);
     return actions;
 }
 
-void ElectionStateMachine::leadership_is_free(ElectionActions& actions, double now) {
+void ElectionStateMachine::handle_leader_absent(ElectionActions& actions, double now) {
     leader_.clear();
     leader_read_at_ = now;
-    if (free_since_ < 0)
-        free_since_ = now;
+    if (leader_absent_since_ < 0)
+        leader_absent_since_ = now;
     // An extension vote that this node has given forbids it to become leader for a while (docs/safety.md, "Outages";
     // fails without this check: ExtensionVotes).
     const bool may_acquire = leader_lease_.may_acquire(now);
     spdlog::debug("leader absent may_acquire={}", may_acquire);
     if (!may_acquire)
-        return watch_leader_after(actions, std::max(min_watch_delay_s, leader_lease_.not_before() - now));
+        return read_leader_after(actions,
+                                 std::max(min_leader_read_delay_s, leader_lease_.earliest_acquisition_at() - now));
     // Better candidates get the first chance. The delay is limited, because the view that a peer is a better candidate
     // may be wrong.
-    const double wait_s = free_since_ + hints_.candidacy_delay_s() - now;
+    const double wait_s = leader_absent_since_ + hints_.candidacy_delay_s() - now;
     if (wait_s > 0)
-        return watch_leader_after(actions, std::min(wait_s, settings_.report_s / 8));
+        return read_leader_after(actions, std::min(wait_s, settings_.report_s / 8));
     acquire(actions, now);
 }
 
-void ElectionStateMachine::leader_observed(ElectionActions& actions, double now, const LeaderRecord& record,
-                                           std::uint64_t revision) {
+void ElectionStateMachine::handle_leader_observed(ElectionActions& actions, double now, const LeaderRecord& record,
+                                                  std::uint64_t revision) {
     leader_read_at_ = now;
-    free_since_ = -1;
+    leader_absent_since_ = -1;
     if (record.node == settings_.name) {
         // The record names this node although this process is a follower: the node has restarted, and the process that
         // was leader under its name has ended (invariant 3).
@@ -171,11 +172,11 @@
 void ElectionStateMachine::learn_leader_from_peers(ElectionActions& actions, double now) {
     const auto reported = hints_.reported_leader();
     if (sees_leader(now) || (reported && reported->leader == leader_ && reported->term == leader_term_))
-        leader_known_at_ = now;
+        leader_confirmed_at_ = now;
     // An outdated leader is worse than an unknown one: requests and workers would be sent to a node that may no longer
     // be the leader.
     if (role_ == Role::follower && !leader_.empty() &&
-        now - leader_known_at_ > leader_forgotten_heartbeats * settings_.report_s) {
+        now - leader_confirmed_at_ > leader_unconfirmed_timeout_heartbeats * settings_.report_s) {
         spdlog::info("leader unknown");
         leader_.clear();
     }
@@ -194,7 +195,7 @@
 void ElectionStateMachine::adopt_reported_leader(double now, const membership::Membership::ReportedLeader& reported) {
     if (reported.term < leader_term_ || (reported.term == leader_term_ && sees_leader(now)))
         return;
-    leader_known_at_ = now;
+    leader_confirmed_at_ = now;
     if (!reported.leader.empty())
         spdlog::info("leader observed node={} term={} source=peer", reported.leader, reported.term);
     leader_ = reported.leader;
@@ -270,7 +271,7 @@
         add(actions, RevokeStoreLease{store_lease_, revoke_timeout_s});
     role_ = Role::follower;
     ++epoch_;
-    watch_leader_after(actions, settings_.report_s / 10);
+    read_leader_after(actions, settings_.report_s / 10);
 }
 
 void ElectionStateMachine::begin_term(ElectionActions& actions, double now, std::uint64_t revision) {
@@ -284,9 +285,9 @@
     candidate_policy_.begin_term();
     served_peers_.clear();
     failed_renewal_sent_at_ = -1;
-    extended_by_votes_ = false;
+    extension_logged_ = false;
     next_renewal_at_ = 0;
-    free_since_ = -1;
+    leader_absent_since_ = -1;
     ++counts_.acquisitions;
     spdlog::info("became leader term={}", term_);
     spdlog::info("leader links term={} links=\"{}\"", term_, describe(hints_.own_eligibility()));
@@ -341,9 +342,9 @@
 }
 
 void ElectionStateMachine::extension_granted(const std::string& peer, double sent_at, double now) {
-    if (!leader_lease_.extension_granted(peer, sent_at, now) || extended_by_votes_)
+    if (!leader_lease_.extension_granted(peer, sent_at, now) || extension_logged_)
         return;
-    extended_by_votes_ = true;
+    extension_logged_ = true;
     spdlog::info("lease extended by votes term={}", term_);
 }
 
@@ -357,7 +358,7 @@
 ExtensionVoteAnswer ElectionStateMachine::vote(const ExtensionVoteRequest& request, double now, StoreOutcome own_read) {
     const bool store_failed = is_store_failure(own_read);
     leader_lease_.record_store_answer(!store_failed, now);
-    if (leader_lease_.grant_extension(request.length_s, now, role_ == Role::follower, store_failed))
+    if (leader_lease_.grant_extension(request.duration_s, now, role_ == Role::follower, store_failed))
         return {ExtensionVoteAnswer::Vote::granted, false};
     return {ExtensionVoteAnswer::Vote::refused, !store_failed};
 }
@@ -367,7 +368,7 @@
 bool ElectionStateMachine::workers_silent(double now) const {
     return candidate_policy_.workers_silent(
                {now, acquired_at_, hints_.last_worker_heartbeat_at(), hints_.all_zones_lost()}) &&
-           hints_.machines_up() >= CandidatePolicy::min_machines_to_judge;
+           hints_.machines_up() >= CandidatePolicy::min_machines_to_judge_silence;
 }
 
 void ElectionStateMachine::consider_better_candidates(ElectionActions& actions, double now) {
@@ -385,12 +386,12 @@
 }
 
 void ElectionStateMachine::resign_if_store_unavailable(ElectionActions& actions, double now) {
-    const double inactive_since = is_leader() ? std::max(leader_lease_.until(), acquired_at_) : acquired_at_;
+    const double inactive_since = is_leader() ? std::max(leader_lease_.valid_until(), acquired_at_) : acquired_at_;
     if (candidate_policy_.inactive_for_too_long(now, inactive_since))
         return resign(actions, {ResignReason::store_unavailable, {}, {}});
     if (!is_leader())
         return;
-    if (const auto peer = hints_.served_instead(); peer)
+    if (const auto peer = hints_.peer_served_by_store(); peer)
         resign(actions, {ResignReason::store_serves_peer, {*peer}, {}});
 }
 
@@ -428,7 +429,7 @@
         ++counts_.handovers;
         add(actions, OfferTakeover{{settings_.name, term_, store_lease}, resignation.successors, takeover_timeout_s});
     }
-    watch_leader_after(actions, settings_.report_s / 10);
+    read_leader_after(actions, settings_.report_s / 10);
 }
 
 ElectionActions ElectionStateMachine::takeover_accepted() {
@@ -436,7 +437,7 @@
     if (role_ != Role::follower)
         return actions;
     ++epoch_; // the read below replaces the pending read, wait or timer
-    watch_leader(actions);
+    read_leader(actions);
     return actions;
 }
 
--- a/src/leadership/election_state_machine.hpp
+++ b/src/leadership/election_state_machine.hpp
@@ -57,7 +57,7 @@
     [[nodiscard]] ElectionActions leader_read(std::uint64_t epoch, double now, StoreOutcome outcome,
                                               const std::optional<LeaderRecord>& record, std::uint64_t revision);
     [[nodiscard]] ElectionActions leader_changed(std::uint64_t epoch, StoreOutcome outcome);
-    [[nodiscard]] ElectionActions leader_watch_due(std::uint64_t epoch);
+    [[nodiscard]] ElectionActions leader_read_due(std::uint64_t epoch);
     [[nodiscard]] ElectionActions previous_lease_revoked(std::uint64_t epoch);
     [[nodiscard]] ElectionActions store_lease_created(std::uint64_t epoch, StoreOutcome outcome,
                                                       std::uint64_t store_lease);
@@ -95,7 +95,7 @@
     /// Until when this node may act as leader unless its validity is extended further; 0 or a time in the past: it may
     /// not act.
     [[nodiscard]] double active_until() const {
-        return is_leader() ? leader_lease_.until() : 0;
+        return is_leader() ? leader_lease_.valid_until() : 0;
     }
     /// The name of the leader as far as this node knows; empty: unknown.
     [[nodiscard]] const std::string& leader() const {
@@ -127,10 +127,11 @@
         return role_ == Role::leader || role_ == Role::loading;
     }
     template <typename Action> void add(ElectionActions& actions, Action&& action) const;
-    void watch_leader(ElectionActions& actions) const;
-    void watch_leader_after(ElectionActions& actions, double delay_s) const;
-    void leadership_is_free(ElectionActions& actions, double now);
-    void leader_observed(ElectionActions& actions, double now, const LeaderRecord& record, std::uint64_t revision);
+    void read_leader(ElectionActions& actions) const;
+    void read_leader_after(ElectionActions& actions, double delay_s) const;
+    void handle_leader_absent(ElectionActions& actions, double now);
+    void handle_leader_observed(ElectionActions& actions, double now, const LeaderRecord& record,
+                                std::uint64_t revision);
     void acquire(ElectionActions& actions, double now);
     void claim(ElectionActions& actions, std::uint64_t term, std::uint64_t term_counter_revision);
     void acquisition_failed(ElectionActions& actions);
@@ -157,16 +158,16 @@
     std::uint64_t store_lease_ = 0; // 0: this node has no store lease
     double store_lease_requested_at_ = 0;
     double next_renewal_at_ = 0;
-    double next_look_at_ = 0;
+    double next_link_check_at_ = 0;
     double acquired_at_ = 0;
     // Times; below zero: it has not happened, or does not hold at present.
     double leader_read_at_ = -1;         // the store last named the leader, or said that there is none
-    double leader_known_at_ = -1;        // the store or a peer last confirmed the leader
-    double free_since_ = -1;             // the leader record has been absent since then
+    double leader_confirmed_at_ = -1;    // the store or a peer last confirmed the leader
+    double leader_absent_since_ = -1;    // the leader record has been absent since then
     double failed_renewal_sent_at_ = -1; // the newest failed renewal was sent
     // Peers that reported being served by the store, each with the time at which this node asked it.
     std::map<std::string, double> served_peers_;
-    bool extended_by_votes_ = false; // whether this term's first extension by votes has been logged
+    bool extension_logged_ = false; // whether this term's first extension by votes has been logged
     Counts counts_;
 };
 
--- a/src/leadership/leader_election.cpp
+++ b/src/leadership/leader_election.cpp
@@ -52,8 +52,8 @@
     return members_.no_better_candidate();
 }
 
-std::optional<std::string> LeaderElection::Hints::served_instead() const {
-    return members_.served_instead();
+std::optional<std::string> LeaderElection::Hints::peer_served_by_store() const {
+    return members_.peer_served_by_store();
 }
 
 std::optional<membership::Membership::ReportedLeader> LeaderElection::Hints::reported_leader() const {
@@ -73,38 +73,38 @@
 LeaderElection::LeaderElection(const Settings& settings, TimerQueue& timers, store::StateStore& store, Peers& peers,
                                const membership::Membership& members, metrics::Timings& timings, Host& host)
     : settings_(settings), timers_(timers), store_(store), peers_(peers), host_(host), hints_(members, host),
-      machine_(settings, hints_, timers.now()), state_loader_(settings, timers, store),
+      state_machine_(settings, hints_, timers.now()), state_loader_(settings, timers, store),
       transactions_(settings, timers, store, timings,
                     {[this](TxnOutcome outcome) { host_.committed(outcome); },
                      [this](ResignReason reason) {
-                         perform(machine_.resign({reason, {}, {}}));
+                         perform(state_machine_.resign({reason, {}, {}}));
                      },
                      [this] { return valid(); }}) {}
 
 void LeaderElection::start() {
-    perform(machine_.start());
+    perform(state_machine_.start());
 }
 
 void LeaderElection::tick() {
-    perform(machine_.tick(timers_.now()));
+    perform(state_machine_.tick(timers_.now()));
 }
 
 void LeaderElection::stop() {
     if (is_leader())
-        perform(machine_.resign({ResignReason::shutting_down, {}, {}}));
+        perform(state_machine_.resign({ResignReason::shutting_down, {}, {}}));
 }
 
 void LeaderElection::resign(const std::string& why) {
-    perform(machine_.resign({ResignReason::newer_fencing_token, {}, fmt::format("details=\"{}\"", why)}));
+    perform(state_machine_.resign({ResignReason::newer_fencing_token, {}, fmt::format("details=\"{}\"", why)}));
 }
 
 void LeaderElection::handle_extension_vote_request(const HttpRequest& request, const Responder& res) {
     const auto vote_request = decode_extension_vote_request(request.body);
     if (!vote_request)
         return send(res, encode(ExtensionVoteAnswer{ExtensionVoteAnswer::Vote::malformed, false}));
-    store_.get(leader_key, machine_.store_lease_ttl_s() / 10,
+    store_.get(leader_key, state_machine_.store_lease_ttl_s() / 10,
                [this, res, vote_request = *vote_request](store::Answer&& answer) {
-                   send(res, encode(machine_.vote(vote_request, timers_.now(), store_outcome(answer))));
+                   send(res, encode(state_machine_.vote(vote_request, timers_.now(), store_outcome(answer))));
                });
 }
 
@@ -112,7 +112,7 @@
     const auto takeover = decode_takeover_request(request.body);
     if (!takeover)
         return send(res, encode(TakeoverAnswer::malformed));
-    if (machine_.role() != ElectionStateMachine::Role::follower)
+    if (state_machine_.role() != ElectionStateMachine::Role::follower)
         return send(res, encode(TakeoverAnswer::not_follower));
     store_.get(leader_key, settings_.report_s / 4,
                [this, takeover = *takeover, res](store::Answer&& answer) { answer_takeover(takeover, answer, res); });
@@ -131,12 +131,12 @@
 
 void LeaderElection::accept_takeover(const Responder& res) {
     send(res, encode(TakeoverAnswer::accepted));
-    perform(machine_.takeover_accepted());
+    perform(state_machine_.takeover_accepted());
 }
 
 std::vector<metrics::Value> LeaderElection::metrics() const {
     const auto value = [](std::uint64_t n) { return static_cast<double>(n); };
-    const auto& counts = machine_.counts();
+    const auto& counts = state_machine_.counts();
     return {
         {"heronshift_office_held", "by this controller: 1", valid() ? 1.0 : 0.0},
         {"heronshift_office_taken_total", "times this controller took the office", value(counts.acquisitions)},
@@ -149,57 +149,58 @@
 
 void LeaderElection::perform(ElectionActions actions) {
     for (const auto& action : actions)
-        std::visit([&](const auto& what) { perform(action.epoch, what); }, action.what);
+        std::visit([&](const auto& operation) { perform(action.epoch, operation); }, action.operation);
 }
 
 void LeaderElection::perform(std::uint64_t epoch, const ReadLeader& action) {
     store_.get(leader_key, action.timeout_s, [this, epoch](store::Answer&& answer) {
-        perform(machine_.leader_read(epoch, timers_.now(), store_outcome(answer), decode_leader_record(answer.item),
-                                     revision_of(answer)));
+        perform(state_machine_.leader_read(epoch, timers_.now(), store_outcome(answer),
+                                           decode_leader_record(answer.item), revision_of(answer)));
     });
 }
 
 void LeaderElection::perform(std::uint64_t epoch, const FollowLeader& action) {
     store_.follow(leader_key, action.revision, action.block_s, [this, epoch](store::Answer&& answer) {
-        perform(machine_.leader_changed(epoch, store_outcome(answer)));
+        perform(state_machine_.leader_changed(epoch, store_outcome(answer)));
     });
 }
 
-void LeaderElection::perform(std::uint64_t epoch, const WatchLeaderAfter& action) {
-    timers_.after(action.delay_s, [this, epoch] { perform(machine_.leader_watch_due(epoch)); });
+void LeaderElection::perform(std::uint64_t epoch, const ReadLeaderAfter& action) {
+    timers_.after(action.delay_s, [this, epoch] { perform(state_machine_.leader_read_due(epoch)); });
 }
 
 void LeaderElection::perform(std::uint64_t epoch, const RevokePreviousLease& action) {
     store_.revoke_lease(action.store_lease, action.timeout_s,
-                        [this, epoch](store::Answer&&) { perform(machine_.previous_lease_revoked(epoch)); });
+                        [this, epoch](store::Answer&&) { perform(state_machine_.previous_lease_revoked(epoch)); });
 }
 
 void LeaderElection::perform(std::uint64_t epoch, const CreateStoreLease& action) {
     store_.create_lease(action.ttl_s, action.timeout_s, [this, epoch](store::Answer&& answer) {
-        perform(machine_.store_lease_created(epoch, store_outcome(answer), answer.lease));
+        perform(state_machine_.store_lease_created(epoch, store_outcome(answer), answer.lease));
     });
 }
 
 void LeaderElection::perform(std::uint64_t epoch, const ReadTermCounter& action) {
     store_.get(term_counter_key, action.timeout_s, [this, epoch](store::Answer&& answer) {
-        perform(machine_.term_counter_read(epoch, store_outcome(answer), decode_term_counter(answer.item),
-                                           revision_of(answer)));
+        perform(state_machine_.term_counter_read(epoch, store_outcome(answer), decode_term_counter(answer.item),
+                                                 revision_of(answer)));
     });
 }
 
 void LeaderElection::perform(std::uint64_t epoch, const ClaimLeadership& action) {
-    store_.transact({{leader_key, 0}, {term_counter_key, action.term_counter_revision}},
-                    {{leader_key, encode(action.record), action.record.store_lease},
-                     {term_counter_key, encode(TermCounter{action.record.term, 0}), 0}},
-                    action.timeout_s, [this, epoch](store::Answer&& answer) {
-                        perform(machine_.claim_answered(epoch, timers_.now(), store_outcome(answer), answer.revision));
-                    });
+    store_.transact(
+        {{leader_key, 0}, {term_counter_key, action.term_counter_revision}},
+        {{leader_key, encode(action.record), action.record.store_lease},
+         {term_counter_key, encode(TermCounter{action.record.term, 0}), 0}},
+        action.timeout_s, [this, epoch](store::Answer&& answer) {
+            perform(state_machine_.claim_answered(epoch, timers_.now(), store_outcome(answer), answer.revision));
+        });
 }
 
 void LeaderElection::perform(std::uint64_t /*epoch*/, const BeginTerm& action) {
     transactions_.begin(action.term, action.revision);
     state_loader_.read_all([this, term = action.term](Snapshot&& stored) {
-        machine_.state_loaded();
+        state_machine_.state_loaded();
         host_.leadership_acquired(term, std::move(stored));
         state_loader_.follow_jobs(
             [this](std::vector<codec::StoredJob>&& jobs) { host_.jobs_stored_by_others(std::move(jobs)); });
@@ -217,10 +218,10 @@
 }
 
 void LeaderElection::perform(std::uint64_t epoch, const RenewStoreLease& action) {
-    store_.renew_lease(action.store_lease, action.timeout_s,
-                       [this, epoch, sent_at = action.sent_at](store::Answer&& answer) {
-                           perform(machine_.store_lease_renewed(epoch, timers_.now(), sent_at, store_outcome(answer)));
-                       });
+    store_.renew_lease(
+        action.store_lease, action.timeout_s, [this, epoch, sent_at = action.sent_at](store::Answer&& answer) {
+            perform(state_machine_.store_lease_renewed(epoch, timers_.now(), sent_at, store_outcome(answer)));
+        });
 }
 
 void LeaderElection::perform(std::uint64_t epoch, const RequestExtensionVotes& action) {
@@ -228,13 +229,13 @@
     for (const auto& peer : settings_.peers)
         peers_.request(Lane::control, peer.name, http_post, extension_vote_path, body, action.timeout_s,
                        [this, epoch, sent_at = action.sent_at, name = peer.name](HttpReply&& reply) {
-                           perform(machine_.extension_vote_received(epoch, timers_.now(), sent_at, name,
-                                                                    decode_extension_vote_answer(reply)));
+                           perform(state_machine_.extension_vote_received(epoch, timers_.now(), sent_at, name,
+                                                                          decode_extension_vote_answer(reply)));
                        });
 }
 
 void LeaderElection::perform(std::uint64_t epoch, const CheckServedPeersAfter& action) {
-    timers_.after(action.delay_s, [this, epoch] { perform(machine_.served_peers_due(epoch, timers_.now())); });
+    timers_.after(action.delay_s, [this, epoch] { perform(state_machine_.served_peers_due(epoch, timers_.now())); });
 }
 
 void LeaderElection::perform(std::uint64_t /*epoch*/, const OfferTakeover& action) {
--- a/src/leadership/leader_election.hpp
+++ b/src/leadership/leader_election.hpp
@@ -67,38 +67,38 @@
 
     /// Whether this node may act as leader at this moment.
     [[nodiscard]] bool valid() const {
-        return machine_.valid(timers_.now());
+        return state_machine_.valid(timers_.now());
     }
     /// Whether this node is the leader. Whether it may act is a separate question, answered by valid().
     [[nodiscard]] bool is_leader() const {
-        return machine_.is_leader();
+        return state_machine_.is_leader();
     }
     /// Whether this node is acquiring the leadership or loading the stored state: soon it or another node will be the
     /// active leader.
     [[nodiscard]] bool is_acquiring() const {
-        return machine_.role() == ElectionStateMachine::Role::acquiring ||
-               machine_.role() == ElectionStateMachine::Role::loading;
+        return state_machine_.role() == ElectionStateMachine::Role::acquiring ||
+               state_machine_.role() == ElectionStateMachine::Role::loading;
     }
     /// Until when, on the monotonic clock, this node may act as leader unless its validity is extended further; 0 or a
     /// time in the past: it may not act.
     [[nodiscard]] double active_until() const {
-        return machine_.active_until();
+        return state_machine_.active_until();
     }
     /// The name of the leader as far as this node knows; empty: unknown.
     [[nodiscard]] const std::string& leader() const {
-        return machine_.leader();
+        return state_machine_.leader();
     }
     /// The term of the last leader that this node has learned of.
     [[nodiscard]] std::uint64_t leader_term() const {
-        return machine_.leader_term();
+        return state_machine_.leader_term();
     }
     /// Whether this node recently learned from the store itself, not from a peer, who the leader is.
     [[nodiscard]] bool sees_leader() const {
-        return machine_.sees_leader(timers_.now());
+        return state_machine_.sees_leader(timers_.now());
     }
     /// When this node's newest term began, on the monotonic clock.
     [[nodiscard]] double acquired_at() const {
-        return machine_.acquired_at();
+        return state_machine_.acquired_at();
     }
     [[nodiscard]] std::vector<metrics::Value> metrics() const;
 
@@ -122,7 +122,7 @@
         [[nodiscard]] double candidacy_delay_s() const override;
         [[nodiscard]] std::optional<std::string> better_candidate() const override;
         [[nodiscard]] bool no_better_candidate() const override;
-        [[nodiscard]] std::optional<std::string> served_instead() const override;
+        [[nodiscard]] std::optional<std::string> peer_served_by_store() const override;
         [[nodiscard]] std::optional<membership::Membership::ReportedLeader> reported_leader() const override;
         [[nodiscard]] membership::Eligibility own_eligibility() const override;
         [[nodiscard]] membership::Eligibility eligibility(const std::string& peer) const override;
@@ -135,7 +135,7 @@
     void perform(ElectionActions actions);
     void perform(std::uint64_t epoch, const ReadLeader& action);
     void perform(std::uint64_t epoch, const FollowLeader& action);
-    void perform(std::uint64_t epoch, const WatchLeaderAfter& action);
+    void perform(std::uint64_t epoch, const ReadLeaderAfter& action);
     void perform(std::uint64_t epoch, const RevokePreviousLease& action);
     void perform(std::uint64_t epoch, const CreateStoreLease& action);
     void perform(std::uint64_t epoch, const ReadTermCounter& action);
@@ -157,7 +157,7 @@
     Peers& peers_;
     Host& host_;
     Hints hints_;
-    ElectionStateMachine machine_;
+    ElectionStateMachine state_machine_;
     StateLoader state_loader_;
     TransactionQueue transactions_;
 };
--- a/src/leadership/leader_lease.hpp
+++ b/src/leadership/leader_lease.hpp
@@ -33,22 +33,22 @@
 
     /// Discards all validity. Called when a term begins and when it ends.
     void begin();
-    /// The store has granted or renewed the store lease, in answer to a request sent at `sent`.
-    void store_lease_renewed(double sent);
-    /// `peer` has granted an extension, in answer to a request sent at `sent`. Returns whether extension votes now keep
-    /// the leader valid beyond the end of its store lease.
-    bool extension_granted(const std::string& peer, double sent, double now);
+    /// The store has granted or renewed the store lease, in answer to a request sent at `sent_at`.
+    void store_lease_renewed(double sent_at);
+    /// `peer` has granted an extension, in answer to a request sent at `sent_at`. Returns whether extension votes now
+    /// keep the leader valid beyond the end of its store lease.
+    bool extension_granted(const std::string& peer, double sent_at, double now);
     /// Whether this node may act as leader.
     [[nodiscard]] bool valid(double now) const {
-        return now < until();
+        return now < valid_until();
     }
     /// Until when this node may act as leader unless its validity is extended further.
-    [[nodiscard]] double until() const {
-        return store_lease_until_ > extended_until_ ? store_lease_until_ : extended_until_;
+    [[nodiscard]] double valid_until() const {
+        return store_lease_valid_until_ > extension_valid_until_ ? store_lease_valid_until_ : extension_valid_until_;
     }
     /// When the newest successful renewal was sent.
     [[nodiscard]] double renewed_at() const {
-        return renewed_;
+        return renewed_at_;
     }
     /// Whether renewals of the store lease are overdue, so that extension votes should be requested.
     [[nodiscard]] bool wants_extension_votes(double now) const;
@@ -57,15 +57,15 @@
 
     /// Whether no extension vote given by this node, in this process or an earlier one, forbids it to become leader.
     [[nodiscard]] bool may_acquire(double now) const {
-        return now >= not_before_;
+        return now >= earliest_acquisition_at_;
     }
-    [[nodiscard]] double not_before() const {
-        return not_before_;
+    [[nodiscard]] double earliest_acquisition_at() const {
+        return earliest_acquisition_at_;
     }
     /// An earlier process of this node was the leader, so it cannot have voted for another leader. Removes the initial
     /// wait that covers votes of an earlier process.
     void previous_process_was_leader() {
-        not_before_ = 0;
+        earliest_acquisition_at_ = 0;
     }
     /// The outcome of this node's claim is unknown: the claim may still be applied as long as its store lease lives.
     /// This node grants no extension until every such store lease must have expired (invariant 26).
@@ -73,19 +73,21 @@
     /// Records whether a store read or a renewal of the store lease was answered. Renewals count too, so that a leader
     /// that has just stepped down can vote for its successor.
     void record_store_answer(bool ok, double now);
-    /// Votes to extend the leader's validity by `length_s`, if this node may vote; returns whether it did. `follower`:
-    /// whether this node is a follower; `store_failed`: whether a store read made for this vote has just failed.
-    bool grant_extension(double length_s, double now, bool follower, bool store_failed);
+    /// Votes to extend the leader's validity by `duration_s`, if this node may vote; returns whether it did.
+    /// `is_follower`: whether this node is a follower; `store_failed`: whether a store read made for this vote has just
+    /// failed.
+    bool grant_extension(double duration_s, double now, bool is_follower, bool store_failed);
 
 private:
     double ttl_s_;
     std::size_t peers_;
-    double store_lease_until_ = 0;
-    double renewed_ = 0;
-    double extended_until_ = 0;
+    double store_lease_valid_until_ = 0;
+    double renewed_at_ = 0;
+    double extension_valid_until_ = 0;
     std::map<std::string, double> extension_votes_; // the end of the extension granted by each peer
-    double not_before_;
-    double served_since_ = -1;         // the store has answered every call since then; below zero: the last call failed
+    double earliest_acquisition_at_;
+    double store_answering_since_ =
+        -1;                            // the store has answered every call since then; below zero: the last call failed
     bool acquisition_in_doubt_ = true; // initially true: an earlier process may have left a claim pending
 };
 
--- a/src/leadership/link_hints.hpp
+++ b/src/leadership/link_hints.hpp
@@ -34,7 +34,7 @@
     /// Whether it is known of every peer that it is not a better candidate than this node.
     [[nodiscard]] virtual bool no_better_candidate() const = 0;
     /// A peer that the store has answered since it stopped answering this node.
-    [[nodiscard]] virtual std::optional<std::string> served_instead() const = 0;
+    [[nodiscard]] virtual std::optional<std::string> peer_served_by_store() const = 0;
     /// The leader that a peer has learned from the store.
     [[nodiscard]] virtual std::optional<membership::Membership::ReportedLeader> reported_leader() const = 0;
     [[nodiscard]] virtual membership::Eligibility own_eligibility() const = 0;
--- a/src/leadership/peer_messages.cpp
+++ b/src/leadership/peer_messages.cpp
@@ -20,22 +20,22 @@
                                                                                       : 0;
 }
 
-double number_field(const Json& json, const char* name, double otherwise) {
-    return json.is_object() && json.contains(name) && json[name].is_number() ? json[name].get<double>() : otherwise;
+double number_field(const Json& json, const char* name, double default_value) {
+    return json.is_object() && json.contains(name) && json[name].is_number() ? json[name].get<double>() : default_value;
 }
 
 } // namespace
 
 std::string encode(const ExtensionVoteRequest& request) {
-    return Json{{"node", request.node}, {"term", request.term}, {"forS", request.length_s}}.dump();
+    return Json{{"node", request.node}, {"term", request.term}, {"forS", request.duration_s}}.dump();
 }
 
 std::optional<ExtensionVoteRequest> decode_extension_vote_request(std::string_view body) {
     const auto json = codec::parse(body);
-    const double length_s = number_field(json, "forS", -1);
-    if (!(length_s > 0))
+    const double duration_s = number_field(json, "forS", -1);
+    if (!(duration_s > 0))
         return std::nullopt;
-    return ExtensionVoteRequest{string_field(json, "node"), unsigned_field(json, "term"), length_s};
+    return ExtensionVoteRequest{string_field(json, "node"), unsigned_field(json, "term"), duration_s};
 }
 
 HttpReply encode(const ExtensionVoteAnswer& answer) {
--- a/src/leadership/peer_messages.hpp
+++ b/src/leadership/peer_messages.hpp
@@ -22,7 +22,7 @@
 struct ExtensionVoteRequest {
     std::string node;       ///< "node": the leader that asks.
     std::uint64_t term = 0; ///< "term": the leader's term.
-    double length_s = 0;    ///< "forS": the duration in seconds; the only field on which the answer depends.
+    double duration_s = 0;  ///< "forS": the duration in seconds; the only field on which the answer depends.
 };
 
 /// The answer to an ExtensionVoteRequest.
--- a/src/leadership/state_loader.cpp
+++ b/src/leadership/state_loader.cpp
@@ -9,57 +9,58 @@
 namespace heronshift::leadership {
 namespace {
 
-constexpr int page_records = 500;
+constexpr int page_size = 500;
 constexpr double page_timeout_s = 2;
 
 } // namespace
 
-void StateLoader::read_all(const Loaded& loaded) {
+void StateLoader::read_all(const LoadedCallback& loaded) {
     ++epoch_;
-    stored_ = {};
+    snapshot_ = {};
     // The prefixes are read concurrently. They need not be read at one revision: other nodes can only change jobs, and
     // changes of jobs are followed.
     const std::pair<std::string_view, std::vector<codec::Item>*> prefixes[] = {
-        {persistence::job_prefix, &stored_.jobs},
-        {persistence::intent_prefix, &stored_.intents},
-        {persistence::previous_progress_prefix, &stored_.progress},
-        {persistence::progress_prefix, &stored_.progress},
-        {persistence::image_prefix, &stored_.images},
-        {persistence::cascade_prefix, &stored_.cascades},
-        {persistence::learned_prefix, &stored_.learned},
-        {persistence::earlier_machine_prefix, &stored_.earlier},
-        {persistence::earlier_job_prefix, &stored_.earlier},
+        {persistence::job_prefix, &snapshot_.jobs},
+        {persistence::intent_prefix, &snapshot_.intents},
+        {persistence::legacy_progress_prefix, &snapshot_.progress},
+        {persistence::progress_prefix, &snapshot_.progress},
+        {persistence::image_prefix, &snapshot_.images},
+        {persistence::cascade_prefix, &snapshot_.cascades},
+        {persistence::learned_prefix, &snapshot_.learned},
+        {persistence::legacy_machine_prefix, &snapshot_.legacy},
+        {persistence::legacy_job_prefix, &snapshot_.legacy},
     };
-    prefixes_left_ = static_cast<int>(std::size(prefixes));
-    for (const auto& [prefix, into] : prefixes)
-        load(std::string(prefix), "", into, [this, loaded] {
-            if (--prefixes_left_ == 0)
-                loaded(std::exchange(stored_, {}));
+    pending_prefixes_ = static_cast<int>(std::size(prefixes));
+    for (const auto& [prefix, destination] : prefixes)
+        load(std::string(prefix), "", destination, [this, loaded] {
+            if (--pending_prefixes_ == 0)
+                loaded(std::exchange(snapshot_, {}));
         });
 }
 
-// Appends all items whose keys have the prefix and come after `since` to `into`, page by page; then calls `next`.
-void StateLoader::load(const std::string& prefix, const std::string& since, std::vector<codec::Item>* into,
-                       const std::function<void()>& next) {
+// Appends all items whose keys have the prefix and come after `after_key` to `destination`, page by page; then calls
+// `on_complete`.
+void StateLoader::load(const std::string& prefix, const std::string& after_key, std::vector<codec::Item>* destination,
+                       const std::function<void()>& on_complete) {
     const auto epoch = epoch_;
-    store_.list(prefix, since, page_records, page_timeout_s, [=, this](store::Answer&& page) {
+    store_.list(prefix, after_key, page_size, page_timeout_s, [=, this](store::Answer&& page) {
         if (epoch != epoch_)
             return;
         if (store_outcome(page) != StoreOutcome::ok)
             return timers_.after(settings_.report_s / 10, [=, this] {
                 if (epoch == epoch_)
-                    load(prefix, since, into, next);
+                    load(prefix, after_key, destination, on_complete);
             });
-        if (prefix == persistence::job_prefix && since.empty())
+        if (prefix == persistence::job_prefix && after_key.empty())
             revision_ = page.revision;
-        std::string last;
+        std::string last_key;
         for (auto& item : page.items) {
-            last = item.key;
-            into->push_back(std::move(item));
+            last_key = item.key;
+            destination->push_back(std::move(item));
         }
-        if (page.more && !last.empty())
-            return load(prefix, last, into, next);
-        next();
+        if (page.more && !last_key.empty())
+            return load(prefix, last_key, destination, on_complete);
+        on_complete();
     });
 }
 
@@ -74,7 +75,7 @@
     jobs_stored_(std::move(jobs));
 }
 
-void StateLoader::follow_jobs(JobsStored jobs_stored) {
+void StateLoader::follow_jobs(JobsStoredCallback jobs_stored) {
     jobs_stored_ = std::move(jobs_stored);
     follow();
 }
@@ -102,9 +103,9 @@
         report_jobs(answer.items);
         return follow_after(0, epoch);
     case StoreOutcome::compacted: // the store no longer has the changes since `revision_`: read all jobs again
-        stored_ = {};
-        return load(std::string(persistence::job_prefix), "", &stored_.jobs, [this, epoch] {
-            report_jobs(std::exchange(stored_, {}).jobs);
+        snapshot_ = {};
+        return load(std::string(persistence::job_prefix), "", &snapshot_.jobs, [this, epoch] {
+            report_jobs(std::exchange(snapshot_, {}).jobs);
             follow_after(0, epoch);
         });
     default:
--- a/src/leadership/state_loader.hpp
+++ b/src/leadership/state_loader.hpp
@@ -18,27 +18,27 @@
 /// Must be used on the event loop's thread only. Store calls that fail are retried until stop(). No function throws.
 class StateLoader {
 public:
-    using Loaded = std::function<void(Snapshot&&)>;
-    using JobsStored = std::function<void(std::vector<codec::StoredJob>&&)>;
+    using LoadedCallback = std::function<void(Snapshot&&)>;
+    using JobsStoredCallback = std::function<void(std::vector<codec::StoredJob>&&)>;
 
     /// Keeps all references.
     StateLoader(const Settings& settings, TimerQueue& timers, store::StateStore& store)
         : settings_(settings), timers_(timers), store_(store) {}
 
     /// Reads the whole cluster state, then calls `loaded` once, unless stop() is called before.
-    void read_all(const Loaded& loaded);
+    void read_all(const LoadedCallback& loaded);
     /// From now on calls `jobs_stored` with jobs that were stored after read_all() read the jobs. Must be called after
     /// read_all() has completed.
-    void follow_jobs(JobsStored jobs_stored);
+    void follow_jobs(JobsStoredCallback jobs_stored);
     /// Stops reading and following; no callback is called after this.
     void stop() {
         ++epoch_;
-        stored_ = {};
+        snapshot_ = {};
     }
 
 private:
-    void load(const std::string& prefix, const std::string& since, std::vector<codec::Item>* into,
-              const std::function<void()>& next);
+    void load(const std::string& prefix, const std::string& after_key, std::vector<codec::Item>* destination,
+              const std::function<void()>& on_complete);
     void follow();
     void follow_after(double delay_s, std::uint64_t epoch);
     void handle_changes(store::Answer&& answer);
@@ -49,9 +49,9 @@
     store::StateStore& store_;
     std::uint64_t epoch_ = 0;    // results of calls made in an earlier epoch are ignored
     std::uint64_t revision_ = 0; // the store's revision up to which the jobs have been read
-    Snapshot stored_;            // what has been read so far
-    int prefixes_left_ = 0;      // prefixes that are not read completely yet
-    JobsStored jobs_stored_;
+    Snapshot snapshot_;          // what has been read so far
+    int pending_prefixes_ = 0;   // prefixes that are not read completely yet
+    JobsStoredCallback jobs_stored_;
 };
 
 } // namespace heronshift::leadership
--- a/src/leadership/transaction_queue.cpp
+++ b/src/leadership/transaction_queue.cpp
@@ -9,7 +9,7 @@
 
 // A transaction that is not applied is sent again. After this many repeated sends, the term ends instead if this node
 // may not act as leader.
-constexpr int max_tries = 3;
+constexpr int max_attempts = 3;
 
 } // namespace
 
@@ -27,28 +27,28 @@
     callbacks_.committed(TxnOutcome::applied);
 }
 
-void TransactionQueue::send(Commit commit, int tries) {
+void TransactionQueue::send(Commit commit, int attempts) {
     auto writes = commit.writes;
     writes.push_back({term_counter_key, encode(TermCounter{term_, transactions_ + 1}), 0});
     store_.transact({{leader_key, leader_key_revision_}, {term_counter_key, term_counter_revision_}}, writes,
                     settings_.report_s / 3,
-                    [this, epoch = epoch_, commit = std::move(commit), tries,
+                    [this, epoch = epoch_, commit = std::move(commit), attempts,
                      sent_at = timers_.now()](store::Answer&& answer) mutable {
                         if (epoch != epoch_)
                             return;
                         if (store_outcome(answer) == StoreOutcome::ok)
                             timings_.commit.add(timers_.now() - sent_at);
-                        handle_answer(std::move(commit), tries, answer);
+                        handle_answer(std::move(commit), attempts, answer);
                     });
 }
 
-void TransactionQueue::handle_answer(Commit commit, int tries, const store::Answer& answer) {
+void TransactionQueue::handle_answer(Commit commit, int attempts, const store::Answer& answer) {
     const auto outcome = store_outcome(answer);
     if (outcome == StoreOutcome::ok)
         return applied(answer.revision);
     // If the transaction has been sent before, an earlier copy may have been applied even though this one was refused.
-    if (!is_refused(outcome) || tries > 0)
-        return resolve(std::move(commit), tries + 1);
+    if (!is_refused(outcome) || attempts > 0)
+        return read_term_counter(std::move(commit), attempts + 1);
     if (outcome == StoreOutcome::invalid)
         spdlog::error("transaction rejected as invalid term={} error=\"{}\"", term_, answer.error);
     report_refusal(outcome == StoreOutcome::invalid ? TxnOutcome::too_large : TxnOutcome::refused);
@@ -63,33 +63,34 @@
 
 // Called when the outcome is unknown or a guard failed. Reads the term counter, which shows whether the transaction was
 // applied (invariant 2).
-void TransactionQueue::resolve(Commit commit, int tries) {
+void TransactionQueue::read_term_counter(Commit commit, int attempts) {
     store_.get(term_counter_key, settings_.report_s / 3,
-               [this, epoch = epoch_, commit = std::move(commit), tries](store::Answer&& answer) mutable {
+               [this, epoch = epoch_, commit = std::move(commit), attempts](store::Answer&& answer) mutable {
                    if (epoch != epoch_)
                        return;
                    if (const auto counter = decode_term_counter(answer.item); counter)
-                       settle(std::move(commit), tries, *counter, answer.item->mod_revision);
+                       resolve_outcome(std::move(commit), attempts, *counter, answer.item->mod_revision);
                    else
-                       resolve_later(std::move(commit), tries);
+                       read_term_counter_later(std::move(commit), attempts);
                });
 }
 
-void TransactionQueue::resolve_later(Commit commit, int tries) {
-    timers_.after(settings_.report_s / 10, [this, epoch = epoch_, commit = std::move(commit), tries]() mutable {
+void TransactionQueue::read_term_counter_later(Commit commit, int attempts) {
+    timers_.after(settings_.report_s / 10, [this, epoch = epoch_, commit = std::move(commit), attempts]() mutable {
         if (epoch == epoch_)
-            resolve(std::move(commit), tries);
+            read_term_counter(std::move(commit), attempts);
     });
 }
 
-void TransactionQueue::settle(Commit commit, int tries, const TermCounter& counter, std::uint64_t revision) {
+void TransactionQueue::resolve_outcome(Commit commit, int attempts, const TermCounter& counter,
+                                       std::uint64_t revision) {
     if (counter.term != term_)
         return callbacks_.term_over(ResignReason::newer_term_stored);
     if (counter.transactions == transactions_ + 1)
         return applied(revision);
-    if (tries > max_tries && !callbacks_.valid())
+    if (attempts > max_attempts && !callbacks_.valid())
         return callbacks_.term_over(ResignReason::outcome_unknown);
-    send(std::move(commit), tries);
+    send(std::move(commit), attempts);
 }
 
 } // namespace heronshift::leadership
--- a/src/leadership/transaction_queue.hpp
+++ b/src/leadership/transaction_queue.hpp
@@ -48,12 +48,12 @@
     }
 
 private:
-    void send(Commit commit, int tries);
-    void handle_answer(Commit commit, int tries, const store::Answer& answer);
+    void send(Commit commit, int attempts);
+    void handle_answer(Commit commit, int attempts, const store::Answer& answer);
     void report_refusal(TxnOutcome outcome);
-    void resolve(Commit commit, int tries);
-    void resolve_later(Commit commit, int tries);
-    void settle(Commit commit, int tries, const TermCounter& counter, std::uint64_t revision);
+    void read_term_counter(Commit commit, int attempts);
+    void read_term_counter_later(Commit commit, int attempts);
+    void resolve_outcome(Commit commit, int attempts, const TermCounter& counter, std::uint64_t revision);
     void applied(std::uint64_t revision);
 
     const Settings& settings_;
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -410,7 +410,7 @@
                                          candidates, no_better_candidate());
 }
 
-std::optional<std::string> Membership::served_instead() const {
+std::optional<std::string> Membership::peer_served_by_store() const {
     if (!store_link_.lost())
         return {};
     for (const auto& [name, peer] : peers_.all())
--- a/src/membership/membership.hpp
+++ b/src/membership/membership.hpp
@@ -106,7 +106,7 @@
     [[nodiscard]] double candidacy_delay_s() const;
     /// A peer that the store has answered since this node lost its own link to the store; empty if there is none, or
     /// while this node's link is not lost.
-    [[nodiscard]] std::optional<std::string> served_instead() const;
+    [[nodiscard]] std::optional<std::string> peer_served_by_store() const;
     /// The leader according to the peers that know it from the store or lead themselves; empty if there is no such
     /// peer.
     using ReportedLeader = membership::ReportedLeader;
--- a/src/node/controller.cpp
+++ b/src/node/controller.cpp
@@ -93,7 +93,7 @@
         log_->begin(settings_, term, stored, at, wall_at);
     core_ = std::make_unique<Core>(settings_, term, stored, at, wall_at);
     spdlog::info("term {}: {} jobs and {} records read", term, stored.jobs.size(),
-                 stored.intents.size() + stored.progress.size() + stored.earlier.size());
+                 stored.intents.size() + stored.progress.size() + stored.legacy.size());
     cloud_.on_leadership_acquired();
     heartbeat_handler_.retry_pending_heartbeats();
     if (on_wake_at)
@@ -267,7 +267,7 @@
     std::map<std::string, std::size_t> out;
     if (core_)
         for (const auto& [id, machine] : core_->state().machines)
-            if (machine->status == cluster::Status::up && !machine->releasing)
+            if (machine->status == cluster::MachineStatus::up && !machine->releasing)
                 ++out[machine->zone_name];
     return out;
 }
--- a/src/persistence/backlog.hpp
+++ b/src/persistence/backlog.hpp
@@ -9,7 +9,7 @@
 struct Backlog {
     const char* kind = ""; ///< The name of the kind in metrics and log lines.
     std::size_t count = 0;
-    double oldest_s = 0; ///< Seconds for which the oldest of these records has been due; 0 if `count` is 0.
+    double oldest_age_s = 0; ///< Seconds for which the oldest of these records has been due; 0 if `count` is 0.
 };
 
 } // namespace heronshift::persistence
--- a/src/persistence/cascade_records.cpp
+++ b/src/persistence/cascade_records.cpp
@@ -11,34 +11,34 @@
 
 namespace heronshift {
 
-using cluster::Final;
+using cluster::FinalState;
 using cluster::Job;
 using persistence::max_cascade_records;
 
 namespace {
 
-constexpr std::size_t bytes_around_id = 3, bytes_around_ids = 20;
+constexpr std::size_t id_overhead_bytes = 3, record_overhead_bytes = 20;
 
-std::size_t size_of(const Job& job) {
-    return job.spec.id.size() + bytes_around_id;
+std::size_t encoded_size(const Job& job) {
+    return job.spec.id.size() + id_overhead_bytes;
 }
 
-std::size_t size_of(const std::vector<Job*>& jobs) {
-    auto size = bytes_around_ids;
+std::size_t encoded_size(const std::vector<Job*>& jobs) {
+    auto size = record_overhead_bytes;
     for (const auto* job : jobs)
-        size += size_of(*job);
+        size += encoded_size(*job);
     return size;
 }
 
 } // namespace
 
-bool ClusterRecords::CascadeRecords::overdue(const FinalStates& finals) const {
+bool ClusterRecords::CascadeRecords::has_overdue_dependents(const FinalStates& finals) const {
     const auto* oldest = finals.oldest_dependent();
     if (oldest == nullptr)
         return false;
     const auto& data = cluster_.view();
-    const bool waited_in_earlier_term = oldest->submitted < data.started; // It may have, for an unknown time.
-    return waited_in_earlier_term || data.now - oldest->final_due_at >= settings_.report_s;
+    const bool may_have_waited_in_earlier_term = oldest->submitted < data.started; // It may have, for an unknown time.
+    return may_have_waited_in_earlier_term || data.now - oldest->final_due_at >= settings_.report_s;
 }
 
 // Returns the record with the fewest jobs, or a new record if that one is more than half full. The jobs that a record
@@ -48,7 +48,7 @@
                                         [](const Record& a, const Record& b) { return a.jobs.size() < b.jobs.size(); });
     const auto room = limits_.max_record_bytes;
     const bool may_add = records_.size() < max_cascade_records;
-    if (least != records_.end() && size_of(least->jobs) <= (may_add ? room / 2 : room))
+    if (least != records_.end() && encoded_size(least->jobs) <= (may_add ? room / 2 : room))
         return static_cast<std::size_t>(least - records_.begin());
     if (!may_add)
         return {};
@@ -56,18 +56,18 @@
     return records_.size() - 1;
 }
 
-void ClusterRecords::CascadeRecords::collect(persistence::TransactionBuilder& transaction, FinalStates& finals) {
-    if (!overdue(finals) || transaction.full(1))
+void ClusterRecords::CascadeRecords::add_writes(persistence::TransactionBuilder& transaction, FinalStates& finals) {
+    if (!has_overdue_dependents(finals) || transaction.would_overflow(1))
         return;
     const auto number = record_with_room();
     if (!number)
         return;
-    auto size = size_of(records_[*number].jobs);
+    auto size = encoded_size(records_[*number].jobs);
     for (auto* job = finals.oldest_dependent(); job != nullptr; job = finals.oldest_dependent()) {
-        if (size + size_of(*job) > limits_.max_record_bytes)
+        if (size + encoded_size(*job) > limits_.max_record_bytes)
             break;
-        size += size_of(*job);
-        in_flight_.jobs.push_back(&finals.take_dependent());
+        size += encoded_size(*job);
+        in_flight_.jobs.push_back(&finals.take_oldest_dependent());
     }
     if (in_flight_.jobs.empty())
         return; // The record has no room for even one more job.
@@ -84,8 +84,8 @@
     in_flight_.written = number;
 }
 
-void ClusterRecords::CascadeRecords::collect_empty(persistence::TransactionBuilder& transaction) {
-    if (transaction.full(1))
+void ClusterRecords::CascadeRecords::add_empty_record_removal(persistence::TransactionBuilder& transaction) {
+    if (transaction.would_overflow(1))
         return;
     for (std::size_t number = 0; number < records_.size(); ++number) {
         const auto& record = records_[number];
@@ -97,29 +97,29 @@
     }
 }
 
-bool ClusterRecords::CascadeRecords::filling_up() const {
+bool ClusterRecords::CascadeRecords::over_half_used() const {
     const auto used =
         std::count_if(records_.begin(), records_.end(), [](const Record& record) { return !record.jobs.empty(); });
     return static_cast<std::size_t>(used) > max_cascade_records / 2;
 }
 
 void ClusterRecords::CascadeRecords::committed(bool applied, FinalStates& finals) {
-    auto was = std::exchange(in_flight_, {});
+    auto sent = std::exchange(in_flight_, {});
     if (!applied) {
-        for (auto* job : was.jobs)
-            finals.give_back_dependent(*job);
+        for (auto* job : sent.jobs)
+            finals.requeue_dependent(*job);
         return;
     }
-    if (was.removed)
-        records_[*was.removed].stored = false;
-    if (!was.written)
+    if (sent.removed)
+        records_[*sent.removed].stored = false;
+    if (!sent.written)
         return;
-    auto& record = records_[*was.written];
+    auto& record = records_[*sent.written];
     record.stored = true;
     double longest_s = 0;
-    for (auto* job : was.jobs) {
+    for (auto* job : sent.jobs) {
         longest_s = std::max(longest_s, cluster_.view().now - job->final_due_at);
-        job->cascade_record = static_cast<int>(*was.written);
+        job->cascade_record = static_cast<int>(*sent.written);
         record.jobs.push_back(job);
         finals.stored_in_cascade(*job);
     }
@@ -127,7 +127,7 @@
         LogLine::Level::info,
         fmt::format("{} jobs cancelled with their dependency are stored in a cascade record, the oldest {:.1f} s "
                     "after it was due",
-                    was.jobs.size(), longest_s));
+                    sent.jobs.size(), longest_s));
 }
 
 void ClusterRecords::CascadeRecords::forget(Job& job) {
@@ -151,7 +151,7 @@
         auto* job = cluster_.find_job(id);
         if (job == nullptr || job->final_stored)
             continue; // The job's own final record is stored.
-        job->final = Final::cancelled;
+        job->final = FinalState::cancelled;
         job->final_stored = true;
         job->cascade_record = static_cast<int>(number);
         jobs.push_back(job);
--- a/src/persistence/cascade_records.hpp
+++ b/src/persistence/cascade_records.hpp
@@ -30,11 +30,11 @@
         : cluster_(cluster), settings_(settings), limits_(limits) {}
 
     /// If dependents have waited for too long, adds a write that names as many of them as fit into one cascade record.
-    void collect(persistence::TransactionBuilder& transaction, FinalStates& finals);
+    void add_writes(persistence::TransactionBuilder& transaction, FinalStates& finals);
     /// Adds the removal of one cascade record that names no jobs any more. Not urgent.
-    void collect_empty(persistence::TransactionBuilder& transaction);
+    void add_empty_record_removal(persistence::TransactionBuilder& transaction);
     /// Whether more than half of the `max_cascade_records` records name jobs.
-    [[nodiscard]] bool filling_up() const;
+    [[nodiscard]] bool over_half_used() const;
     void committed(bool applied, FinalStates& finals);
     /// Takes the job out of its cascade record; to be called once the store holds the job's own final record.
     void forget(cluster::Job& job);
@@ -56,7 +56,7 @@
         std::vector<cluster::Job*> jobs;             // The jobs that record `written` names for the first time.
     };
 
-    [[nodiscard]] bool overdue(const FinalStates& finals) const;
+    [[nodiscard]] bool has_overdue_dependents(const FinalStates& finals) const;
     std::optional<std::size_t> record_with_room();
     void write(persistence::TransactionBuilder& transaction, std::size_t number, std::size_t size);
     void load_record(std::size_t number, const codec::Item& item, FinalStates& finals);
--- a/src/persistence/cluster_records.hpp
+++ b/src/persistence/cluster_records.hpp
@@ -18,15 +18,15 @@
     std::vector<codec::Item> jobs, intents, progress, images, learned;
     std::vector<codec::Item> cascades;
     /// Records of the earliest layout, which had one for each machine and one for each job.
-    std::vector<codec::Item> earlier;
+    std::vector<codec::Item> legacy;
 };
 
 /// Combines the writes of all kinds of records into transactions, in order of urgency, and passes the outcome of each
 /// transaction back to them.
 ///
 /// Used on the thread of the core only. No other class writes the members of `cluster::Job` and `cluster::Entry` that
-/// say where and whether they are stored (`slot`, `at_slot`, `carried_from`, `recorded`, `bucket`, `ready_recorded`,
-/// `final_queued`, `final_turn`, `final_due_at`, `final_sent`, `final_stored`, `cascade_record`).
+/// say where and whether they are stored (`slot`, `slot_position`, `moved_from_slot`, `recorded`, `progress_record`,
+/// `ready_recorded`, `final_queued`, `final_sort_key`, `final_due_at`, `final_sent`, `final_stored`, `cascade_record`).
 class ClusterRecords final : public cluster::PersistenceListener {
 public:
     /// Loads the contents of the store into the cluster state.
@@ -46,18 +46,18 @@
     void became_ready(cluster::Job& job) override;
 
     /// Emits the next `Commit`, if records are due, the write budget allows it and no other transaction is in flight.
-    void collect_commit();
+    void emit_commit();
     /// Processes the outcome of the transaction in flight. If it was not applied, its records are due again. If the
     /// leadership is lost, the cluster state resigns.
     void committed(const Committed& command);
     /// Whether final states, ready jobs or intents are due and no transaction is in flight: they wait for write budget.
     [[nodiscard]] bool waiting() const;
     /// Whether the transaction in flight was sent more than `after_s` seconds ago and has had no answer since.
-    [[nodiscard]] bool late(double after_s) const {
-        return transaction_open_ && cluster_.view().now - sent_at_ > after_s;
+    [[nodiscard]] bool commit_overdue(double after_s) const {
+        return transaction_in_flight_ && cluster_.view().now - sent_at_ > after_s;
     }
     /// Logs a line if records have been due for too long. To be called a few times a second.
-    void log_late_records();
+    void log_overdue_records();
     /// The number of writes and transactions of this term, and the backlog of each kind of record.
     [[nodiscard]] std::vector<metrics::Value> metrics() const;
     /// The number of transactions that were applied in this term.
@@ -76,7 +76,7 @@
     class ProgressRecords;
     class ImageHints;
     class LearnedRates;
-    struct Kinds;
+    struct RecordKinds;
 
     /// The largest record and the largest transaction to send; halved whenever the store rejects one as too large.
     struct StoreLimits {
@@ -86,10 +86,10 @@
     // Called at a failover; defined in load.cpp.
     void load(const Snapshot& stored, double wall);
     void load_jobs(const std::vector<codec::Item>& items, double wall);
-    void load_earlier(const std::vector<codec::Item>& items);
-    void load_earlier_machine(const codec::Item& item);
-    void load_earlier_job(const codec::Item& item);
-    void settle_loaded_job(cluster::Job& job);
+    void load_legacy_records(const std::vector<codec::Item>& items);
+    void load_legacy_machine(const codec::Item& item);
+    void load_legacy_job(const codec::Item& item);
+    void finish_loading_job(cluster::Job& job);
 
     [[nodiscard]] std::vector<persistence::Backlog> backlogs() const;
     [[nodiscard]] double max_saved_writes() const;
@@ -100,11 +100,11 @@
     const Settings& settings_;
     std::vector<Effect>& effects_;
     StoreLimits limits_;
-    std::unique_ptr<Kinds> kinds_;
+    std::unique_ptr<RecordKinds> record_kinds_;
     persistence::WriteReport report_;
-    bool transaction_open_ = false;
+    bool transaction_in_flight_ = false;
     double sent_at_ = 0; ///< When the transaction in flight was sent.
-    double write_budget_, write_budget_at_;
+    double write_budget_, write_budget_refilled_at_;
     double next_backlog_check_at_ = 0;
     std::uint64_t committed_count_ = 0;
 };
--- a/src/persistence/final_states.hpp
+++ b/src/persistence/final_states.hpp
@@ -31,28 +31,28 @@
 
     /// Queues the job's writes. To be called when a job gets its final state, and again when none of its tasks is left
     /// on any machine.
-    void due(cluster::Job& job, Urgency urgency);
+    void enqueue(cluster::Job& job, Urgency urgency);
     [[nodiscard]] bool waiting() const {
         return !cancelled_.empty() || !done_.empty() || dependents_wait();
     }
     /// Whether dependents wait for a write. Those that a cascade record names count too: they wait for their own
     /// records.
     [[nodiscard]] bool dependents_wait() const {
-        return !dependents_.empty() || !cascaded_.empty();
+        return !dependents_.empty() || !named_in_cascade_.empty();
     }
     /// The backlog of each queue.
     [[nodiscard]] std::vector<persistence::Backlog> backlog() const;
     /// Adds the writes of queued jobs to the transaction.
     /// @param intents_wait whether intents are due; if so, some transactions leave room for them
-    void collect(persistence::TransactionBuilder& transaction, bool intents_wait);
+    void add_writes(persistence::TransactionBuilder& transaction, bool intents_wait);
     /// Processes the outcome of the transaction for jobs that still had tasks on machines when it was built.
     void committed(bool applied);
     /// Processes the outcome for jobs whose job record was to be removed, and forgets these jobs if it was. To be
     /// called after all other kinds of records have processed the outcome, since they may have the same jobs in flight.
     void committed_removals(bool applied);
     void forget_in_flight() {
-        named_in_flight_.clear();
-        removed_in_flight_.clear();
+        updates_in_flight_.clear();
+        removals_in_flight_.clear();
     }
 
     // The functions below are called by `CascadeRecords`.
@@ -63,9 +63,9 @@
         return dependents_.empty() ? nullptr : *dependents_.begin();
     }
     /// Takes the job that `oldest_dependent` returns out of its queue, for a cascade record that is going to name it.
-    cluster::Job& take_dependent();
-    /// Puts a job that `take_dependent` returned back into its queue, since the cascade record was not stored.
-    void give_back_dependent(cluster::Job& job);
+    cluster::Job& take_oldest_dependent();
+    /// Puts a job that `take_oldest_dependent` returned back into its queue, since the cascade record was not stored.
+    void requeue_dependent(cluster::Job& job);
     /// To be called when a cascade record in the store names the job. Reports the final state to clients and queues the
     /// job's own records, to be written when a transaction has room.
     void stored_in_cascade(cluster::Job& job);
@@ -73,8 +73,8 @@
 private:
     struct EarlierTurn {
         bool operator()(const cluster::Job* a, const cluster::Job* b) const {
-            if (a->final_turn != b->final_turn)
-                return a->final_turn < b->final_turn;
+            if (a->final_sort_key != b->final_sort_key)
+                return a->final_sort_key < b->final_sort_key;
             return a->spec.id < b->spec.id;
         }
     };
@@ -84,7 +84,7 @@
         Queue* queue; // The queue that the job was taken from.
     };
 
-    bool must_leave_room(bool intents_wait);
+    bool must_leave_room_for_intents(bool intents_wait);
     Queue& next_queue();
     [[nodiscard]] persistence::Backlog backlog_of(const char* kind, const Queue& queue) const;
     static void push(Queue& queue, cluster::Job& job, double turn);
@@ -93,8 +93,8 @@
     void put_final_record(persistence::TransactionBuilder& transaction, const cluster::Job& job);
     void put_job_record(persistence::TransactionBuilder& transaction, const cluster::Job& job);
     void retry(const std::vector<InFlight>& refused);
-    void put_back(cluster::Job& job, Queue& queue);
-    void stored(cluster::Job& job);
+    void requeue(cluster::Job& job, Queue& queue);
+    void mark_stored(cluster::Job& job);
     void forget_job(cluster::Job& job);
 
     cluster::ClusterState& cluster_;
@@ -102,12 +102,12 @@
     ReadyRecords& ready_;
     CascadeRecords& cascades_;
     Queue cancelled_, done_, dependents_;
-    Queue cascaded_;                 // Dependents that a cascade record in the store names.
-    std::size_t since_cascaded_ = 0; // The number of jobs written since the last one from `cascaded_`.
-    bool left_no_room_ = false;      // Whether the last transaction left no room for intents.
+    Queue named_in_cascade_;                 // Dependents that a cascade record in the store names.
+    std::size_t since_named_in_cascade_ = 0; // The number of jobs written since the last one from `named_in_cascade_`.
+    bool left_no_room_for_intents_ = false;  // Whether the last transaction left no room for intents.
     // Jobs of the transaction in flight: those whose job record gets the final state, and those whose job record is
     // removed.
-    std::vector<InFlight> named_in_flight_, removed_in_flight_;
+    std::vector<InFlight> updates_in_flight_, removals_in_flight_;
 };
 
 } // namespace heronshift
--- a/src/persistence/image_hints.cpp
+++ b/src/persistence/image_hints.cpp
@@ -13,7 +13,8 @@
 
 // Estimated bytes of an encoded record: those of an empty record, those around the id of a machine, those of an image
 // index in a machine's list and those around the name of an image.
-constexpr std::size_t bytes_of_record = 40, bytes_around_machine = 8, bytes_of_index = 4, bytes_around_image = 28;
+constexpr std::size_t record_overhead_bytes = 40, machine_overhead_bytes = 8, index_bytes = 4,
+                      image_overhead_bytes = 28;
 
 // Builds a record from as many machines as fit into `max_bytes`.
 class RecordBuilder {
@@ -24,10 +25,10 @@
 
     // Returns false, and adds nothing, if the record has no room for the machine.
     bool add(const cluster::Machine& machine) {
-        const auto more = bytes_of(machine);
-        if (size_ + more > max_bytes_)
+        const auto added_bytes = bytes_of(machine);
+        if (size_ + added_bytes > max_bytes_)
             return false;
-        size_ += more;
+        size_ += added_bytes;
         std::vector<std::size_t> held;
         for (const auto& cached : machine.images)
             if (cached.ready)
@@ -45,27 +46,27 @@
 
 private:
     [[nodiscard]] std::size_t bytes_of(const cluster::Machine& machine) const {
-        auto bytes = machine.id.size() + bytes_around_machine;
+        auto bytes = machine.id.size() + machine_overhead_bytes;
         for (const auto& cached : machine.images) {
             if (!cached.ready)
                 continue;
-            bytes += bytes_of_index;
+            bytes += index_bytes;
             if (!indices_.contains(cached.image))
-                bytes += names_[static_cast<std::size_t>(cached.image)]->size() + bytes_around_image;
+                bytes += names_[static_cast<std::size_t>(cached.image)]->size() + image_overhead_bytes;
         }
         return bytes;
     }
     std::size_t index_of(int image) {
-        const auto [at, fresh] = indices_.emplace(image, record_.images.size());
+        const auto [at, inserted] = indices_.emplace(image, record_.images.size());
         const auto i = static_cast<std::size_t>(image);
-        if (fresh)
+        if (inserted)
             record_.images.push_back(persistence::ImageRecord::Image{*names_[i], sizes_gb_[i]});
         return at->second;
     }
 
     const std::vector<const std::string*>& names_;
     const std::vector<double>& sizes_gb_;
-    std::size_t max_bytes_, size_ = bytes_of_record;
+    std::size_t max_bytes_, size_ = record_overhead_bytes;
     std::unordered_map<int, std::size_t> indices_; // The index in the record, by the cluster's number of the image.
     persistence::ImageRecord record_;
 };
@@ -80,28 +81,28 @@
     return names;
 }
 
-void ClusterRecords::ImageHints::collect(persistence::TransactionBuilder& transaction) {
+void ClusterRecords::ImageHints::add_writes(persistence::TransactionBuilder& transaction) {
     const auto& data = cluster_.view();
-    if (data.now < next_write_at_ || data.machines.empty() || transaction.full(limits_.max_writes / 2))
+    if (data.now < next_write_at_ || data.machines.empty() || transaction.would_overflow(limits_.max_writes / 2))
         return;
     next_write_at_ = data.now + 2 * settings_.report_s;
     const auto names = image_names();
     RecordBuilder builder(names, data.image_gb, limits_.max_record_bytes);
-    auto it = next_record_ == 0 ? data.machines.begin() : data.machines.upper_bound(after_machine_);
+    auto it = next_record_ == 0 ? data.machines.begin() : data.machines.upper_bound(last_machine_written_);
     for (; it != data.machines.end() && builder.add(*it->second); ++it)
-        after_machine_ = it->first;
+        last_machine_written_ = it->first;
     const auto number = next_record_++;
     if (it == data.machines.end())
-        begin_anew();
+        start_next_cycle();
     transaction.put(persistence::image_key(number), persistence::encode_images(builder.record()), builder.size());
 }
 
 // Starts again with the first machine, since all machines are written. Records with numbers beyond the last one written
 // were needed when the cluster was larger, and are removed.
-void ClusterRecords::ImageHints::begin_anew() {
-    for (auto number = next_record_; number < records_; ++number)
+void ClusterRecords::ImageHints::start_next_cycle() {
+    for (auto number = next_record_; number < stored_record_count_; ++number)
         obsolete_records_.add(persistence::image_key(number));
-    records_ = next_record_;
+    stored_record_count_ = next_record_;
     next_record_ = 0;
 }
 
@@ -112,7 +113,7 @@
 
 void ClusterRecords::ImageHints::load_record(const codec::Item& item) {
     if (const auto number = persistence::record_number(item.key); number)
-        records_ = std::max(records_, *number + 1);
+        stored_record_count_ = std::max(stored_record_count_, *number + 1);
     const auto record = persistence::decode_images(item.value);
     std::vector<int> ids; // The cluster's numbers of the images, by their index in the record; -1 if damaged.
     for (const auto& image : record.images)
--- a/src/persistence/image_hints.hpp
+++ b/src/persistence/image_hints.hpp
@@ -20,13 +20,13 @@
                ObsoleteRecords& obsolete)
         : cluster_(cluster), settings_(settings), limits_(limits), obsolete_records_(obsolete) {}
 
-    void collect(persistence::TransactionBuilder& transaction);
+    void add_writes(persistence::TransactionBuilder& transaction);
     void load(const std::vector<codec::Item>& items);
 
 private:
     void load_record(const codec::Item& item);
     [[nodiscard]] std::vector<const std::string*> image_names() const;
-    void begin_anew();
+    void start_next_cycle();
 
     cluster::ClusterState& cluster_;
     const Settings& settings_;
@@ -34,8 +34,8 @@
     ObsoleteRecords& obsolete_records_;
     double next_write_at_ = 0;
     // The number of the record to be written next, and how many records the store holds.
-    std::size_t next_record_ = 0, records_ = 0;
-    std::string after_machine_; // The last machine in the record that was written last.
+    std::size_t next_record_ = 0, stored_record_count_ = 0;
+    std::string last_machine_written_; // The last machine in the record that was written last.
 };
 
 } // namespace heronshift
--- a/src/persistence/intent_records.cpp
+++ b/src/persistence/intent_records.cpp
@@ -17,9 +17,9 @@
 
 // New intents go only into records whose live intents, which are written again with them, take less than this share of
 // the longest record.
-constexpr double max_carried_share = 0.25;
+constexpr double max_live_share = 0.25;
 // Up to this number of new intents are not sorted by urgency, since they all fit into one write.
-constexpr std::size_t few_unrecorded = 16;
+constexpr std::size_t max_unsorted = 16;
 
 // Only these jobs have rules about zones. The intents of others are written without the zone, which would take a third
 // of a line.
@@ -30,7 +30,7 @@
 // Whether the intent may be stored: not before the job record says that the job no longer waits for dependencies
 // (invariant 14).
 bool may_record(const Entry& entry) {
-    return entry.job->ready_recorded || entry.job->final != cluster::Final::none;
+    return entry.job->ready_recorded || entry.job->final != cluster::FinalState::none;
 }
 
 // The order of intents in a record: by machine, and for a machine by job and attempt, so that `intents::Writer` can
@@ -63,54 +63,54 @@
 ClusterRecords::IntentRecords::IntentRecords(cluster::ClusterState& cluster, const Settings& settings,
                                              const StoreLimits& limits, ObsoleteRecords& obsolete)
     : cluster_(cluster), settings_(settings), limits_(limits), obsolete_records_(obsolete),
-      records_(persistence::first_intent_records) {}
+      records_(persistence::initial_intent_records) {}
 
 void ClusterRecords::IntentRecords::add(Entry& entry) {
     put(entry, no_record);
 }
 
 void ClusterRecords::IntentRecords::remove(Entry& entry) {
-    leave(entry);
+    remove_from_list(entry);
     if (entry.slot >= 0)
         ++records_[static_cast<std::size_t>(entry.slot)].obsolete;
-    if (entry.carried_from >= 0)
-        ++records_[static_cast<std::size_t>(entry.carried_from)].obsolete;
+    if (entry.moved_from_slot >= 0)
+        ++records_[static_cast<std::size_t>(entry.moved_from_slot)].obsolete;
 }
 
-std::vector<Entry*>& ClusterRecords::IntentRecords::list_of(int record) {
+std::vector<Entry*>& ClusterRecords::IntentRecords::entries_of(int record) {
     return record < 0 ? unrecorded_ : records_[static_cast<std::size_t>(record)].entries;
 }
 
 void ClusterRecords::IntentRecords::put(Entry& entry, int record) {
-    auto& list = list_of(record);
+    auto& list = entries_of(record);
     entry.slot = record;
-    entry.at_slot = list.size();
+    entry.slot_position = list.size();
     list.push_back(&entry);
 }
 
-void ClusterRecords::IntentRecords::leave(Entry& entry) {
-    auto& list = list_of(entry.slot);
-    list[entry.at_slot] = list.back();
-    list[entry.at_slot]->at_slot = entry.at_slot;
+void ClusterRecords::IntentRecords::remove_from_list(Entry& entry) {
+    auto& list = entries_of(entry.slot);
+    list[entry.slot_position] = list.back();
+    list[entry.slot_position]->slot_position = entry.slot_position;
     list.pop_back();
 }
 
 void ClusterRecords::IntentRecords::move(Entry& entry, int record) {
-    leave(entry);
+    remove_from_list(entry);
     put(entry, record);
 }
 
 persistence::Backlog ClusterRecords::IntentRecords::backlog() const {
     persistence::Backlog backlog{"intents", unrecorded_.size(), 0};
     for (const auto* entry : unrecorded_)
-        backlog.oldest_s = std::max(backlog.oldest_s, cluster_.view().now - entry->placed_at);
+        backlog.oldest_age_s = std::max(backlog.oldest_age_s, cluster_.view().now - entry->placed_at);
     return backlog;
 }
 
-void ClusterRecords::IntentRecords::collect(persistence::TransactionBuilder& transaction) {
-    if (unrecorded_.size() > few_unrecorded)
+void ClusterRecords::IntentRecords::add_writes(persistence::TransactionBuilder& transaction) {
+    if (unrecorded_.size() > max_unsorted)
         order_by_urgency();
-    while (!transaction.full(1) && any_recordable())
+    while (!transaction.would_overflow(1) && any_recordable())
         if (!write_record(transaction, emptiest_record()))
             break;
     rewrite_one_obsolete(transaction);
@@ -129,7 +129,7 @@
         return a->placed_at > b->placed_at;
     });
     for (std::size_t i = 0; i < unrecorded_.size(); ++i)
-        unrecorded_[i]->at_slot = i;
+        unrecorded_[i]->slot_position = i;
 }
 
 bool ClusterRecords::IntentRecords::in_flight(std::size_t number) const {
@@ -148,7 +148,7 @@
 // store already holds. Adds a new record if all existing ones are too full.
 std::size_t ClusterRecords::IntentRecords::emptiest_record() {
     auto best = records_.size();
-    double least = static_cast<double>(limits_.max_record_bytes) * max_carried_share;
+    double least = static_cast<double>(limits_.max_record_bytes) * max_live_share;
     for (std::size_t number = 0; number < records_.size(); ++number) {
         const double live = live_bytes(records_[number]);
         if (live >= least || in_flight(number))
@@ -222,7 +222,7 @@
         auto& entry = *from.back();
         if (!take(entry, number, size))
             break;
-        entry.carried_from = static_cast<int>(*oversized_);
+        entry.moved_from_slot = static_cast<int>(*oversized_);
     }
     if (from.empty())
         oversized_.reset();
@@ -233,14 +233,14 @@
 // oversized one.
 void ClusterRecords::IntentRecords::rewrite_one_obsolete(persistence::TransactionBuilder& transaction) {
     const auto now = cluster_.view().now;
-    if (now < next_rewrite_at_ || transaction.full(limits_.max_writes / 2) || any_recordable())
+    if (now < next_rewrite_at_ || transaction.would_overflow(limits_.max_writes / 2) || any_recordable())
         return;
     const auto count = records_.size();
     for (std::size_t n = 0; n < count; ++n) {
-        const auto number = next_rewritten_;
-        const bool worth = records_[number].obsolete > 0 || oversized_;
-        const bool written = worth && !in_flight(number) && write_record(transaction, number);
-        next_rewritten_ = (number + 1) % count;
+        const auto number = next_rewrite_candidate_;
+        const bool worth_rewriting = records_[number].obsolete > 0 || oversized_;
+        const bool written = worth_rewriting && !in_flight(number) && write_record(transaction, number);
+        next_rewrite_candidate_ = (number + 1) % count;
         if (!written)
             continue;
         next_rewrite_at_ = now + settings_.report_s / 10;
@@ -250,16 +250,17 @@
 
 void ClusterRecords::IntentRecords::committed(bool applied) {
     for (const auto number : std::exchange(in_flight_, {})) {
-        const auto entries = records_[number].entries; // A copy, since `settle` may move entries out of the record.
+        const auto entries =
+            records_[number].entries; // A copy, since `apply_outcome` may move entries out of the record.
         for (auto* entry : entries)
-            settle(*entry, applied);
+            apply_outcome(*entry, applied);
         if (!applied)
             ++records_[number].obsolete;
     }
 }
 
-void ClusterRecords::IntentRecords::settle(Entry& entry, bool applied) {
-    if (const int from = std::exchange(entry.carried_from, no_record); from >= 0) {
+void ClusterRecords::IntentRecords::apply_outcome(Entry& entry, bool applied) {
+    if (const int from = std::exchange(entry.moved_from_slot, no_record); from >= 0) {
         if (applied)
             ++records_[static_cast<std::size_t>(from)].obsolete;
         else
@@ -273,7 +274,7 @@
         return;
     entry.phase = applied ? Phase::stored : Phase::intent;
     if (applied)
-        cluster_.want_orders(*entry.machine);
+        cluster_.queue_for_orders(*entry.machine);
 }
 
 void ClusterRecords::IntentRecords::load(const std::vector<codec::Item>& items) {
@@ -289,9 +290,9 @@
     for (const auto& intent : stored.content.intents)
         load_intent(intent, number ? static_cast<int>(*number) : no_record);
     for (const auto& machine : stored.content.unproven)
-        hold_unproven(machine);
+        mark_unproven(machine);
     if (stored.content.damaged)
-        hold_unproven("");
+        mark_unproven("");
     if (!number) {
         obsolete_records_.add(item.key);
         return;
@@ -307,11 +308,11 @@
     // A job record is removed only when none of the job's tasks is left on any machine, so this intent is out of date.
     if (job == nullptr || intent.index >= job->tasks.size())
         return;
-    auto& machine = cluster_.learn_machine(intent.machine, "", "", intent.zone, false);
+    auto& machine = cluster_.find_or_add_machine(intent.machine, "", "", intent.zone, false);
     machine.agent_epoch = std::max(machine.agent_epoch, intent.agent_epoch);
     // The previous leader may have renewed the machine's lease until this one took over, so it is taken to start now.
     machine.lease_started_at = cluster_.data_.now;
-    machine.status = cluster::Status::up;
+    machine.status = cluster::MachineStatus::up;
     for (const auto& entry : machine.entries)
         if (entry->job == job && entry->index == intent.index && entry->attempt == intent.attempt)
             return;
@@ -326,16 +327,16 @@
     move(entry, record);
 }
 
-void ClusterRecords::IntentRecords::hold_unproven(const std::string& machine) {
+void ClusterRecords::IntentRecords::mark_unproven(const std::string& machine) {
     cluster_.log(LogLine::Level::warning,
                  fmt::format("a damaged record{}{}", machine.empty() ? "" : " of machine ", machine));
     cluster_.data_.unproven_until = cluster_.data_.now + cluster_.lease_expiry_s();
     cluster_.data_.unproven_machines.insert(machine);
     if (machine.empty())
         return;
-    auto& learned = cluster_.learn_machine(machine, "", "", "", false);
-    learned.lease_started_at = cluster_.data_.now;
-    learned.status = cluster::Status::up;
+    auto& known_machine = cluster_.find_or_add_machine(machine, "", "", "", false);
+    known_machine.lease_started_at = cluster_.data_.now;
+    known_machine.status = cluster::MachineStatus::up;
 }
 
 } // namespace heronshift
--- a/src/persistence/intent_records.hpp
+++ b/src/persistence/intent_records.hpp
@@ -20,7 +20,7 @@
 /// Each record has room for many intents. New intents go into the record with the fewest bytes of live intents, that
 /// is, of intents whose entry still exists. The record is written again with its live intents and the new ones. So one
 /// write stores many launches, and no live intent is ever missing from the store. `Entry::slot` is the number of the
-/// record that holds the intent (-1: none yet), `Entry::at_slot` its index in `Record::entries`.
+/// record that holds the intent (-1: none yet), `Entry::slot_position` its index in `Record::entries`.
 class ClusterRecords::IntentRecords {
 public:
     IntentRecords(cluster::ClusterState& cluster, const Settings& settings, const StoreLimits& limits,
@@ -33,7 +33,7 @@
         return !unrecorded_.empty();
     }
     [[nodiscard]] persistence::Backlog backlog() const;
-    void collect(persistence::TransactionBuilder& transaction);
+    void add_writes(persistence::TransactionBuilder& transaction);
     void committed(bool applied);
     void forget_in_flight() {
         in_flight_.clear();
@@ -49,7 +49,7 @@
     /// a heartbeat of the machine in this term, or the expiry of its lease, no task is placed on any machine. If
     /// `machine` is empty, the record may have named any machine, and only the expiry of all leases ends this.
     /// (ADamagedRecordKeepsItsMachineOccupiedUntilItIsProven)
-    void hold_unproven(const std::string& machine);
+    void mark_unproven(const std::string& machine);
 
 private:
     static constexpr int no_record = -1;
@@ -61,9 +61,9 @@
     };
 
     void load_record(const codec::Item& item);
-    std::vector<cluster::Entry*>& list_of(int record);
+    std::vector<cluster::Entry*>& entries_of(int record);
     void put(cluster::Entry& entry, int record);
-    void leave(cluster::Entry& entry);
+    void remove_from_list(cluster::Entry& entry);
     void move(cluster::Entry& entry, int record);
 
     [[nodiscard]] bool any_recordable() const;
@@ -76,7 +76,7 @@
     void take_unrecorded(std::size_t number, std::size_t& size);
     void take_from_oversized(std::size_t number, std::size_t& size);
     void rewrite_one_obsolete(persistence::TransactionBuilder& transaction);
-    void settle(cluster::Entry& entry, bool applied);
+    void apply_outcome(cluster::Entry& entry, bool applied);
 
     cluster::ClusterState& cluster_;
     const Settings& settings_;
@@ -84,7 +84,7 @@
     ObsoleteRecords& obsolete_records_;
     std::vector<Record> records_;
     std::vector<cluster::Entry*> unrecorded_;
-    std::size_t next_rewritten_ = 0;
+    std::size_t next_rewrite_candidate_ = 0;
     double next_rewrite_at_ = 0;
     // The number of a record whose live intents exceed the size limit; they are moved to other records.
     std::optional<std::size_t> oversized_;
--- a/src/persistence/intents.cpp
+++ b/src/persistence/intents.cpp
@@ -11,7 +11,7 @@
 constexpr std::string_view unknown_zone = "-";
 
 // Removes a number from the front of the text and decodes it. Returns false if the text does not start with one.
-template <class Number> bool take_number(std::string_view& text, Number& out) {
+template <class Number> bool parse_number(std::string_view& text, Number& out) {
     const auto [parsed, error] = std::from_chars(text.data(), text.data() + text.size(), out);
     if (error != std::errc() || parsed == text.data())
         return false;
@@ -28,7 +28,7 @@
 }
 
 // Decodes "JOB/FIRST-LAST:ATTEMPT", with the machine of `line`. Returns false if it is malformed.
-bool read_tasks(std::string_view word, const Intent& line, std::vector<Intent>& out) {
+bool parse_tasks(std::string_view word, const Intent& line, std::vector<Intent>& out) {
     const auto slash = word.find('/');
     const auto colon = word.rfind(':');
     if (slash == std::string_view::npos || colon == std::string_view::npos || colon < slash)
@@ -40,7 +40,7 @@
     std::uint32_t first = 0, last = 0;
     if (!codec::valid_job_id(intent.job) || !parse_range(range, first, last) || !range.empty())
         return false;
-    if (!take_number(attempt, intent.attempt) || !attempt.empty())
+    if (!parse_number(attempt, intent.attempt) || !attempt.empty())
         return false;
     for (intent.index = first; intent.index <= last; ++intent.index)
         out.push_back(intent);
@@ -49,24 +49,24 @@
 
 // Decodes a line, that is, a machine and its tasks. Returns false if any of it is malformed. `machine` receives what
 // can be read of the machine.
-bool read_line(std::string_view line, Intent& machine, std::vector<Intent>& out) {
+bool parse_line(std::string_view line, Intent& machine, std::vector<Intent>& out) {
     machine.machine = next_word(line, ' ');
     machine.zone = next_word(line, ' ');
     if (machine.zone == unknown_zone)
         machine.zone.clear();
     auto agent_epoch = next_word(line, ' ');
-    bool good = take_number(agent_epoch, machine.agent_epoch) && agent_epoch.empty() && !line.empty();
-    while (good && !line.empty())
-        good = read_tasks(next_word(line, ' '), machine, out);
-    return good;
+    bool valid = parse_number(agent_epoch, machine.agent_epoch) && agent_epoch.empty() && !line.empty();
+    while (valid && !line.empty())
+        valid = parse_tasks(next_word(line, ' '), machine, out);
+    return valid;
 }
 
 } // namespace
 
 void Writer::end_range() {
-    if (!open_)
+    if (!range_open_)
         return;
-    open_ = false;
+    range_open_ = false;
     text_ += first_ == last_ ? fmt::format(" {}/{}:{}", job_, first_, attempt_)
                              : fmt::format(" {}/{}-{}:{}", job_, first_, last_, attempt_);
 }
@@ -74,7 +74,7 @@
 void Writer::add(std::string_view machine, std::string_view zone, std::uint64_t agent_epoch, std::string_view job,
                  std::uint32_t index, std::uint64_t attempt) {
     const bool same_machine = machine == machine_ && zone == zone_ && agent_epoch == agent_epoch_;
-    if (open_ && same_machine && job == job_ && attempt == attempt_ && index == last_ + 1) {
+    if (range_open_ && same_machine && job == job_ && attempt == attempt_ && index == last_ + 1) {
         last_ = index;
         return;
     }
@@ -90,7 +90,7 @@
     job_ = job;
     attempt_ = attempt;
     first_ = last_ = index;
-    open_ = true;
+    range_open_ = true;
 }
 
 std::string Writer::take() {
@@ -99,11 +99,11 @@
     return std::move(text_);
 }
 
-Read read(std::string_view text) {
-    Read result;
+DecodedRecord read(std::string_view text) {
+    DecodedRecord result;
     while (!text.empty()) {
         Intent machine;
-        if (read_line(next_word(text, '\n'), machine, result.intents))
+        if (parse_line(next_word(text, '\n'), machine, result.intents))
             continue;
         if (machine.machine.empty())
             result.damaged = true;
@@ -116,18 +116,18 @@
 bool parse_range(std::string_view& text, std::uint32_t& first, std::uint32_t& last) {
     if (text.starts_with(','))
         text.remove_prefix(1);
-    if (!take_number(text, first))
+    if (!parse_number(text, first))
         return false;
     last = first;
     if (text.starts_with('-')) {
         text.remove_prefix(1);
-        if (!take_number(text, last))
+        if (!parse_number(text, last))
             return false;
     }
     return first <= last && last < codec::max_tasks;
 }
 
-std::string ranges_of(const std::vector<bool>& bits, std::size_t max_bytes) {
+std::string encode_ranges(const std::vector<bool>& bits, std::size_t max_bytes) {
     // Enough for a comma, a hyphen and two indices below `codec::max_tasks`.
     constexpr std::size_t max_range_bytes = 14;
     std::string out;
--- a/src/persistence/intents.hpp
+++ b/src/persistence/intents.hpp
@@ -36,28 +36,28 @@
     std::string text_, machine_, zone_, job_;
     std::uint64_t agent_epoch_ = 0, attempt_ = 0;
     std::uint32_t first_ = 0, last_ = 0;
-    bool open_ = false;
+    bool range_open_ = false;
 };
 
 /// The contents of a record, as far as they can be decoded.
-struct Read {
+struct DecodedRecord {
     std::vector<Intent> intents;
     std::vector<std::string> unproven; ///< Machines whose line is damaged, so that any task may be on them.
     bool damaged = false;              ///< Whether there are damaged lines from which not even the machine can be read.
 };
 /// Decodes a record. Of a damaged line, the tasks before the first damaged one are decoded, and its machine is added to
 /// `unproven`.
-[[nodiscard]] Read read(std::string_view text);
+[[nodiscard]] DecodedRecord read(std::string_view text);
 
 /// Encodes the indices of the set bits as ranges, such as "0-3,7". Ranges that do not fit into `max_bytes` are left
 /// out.
-[[nodiscard]] std::string ranges_of(const std::vector<bool>& bits, std::size_t max_bytes);
+[[nodiscard]] std::string encode_ranges(const std::vector<bool>& bits, std::size_t max_bytes);
 /// Removes the next range from the front of the text and decodes it. Returns false if the text is empty or the range is
 /// malformed or reaches beyond `codec::max_tasks`.
 [[nodiscard]] bool parse_range(std::string_view& text, std::uint32_t& first, std::uint32_t& last);
 
 /// Calls `f` for each index in the ranges, up to the first malformed range.
-template <class F> void each_in_ranges(std::string_view text, F f) {
+template <class F> void for_each_in_ranges(std::string_view text, F f) {
     std::uint32_t first = 0, last = 0;
     while (parse_range(text, first, last))
         for (auto i = first; i <= last; ++i)
--- a/src/persistence/layout.hpp
+++ b/src/persistence/layout.hpp
@@ -40,13 +40,13 @@
 inline constexpr std::string_view image_prefix = "c/";
 inline constexpr std::string_view learned_prefix = "l/";
 inline constexpr std::string_view cascade_prefix = "x/";
-inline constexpr std::string_view previous_progress_prefix = "p/"; ///< Only read, never written.
-inline constexpr std::string_view earlier_machine_prefix = "m/";   ///< Read, then removed.
-inline constexpr std::string_view earlier_job_prefix = "d/";       ///< Read, then removed.
+inline constexpr std::string_view legacy_progress_prefix = "p/"; ///< Only read, never written.
+inline constexpr std::string_view legacy_machine_prefix = "m/";  ///< DecodedRecord, then removed.
+inline constexpr std::string_view legacy_job_prefix = "d/";      ///< DecodedRecord, then removed.
 
-inline constexpr std::size_t first_intent_records = 32; ///< More records are added when these are full.
+inline constexpr std::size_t initial_intent_records = 32; ///< More records are added when these are full.
 /// Never changed, since the number of a job's progress record is a hash of its id modulo this number.
-inline constexpr std::size_t progress_records = 64;
+inline constexpr std::size_t progress_record_count = 64;
 
 /// All cascade records have to fit into one read of the store, which returns at most 512 KiB.
 inline constexpr std::size_t max_cascade_records = 32;
