--- a/src/persistence/learned_rates.hpp
+++ b/src/persistence/learned_rates.hpp
@@ -15,7 +15,7 @@
     LearnedRates(cluster::ClusterState& cluster, const Settings& settings, const StoreLimits& limits)
         : cluster_(cluster), settings_(settings), limits_(limits) {}
 
-    void collect(persistence::TransactionBuilder& transaction);
+    void add_writes(persistence::TransactionBuilder& transaction);
     void load(const std::vector<codec::Item>& items, double wall);
 
 private:
--- a/src/persistence/load.cpp
+++ b/src/persistence/load.cpp
@@ -11,13 +11,13 @@
 
 namespace heronshift {
 
-using cluster::Final;
+using cluster::FinalState;
 using cluster::Job;
 
 namespace {
 
 void load_final(Job& job, std::string_view status) {
-    job.final = status == codec::status_done ? Final::done : Final::cancelled;
+    job.final = status == codec::status_done ? FinalState::done : FinalState::cancelled;
     job.final_stored = true;
 }
 
@@ -32,16 +32,16 @@
 
 // Loads the jobs first, since other records refer to them.
 void ClusterRecords::load(const Snapshot& stored, double wall) {
-    auto& kinds = *kinds_;
+    auto& kinds = *record_kinds_;
     load_jobs(stored.jobs, wall);
     kinds.cascades.load(stored.cascades, kinds.finals);
     kinds.images.load(stored.images);
     kinds.progress.load(stored.progress);
     kinds.intents.load(stored.intents);
-    load_earlier(stored.earlier);
+    load_legacy_records(stored.legacy);
     kinds.learned.load(stored.learned, wall);
     for (auto& [id, job] : cluster_.data_.jobs)
-        settle_loaded_job(*job);
+        finish_loading_job(*job);
     cluster_.needs_scheduling_ = true;
 }
 
@@ -60,21 +60,21 @@
     }
 }
 
-void ClusterRecords::load_earlier(const std::vector<codec::Item>& items) {
+void ClusterRecords::load_legacy_records(const std::vector<codec::Item>& items) {
     for (const auto& item : items) {
-        kinds_->obsolete.add(item.key);
-        if (item.key.starts_with(persistence::earlier_job_prefix))
-            load_earlier_job(item);
+        record_kinds_->obsolete.add(item.key);
+        if (item.key.starts_with(persistence::legacy_job_prefix))
+            load_legacy_job(item);
         else
-            load_earlier_machine(item);
+            load_legacy_machine(item);
     }
 }
 
-void ClusterRecords::load_earlier_job(const codec::Item& item) {
+void ClusterRecords::load_legacy_job(const codec::Item& item) {
     auto* job = cluster_.find_job(persistence::name_in_key(item.key));
     if (job == nullptr)
         return;
-    const auto record = persistence::decode_earlier_job(item.value);
+    const auto record = persistence::decode_legacy_job(item.value);
     if (!record)
         return;
     ProgressRecords::load_done(*job, record->done);
@@ -82,17 +82,17 @@
         load_final(*job, record->final);
 }
 
-void ClusterRecords::load_earlier_machine(const codec::Item& item) {
+void ClusterRecords::load_legacy_machine(const codec::Item& item) {
     const auto machine = persistence::name_in_key(item.key);
-    const auto record = persistence::decode_earlier_machine(machine, item.value);
+    const auto record = persistence::decode_legacy_machine(machine, item.value);
     for (const auto& intent : record.intents)
-        kinds_->intents.load_intent(intent, -1); // The intent is not yet in a record of the current layout.
+        record_kinds_->intents.load_intent(intent, -1); // The intent is not yet in a record of the current layout.
     if (record.damaged)
-        kinds_->intents.hold_unproven(machine);
+        record_kinds_->intents.mark_unproven(machine);
 }
 
 // Completes the state of a job once all records are loaded.
-void ClusterRecords::settle_loaded_job(Job& job) {
+void ClusterRecords::finish_loading_job(Job& job) {
     // Tasks that may be running or are done are no longer pending; otherwise machines would be rented for them
     // (NothingIsRentedForWhatRunsAlready).
     std::erase_if(job.pending, [&](std::uint32_t index) {
@@ -108,9 +108,9 @@
         if (job.live < job.spec.tasks - job.done)
             cluster_.break_gang(job);
     }
-    if (job.final == Final::none && job.done == job.spec.tasks)
-        cluster_.finalize(job, Final::done);
-    if (job.final == Final::none)
+    if (job.final == FinalState::none && job.done == job.spec.tasks)
+        cluster_.finalize(job, FinalState::done);
+    if (job.final == FinalState::none)
         return;
     for (auto& entry : job.entries)
         cluster_.stop_entry(*entry, 0);
--- a/src/persistence/obsolete_records.hpp
+++ b/src/persistence/obsolete_records.hpp
@@ -19,8 +19,8 @@
     void add(std::string key) {
         keys_.push_back(std::move(key));
     }
-    void collect(persistence::TransactionBuilder& transaction) {
-        while (!keys_.empty() && !transaction.full(1)) {
+    void add_writes(persistence::TransactionBuilder& transaction) {
+        while (!keys_.empty() && !transaction.would_overflow(1)) {
             transaction.erase(keys_.front());
             in_flight_.push_back(std::move(keys_.front()));
             keys_.pop_front();
--- a/src/persistence/progress_records.cpp
+++ b/src/persistence/progress_records.cpp
@@ -11,14 +11,14 @@
 namespace heronshift {
 
 using cluster::Job;
-using persistence::progress_records;
+using persistence::progress_record_count;
 
 namespace {
 
 // The share of the store's write budget that progress records may use.
-constexpr double max_share = 0.15;
+constexpr double max_write_share = 0.15;
 // The quotes and separators around the id and the ranges of one job.
-constexpr std::size_t bytes_around_ranges = 6;
+constexpr std::size_t job_overhead_bytes = 6;
 constexpr std::uint64_t fnv_offset = 14695981039346656037U, fnv_prime = 1099511628211U;
 
 std::vector<bool> done_tasks(const Job& job) {
@@ -32,28 +32,28 @@
 
 ClusterRecords::ProgressRecords::ProgressRecords(cluster::ClusterState& cluster, const Settings& settings,
                                                  const StoreLimits& limits)
-    : cluster_(cluster), settings_(settings), limits_(limits), records_(progress_records) {}
+    : cluster_(cluster), settings_(settings), limits_(limits), records_(progress_record_count) {}
 
 // Uses FNV-1a, which gives the same result on every machine and in every version, unlike `std::hash`.
-std::size_t ClusterRecords::ProgressRecords::number_of(std::string_view job) {
+std::size_t ClusterRecords::ProgressRecords::record_number_of(std::string_view job) {
     auto hash = fnv_offset;
     for (const char c : job)
         hash = (hash ^ static_cast<unsigned char>(c)) * fnv_prime;
-    return hash % progress_records;
+    return hash % progress_record_count;
 }
 
 void ClusterRecords::ProgressRecords::changed(const Job& job) {
-    auto& record = records_[job.bucket];
+    auto& record = records_[job.progress_record];
     if (record.changed)
         return;
     record.changed = true;
     record.changed_at = cluster_.view().now;
 }
 
-void ClusterRecords::ProgressRecords::collect(persistence::TransactionBuilder& transaction) {
-    const double wait_s =
-        std::max(settings_.report_s, static_cast<double>(progress_records) / (max_share * settings_.state_write_rps));
-    for (std::size_t number = 0; number < records_.size() && !transaction.full(1); ++number)
+void ClusterRecords::ProgressRecords::add_writes(persistence::TransactionBuilder& transaction) {
+    const double wait_s = std::max(settings_.report_s, static_cast<double>(progress_record_count) /
+                                                           (max_write_share * settings_.state_write_rps));
+    for (std::size_t number = 0; number < records_.size() && !transaction.would_overflow(1); ++number)
         if (records_[number].changed && cluster_.view().now - records_[number].changed_at >= wait_s)
             write(transaction, number);
 }
@@ -61,15 +61,15 @@
 void ClusterRecords::ProgressRecords::write(persistence::TransactionBuilder& transaction, std::size_t number) {
     std::vector<Job*> jobs;
     for (auto& [id, job] : cluster_.data_.jobs)
-        if (job->bucket == number && job->final == cluster::Final::none && job->done > 0)
+        if (job->progress_record == number && job->final == cluster::FinalState::none && job->done > 0)
             jobs.push_back(job.get());
     const auto max_bytes = limits_.max_record_bytes / std::max<std::size_t>(1, jobs.size());
     std::vector<persistence::JobProgress> progress;
     std::size_t size = 0;
     for (auto* job : jobs) {
-        const auto around = job->spec.id.size() + bytes_around_ranges;
-        auto done = intents::ranges_of(done_tasks(*job), max_bytes > around ? max_bytes - around : 0);
-        size += done.size() + around;
+        const auto overhead = job->spec.id.size() + job_overhead_bytes;
+        auto done = intents::encode_ranges(done_tasks(*job), max_bytes > overhead ? max_bytes - overhead : 0);
+        size += done.size() + overhead;
         progress.push_back({job->spec.id, std::move(done)});
         if (!job->unstored.empty())
             tasks_in_flight_.push_back({job, std::exchange(job->unstored, {})});
@@ -103,7 +103,7 @@
 }
 
 void ClusterRecords::ProgressRecords::load_done(Job& job, std::string_view ranges) {
-    intents::each_in_ranges(ranges, [&](std::uint32_t index) {
+    intents::for_each_in_ranges(ranges, [&](std::uint32_t index) {
         if (index >= job.tasks.size() || job.tasks[index].done)
             return;
         job.tasks[index].done = job.tasks[index].stored = true;
--- a/src/persistence/progress_records.hpp
+++ b/src/persistence/progress_records.hpp
@@ -19,10 +19,10 @@
     ProgressRecords(cluster::ClusterState& cluster, const Settings& settings, const StoreLimits& limits);
 
     /// Returns the number of the record that holds the job's done tasks. It must be the same for every leader.
-    [[nodiscard]] static std::size_t number_of(std::string_view job);
+    [[nodiscard]] static std::size_t record_number_of(std::string_view job);
     /// To be called when more tasks of the job are done; its record is then due to be written.
     void changed(const cluster::Job& job);
-    void collect(persistence::TransactionBuilder& transaction);
+    void add_writes(persistence::TransactionBuilder& transaction);
     void committed(bool applied);
     void forget_in_flight() {
         tasks_in_flight_.clear();
@@ -32,7 +32,7 @@
     // The functions below are called at a failover.
     void load(const std::vector<codec::Item>& items);
     /// Marks tasks as done and as stored.
-    /// @param ranges indices of tasks, in the format of `intents::ranges_of`
+    /// @param ranges indices of tasks, in the format of `intents::encode_ranges`
     static void load_done(cluster::Job& job, std::string_view ranges);
 
 private:
--- a/src/persistence/ready_records.hpp
+++ b/src/persistence/ready_records.hpp
@@ -28,7 +28,7 @@
         return !jobs_.empty();
     }
     [[nodiscard]] persistence::Backlog backlog() const;
-    void collect(persistence::TransactionBuilder& transaction);
+    void add_writes(persistence::TransactionBuilder& transaction);
     void committed(bool applied);
     void forget_in_flight() {
         in_flight_.clear();
--- a/src/persistence/record_kinds.hpp
+++ b/src/persistence/record_kinds.hpp
@@ -14,9 +14,9 @@
 
 namespace heronshift {
 
-struct ClusterRecords::Kinds {
-    Kinds(cluster::ClusterState& cluster, const Settings& settings, const StoreLimits& limits,
-          std::vector<Effect>& effects)
+struct ClusterRecords::RecordKinds {
+    RecordKinds(cluster::ClusterState& cluster, const Settings& settings, const StoreLimits& limits,
+                std::vector<Effect>& effects)
         : ready(cluster), cascades(cluster, settings, limits), finals(cluster, effects, ready, cascades),
           intents(cluster, settings, limits, obsolete), progress(cluster, settings, limits),
           images(cluster, settings, limits, obsolete), learned(cluster, settings, limits) {}
--- a/src/persistence/stored_records.cpp
+++ b/src/persistence/stored_records.cpp
@@ -30,15 +30,15 @@
 constexpr const char* field_ran = "ran";
 constexpr const char* field_estimated = "estimated";
 constexpr const char* field_spot_losses = "spotLosses";
-constexpr const char* field_earlier_tasks = "tasks";
-constexpr const char* field_earlier_zone = "yard";
-constexpr const char* field_earlier_agent_epoch = "tenure";
-constexpr const char* field_earlier_done = "done";
-constexpr const char* field_earlier_final = "final";
+constexpr const char* field_legacy_tasks = "tasks";
+constexpr const char* field_legacy_zone = "yard";
+constexpr const char* field_legacy_agent_epoch = "tenure";
+constexpr const char* field_legacy_done = "done";
+constexpr const char* field_legacy_final = "final";
 
 std::optional<ImageRecord::Image> decode_image(const Json& json) {
-    const bool good = json.is_array() && json.size() == 2 && json[0].is_string() && json[1].is_number();
-    if (!good)
+    const bool valid = json.is_array() && json.size() == 2 && json[0].is_string() && json[1].is_number();
+    if (!valid)
         return {};
     return ImageRecord::Image{json[0].get<std::string>(), json[1].get<double>()};
 }
@@ -56,7 +56,7 @@
 }
 
 // Reads a measured quantity. Returns -1 if it is missing or invalid.
-double quantity(const Json& value, const char* name) {
+double read_quantity(const Json& value, const char* name) {
     constexpr double limit = 1e12;
     const auto it = value.is_object() ? value.find(name) : value.end();
     const double number = it != value.end() && it->is_number() ? it->get<double>() : -1;
@@ -153,7 +153,7 @@
 Json encode_learned(const LearnedRecord& record) {
     return Json{{field_written_at, record.written_at},
                 {field_offered_load, record.offered_load},
-                {field_offered_ordinary, record.offered_ordinary},
+                {field_offered_ordinary, record.offered_on_demand},
                 {field_ran, record.ran_s},
                 {field_estimated, record.estimated_s},
                 {field_spot_losses, record.spot_losses}};
@@ -161,21 +161,21 @@
 
 std::optional<LearnedRecord> decode_learned(const Json& value) {
     LearnedRecord record;
-    record.written_at = quantity(value, field_written_at);
-    record.offered_load = quantity(value, field_offered_load);
-    record.offered_ordinary = std::max(0.0, quantity(value, field_offered_ordinary));
-    record.ran_s = quantity(value, field_ran);
-    record.estimated_s = quantity(value, field_estimated);
-    record.spot_losses = quantity(value, field_spot_losses);
+    record.written_at = read_quantity(value, field_written_at);
+    record.offered_load = read_quantity(value, field_offered_load);
+    record.offered_on_demand = std::max(0.0, read_quantity(value, field_offered_ordinary));
+    record.ran_s = read_quantity(value, field_ran);
+    record.estimated_s = read_quantity(value, field_estimated);
+    record.spot_losses = read_quantity(value, field_spot_losses);
     if (record.written_at < 0 || record.offered_load < 0 || record.ran_s <= 0 || record.estimated_s <= 0 ||
         record.spot_losses < 0)
         return {};
     return record;
 }
 
-EarlierMachineRecord decode_earlier_machine(const std::string& machine, const Json& value) {
-    EarlierMachineRecord record;
-    if (!value.is_object() || !value.contains(field_earlier_tasks) || !value[field_earlier_tasks].is_array()) {
+LegacyMachineRecord decode_legacy_machine(const std::string& machine, const Json& value) {
+    LegacyMachineRecord record;
+    if (!value.is_object() || !value.contains(field_legacy_tasks) || !value[field_legacy_tasks].is_array()) {
         record.damaged = true;
         return record;
     }
@@ -185,9 +185,10 @@
     const auto number = [&](const char* name) {
         return value.contains(name) && value[name].is_number_integer() ? value[name].get<std::uint64_t>() : 0;
     };
-    const auto head = fmt::format("{} {} {} ", machine, text(field_earlier_zone), number(field_earlier_agent_epoch));
-    for (const auto& task : value[field_earlier_tasks]) {
-        const auto line = task.is_string() ? head + task.get<std::string>() : std::string();
+    const auto line_prefix =
+        fmt::format("{} {} {} ", machine, text(field_legacy_zone), number(field_legacy_agent_epoch));
+    for (const auto& task : value[field_legacy_tasks]) {
+        const auto line = task.is_string() ? line_prefix + task.get<std::string>() : std::string();
         auto read = intents::read(line);
         record.damaged = record.damaged || read.intents.size() != 1;
         for (auto& intent : read.intents)
@@ -196,11 +197,11 @@
     return record;
 }
 
-std::optional<EarlierJobRecord> decode_earlier_job(const Json& value) {
+std::optional<LegacyJobRecord> decode_legacy_job(const Json& value) {
     if (!value.is_object())
         return {};
-    return EarlierJobRecord{value.value(field_earlier_done, std::string()),
-                            value.value(field_earlier_final, std::string())};
+    return LegacyJobRecord{value.value(field_legacy_done, std::string()),
+                           value.value(field_legacy_final, std::string())};
 }
 
 } // namespace heronshift::persistence
--- a/src/persistence/stored_records.hpp
+++ b/src/persistence/stored_records.hpp
@@ -19,7 +19,7 @@
 
 /// i/NUMBER: write-ahead intents.
 struct IntentRecord {
-    intents::Read content;
+    intents::DecodedRecord content;
     std::size_t size = 0; ///< The bytes of the encoded text.
 };
 /// @param text the output of `intents::Writer`
@@ -31,7 +31,7 @@
 /// q/NUMBER and p/NUMBER: the done tasks of some jobs.
 struct JobProgress {
     std::string job;
-    std::string done; ///< Indices of tasks, in the format of `intents::ranges_of`.
+    std::string done; ///< Indices of tasks, in the format of `intents::encode_ranges`.
 };
 [[nodiscard]] codec::Json encode_progress(std::vector<JobProgress> jobs);
 /// Returns the jobs in the order of their ids. Jobs whose ranges are not a string are left out, and a malformed record
@@ -60,31 +60,31 @@
 
 /// l/0: rates that a leader has measured, for the next leader.
 struct LearnedRecord {
-    double written_at = 0;                         ///< By the wall clock, in seconds since 1970.
-    double offered_load = 0, offered_ordinary = 0; ///< Submitted work, averaged over time, decayed to `written_at`.
+    double written_at = 0;                          ///< By the wall clock, in seconds since 1970.
+    double offered_load = 0, offered_on_demand = 0; ///< Submitted work, averaged over time, decayed to `written_at`.
     double ran_s = 0, estimated_s = 0; ///< The run times of finished tasks, and what was estimated for them.
     double spot_losses = 0;            ///< Averaged over time, decayed to `written_at`.
 };
 [[nodiscard]] codec::Json encode_learned(const LearnedRecord& record);
 /// Returns nothing if a number is missing, not finite, negative or beyond 1e12, or if `ran_s` or `estimated_s` is 0.
-/// Only `offered_ordinary` becomes 0 instead, since earlier versions do not write it.
+/// Only `offered_on_demand` becomes 0 instead, since earlier versions do not write it.
 [[nodiscard]] std::optional<LearnedRecord> decode_learned(const codec::Json& value);
 
 /// m/MACHINE of the earliest layout: which tasks may be on this machine.
-struct EarlierMachineRecord {
+struct LegacyMachineRecord {
     std::vector<intents::Intent> intents;
     bool damaged = false; ///< Whether there are tasks that could not be read and are missing from `intents`.
 };
-[[nodiscard]] EarlierMachineRecord decode_earlier_machine(const std::string& machine, const codec::Json& value);
+[[nodiscard]] LegacyMachineRecord decode_legacy_machine(const std::string& machine, const codec::Json& value);
 
 /// d/JOB of the earliest layout: its done tasks and its final state.
-struct EarlierJobRecord {
-    std::string done; ///< Indices of tasks, in the format of `intents::ranges_of`.
+struct LegacyJobRecord {
+    std::string done; ///< Indices of tasks, in the format of `intents::encode_ranges`.
     /// `codec::status_done`, or any other text if the job was cancelled; empty if the job is not over.
     std::string final;
 };
 /// Returns nothing if the value is not an object.
 /// @throws codec::Json::type_error if one of the fields is not a string
-[[nodiscard]] std::optional<EarlierJobRecord> decode_earlier_job(const codec::Json& value);
+[[nodiscard]] std::optional<LegacyJobRecord> decode_legacy_job(const codec::Json& value);
 
 } // namespace heronshift::persistence
--- a/src/persistence/write_report.cpp
+++ b/src/persistence/write_report.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 // The shortest time between two log lines of the same kind.
-constexpr double min_pause_s = 1;
+constexpr double min_log_interval_s = 1;
 
 const char* name_of(TxnOutcome outcome) {
     switch (outcome) {
@@ -30,47 +30,47 @@
 
 void WriteReport::sent(const Commit& commit, double now) {
     for (const auto& write : commit.writes)
-        ++changes_[write.key.substr(0, job_prefix.size() - 1)];
-    last_size_ = commit.writes.size();
+        ++writes_by_prefix_[write.key.substr(0, job_prefix.size() - 1)];
+    last_write_count_ = commit.writes.size();
     sent_at_ = now;
     last_outcome_ = "under way";
 }
 
 std::optional<std::string> WriteReport::answered(TxnOutcome outcome, double now) {
     last_outcome_ = name_of(outcome);
-    ++transactions_[last_outcome_];
+    ++transactions_by_outcome_[last_outcome_];
     if (outcome == TxnOutcome::applied)
         return {};
-    ++untold_failures_;
-    if (now < failure_told_at_ + min_pause_s)
+    ++unlogged_failures_;
+    if (now < failure_logged_at_ + min_log_interval_s)
         return {};
-    failure_told_at_ = now;
+    failure_logged_at_ = now;
     return fmt::format("transaction not applied: {} changes, {} after {:.2f} s, {} such since the last line",
-                       last_size_, last_outcome_, now - sent_at_, std::exchange(untold_failures_, 0));
+                       last_write_count_, last_outcome_, now - sent_at_, std::exchange(unlogged_failures_, 0));
 }
 
-std::optional<std::string> WriteReport::late_records(const std::vector<Backlog>& backlogs, double now) {
+std::optional<std::string> WriteReport::overdue_records(const std::vector<Backlog>& backlogs, double now) {
     const bool late = std::any_of(backlogs.begin(), backlogs.end(),
-                                  [this](const Backlog& backlog) { return backlog.oldest_s > late_s_; });
-    if (!late || now < late_told_at_ + min_pause_s)
+                                  [this](const Backlog& backlog) { return backlog.oldest_age_s > max_wait_s_; });
+    if (!late || now < overdue_logged_at_ + min_log_interval_s)
         return {};
-    late_told_at_ = now;
+    overdue_logged_at_ = now;
     std::string waiting;
     for (const auto& backlog : backlogs)
         if (backlog.count > 0)
-            waiting += fmt::format("{}={} oldest_s={:.1f} ", backlog.kind, backlog.count, backlog.oldest_s);
-    return fmt::format("records wait for the store: {}last transaction: {} changes, {}", waiting, last_size_,
+            waiting += fmt::format("{}={} oldest_s={:.1f} ", backlog.kind, backlog.count, backlog.oldest_age_s);
+    return fmt::format("records wait for the store: {}last transaction: {} changes, {}", waiting, last_write_count_,
                        last_outcome_);
 }
 
 std::vector<metrics::Value> WriteReport::metrics() const {
     std::vector<metrics::Value> values;
-    for (const auto& [prefix, count] : changes_)
+    for (const auto& [prefix, count] : writes_by_prefix_)
         values.push_back({"heronshift_changes_total",
                           "sent to the store in this term, by prefix of the key",
                           static_cast<double>(count),
                           {{"prefix", prefix}}});
-    for (const auto& [outcome, count] : transactions_)
+    for (const auto& [outcome, count] : transactions_by_outcome_)
         values.push_back({"heronshift_transactions_total",
                           "of this term, by outcome",
                           static_cast<double>(count),
@@ -88,7 +88,7 @@
     for (const auto& backlog : backlogs)
         values.push_back({"heronshift_unstored_oldest_seconds",
                           "since the oldest of them was due, by kind",
-                          backlog.oldest_s,
+                          backlog.oldest_age_s,
                           {{"kind", backlog.kind}}});
     return values;
 }
--- a/src/persistence/write_report.hpp
+++ b/src/persistence/write_report.hpp
@@ -18,27 +18,27 @@
 /// Times are in seconds, by the steady clock.
 class WriteReport {
 public:
-    /// @param late_s records that have been due for longer than this are logged
-    explicit WriteReport(double late_s) : late_s_(late_s) {}
+    /// @param max_wait_s records that have been due for longer than this are logged
+    explicit WriteReport(double max_wait_s) : max_wait_s_(max_wait_s) {}
 
     void sent(const Commit& commit, double now);
     /// To be called with the outcome of the transaction that was sent last.
     /// @return a log line if the transaction was not applied and the last such line was at least a second ago
     [[nodiscard]] std::optional<std::string> answered(TxnOutcome outcome, double now);
     /// @return a log line if records have been due for too long and the last such line was at least a second ago
-    [[nodiscard]] std::optional<std::string> late_records(const std::vector<Backlog>& backlogs, double now);
+    [[nodiscard]] std::optional<std::string> overdue_records(const std::vector<Backlog>& backlogs, double now);
     /// The number of writes by key prefix and of transactions by outcome.
     [[nodiscard]] std::vector<metrics::Value> metrics() const;
 
 private:
-    double late_s_;
-    std::map<std::string, std::uint64_t> changes_;      // The number of writes by key prefix.
-    std::map<std::string, std::uint64_t> transactions_; // The number of transactions by outcome.
-    std::size_t last_size_ = 0;                         // The number of writes in the transaction sent last.
+    double max_wait_s_;
+    std::map<std::string, std::uint64_t> writes_by_prefix_;        // The number of writes by key prefix.
+    std::map<std::string, std::uint64_t> transactions_by_outcome_; // The number of transactions by outcome.
+    std::size_t last_write_count_ = 0;                             // The number of writes in the transaction sent last.
     double sent_at_ = 0;
     std::string last_outcome_ = "none sent";
-    std::uint64_t untold_failures_ = 0;
-    double failure_told_at_ = -1e18, late_told_at_ = -1e18;
+    std::uint64_t unlogged_failures_ = 0;
+    double failure_logged_at_ = -1e18, overdue_logged_at_ = -1e18;
 };
 
 /// Returns the backlogs as gauges.
--- a/src/replay/log_fields.hpp
+++ b/src/replay/log_fields.hpp
@@ -150,7 +150,7 @@
                                                         field("progress", &Snapshot::progress),
                                                         field("images", &Snapshot::images),
                                                         field("learned", &Snapshot::learned),
-                                                        field("earlier", &Snapshot::earlier),
+                                                        field("earlier", &Snapshot::legacy),
                                                         later_field("cascades", &Snapshot::cascades)};
 template <>
 inline constexpr auto log_fields<JobStored> =
--- a/src/scheduling/autoscaler.cpp
+++ b/src/scheduling/autoscaler.cpp
@@ -4,12 +4,12 @@
 
 namespace heronshift::scheduling {
 
-void Autoscaler::plan_capacity() {
+void Autoscaler::scale_up() {
     if (cluster_.types.empty())
         return;
     RentalPlan plan(cluster_, proposals_);
-    plan.serve_waiting();
-    plan.prepare_for_gang(kept_for_gangs_);
+    plan.plan_for_waiting_jobs();
+    plan.plan_for_next_gang(gang_ready_target_);
     plan.propose();
 }
 
--- a/src/scheduling/awaiting_room.cpp
+++ b/src/scheduling/awaiting_room.cpp
@@ -13,55 +13,55 @@
 
 // Lower bound of the time that a running task has left, as a share of its expected run time. A task may run for longer
 // than expected.
-constexpr double min_rest = 0.1;
+constexpr double min_remaining_share = 0.1;
 
 // A task on a machine, and the time until it is expected to end.
 struct EndingTask {
-    double rest_s;
+    double remaining_s;
     const Entry* entry;
 };
 
 // Orders by remaining time. Ties are broken by job and task: pointer values and the order in which heartbeats arrived
 // differ between processes and must not affect decisions.
 bool ends_before(const EndingTask& one, const EndingTask& other) {
-    return std::tie(one.rest_s, one.entry->job->spec.id, one.entry->index) <
-           std::tie(other.rest_s, other.entry->job->spec.id, other.entry->index);
+    return std::tie(one.remaining_s, one.entry->job->spec.id, one.entry->index) <
+           std::tie(other.remaining_s, other.entry->job->spec.id, other.entry->index);
 }
 
 } // namespace
 
 // The remaining run time of a task in seconds, estimated from finished tasks of its job or else from the owner's
 // estimate.
-double Placement::rest_of(const Entry& entry) const {
+double Placement::remaining_run_s(const Entry& entry) const {
     const auto& job = *entry.job;
     if (entry.stop)
         return 0;
     if (job.spec.shape != Shape::array)
         return never_s;
-    const double whole = job.runs >= min_known_runs ? job.run_sum / job.runs : estimated_run_s(cluster_, job);
+    const double total = job.runs >= min_runs_for_estimate ? job.run_sum / job.runs : estimated_run_s(cluster_, job);
     const double ran = entry.running_at >= 0 ? cluster_.now - entry.running_at : 0;
-    return std::max(whole - ran, whole * min_rest);
+    return std::max(total - ran, total * min_remaining_share);
 }
 
 // When the tasks on the machine at this position of the index are expected to end, the earliest first. Computed once
 // per pass and again after each change of the machine.
-const std::vector<Placement::Release>& Placement::releases_on(std::size_t position) {
-    auto& releases = releases_[position];
-    if (releases_known_[position] != 0)
-        return releases;
-    releases_known_[position] = 1;
+const std::vector<Placement::FreedRoom>& Placement::freed_rooms_on(std::size_t position) {
+    auto& freed_rooms = freed_rooms_[position];
+    if (freed_rooms_valid_[position] != 0)
+        return freed_rooms;
+    freed_rooms_valid_[position] = 1;
     std::vector<EndingTask> tasks;
     for (const auto& entry : index_.machines()[position]->entries)
-        tasks.push_back({rest_of(*entry), entry.get()});
+        tasks.push_back({remaining_run_s(*entry), entry.get()});
     std::sort(tasks.begin(), tasks.end(), ends_before);
-    releases.clear();
+    freed_rooms.clear();
     for (const auto& task : tasks)
-        releases.push_back({task.rest_s, task.entry->job->spec.each});
-    return releases;
+        freed_rooms.push_back({task.remaining_s, task.entry->job->spec.each});
+    return freed_rooms;
 }
 
 // Reserves room on a machine for tasks of a job until the machine's next heartbeat.
-void Placement::keep_room(const Machine& machine, const Job& job, int tasks, Priority against) {
+void Placement::reserve_room(const Machine& machine, const Job& job, int tasks, Priority against) {
     proposals_.reserve(machine, job, tasks, cluster_.now + settings_.report_s, against);
     room_changed(machine);
 }
@@ -75,14 +75,14 @@
         const auto* machine = index_.machines()[position];
         if (!may_have_room(*machine, job))
             continue;
-        auto free = machine->whole - machine->used;
+        auto free = machine->total - machine->used;
         const double cost = cost_of(*machine);
-        for (const auto& release : releases_on(position)) {
-            if (release.rest_s > within_s)
+        for (const auto& freed_room : freed_rooms_on(position)) {
+            if (freed_room.remaining_s > within_s)
                 break;
-            free += release.each;
+            free += freed_room.each;
             for (; job.spec.each.fits(free); free -= job.spec.each)
-                rooms.push_back({release.rest_s + cost, machine});
+                rooms.push_back({freed_room.remaining_s + cost, machine});
         }
     }
     std::stable_sort(rooms.begin(), rooms.end(),
@@ -98,7 +98,7 @@
     if (wanted == 0)
         return;
     if (wanted == 1)
-        return await_first(job, within_s, against);
+        return await_one_room(job, within_s, against);
     auto rooms = upcoming_rooms(job, within_s);
     if (rooms.size() > wanted)
         rooms.resize(wanted);
@@ -106,32 +106,32 @@
     for (const auto& room : rooms)
         ++tasks[room.machine];
     for (const auto& [machine, count] : tasks)
-        keep_room(*machine, job, count, against);
+        reserve_room(*machine, job, count, against);
 }
 
 // The number of seconds until there is room for one task of the job on the machine at this position of the index. Empty
 // if there is none within `within_s` or before `before_s`, the time already found on another machine.
 std::optional<double> Placement::room_after_s(const Job& job, std::size_t position, double within_s, double before_s) {
     const auto& machine = *index_.machines()[position];
-    auto free = machine.whole - machine.used;
-    for (const auto& release : releases_on(position)) {
-        if (release.rest_s > within_s || release.rest_s >= before_s)
+    auto free = machine.total - machine.used;
+    for (const auto& freed_room : freed_rooms_on(position)) {
+        if (freed_room.remaining_s > within_s || freed_room.remaining_s >= before_s)
             break;
-        free += release.each;
+        free += freed_room.each;
         if (job.spec.each.fits(free))
-            return release.rest_s;
+            return freed_room.remaining_s;
     }
     return std::nullopt;
 }
 
 // The equivalent of await_room() for one task. It skips a machine at once if none of its tasks ends before `best_at`.
-void Placement::await_first(const Job& job, double within_s, Priority against) {
+void Placement::await_one_room(const Job& job, double within_s, Priority against) {
     const Machine* best = nullptr;
     double best_at = std::numeric_limits<double>::infinity(); // also above never_s
     const PlacementCost cost_of(cluster_, job);
     for (std::size_t position = 0; position < index_.machines().size(); ++position) {
-        const auto& releases = releases_on(position);
-        if (releases.empty() || releases.front().rest_s >= best_at)
+        const auto& freed_rooms = freed_rooms_on(position);
+        if (freed_rooms.empty() || freed_rooms.front().remaining_s >= best_at)
             continue;
         const auto* machine = index_.machines()[position];
         if (!may_have_room(*machine, job))
@@ -146,7 +146,7 @@
         }
     }
     if (best != nullptr)
-        keep_room(*best, job, 1, against);
+        reserve_room(*best, job, 1, against);
 }
 
 } // namespace heronshift::scheduling
--- a/src/scheduling/batch_assignment.cpp
+++ b/src/scheduling/batch_assignment.cpp
@@ -38,34 +38,34 @@
     return std::floor(count + rounding);
 }
 
-double fragmentation(const Resources& free, const Resources& whole, const Resources& shape) {
-    if (shape.cpus <= 0 || whole.cpus <= 0)
+double fragmentation(const Resources& free, const Resources& total, const Resources& common_shape) {
+    if (common_shape.cpus <= 0 || total.cpus <= 0)
         return 0;
-    const double used = std::max(0.0, fit_count(shape, free)) * shape.cpus;
-    return std::max(0.0, free.cpus - used) / whole.cpus;
+    const double used = std::max(0.0, fit_count(common_shape, free)) * common_shape.cpus;
+    return std::max(0.0, free.cpus - used) / total.cpus;
 }
 
 namespace {
 
 constexpr double unreachable = -std::numeric_limits<double>::infinity(); // value of a state that cannot be reached
 // Value of placing one more task, in seconds. It outweighs any cost.
-constexpr double task_value = 1e9;
+constexpr double placed_task_value = 1e9;
 
 // Dynamic program over the bins, one after the other. A state is the number of tasks of each group that are placed so
 // far, encoded as one mixed-radix number with a digit for each group. The tasks assigned to a bin are encoded in the
 // same way, so the next state is the sum of both numbers.
 class Matcher {
 public:
-    Matcher(const std::vector<Group>& groups, const std::vector<Bin>& bins, const Resources& shape)
-        : groups_(groups), bins_(bins), shape_(shape) {
+    Matcher(const std::vector<Group>& groups, const std::vector<Bin>& bins, const Resources& common_shape)
+        : groups_(groups), bins_(bins), common_shape_(common_shape) {
         list_digits();
-        best_.assign(states_, unreachable);
+        best_.assign(state_count_, unreachable);
         best_[0] = 0;
-        taken_.resize(bins.size() * states_);
+        chosen_code_.resize(bins.size() * state_count_);
     }
     [[nodiscard]] Assignment run() {
         for (std::size_t bin = 0; bin < bins_.size(); ++bin)
-            try_bin(bin);
+            extend_by_bin(bin);
         return trace_back();
     }
 
@@ -78,31 +78,31 @@
     // The choices shared by all bins with the same resources and costs. If these choices did not improve any state for
     // one bin, and no state has improved since, they cannot improve one for the next bin either. So only a few of many
     // identical empty machines have to be tried.
-    struct AlikeBins {
+    struct SharedChoices {
         std::vector<Choice> choices;
-        std::uint64_t useless_at = 0; // the version_ of best_ that the choices could not improve
+        std::uint64_t no_gain_version = 0; // the version_ of best_ that the choices could not improve
     };
 
     void list_digits() {
-        width_ = groups_.size();
+        group_count_ = groups_.size();
         for (const auto& group : groups_)
-            states_ *= static_cast<std::size_t>(group.count) + 1;
-        digits_.resize(states_ * width_);
-        std::size_t step = 1;
-        for (std::size_t group = 0; group < width_; ++group) {
+            state_count_ *= static_cast<std::size_t>(group.count) + 1;
+        digits_.resize(state_count_ * group_count_);
+        std::size_t digit_weight = 1;
+        for (std::size_t group = 0; group < group_count_; ++group) {
             const auto radix = static_cast<std::size_t>(groups_[group].count) + 1;
-            for (std::size_t state = 0; state < states_; ++state)
-                digits_[state * width_ + group] = static_cast<int>(state / step % radix);
-            step *= radix;
+            for (std::size_t state = 0; state < state_count_; ++state)
+                digits_[state * group_count_ + group] = static_cast<int>(state / digit_weight % radix);
+            digit_weight *= radix;
         }
     }
 
     [[nodiscard]] int digit(std::size_t state, std::size_t group) const {
-        return digits_[state * width_ + group];
+        return digits_[state * group_count_ + group];
     }
 
     [[nodiscard]] bool is_allowed(std::size_t code, std::size_t bin) const {
-        for (std::size_t group = 0; group < width_; ++group)
+        for (std::size_t group = 0; group < group_count_; ++group)
             if (digit(code, group) > 0 && groups_[group].cost[bin] < 0)
                 return false;
         return true;
@@ -110,7 +110,7 @@
 
     [[nodiscard]] Resources need_of(std::size_t code) const {
         Resources need;
-        for (std::size_t group = 0; group < width_; ++group)
+        for (std::size_t group = 0; group < group_count_; ++group)
             if (const int count = digit(code, group); count > 0)
                 need += groups_[group].each * count;
         return need;
@@ -119,42 +119,42 @@
     // The value of assigning these tasks to this bin, without the change in fragmentation.
     [[nodiscard]] double value_of(std::size_t code, std::size_t bin) const {
         double value = 0;
-        for (std::size_t group = 0; group < width_; ++group)
+        for (std::size_t group = 0; group < group_count_; ++group)
             if (const int count = digit(code, group); count > 0)
-                value += count * (task_value - groups_[group].cost[bin]);
+                value += count * (placed_task_value - groups_[group].cost[bin]);
         return value;
     }
 
     [[nodiscard]] std::vector<Choice> list_choices(std::size_t at) const {
         std::vector<Choice> choices;
         const auto& bin = bins_[at];
-        const double before = fragmentation(bin.free, bin.whole, shape_);
-        for (std::size_t code = 1; code < states_; ++code) {
+        const double before = fragmentation(bin.free, bin.total, common_shape_);
+        for (std::size_t code = 1; code < state_count_; ++code) {
             if (!is_allowed(code, at))
                 continue;
             const auto need = need_of(code);
             if (!need.fits(bin.free))
                 continue;
-            const double added = fragmentation(bin.free - need, bin.whole, shape_) - before;
+            const double added = fragmentation(bin.free - need, bin.total, common_shape_) - before;
             choices.push_back({code, value_of(code, at) - added});
         }
         return choices;
     }
 
-    [[nodiscard]] AlikeBins& alike_bins(std::size_t bin) {
-        const auto& [free, whole] = bins_[bin];
-        key_.assign({free.cpus, free.gpus, free.memory_gb, whole.cpus, whole.gpus, whole.memory_gb});
+    [[nodiscard]] SharedChoices& shared_choices(std::size_t bin) {
+        const auto& [free, total] = bins_[bin];
+        key_.assign({free.cpus, free.gpus, free.memory_gb, total.cpus, total.gpus, total.memory_gb});
         for (const auto& group : groups_)
             key_.push_back(group.cost[bin]);
-        const auto [found, fresh] = alike_.try_emplace(key_);
+        const auto [found, fresh] = shared_choices_.try_emplace(key_);
         if (fresh)
             found->second.choices = list_choices(bin);
         return found->second;
     }
 
     // Whether every group has at least as many tasks as the state and the choice together use of it.
-    [[nodiscard]] bool are_enough(std::size_t state, std::size_t code) const {
-        for (std::size_t group = 0; group < width_; ++group)
+    [[nodiscard]] bool has_enough_tasks(std::size_t state, std::size_t code) const {
+        for (std::size_t group = 0; group < group_count_; ++group)
             if (digit(state, group) + digit(code, group) > groups_[group].count)
                 return false;
         return true;
@@ -166,26 +166,27 @@
         bool improved = false;
         for (const auto& choice : choices) {
             const auto reached = state + choice.code;
-            if (reached >= states_ || best_[state] + choice.value <= next_[reached] || !are_enough(state, choice.code))
+            if (reached >= state_count_ || best_[state] + choice.value <= next_[reached] ||
+                !has_enough_tasks(state, choice.code))
                 continue;
             next_[reached] = best_[state] + choice.value;
-            taken_[bin * states_ + reached] = static_cast<std::int16_t>(choice.code);
+            chosen_code_[bin * state_count_ + reached] = static_cast<std::int16_t>(choice.code);
             improved = true;
         }
         return improved;
     }
 
-    void try_bin(std::size_t bin) {
-        auto& alike = alike_bins(bin);
-        if (alike.choices.empty() || alike.useless_at == version_)
+    void extend_by_bin(std::size_t bin) {
+        auto& shared = shared_choices(bin);
+        if (shared.choices.empty() || shared.no_gain_version == version_)
             return;
         next_ = best_;
         bool improved = false;
-        for (std::size_t state = 0; state < states_; ++state)
-            if (best_[state] != unreachable && extend(state, alike.choices, bin))
+        for (std::size_t state = 0; state < state_count_; ++state)
+            if (best_[state] != unreachable && extend(state, shared.choices, bin))
                 improved = true;
         if (!improved) {
-            alike.useless_at = version_;
+            shared.no_gain_version = version_;
             return;
         }
         best_.swap(next_);
@@ -194,11 +195,11 @@
 
     // Follows the best assignment back from its final state to the empty one, bin by bin.
     [[nodiscard]] Assignment trace_back() const {
-        Assignment assignment(width_, std::vector<int>(bins_.size()));
+        Assignment assignment(group_count_, std::vector<int>(bins_.size()));
         auto state = static_cast<std::size_t>(std::max_element(best_.begin(), best_.end()) - best_.begin());
         for (std::size_t bin = bins_.size(); bin-- > 0;) {
-            const auto code = static_cast<std::size_t>(taken_[bin * states_ + state]);
-            for (std::size_t group = 0; group < width_; ++group)
+            const auto code = static_cast<std::size_t>(chosen_code_[bin * state_count_ + state]);
+            for (std::size_t group = 0; group < group_count_; ++group)
                 assignment[group][bin] = digit(code, group);
             state -= code;
         }
@@ -207,22 +208,22 @@
 
     const std::vector<Group>& groups_;
     const std::vector<Bin>& bins_;
-    const Resources& shape_;
-    std::size_t width_ = 0; // the digits of a state, one for each group
-    std::size_t states_ = 1;
-    std::vector<int> digits_;         // the digits of each state: [state * width_ + group]
-    std::vector<double> best_;        // the highest value of each state with the bins tried so far
-    std::vector<double> next_;        // the same, including the bin that is being tried
-    std::uint64_t version_ = 1;       // incremented with each change of best_
-    std::vector<std::int16_t> taken_; // by bin and state: the code assigned to the bin on the best way there
-    std::map<std::vector<double>, AlikeBins> alike_;
-    std::vector<double> key_; // lookup key for alike_; a member to reuse its memory
+    const Resources& common_shape_;
+    std::size_t group_count_ = 0; // the digits of a state, one for each group
+    std::size_t state_count_ = 1;
+    std::vector<int> digits_;               // the digits of each state: [state * group_count_ + group]
+    std::vector<double> best_;              // the highest value of each state with the bins tried so far
+    std::vector<double> next_;              // the same, including the bin that is being tried
+    std::uint64_t version_ = 1;             // incremented with each change of best_
+    std::vector<std::int16_t> chosen_code_; // by bin and state: the code assigned to the bin on the best way there
+    std::map<std::vector<double>, SharedChoices> shared_choices_;
+    std::vector<double> key_; // lookup key for shared_choices_; a member to reuse its memory
 };
 
 } // namespace
 
-Assignment match_batch(const std::vector<Group>& groups, const std::vector<Bin>& bins, const Resources& shape) {
-    return Matcher(groups, bins, shape).run();
+Assignment match_batch(const std::vector<Group>& groups, const std::vector<Bin>& bins, const Resources& common_shape) {
+    return Matcher(groups, bins, common_shape).run();
 }
 
 } // namespace heronshift::placement
--- a/src/scheduling/batch_assignment.hpp
+++ b/src/scheduling/batch_assignment.hpp
@@ -41,15 +41,15 @@
 [[nodiscard]] double fit_count(const Resources& each, const Resources& room);
 
 /// Fragmentation of a machine: the share of its CPUs, 0 to 1, that is free but cannot be used by tasks that need
-/// `shape`, the resources of the most common waiting task. Zero while `shape` is unknown (zero CPUs).
-[[nodiscard]] double fragmentation(const Resources& free, const Resources& whole, const Resources& shape);
+/// `common_shape`, the resources of the most common waiting task. Zero while `common_shape` is unknown (zero CPUs).
+[[nodiscard]] double fragmentation(const Resources& free, const Resources& total, const Resources& common_shape);
 
 /// A machine that tasks can be assigned to.
 struct Bin {
     /// The resources that are free.
     Resources free;
     /// All resources of the machine.
-    Resources whole;
+    Resources total;
 };
 
 /// The cost that marks a bin as forbidden for a task.
@@ -73,6 +73,6 @@
 /// must have a cost for each bin. Time and memory grow with the product of (count + 1) over all groups, so batches must
 /// be small: the default (`ops.batch`) is at most 8 tasks in total.
 [[nodiscard]] Assignment match_batch(const std::vector<Group>& groups, const std::vector<Bin>& bins,
-                                     const Resources& shape);
+                                     const Resources& common_shape);
 
 } // namespace heronshift::placement
--- a/src/scheduling/fleet_log.cpp
+++ b/src/scheduling/fleet_log.cpp
@@ -7,54 +7,54 @@
 namespace {
 
 // The machines of one type; spot machines are counted separately.
-struct KindCount {
+struct TypeCount {
     int up = 0, booting = 0, pool = 0, empty = 0;
     double cpus = 0;                                        // of the machines that are up
     double service_cpus = 0, gang_cpus = 0, array_cpus = 0; // in use on these machines
 };
 
-void count_tasks(const Machine& machine, KindCount& kind) {
+void count_tasks(const Machine& machine, TypeCount& count) {
     for (const auto& entry : machine.entries) {
         const auto& spec = entry->job->spec;
         if (spec.shape == Shape::service)
-            kind.service_cpus += spec.each.cpus;
+            count.service_cpus += spec.each.cpus;
         else if (spec.shape == Shape::gang)
-            kind.gang_cpus += spec.each.cpus;
+            count.gang_cpus += spec.each.cpus;
         else
-            kind.array_cpus += spec.each.cpus;
+            count.array_cpus += spec.each.cpus;
     }
 }
 
-void add_machine(const Machine& machine, KindCount& kind) {
-    kind.booting += machine.status == Status::booting;
-    if (machine.status != Status::up)
+void add_machine(const Machine& machine, TypeCount& count) {
+    count.booting += machine.status == MachineStatus::booting;
+    if (machine.status != MachineStatus::up)
         return;
-    ++kind.up;
-    kind.pool += machine.pool;
-    kind.empty += machine.entries.empty();
-    kind.cpus += machine.whole.cpus;
-    count_tasks(machine, kind);
+    ++count.up;
+    count.pool += machine.pool;
+    count.empty += machine.entries.empty();
+    count.cpus += machine.total.cpus;
+    count_tasks(machine, count);
 }
 
 } // namespace
 
 void Autoscaler::log_fleet() {
-    log_kinds();
+    log_machine_types();
     log_phases();
     log_waiting();
 }
 
-void Autoscaler::log_kinds() {
-    std::map<std::string, KindCount> kinds;
+void Autoscaler::log_machine_types() {
+    std::map<std::string, TypeCount> counts_by_type;
     for (const auto& [id, machine] : cluster_.machines)
-        add_machine(*machine, kinds[machine->type_name + (machine->spot ? " (spot)" : "")]);
-    for (const auto& [name, kind] : kinds)
+        add_machine(*machine, counts_by_type[machine->type_name + (machine->spot ? " (spot)" : "")]);
+    for (const auto& [name, count] : counts_by_type)
         proposals_.log(
             LogLine::Level::debug,
             fmt::format("fleet: {}: {} up ({} pool, {} empty), {} booting, of {:.0f} CPUs {:.0f} in services, {:.0f} "
                         "in gangs, {:.0f} in arrays",
-                        name, kind.up, kind.pool, kind.empty, kind.booting, kind.cpus, kind.service_cpus,
-                        kind.gang_cpus, kind.array_cpus));
+                        name, count.up, count.pool, count.empty, count.booting, count.cpus, count.service_cpus,
+                        count.gang_cpus, count.array_cpus));
 }
 
 void Autoscaler::log_phases() {
@@ -72,7 +72,7 @@
 void Autoscaler::log_waiting() {
     std::map<Priority, std::size_t> waiting;
     for (const auto& [id, job] : cluster_.jobs)
-        if (job->final == Final::none)
+        if (job->final == FinalState::none)
             waiting[job->priority] += job->pending.size();
     for (const auto& [priority, tasks] : waiting)
         proposals_.log(LogLine::Level::debug,
--- a/src/scheduling/gang_placement.cpp
+++ b/src/scheduling/gang_placement.cpp
@@ -7,9 +7,9 @@
 namespace {
 
 // Seconds of delay for a gang task that are considered as costly as losing one CPU second of other jobs' work.
-constexpr double gang_loss_weight = 0.01;
+constexpr double gang_lost_work_weight = 0.01;
 // How often the placement of a gang may be tried within one heartbeat interval.
-constexpr double looks_an_interval = 10;
+constexpr double attempts_per_interval = 10;
 
 } // namespace
 
@@ -21,7 +21,7 @@
     for (const auto* machine : index_.machines()) {
         if (zone && machine->zone != *zone)
             continue;
-        auto room = room_on(*machine, job, static_cast<int>(job.spec.tasks), gang_loss_weight);
+        auto room = room_on(*machine, job, static_cast<int>(job.spec.tasks), gang_lost_work_weight);
         if (room.tasks > 0 && (room.ready || may_stop))
             rooms.push_back(std::move(room));
     }
@@ -38,7 +38,7 @@
     int left = static_cast<int>(job.spec.tasks);
     for (auto& room : rooms) {
         auto& in_zone = tasks_in_zone[static_cast<std::size_t>(room.machine->zone)];
-        const int max_in_zone = job.spec.spread ? static_cast<int>(half_up(job.spec.tasks) - in_zone) : left;
+        const int max_in_zone = job.spec.spread ? static_cast<int>(half_rounded_up(job.spec.tasks) - in_zone) : left;
         room.tasks = std::min({room.tasks, left, max_in_zone});
         if (room.tasks <= 0)
             continue;
@@ -73,10 +73,10 @@
 // needs is made or none, since part of it would not let the gang start and would be lost to other jobs. Returns whether
 // the gang was placed.
 bool Placement::place_gang(const Job& job) {
-    if (job.live > 0 || cluster_.now < job.room_until || quota_left(job) < static_cast<int>(job.spec.tasks))
+    if (job.live > 0 || cluster_.now < job.resource_wait_until || quota_left(job) < static_cast<int>(job.spec.tasks))
         return false;
     // Examining all machines is slow, so the next attempt waits for a part of the heartbeat interval.
-    proposals_.room_asked(job, cluster_.now + settings_.report_s / looks_an_interval);
+    proposals_.wait_for_resources(job, cluster_.now + settings_.report_s / attempts_per_interval);
     const auto chosen = cheapest_gang_rooms(job);
     if (chosen.rooms.empty())
         return false;
@@ -84,10 +84,10 @@
         std::all_of(chosen.rooms.begin(), chosen.rooms.end(), [](const MachineRoom& room) { return room.ready; });
     if (!ready) {
         for (const auto& room : chosen.rooms)
-            take_room(room, job);
+            preempt_and_reserve(room, job);
         return false;
     }
-    proposals_.gang_whole(job);
+    proposals_.gang_restarted(job);
     for (const auto& room : chosen.rooms)
         for (int count = 0; count < room.tasks; ++count)
             place(job, *room.machine);
--- a/src/scheduling/making_room.cpp
+++ b/src/scheduling/making_room.cpp
@@ -8,12 +8,12 @@
 namespace {
 
 // Seconds of delay for a task that are considered as costly as losing one CPU second of other jobs' work.
-constexpr double task_loss_weight = 0.05;
+constexpr double task_lost_work_weight = 0.05;
 // Cost reduction for a machine where room is already being made for the job. It exceeds the differences between all
 // other cost terms.
-constexpr double chosen_already_s = 1000;
+constexpr double reserved_machine_bonus_s = 1000;
 // Time lost by stopping and restarting a task that has only just started.
-constexpr double overhead_s = 1;
+constexpr double restart_overhead_s = 1;
 
 // The work that is lost if a task is stopped now.
 struct Loss {
@@ -33,25 +33,25 @@
 
 // The work lost by stopping a task now, in CPU seconds: its run time, which for a task that saves its progress counts
 // up to the time that saving takes, and the time to stop and restart it.
-double Placement::loss_of(const Entry& entry) const {
+double Placement::preemption_loss(const Entry& entry) const {
     const auto& spec = entry.job->spec;
     double run = entry.running_at >= 0 ? cluster_.now - entry.running_at : 0;
     if (spec.checkpoint_s > 0)
         run = std::min(run, spec.save_s);
-    return (run + overhead_s) * spec.each.cpus;
+    return (run + restart_overhead_s) * spec.each.cpus;
 }
 
 // Selects array tasks of lower priority to preempt until `max_tasks` tasks of the job fit, the least loss first. The
 // room of tasks that are already being stopped is counted as free. Adds the selected room to `free`, and returns the
 // work that would be lost, in CPU seconds.
-double Placement::stop_for_room(MachineRoom& room, const Job& job, int max_tasks, Resources& free) const {
+double Placement::select_victims(MachineRoom& room, const Job& job, int max_tasks, Resources& free) const {
     std::vector<Loss> losses;
     for (const auto& entry : room.machine->entries) {
         const auto& spec = entry->job->spec;
         if (entry->stop)
             free += spec.each;
         else if (entry->job->priority > job.priority && spec.shape == Shape::array)
-            losses.push_back({loss_of(*entry), entry.get()});
+            losses.push_back({preemption_loss(*entry), entry.get()});
     }
     std::sort(losses.begin(), losses.end(), [](const Loss& one, const Loss& other) { return one.cpu_s < other.cpu_s; });
     double lost = 0;
@@ -76,41 +76,42 @@
     room.machine = &machine;
     if (!may_have_room(machine, job))
         return room;
-    auto free = machine.whole - machine.used;
+    auto free = machine.total - machine.used;
     double lost = 0;
     room.tasks = count_fitting(job, free, max_tasks);
     room.ready = room.tasks > 0;
     if (!room.ready)
-        lost = stop_for_room(room, job, max_tasks, free);
+        lost = select_victims(room, job, max_tasks, free);
     if (room.tasks > 0)
         room.cost = placement_cost(cluster_, machine, job) + loss_weight * lost / room.tasks +
-                    placement::fragmentation(free - job.spec.each, machine.whole, cluster_.common_shape);
+                    placement::fragmentation(free - job.spec.each, machine.total, cluster_.common_shape);
     // A machine that is reserved for the job stays preferred, or tasks would be preempted on more and more machines.
     if (machine.reserved_for == &job && cluster_.now < machine.reserved_until)
-        room.cost -= chosen_already_s;
+        room.cost -= reserved_machine_bonus_s;
     return room;
 }
 
 // Preempts the selected tasks and reserves the room for the job until it is placed there.
-void Placement::take_room(const MachineRoom& room, const Job& job) {
+void Placement::preempt_and_reserve(const MachineRoom& room, const Job& job) {
     for (const auto* entry : room.victims)
         proposals_.preempt(*entry);
     if (!room.victims.empty())
         proposals_.log(LogLine::Level::debug, fmt::format("job {} takes the place of {} tasks on {}", job.spec.id,
                                                           room.victims.size(), room.machine->id));
-    keep_room(*room.machine, job, room.tasks, job.priority);
+    reserve_room(*room.machine, job, room.tasks, job.priority);
 }
 
 // The machines where preemption would make room for the job at a cost below `cost_limit`, in ascending order of cost.
-std::vector<Placement::MachineRoom> Placement::rooms_to_make(const Job& job, int max_tasks, double cost_limit) const {
+std::vector<Placement::MachineRoom> Placement::preemption_rooms(const Job& job, int max_tasks,
+                                                                double cost_limit) const {
     std::vector<MachineRoom> rooms;
     const PlacementCost cost_of(cluster_, job);
     for (const auto* machine : index_.machines()) {
-        if (job.spec.each.fits(machine->whole - machine->used))
+        if (job.spec.each.fits(machine->total - machine->used))
             continue; // no preemption needed there
         if (machine->reserved_for != &job && cost_of(*machine) >= cost_limit)
             continue; // too costly even without preemption
-        auto room = room_on(*machine, job, max_tasks, task_loss_weight);
+        auto room = room_on(*machine, job, max_tasks, task_lost_work_weight);
         if (room.tasks > 0 && !room.victims.empty() && room.cost < cost_limit)
             rooms.push_back(std::move(room));
     }
@@ -123,14 +124,14 @@
 // Returns the number of tasks that will have room.
 int Placement::make_room(const Job& job, double cost_limit) {
     int left = std::min(static_cast<int>(job.pending.size()), quota_left(job)), made = 0;
-    for (const auto& room : rooms_to_make(job, left, cost_limit)) {
+    for (const auto& room : preemption_rooms(job, left, cost_limit)) {
         if (left <= 0)
             break;
         // A job with `spread` may have only half of its tasks in one zone. Which zone gets which tasks is decided when
         // they are placed.
-        if (job.spec.spread && made >= static_cast<int>(half_up(job.spec.tasks)))
+        if (job.spec.spread && made >= static_cast<int>(half_rounded_up(job.spec.tasks)))
             break;
-        take_room(room, job);
+        preempt_and_reserve(room, job);
         left -= room.tasks;
         made += room.tasks;
     }
--- a/src/scheduling/placement.cpp
+++ b/src/scheduling/placement.cpp
@@ -10,13 +10,13 @@
 
 // A waiting job is late after this share of the time within which each job should begin (`ops.begin_s`). Then one of
 // its tasks is placed before all others.
-constexpr double begin_share = 0.5;
+constexpr double late_start_share = 0.5;
 // Placement cost in seconds that is low enough to accept a machine without looking for a better one.
-constexpr double good_place_s = 18;
-constexpr int placements_a_pass = 64; // bounds the pass, so that heartbeats and requests are not delayed
-constexpr double replica_looks = 6;   // limit of requests for room, for replicas
-constexpr double task_looks = 2;      // the same for other tasks
-constexpr double pool_offset_s = 1;   // cost without any gain in payoff; keeps the costs above zero
+constexpr double good_placement_cost_s = 18;
+constexpr int max_placements_per_pass = 64;         // bounds the pass, so that heartbeats and requests are not delayed
+constexpr double replica_requests_per_interval = 6; // limit of requests for room, for replicas
+constexpr double task_requests_per_interval = 2;    // the same for other tasks
+constexpr double pool_cost_offset_s = 1;            // cost without any gain in payoff; keeps the costs above zero
 
 bool has_zone_rules(const JobSpec& spec) {
     return spec.spread || spec.one_zone;
@@ -26,20 +26,21 @@
 
 // Whether a job that may use spot machines has to leave the machine to jobs that may not, whatever their priority.
 // Where most room is on spot machines, jobs that may use both would otherwise also fill the few on-demand machines.
-bool Placement::left_to_others(const Machine& machine, const Job& job) const {
-    return ordinary_waits_ && job.spec.spot && plain(machine);
+bool Placement::is_left_to_on_demand_jobs(const Machine& machine, const Job& job) const {
+    return on_demand_job_waits_ && job.spec.spot && is_cpu_only_on_demand(machine);
 }
 
 // Whether a task of the job could run on the machine if lower-priority tasks were removed from it.
 bool Placement::may_have_room(const Machine& machine, const Job& job) const {
-    return job.spec.each.fits(machine.whole - machine.firm) && usable(cluster_, machine, job) &&
-           !left_to_others(machine, job) && !is_kept_for_another(cluster_, machine, job);
+    return job.spec.each.fits(machine.total - machine.non_preemptible) && usable(cluster_, machine, job) &&
+           !is_left_to_on_demand_jobs(machine, job) && !is_reserved_for_another(cluster_, machine, job);
 }
 
 // The machines with room for a task on which it makes sense to place it now, as positions in the index.
 std::vector<std::uint32_t> Placement::find_room(const Job& job) const {
-    const bool leave_plain = ordinary_waits_ && job.spec.spot;
-    return index_.find(job, leave_plain ? RoomIndex::PlainMachines::left_out : RoomIndex::PlainMachines::included);
+    const bool exclude_on_demand = on_demand_job_waits_ && job.spec.spot;
+    return index_.find(job,
+                       exclude_on_demand ? RoomIndex::CpuOnlyOnDemand::excluded : RoomIndex::CpuOnlyOnDemand::included);
 }
 
 void Placement::place(const Job& job, const Machine& machine) {
@@ -52,7 +53,7 @@
 void Placement::room_changed(const Machine& machine) {
     index_.update(machine);
     if (const auto at = index_.position(machine); at != RoomIndex::none)
-        releases_known_[at] = 0;
+        freed_rooms_valid_[at] = 0;
 }
 
 // How many more tasks of the job the team's limit allows. Zero if the rest of the limit is reserved for another job of
@@ -60,7 +61,7 @@
 int Placement::quota_left(const Job& job) const {
     if (job.team < 0)
         return 0;
-    const auto* first = first_of_team_[static_cast<std::size_t>(job.team)];
+    const auto* first = limit_reserved_for_[static_cast<std::size_t>(job.team)];
     return first != nullptr && first != &job ? 0 : cluster_.quota_room(job);
 }
 
@@ -69,7 +70,7 @@
     std::vector<const Job*> late;
     for (const auto* job : jobs)
         if (job->spec.shape == Shape::array && job->live == 0 && job->done == 0 && job->team >= 0 &&
-            cluster_.now - job->ready > begin_share * settings_.ops.begin_s)
+            cluster_.now - job->ready > late_start_share * settings_.ops.begin_s)
             late.push_back(job);
     std::sort(late.begin(), late.end(), [](const Job* one, const Job* other) {
         return std::tie(one->ready, one->spec.id) < std::tie(other->ready, other->spec.id);
@@ -80,19 +81,19 @@
 // Starts one task of each late job before all other tasks. Jobs with little work left go first, so that most jobs
 // complete in time; without this rule a large job might wait forever, in particular one that is as large as its team's
 // limit. If there is no room for the task or the team's limit is used up, the room or the limit is reserved for it.
-void Placement::begin_waiting(const std::vector<const Job*>& jobs) {
-    first_of_team_.assign(cluster_.teams.size(), nullptr);
+void Placement::start_late_jobs(const std::vector<const Job*>& jobs) {
+    limit_reserved_for_.assign(cluster_.teams.size(), nullptr);
     for (const auto* job : late_jobs(jobs)) {
-        auto& first = first_of_team_[static_cast<std::size_t>(job->team)];
+        auto& first = limit_reserved_for_[static_cast<std::size_t>(job->team)];
         if (first != nullptr)
             continue;
         if (cluster_.quota_room(*job) < 1) {
             first = job;
             continue;
         }
-        if (place_batch({job}, 1, no_cost_limit) > 0 || cluster_.now < job->room_until)
+        if (place_batch({job}, 1, no_cost_limit) > 0 || cluster_.now < job->resource_wait_until)
             continue;
-        proposals_.room_asked(*job, cluster_.now + settings_.report_s / task_looks);
+        proposals_.wait_for_resources(*job, cluster_.now + settings_.report_s / task_requests_per_interval);
         await_room(*job, 1, never_s, Priority::critical);
     }
 }
@@ -105,11 +106,11 @@
     if (!machine.pool || job.spec.shape != Shape::service)
         return cost;
     const placement::Payoff payoff{settings_.ops.alpha, settings_.ops.beta, settings_.ops.gamma};
-    const double gain = placement::pool_gain(payoff, job.on_pool, job.spec.tasks, settings_.ops.target_share);
-    return std::max(0.0, cost + pool_offset_s - gain / settings_.ops.gamma);
+    const double gain = placement::pool_gain(payoff, job.entries_on_pool, job.spec.tasks, settings_.ops.target_share);
+    return std::max(0.0, cost + pool_cost_offset_s - gain / settings_.ops.gamma);
 }
 
-bool Placement::has_limit(const Job& job) const {
+bool Placement::has_quota_limit(const Job& job) const {
     const auto& limits = cluster_.teams[static_cast<std::size_t>(job.team)].limits;
     return limits.cpus_max > 0 || limits.gpus_max > 0;
 }
@@ -120,13 +121,13 @@
     Batch batch;
     std::set<int> limited_teams;
     for (const auto* job : jobs) {
-        proposals_.drop_settled(*job, true);
+        proposals_.prune_pending(*job, true);
         if (limited_teams.contains(job->team))
             continue;
         const int count = std::min({max_tasks, static_cast<int>(job->pending.size()), quota_left(*job)});
         if (count <= 0)
             continue;
-        if (has_limit(*job))
+        if (has_quota_limit(*job))
             limited_teams.insert(job->team);
         batch.groups.push_back({job->spec.each, count, {}});
         batch.jobs.push_back(job);
@@ -148,7 +149,7 @@
     positions.erase(std::unique(positions.begin(), positions.end()), positions.end());
     for (const auto position : positions) {
         const auto* machine = index_.machines()[position];
-        machines.bins.push_back({machine->whole - machine->used, machine->whole});
+        machines.bins.push_back({machine->total - machine->used, machine->total});
     }
     return machines;
 }
@@ -196,11 +197,11 @@
     const PlacementCost cost_of(cluster_, job);
     for (const auto position : find_room(job)) {
         const auto* machine = index_.machines()[position];
-        const auto free = machine->whole - machine->used;
+        const auto free = machine->total - machine->used;
         double cost = cost_of(*machine);
         if (job.spec.spread)
             cost += job.zone_live[static_cast<std::size_t>(machine->zone)];
-        cost += placement::fragmentation(free - job.spec.each, machine->whole, cluster_.common_shape);
+        cost += placement::fragmentation(free - job.spec.each, machine->total, cluster_.common_shape);
         if (cost < cost_limit) {
             cost_limit = cost;
             cheapest = machine;
@@ -214,7 +215,7 @@
 int Placement::place_one_by_one(const Job& job, double cost_limit) {
     int placed = 0;
     while (!job.pending.empty() && quota_left(job) > 0) {
-        proposals_.drop_settled(job, false);
+        proposals_.prune_pending(job, false);
         if (job.pending.empty())
             break;
         const auto* machine = cheapest_machine(job, cost_limit);
@@ -239,11 +240,11 @@
     }
 }
 
-// The lowest cost of a placement on free room, including machines where left_to_others() would hold.
-double Placement::cheapest_free_place(const Job& job) const {
+// The lowest cost of a placement on free room, including machines where is_left_to_on_demand_jobs() would hold.
+double Placement::lowest_free_cost(const Job& job) const {
     double lowest = no_cost_limit;
     const PlacementCost cost_of(cluster_, job);
-    for (const auto position : index_.find(job, RoomIndex::PlainMachines::included))
+    for (const auto position : index_.find(job, RoomIndex::CpuOnlyOnDemand::included))
         lowest = std::min(lowest, cost_of(*index_.machines()[position]));
     return lowest;
 }
@@ -252,15 +253,16 @@
 // image. For the remaining replicas, if starting on free room would take longer than on such a machine, it is worth
 // preempting a few lower-priority tasks there.
 int Placement::place_service(const Job& job) {
-    int placed = place_replicas(job, good_place_s);
+    int placed = place_replicas(job, good_placement_cost_s);
     if (job.pending.empty() || quota_left(job) <= 0)
         return placed;
-    if (cluster_.now < job.room_until && job.good_room)
+    if (cluster_.now < job.resource_wait_until && job.freeing_preferred_machines)
         return placed; // room on good machines is being made
-    const double free_cost = cheapest_free_place(job);
-    proposals_.good_room(job, cluster_.now >= job.room_until && make_room(job, free_cost) > 0);
-    if (job.good_room)
-        proposals_.room_asked(job, cluster_.now + settings_.report_s / replica_looks);
+    const double free_cost = lowest_free_cost(job);
+    proposals_.freeing_preferred_machines(job,
+                                          cluster_.now >= job.resource_wait_until && make_room(job, free_cost) > 0);
+    if (job.freeing_preferred_machines)
+        proposals_.wait_for_resources(job, cluster_.now + settings_.report_s / replica_requests_per_interval);
     else
         placed += place_replicas(job, no_cost_limit);
     return placed;
@@ -268,14 +270,14 @@
 
 void Placement::begin_pass() {
     index_.rebuild();
-    releases_.resize(std::max(releases_.size(), index_.machines().size()));
-    releases_known_.assign(releases_.size(), 0);
+    freed_rooms_.resize(std::max(freed_rooms_.size(), index_.machines().size()));
+    freed_rooms_valid_.assign(freed_rooms_.size(), 0);
 }
 
 void Placement::schedule() {
     // Nothing is placed while a damaged record may have named any task (docs/safety.md, 5; the test
     // ADamagedRecordKeepsItsMachineOccupiedUntilItIsProven).
-    if (cluster_.types.empty() || cluster_.unproven())
+    if (cluster_.types.empty() || cluster_.has_unproven_machines())
         return;
     proposals_.mark_guarantees();
     choose_pool();
@@ -283,8 +285,8 @@
     auto shape = cluster_.common_shape;
     const auto jobs = waiting_jobs(cluster_, shape);
     waiting_ = jobs.size();
-    begin_waiting(jobs);
-    ordinary_waits_ = std::any_of(jobs.begin(), jobs.end(), [this](const Job* job) {
+    start_late_jobs(jobs);
+    on_demand_job_waits_ = std::any_of(jobs.begin(), jobs.end(), [this](const Job* job) {
         return job->spec.shape == Shape::array && !job->spec.spot && quota_left(*job) > 0;
     });
     proposals_.set_common_shape(shape);
@@ -293,18 +295,18 @@
 
 // Places tasks of the jobs in the given order, up to the limit of a pass.
 void Placement::place_jobs(const std::vector<const Job*>& jobs) {
-    std::vector<NoRoom> failed;
-    int budget = placements_a_pass;
+    std::vector<FailedRequest> failed;
+    int budget = max_placements_per_pass;
     for (std::size_t at = 0; at < jobs.size() && budget > 0; ++at) {
         const auto& job = *jobs[at];
-        if (!is_hopeless(job, failed))
+        if (!cannot_find_room(job, failed))
             budget -= place_waiting(jobs, at, budget);
         if (job.pending.empty() || job.live == job.spec.tasks)
             continue;
         if (budget <= 0)
             break;
-        note_no_room(failed, job);
-        ask_for_room(job);
+        record_failed_request(failed, job);
+        request_room(job);
     }
     if (budget <= 0)
         proposals_.request_pass();
@@ -312,28 +314,29 @@
 
 // Whether the job need not be tried because a task that needs no more has found no room in this pass. Urgent jobs are
 // always tried, since room may have been made for them.
-bool Placement::is_hopeless(const Job& job, const std::vector<NoRoom>& failed) const {
+bool Placement::cannot_find_room(const Job& job, const std::vector<FailedRequest>& failed) const {
     return job.priority > Priority::high &&
-           std::any_of(failed.begin(), failed.end(), [&](const NoRoom& no_room) { return covers(no_room, job); });
+           std::any_of(failed.begin(), failed.end(),
+                       [&](const FailedRequest& failed_request) { return implies_failure(failed_request, job); });
 }
 
-// Whether the failure recorded in `no_room` implies that tasks of this job find no room either: they need as much or
-// more and may use no other machines.
-bool Placement::covers(const NoRoom& no_room, const Job& job) const {
-    const bool no_more_places = no_room.spot ? job.spec.spot || !ordinary_waits_ : !job.spec.spot;
-    return no_room.each.fits(job.spec.each) && no_more_places;
+// Whether the failure recorded in `failed_request` implies that tasks of this job find no room either: they need as
+// much or more and may use no other machines.
+bool Placement::implies_failure(const FailedRequest& failed_request, const Job& job) const {
+    const bool no_more_places = failed_request.spot ? job.spec.spot || !on_demand_job_waits_ : !job.spec.spot;
+    return failed_request.each.fits(job.spec.each) && no_more_places;
 }
 
 // Records that no more tasks of the job find room. Entries that an existing one covers are not added, so the list stays
 // short.
-void Placement::note_no_room(std::vector<NoRoom>& list, const Job& job) const {
+void Placement::record_failed_request(std::vector<FailedRequest>& list, const Job& job) const {
     const auto& spec = job.spec;
     const bool anywhere = spec.types.empty() && spec.zone.empty() && !has_zone_rules(spec);
     if (!anywhere || spec.shape == Shape::gang || quota_left(job) <= 0)
         return;
-    const auto is_no_larger = [&spec](const NoRoom& no_room) {
-        return no_room.spot == spec.spot && no_room.each.cpus <= spec.each.cpus &&
-               no_room.each.gpus <= spec.each.gpus && no_room.each.memory_gb <= spec.each.memory_gb;
+    const auto is_no_larger = [&spec](const FailedRequest& failed_request) {
+        return failed_request.spot == spec.spot && failed_request.each.cpus <= spec.each.cpus &&
+               failed_request.each.gpus <= spec.each.gpus && failed_request.each.memory_gb <= spec.each.memory_gb;
     };
     if (std::none_of(list.begin(), list.end(), is_no_larger))
         list.push_back({spec.each, spec.spot});
@@ -378,12 +381,12 @@
 }
 
 // Requests room for a job of priority high or critical. Reserves the machines where room becomes free first, or
-// preempts other tasks once the job has waited longer than patience_s().
-void Placement::ask_for_room(const Job& job) {
-    if (job.spec.shape == Shape::gang || job.priority > Priority::high || cluster_.now < job.room_until)
+// preempts other tasks once the job has waited longer than max_wait_s().
+void Placement::request_room(const Job& job) {
+    if (job.spec.shape == Shape::gang || job.priority > Priority::high || cluster_.now < job.resource_wait_until)
         return;
-    proposals_.room_asked(job, cluster_.now + settings_.report_s / task_looks);
-    const double left = job.ready + patience_s(cluster_, job) - cluster_.now;
+    proposals_.wait_for_resources(job, cluster_.now + settings_.report_s / task_requests_per_interval);
+    const double left = job.ready + max_wait_s(cluster_, job) - cluster_.now;
     if (left > 0)
         await_room(job, static_cast<int>(job.spec.tasks), left, job.priority);
     else
--- a/src/scheduling/placement.hpp
+++ b/src/scheduling/placement.hpp
@@ -30,10 +30,10 @@
     }
     /// Stops tasks on machines that the cloud has announced to reclaim, so that they save their progress or start
     /// elsewhere at once.
-    void drain_noticed();
+    void stop_on_reclaimed_machines();
     /// Finds machines on which tasks take far longer than other tasks of the same job do elsewhere, and stops tasks on
     /// them.
-    void find_slow();
+    void check_slow_machines();
 
 private:
     // Room for tasks of one job on one machine.
@@ -49,9 +49,9 @@
         std::vector<MachineRoom> rooms;
         double cost = no_cost_limit; // the sum over all tasks
     };
-    // The resources that become free on a machine when one of its tasks ends, in `rest_s` seconds.
-    struct Release {
-        double rest_s;
+    // The resources that become free on a machine when one of its tasks ends, in `remaining_s` seconds.
+    struct FreedRoom {
+        double remaining_s;
         Resources each;
     };
     // Room for one task that becomes free later. `at` is the time until then in seconds plus the placement cost.
@@ -61,7 +61,7 @@
     };
     // A task for which no room was found in this pass, so tasks of the same kind that need as much or more are not
     // tried.
-    struct NoRoom {
+    struct FailedRequest {
         Resources each;
         bool spot;
     };
@@ -87,20 +87,20 @@
     void place(const Job& job, const Machine& machine);
     void room_changed(const Machine& machine);
     [[nodiscard]] int quota_left(const Job& job) const;
-    [[nodiscard]] bool left_to_others(const Machine& machine, const Job& job) const;
+    [[nodiscard]] bool is_left_to_on_demand_jobs(const Machine& machine, const Job& job) const;
     [[nodiscard]] bool may_have_room(const Machine& machine, const Job& job) const;
     [[nodiscard]] std::vector<std::uint32_t> find_room(const Job& job) const;
-    [[nodiscard]] bool covers(const NoRoom& no_room, const Job& job) const;
-    [[nodiscard]] bool is_hopeless(const Job& job, const std::vector<NoRoom>& failed) const;
-    void note_no_room(std::vector<NoRoom>& list, const Job& job) const;
+    [[nodiscard]] bool implies_failure(const FailedRequest& failed_request, const Job& job) const;
+    [[nodiscard]] bool cannot_find_room(const Job& job, const std::vector<FailedRequest>& failed) const;
+    void record_failed_request(std::vector<FailedRequest>& list, const Job& job) const;
     [[nodiscard]] std::vector<const Job*> late_jobs(const std::vector<const Job*>& jobs) const;
-    void begin_waiting(const std::vector<const Job*>& jobs);
+    void start_late_jobs(const std::vector<const Job*>& jobs);
     [[nodiscard]] std::vector<const Job*> jobs_in_batch(const std::vector<const Job*>& jobs, std::size_t at) const;
     int place_waiting(const std::vector<const Job*>& jobs, std::size_t at, int budget);
-    void ask_for_room(const Job& job);
+    void request_room(const Job& job);
 
     int place_batch(const std::vector<const Job*>& jobs, int max_tasks, double cost_limit);
-    [[nodiscard]] bool has_limit(const Job& job) const;
+    [[nodiscard]] bool has_quota_limit(const Job& job) const;
     [[nodiscard]] Batch choose_batch(const std::vector<const Job*>& jobs, int max_tasks);
     [[nodiscard]] BatchMachines find_machines(const Batch& batch) const;
     void set_costs(Batch& batch, const BatchMachines& machines, double cost_limit) const;
@@ -109,7 +109,7 @@
     int place_one_by_one(const Job& job, double cost_limit);
     [[nodiscard]] const Machine* cheapest_machine(const Job& job, double cost_limit) const;
     int place_replicas(const Job& job, double cost_limit);
-    [[nodiscard]] double cheapest_free_place(const Job& job) const;
+    [[nodiscard]] double lowest_free_cost(const Job& job) const;
     int place_service(const Job& job);
 
     // gang_placement.cpp
@@ -120,28 +120,28 @@
 
     // making_room.cpp
     [[nodiscard]] MachineRoom room_on(const Machine& machine, const Job& job, int max_tasks, double loss_weight) const;
-    double stop_for_room(MachineRoom& room, const Job& job, int max_tasks, Resources& free) const;
-    void take_room(const MachineRoom& room, const Job& job);
-    [[nodiscard]] std::vector<MachineRoom> rooms_to_make(const Job& job, int max_tasks, double cost_limit) const;
+    double select_victims(MachineRoom& room, const Job& job, int max_tasks, Resources& free) const;
+    void preempt_and_reserve(const MachineRoom& room, const Job& job);
+    [[nodiscard]] std::vector<MachineRoom> preemption_rooms(const Job& job, int max_tasks, double cost_limit) const;
     int make_room(const Job& job, double cost_limit);
-    [[nodiscard]] double loss_of(const Entry& entry) const;
+    [[nodiscard]] double preemption_loss(const Entry& entry) const;
 
     // awaiting_room.cpp
-    [[nodiscard]] double rest_of(const Entry& entry) const;
-    const std::vector<Release>& releases_on(std::size_t position);
-    void keep_room(const Machine& machine, const Job& job, int tasks, Priority against);
+    [[nodiscard]] double remaining_run_s(const Entry& entry) const;
+    const std::vector<FreedRoom>& freed_rooms_on(std::size_t position);
+    void reserve_room(const Machine& machine, const Job& job, int tasks, Priority against);
     [[nodiscard]] std::vector<UpcomingRoom> upcoming_rooms(const Job& job, double within_s);
     void await_room(const Job& job, int max_tasks, double within_s, Priority against);
     [[nodiscard]] std::optional<double> room_after_s(const Job& job, std::size_t position, double within_s,
                                                      double before_s);
-    void await_first(const Job& job, double within_s, Priority against);
+    void await_one_room(const Job& job, double within_s, Priority against);
 
     // slow_machines.cpp
-    [[nodiscard]] bool tells_speed(const Entry& entry) const;
-    [[nodiscard]] double longest_plausible_run_s(const Entry& entry) const;
-    [[nodiscard]] const Entry* proof_of_slowness(const Machine& machine) const;
+    [[nodiscard]] bool is_comparable(const Entry& entry) const;
+    [[nodiscard]] double run_limit_s(const Entry& entry) const;
+    [[nodiscard]] const Entry* find_slow_task(const Machine& machine) const;
     [[nodiscard]] bool are_too_many_slow() const;
-    [[nodiscard]] bool is_nearly_done(const Entry& entry) const;
+    [[nodiscard]] bool has_run_long(const Entry& entry) const;
     void mark_slow(const Machine& machine);
 
     const ClusterData& cluster_;
@@ -149,13 +149,13 @@
     cluster::Proposals& proposals_;
     std::size_t waiting_ = 0;
     // By team: the job to which the rest of the team's limit is reserved until the job has begun.
-    std::vector<const Job*> first_of_team_;
-    bool ordinary_waits_ = false; // an array that may not use spot machines is waiting
-    double next_slow_ = 0;        // when find_slow() checks again
+    std::vector<const Job*> limit_reserved_for_;
+    bool on_demand_job_waits_ = false; // an array that may not use spot machines is waiting
+    double next_slow_check_ = 0;       // when check_slow_machines() checks again
     // State of one pass:
     RoomIndex index_;
-    std::vector<std::vector<Release>> releases_; // by position in the index, the earliest first
-    std::vector<char> releases_known_;           // by position in the index: `releases_` is up to date
+    std::vector<std::vector<FreedRoom>> freed_rooms_; // by position in the index, the earliest first
+    std::vector<char> freed_rooms_valid_;             // by position in the index: `freed_rooms_` is up to date
 };
 
 } // namespace heronshift::scheduling
--- a/src/scheduling/placement_cost.hpp
+++ b/src/scheduling/placement_cost.hpp
@@ -9,16 +9,16 @@
 
 using cluster::ClusterData;
 using cluster::Entry;
-using cluster::Final;
+using cluster::FinalState;
 using cluster::Job;
 using cluster::Machine;
-using cluster::Pending;
+using cluster::MachineStatus;
+using cluster::PendingRental;
 using cluster::Phase;
-using cluster::Status;
 
 /// Number of finished tasks of a job from which on their run times are used to estimate the run time of its other
 /// tasks.
-inline constexpr std::uint32_t min_known_runs = 3;
+inline constexpr std::uint32_t min_runs_for_estimate = 3;
 /// A cost limit in seconds of delay that is above any cost, so that a placement is accepted whatever it costs.
 inline constexpr double no_cost_limit = 1e18;
 /// A time in seconds that is longer than anything lasts: for tasks that do not end by themselves and for times without
@@ -27,17 +27,17 @@
 
 /// How many replicas of the largest size the free room on each pool machine must still hold after any other task is
 /// placed there.
-inline constexpr double kept_replicas = 2;
+inline constexpr double replica_headroom = 2;
 
 /// Whether a machine accepts any new tasks now: the part of usable() that is the same for all jobs. With
 /// `also_retiring`, a machine that is being retired accepts them too.
 [[nodiscard]] bool takes_work(const ClusterData& cluster, const Machine& machine, bool also_retiring = false);
 
 /// Whether it makes sense to place a task of the job on the machine now. In addition to the rules for the machine's
-/// type, zone and kind (ClusterData::allowed_there), the machine must send heartbeats and not be about to be released,
-/// must not be marked as slow unless the job is a service, and must not have room reserved for another job, unless this
-/// job has a higher priority than the reservation excludes. Free room is checked only as far as a pool machine keeps
-/// room for replicas. `also_retiring` has the same meaning as in takes_work().
+/// type, zone and kind (ClusterData::satisfies_constraints), the machine must send heartbeats and not be about to be
+/// released, must not be marked as slow unless the job is a service, and must not have room reserved for another job,
+/// unless this job has a higher priority than the reservation excludes. Free room is checked only as far as a pool
+/// machine keeps room for replicas. `also_retiring` has the same meaning as in takes_work().
 [[nodiscard]] bool usable(const ClusterData& cluster, const Machine& machine, const Job& job,
                           bool also_retiring = false);
 
@@ -66,9 +66,10 @@
 }
 
 /// Whether a machine counts as capacity: it is up, sends heartbeats, receives answers and is not about to be released.
-[[nodiscard]] bool serves(const ClusterData& cluster, const Machine& machine);
+[[nodiscard]] bool counts_as_capacity(const ClusterData& cluster, const Machine& machine);
 
-/// The rate at which spot machines are lost: losses per machine and second, averaged over ClusterData::average_s().
+/// The rate at which spot machines are lost: losses per machine and second, averaged over
+/// ClusterData::averaging_period_s().
 [[nodiscard]] double spot_loss_rate(const ClusterData& cluster);
 
 /// The expected run time of a task of the job, in seconds: the owner's estimate, corrected by the recent ratio of
@@ -85,17 +86,17 @@
 
 /// Whether a machine is on-demand (not spot) and has no accelerators. Such machines can run jobs that may use neither
 /// spot machines nor accelerators, as well as other jobs.
-[[nodiscard]] inline bool plain(const Machine& machine) {
-    return !machine.spot && machine.whole.gpus <= 0;
+[[nodiscard]] inline bool is_cpu_only_on_demand(const Machine& machine) {
+    return !machine.spot && machine.total.gpus <= 0;
 }
 
 /// Whether room on the machine is currently reserved for a job other than this one.
-[[nodiscard]] inline bool is_kept_for_another(const ClusterData& cluster, const Machine& machine, const Job& job) {
+[[nodiscard]] inline bool is_reserved_for_another(const ClusterData& cluster, const Machine& machine, const Job& job) {
     return machine.reserved_for != nullptr && machine.reserved_for != &job && cluster.now < machine.reserved_until;
 }
 
 /// Half of `count`, rounded up: the number of tasks of a job with `spread` that one zone may have.
-[[nodiscard]] inline std::uint32_t half_up(std::uint32_t count) {
+[[nodiscard]] inline std::uint32_t half_rounded_up(std::uint32_t count) {
     return (count + 1) / 2;
 }
 
--- a/src/scheduling/pool_choice.cpp
+++ b/src/scheduling/pool_choice.cpp
@@ -11,16 +11,16 @@
 
 // The resources that all replicas need together, and the largest need of a single replica.
 struct ReplicaNeed {
-    Resources all, largest;
+    Resources total, largest;
 };
 
 ReplicaNeed replica_need(const ClusterData& cluster) {
     ReplicaNeed need;
     for (const auto& [id, job] : cluster.jobs) {
         const auto& spec = job->spec;
-        if (spec.shape != Shape::service || job->final != Final::none || job->waits)
+        if (spec.shape != Shape::service || job->final != FinalState::none || job->waits)
             continue;
-        need.all += spec.each * spec.tasks;
+        need.total += spec.each * spec.tasks;
         need.largest.cpus = std::max(need.largest.cpus, spec.each.cpus);
         need.largest.memory_gb = std::max(need.largest.memory_gb, spec.each.memory_gb);
     }
@@ -28,8 +28,9 @@
 }
 
 bool may_be_pool(const ClusterData& cluster, const Machine& machine) {
-    return !machine.spot && machine.status == Status::up && !machine.bad && !machine.releasing && machine.type >= 0 &&
-           machine.zone >= 0 && cluster.types[static_cast<std::size_t>(machine.type)].room.gpus <= 0;
+    return !machine.spot && machine.status == MachineStatus::up && !machine.out_of_service && !machine.releasing &&
+           machine.type >= 0 && machine.zone >= 0 &&
+           cluster.types[static_cast<std::size_t>(machine.type)].room.gpus <= 0;
 }
 
 // The machines that may be in the pool, by zone, the oldest first. Ids are assigned in the order of creation and are
@@ -46,7 +47,7 @@
 }
 
 // Takes machines from all zones in turn until they meet the need.
-std::vector<const Machine*> take_in_turn(const MachinesByZone& by_zone, Resources need) {
+std::vector<const Machine*> take_round_robin(const MachinesByZone& by_zone, Resources need) {
     std::vector<const Machine*> taken;
     std::size_t max_in_zone = 0;
     for (const auto& [zone, machines] : by_zone)
@@ -58,7 +59,7 @@
             if (turn >= machines.size())
                 continue;
             taken.push_back(machines[turn]);
-            need -= machines[turn]->whole;
+            need -= machines[turn]->total;
         }
     return taken;
 }
@@ -68,9 +69,9 @@
 // Makes the oldest on-demand machines the pool, evenly over all zones: as many as the services need, plus the
 // configured headroom and one extra replica for each zone. All other machines are overflow, to be emptied and released.
 void Placement::choose_pool() {
-    const auto [all, largest] = replica_need(cluster_);
-    const auto need = all * (1 + settings_.ops.headroom) + largest * static_cast<double>(settings_.zones.size());
-    proposals_.set_pool(take_in_turn(pool_candidates(cluster_), need), largest);
+    const auto [total, largest] = replica_need(cluster_);
+    const auto need = total * (1 + settings_.ops.headroom) + largest * static_cast<double>(settings_.zones.size());
+    proposals_.set_pool(take_round_robin(pool_candidates(cluster_), need), largest);
 }
 
 } // namespace heronshift::scheduling
--- a/src/scheduling/rebalancer.hpp
+++ b/src/scheduling/rebalancer.hpp
@@ -26,29 +26,29 @@
     using Machines = std::vector<const Machine*>;
     // The machines that take part in a round.
     struct Fleet {
-        Machines pool;       // the fullest first
-        Machines others;     // on-demand machines without accelerators outside the pool, the fullest first
-        Machines leaving;    // being retired
-        Resources pool_size; // the resources of all pool machines together
+        Machines pool;              // the fullest first
+        Machines others;            // on-demand machines without accelerators outside the pool, the fullest first
+        Machines retiring_machines; // being retired
+        Resources pool_size;        // the resources of all pool machines together
     };
-    using PlannedRoom = std::unordered_map<const Machine*, Resources>; // room already assigned in this round
+    using AssignedRoom = std::unordered_map<const Machine*, Resources>; // room already assigned in this round
     // The moves that a round may still make, and the room assigned so far.
     struct Round {
         int moves_left = 0;
-        PlannedRoom planned;
+        AssignedRoom assigned;
     };
 
     [[nodiscard]] bool is_urgent_work_waiting() const;
     [[nodiscard]] int extra_moves() const;
     [[nodiscard]] Fleet sort_fleet() const;
-    [[nodiscard]] bool movable(const Entry& entry) const;
+    [[nodiscard]] bool is_movable(const Entry& entry) const;
     [[nodiscard]] bool is_movable_replica(const Entry& entry) const;
     void move_away(const Entry& entry);
     [[nodiscard]] bool may_move_to(const Machine& machine, const Entry& entry) const;
-    bool reserve_place(const Entry& entry, const Machines& machines, PlannedRoom& planned) const;
+    bool assign_room(const Entry& entry, const Machines& machines, AssignedRoom& assigned) const;
     [[nodiscard]] double pull_back_rank(const Entry& entry, const Resources& pool_size) const;
     void pull_back(const Fleet& fleet, Round& round);
-    void empty_leaving(const Machines& leaving, const Machines& targets, Round& round);
+    void empty_retiring(const Machines& retiring_machines, const Machines& targets, Round& round);
     [[nodiscard]] double fragmentation_with(const Machine& machine, const Resources& freed) const;
     [[nodiscard]] bool lowers_fragmentation(const Entry& entry, const Machine& from, const Machine& to) const;
     void defragment(Machines pool, Round& round);
--- a/src/scheduling/room_index.cpp
+++ b/src/scheduling/room_index.cpp
@@ -55,20 +55,20 @@
 }
 
 Resources RoomIndex::service_room(const Machine& machine) const {
-    return is_reserved(machine) ? no_room : machine.whole - machine.used;
+    return is_reserved(machine) ? no_room : machine.total - machine.used;
 }
 
 Resources RoomIndex::task_room(const Machine& machine) const {
     if (is_reserved(machine) || cluster_.now < machine.slow_until)
         return no_room;
-    const auto free = machine.whole - machine.used;
-    return machine.pool ? free - cluster_.service_shape * kept_replicas + Resources{rounding, rounding, rounding}
+    const auto free = machine.total - machine.used;
+    return machine.pool ? free - cluster_.service_shape * replica_headroom + Resources{rounding, rounding, rounding}
                         : free;
 }
 
 void RoomIndex::rebuild() {
     machines_.clear();
-    places_.clear();
+    slots_.clear();
     reserved_.clear();
     for (auto& [key, group] : groups_) {
         group.members.clear();
@@ -81,11 +81,11 @@
         const auto at = static_cast<std::uint32_t>(machines_.size());
         machines_.push_back(machine.get());
         auto& group = groups_[{machine->type, machine->zone, machine->spot}];
-        places_.push_back({&group, static_cast<std::uint32_t>(group.members.size())});
+        slots_.push_back({&group, static_cast<std::uint32_t>(group.members.size())});
         group.members.push_back(at);
         group.service_rooms.push_back(service_room(*machine));
         group.task_rooms.push_back(task_room(*machine));
-        note_reservation(*machine, at);
+        index_reservation(*machine, at);
     }
     for (auto& [key, group] : groups_) {
         group.for_services.assign(group.service_rooms);
@@ -93,7 +93,7 @@
     }
 }
 
-void RoomIndex::note_reservation(const Machine& machine, std::uint32_t at) {
+void RoomIndex::index_reservation(const Machine& machine, std::uint32_t at) {
     if (is_reserved(machine))
         reserved_.push_back({at, machine.reserved_for, machine.reserved_priority});
 }
@@ -110,34 +110,34 @@
         return;
     const auto at = static_cast<std::uint32_t>(found);
     std::erase_if(reserved_, [at](const Reservation& reservation) { return reservation.machine == at; });
-    note_reservation(machine, at);
-    const auto& place = places_[found];
-    place.group->for_services.set(place.member, service_room(machine));
-    place.group->for_tasks.set(place.member, task_room(machine));
+    index_reservation(machine, at);
+    const auto& slot = slots_[found];
+    slot.group->for_services.set(slot.member, service_room(machine));
+    slot.group->for_tasks.set(slot.member, task_room(machine));
 }
 
-bool RoomIndex::may_hold(const Group& group, const Job& job, PlainMachines which) const {
+bool RoomIndex::may_hold(const Group& group, const Job& job, CpuOnlyOnDemand which) const {
     if (group.members.empty())
         return false;
     const auto& any = *machines_[group.members.front()];
-    if (which == PlainMachines::left_out && plain(any))
+    if (which == CpuOnlyOnDemand::excluded && is_cpu_only_on_demand(any))
         return false;
-    return cluster_.allowed_there(job, any);
+    return cluster_.satisfies_constraints(job, any);
 }
 
-void RoomIndex::find_reserved(const Job& job, PlainMachines which, std::vector<std::uint32_t>& found) const {
+void RoomIndex::find_reserved(const Job& job, CpuOnlyOnDemand which, std::vector<std::uint32_t>& found) const {
     for (const auto& reservation : reserved_) {
         if (reservation.job != &job && job.priority >= reservation.priority)
             continue;
         const auto& machine = *machines_[reservation.machine];
-        if (which == PlainMachines::left_out && plain(machine))
+        if (which == CpuOnlyOnDemand::excluded && is_cpu_only_on_demand(machine))
             continue;
-        if (job.spec.each.fits(machine.whole - machine.used))
+        if (job.spec.each.fits(machine.total - machine.used))
             found.push_back(reservation.machine);
     }
 }
 
-std::vector<std::uint32_t> RoomIndex::find(const Job& job, PlainMachines which) const {
+std::vector<std::uint32_t> RoomIndex::find(const Job& job, CpuOnlyOnDemand which) const {
     std::vector<std::uint32_t> positions, members;
     for (const auto& [key, group] : groups_) {
         if (!may_hold(group, job, which))
--- a/src/scheduling/room_index.hpp
+++ b/src/scheduling/room_index.hpp
@@ -43,11 +43,11 @@
     /// Updates the index with the current room and reservation of a machine.
     void update(const Machine& machine);
 
-    /// Whether find() includes machines for which `plain()` holds.
-    enum class PlainMachines : std::uint8_t { included, left_out };
+    /// Whether find() includes machines for which `is_cpu_only_on_demand()` holds.
+    enum class CpuOnlyOnDemand : std::uint8_t { included, excluded };
     /// The positions in machines() of the machines that have free room for a task of the job and for which usable()
     /// holds, in ascending order.
-    [[nodiscard]] std::vector<std::uint32_t> find(const Job& job, PlainMachines which) const;
+    [[nodiscard]] std::vector<std::uint32_t> find(const Job& job, CpuOnlyOnDemand which) const;
     /// All machines that accept tasks in this pass, ordered by id.
     [[nodiscard]] const std::vector<const Machine*>& machines() const {
         return machines_;
@@ -72,7 +72,7 @@
         auto operator<=>(const GroupKey&) const = default;
     };
     // The group of a machine and its index among the members.
-    struct Place {
+    struct GroupSlot {
         Group* group = nullptr;
         std::uint32_t member = 0;
     };
@@ -86,13 +86,13 @@
     [[nodiscard]] bool is_reserved(const Machine& machine) const;
     [[nodiscard]] Resources service_room(const Machine& machine) const;
     [[nodiscard]] Resources task_room(const Machine& machine) const;
-    void note_reservation(const Machine& machine, std::uint32_t at);
-    [[nodiscard]] bool may_hold(const Group& group, const Job& job, PlainMachines which) const;
-    void find_reserved(const Job& job, PlainMachines which, std::vector<std::uint32_t>& found) const;
+    void index_reservation(const Machine& machine, std::uint32_t at);
+    [[nodiscard]] bool may_hold(const Group& group, const Job& job, CpuOnlyOnDemand which) const;
+    void find_reserved(const Job& job, CpuOnlyOnDemand which, std::vector<std::uint32_t>& found) const;
 
     const ClusterData& cluster_;
     std::vector<const Machine*> machines_;
-    std::vector<Place> places_; // by position in machines_
+    std::vector<GroupSlot> slots_; // by position in machines_
     std::map<GroupKey, Group> groups_;
     std::vector<Reservation> reserved_; // machines that are in no tree while they are reserved
 };
--- a/src/scheduling/waiting_jobs.hpp
+++ b/src/scheduling/waiting_jobs.hpp
@@ -16,6 +16,6 @@
 
 /// The number of seconds after a job became ready for which its tasks may wait for placement before its objectives are
 /// at risk.
-[[nodiscard]] double patience_s(const ClusterData& cluster, const Job& job);
+[[nodiscard]] double max_wait_s(const ClusterData& cluster, const Job& job);
 
 } // namespace heronshift::scheduling
--- a/src/workers/heartbeat_handler.cpp
+++ b/src/workers/heartbeat_handler.cpp
@@ -11,12 +11,12 @@
 namespace {
 
 // How long a machine waits for the answer to a heartbeat, as the protocol prescribes.
-constexpr double worker_waits_s = 4;
+constexpr double heartbeat_answer_timeout_s = 4;
 // The longest time that a machine spends at one controller before it tries the next: it waits for the answer and then
 // for one more second, and its heartbeat takes time to arrive.
-constexpr double max_visit_s = worker_waits_s * 3 / 2;
-constexpr double relay_s = worker_waits_s / 2;           // leaves time for the paths from and to the machine
-constexpr double max_pending_s = worker_waits_s * 3 / 4; // longest wait of a heartbeat for a new leader
+constexpr double max_visit_s = heartbeat_answer_timeout_s * 3 / 2;
+constexpr double relay_s = heartbeat_answer_timeout_s / 2; // leaves time for the paths from and to the machine
+constexpr double max_pending_s = heartbeat_answer_timeout_s * 3 / 4; // longest wait of a heartbeat for a new leader
 // Share of the memory limit for heartbeats that wait during a failover: 9 MB of 72 MB, enough for about 10,000
 // heartbeats with five tasks each. Any further heartbeat is answered 503 at once, and its machine tries the next
 // controller.
@@ -38,7 +38,8 @@
 constexpr int sockets_per_relay = 20;
 // Times after the arrival of a heartbeat: until when a relay of it may still begin, and by when the relay has ended, so
 // that the answer reaches the machine in time.
-constexpr double relayed_until_s = worker_waits_s * 3 / 4, answered_by_s = worker_waits_s * 7 / 8;
+constexpr double relayed_until_s = heartbeat_answer_timeout_s * 3 / 4,
+                 answered_by_s = heartbeat_answer_timeout_s * 7 / 8;
 constexpr std::string_view peer_relay = "/peer/relay?to=";
 constexpr std::string_view no_orders = "{}"; // body of an answer without orders
 
@@ -191,9 +192,9 @@
 //
 // The heartbeat is relayed if the leader's view says that the leader does not reach the machine's zone, or if the
 // machine was redirected to the leader and has returned here. A machine that returned quickly was refused, or the
-// leader was not ready: one heartbeat is relayed. A machine that returned only after worker_waits_s waited there
-// without an answer: its heartbeats are relayed for `remember_s_`. If this node does not reach the leader either, a
-// returned machine tries the next controller. If it were redirected once more, two controllers that both know only of
+// leader was not ready: one heartbeat is relayed. A machine that returned only after heartbeat_answer_timeout_s waited
+// there without an answer: its heartbeats are relayed for `remember_s_`. If this node does not reach the leader either,
+// a returned machine tries the next controller. If it were redirected once more, two controllers that both know only of
 // an old leader could send it back and forth until its lease expires.
 //
 // A machine that receives no answers tries all controllers in turn. Unless all of them relay its heartbeats, the leader
@@ -229,7 +230,7 @@
 // are still being relayed since it returned earlier (`relay_until`).
 bool HeartbeatHandler::is_back(Redirected& machine, double now) const {
     const bool back = machine.sent_at.has_value();
-    if (back && now - *machine.sent_at >= worker_waits_s)
+    if (back && now - *machine.sent_at >= heartbeat_answer_timeout_s)
         machine.relay_until = now + remember_s_;
     return back || now < machine.relay_until;
 }
--- a/tests/simulated_cluster.hpp
+++ b/tests/simulated_cluster.hpp
@@ -112,7 +112,7 @@
             if (k.starts_with("x/") && !c.old)
                 s.cascades.push_back(i);
             if (k.starts_with("m/") || k.starts_with("d/"))
-                s.earlier.push_back(i);
+                s.legacy.push_back(i);
         }
         c.queue.clear();
         if (log != nullptr)
--- a/tests/test_cluster_state.cpp
+++ b/tests/test_cluster_state.cpp
@@ -101,7 +101,7 @@
     d.cluster.cancel({"wk-000003", 1});
     EXPECT_EQ(d.refusal(over, "a1"), "the job is over");
     const auto& other = d.add(job(4, Shape::array, 2, 1));
-    d.cluster.give_back(d.machine("a1"));
+    d.cluster.begin_release(d.machine("a1"));
     EXPECT_EQ(d.refusal(other, "a1"), "the machine takes no work");
 }
 
--- a/tests/test_golden_records.cpp
+++ b/tests/test_golden_records.cpp
@@ -87,10 +87,10 @@
 
 TEST_F(Golden, ProgressRanges) {
     expect_golden("records/progress.txt",
-                  intents::ranges_of({true, true, true, false, true, false, false, true, true}, 1000));
+                  intents::encode_ranges({true, true, true, false, true, false, false, true, true}, 1000));
     std::vector<bool> done(9);
-    intents::each_in_ranges(golden("records/progress.txt"), [&](std::uint32_t i) { done[i] = true; });
-    EXPECT_EQ(intents::ranges_of(done, 1000), golden("records/progress.txt"));
+    intents::for_each_in_ranges(golden("records/progress.txt"), [&](std::uint32_t i) { done[i] = true; });
+    EXPECT_EQ(intents::encode_ranges(done, 1000), golden("records/progress.txt"));
 }
 
 // --- the store as a whole ---
@@ -102,7 +102,7 @@
     Snapshot s;
     const std::pair<const char*, std::vector<codec::Item>*> prefixes[] = {
         {"j/", &s.jobs},    {"i/", &s.intents}, {"p/", &s.progress}, {"q/", &s.progress}, {"c/", &s.images},
-        {"l/", &s.learned}, {"m/", &s.earlier}, {"d/", &s.earlier},  {"x/", &s.cascades}};
+        {"l/", &s.learned}, {"m/", &s.legacy},  {"d/", &s.legacy},   {"x/", &s.cascades}};
     for (const auto& [key, value] : store.items())
         for (const auto& [prefix, into] : prefixes)
             if (key.starts_with(prefix))
--- a/tests/test_large_fleet.cpp
+++ b/tests/test_large_fleet.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 using cluster::ClusterState;
-using cluster::Status;
+using cluster::MachineStatus;
 
 constexpr int fleet_size = 6300;          // 4,000 and half as many more, and some
 constexpr int lost_size = fleet_size / 3; // lost within a lease
@@ -58,8 +58,8 @@
         cluster.set_time(now, now);
         cluster.expire_leases();
     }
-    void give_back(const std::string& id) {
-        cluster.give_back(*cluster.view().machines.at(id));
+    void begin_release(const std::string& id) {
+        cluster.begin_release(*cluster.view().machines.at(id));
         cluster.released(Released{{id}, true});
     }
     void list(int from, int to) {
@@ -77,7 +77,7 @@
     std::size_t up() {
         const auto& all = cluster.view().machines;
         return static_cast<std::size_t>(
-            std::count_if(all.begin(), all.end(), [](const auto& m) { return m.second->status == Status::up; }));
+            std::count_if(all.begin(), all.end(), [](const auto& m) { return m.second->status == MachineStatus::up; }));
     }
 };
 
@@ -87,7 +87,7 @@
     fleet.hear_all(0, 10);
     ASSERT_EQ(fleet.up(), fleet_size);
     for (int i = 0; i < lost_size; ++i)
-        fleet.give_back(LargeFleet::name(i));
+        fleet.begin_release(LargeFleet::name(i));
     ASSERT_EQ(fleet.known(), fleet_size - lost_size);
     ASSERT_EQ(fleet.whole_job().live, fleet_size - lost_size);
 
@@ -163,7 +163,7 @@
     const auto release = [&](const std::vector<std::string>& machines) {
         fleet.out.clear();
         for (const auto& id : machines)
-            fleet.cluster.give_back(*fleet.cluster.view().machines.at(id));
+            fleet.cluster.begin_release(*fleet.cluster.view().machines.at(id));
         fleet.cluster.release(machines);
         std::vector<std::string> asked;
         for (const auto& effect : fleet.out)
@@ -181,10 +181,10 @@
 
     // The condition: full, and the oldest record is young.
     fleet.pass(5 * small.list_lag_s + 3 * small.lease_s);
-    ASSERT_EQ(fleet.cluster.view().machines.at(lost)->status, Status::lost);
+    ASSERT_EQ(fleet.cluster.view().machines.at(lost)->status, MachineStatus::lost);
     EXPECT_TRUE(release({last}).empty());
     EXPECT_TRUE(fleet.cluster.view().machines.contains(last));
-    EXPECT_FALSE(fleet.cluster.view().machines.at(last)->release_asked); // so it is asked for again
+    EXPECT_FALSE(fleet.cluster.view().machines.at(last)->release_requested); // so it is asked for again
     EXPECT_TRUE(fleet.cluster.view().machines.at(last)->releasing);
     EXPECT_EQ(fleet.hear(room, 10), 503); // a copy, still known as one
     EXPECT_EQ(fleet.hear(0, 11), 503);
--- a/tests/test_leader_election.cpp
+++ b/tests/test_leader_election.cpp
@@ -95,7 +95,7 @@
     ASSERT_TRUE(request);
     EXPECT_EQ(request->node, "berth-1");
     EXPECT_EQ(request->term, 4U);
-    EXPECT_EQ(request->length_s, 0.5);
+    EXPECT_EQ(request->duration_s, 0.5);
 }
 
 TEST(PeerMessages, ExtensionVoteRequestNeedsOnlyAPositiveLength) {
@@ -270,7 +270,7 @@
     [[nodiscard]] bool no_better_candidate() const override {
         return !candidate;
     }
-    [[nodiscard]] std::optional<std::string> served_instead() const override {
+    [[nodiscard]] std::optional<std::string> peer_served_by_store() const override {
         return {};
     }
     [[nodiscard]] std::optional<membership::Membership::ReportedLeader> reported_leader() const override {
@@ -303,7 +303,7 @@
     }
     template <typename Action> static const Action* find(const ElectionActions& actions) {
         for (const auto& action : actions)
-            if (const auto* found = std::get_if<Action>(&action.what))
+            if (const auto* found = std::get_if<Action>(&action.operation))
                 return found;
         return nullptr;
     }
@@ -381,10 +381,10 @@
     EXPECT_FALSE(machine.is_leader());
     EXPECT_FALSE(machine.valid(start_at + 0.2));
     ASSERT_EQ(actions.size(), 4U);
-    EXPECT_TRUE(std::holds_alternative<EndTerm>(actions[0].what));
-    EXPECT_TRUE(std::holds_alternative<RevokeStoreLease>(actions[1].what));
-    EXPECT_TRUE(std::holds_alternative<WatchLeaderAfter>(actions[3].what));
-    const auto* offer = std::get_if<OfferTakeover>(&actions[2].what);
+    EXPECT_TRUE(std::holds_alternative<EndTerm>(actions[0].operation));
+    EXPECT_TRUE(std::holds_alternative<RevokeStoreLease>(actions[1].operation));
+    EXPECT_TRUE(std::holds_alternative<ReadLeaderAfter>(actions[3].operation));
+    const auto* offer = std::get_if<OfferTakeover>(&actions[2].operation);
     ASSERT_NE(offer, nullptr);
     EXPECT_EQ(offer->request.store_lease, 7U);
     EXPECT_EQ(offer->request.term, 4U);
@@ -395,7 +395,7 @@
 TEST_F(Election, AnswersOfAnEarlierEpochAreDropped) {
     become_leader();
     const auto renewal = machine.tick(start_at + 0.2).at(0);
-    ASSERT_TRUE(std::holds_alternative<RenewStoreLease>(renewal.what));
+    ASSERT_TRUE(std::holds_alternative<RenewStoreLease>(renewal.operation));
     (void)machine.resign({ResignReason::shutting_down, {}, {}});
     become_leader();
     EXPECT_TRUE(
@@ -418,7 +418,7 @@
     const auto actions = machine.tick(asked_at);
     const auto* votes = find<RequestExtensionVotes>(actions);
     ASSERT_NE(votes, nullptr);
-    EXPECT_EQ(votes->request.length_s, 1);
+    EXPECT_EQ(votes->request.duration_s, 1);
     const ExtensionVoteAnswer granted{ExtensionVoteAnswer::Vote::granted, false};
     const double voted_at = start_at + 1.5;
     (void)machine.extension_vote_received(actions.at(0).epoch, voted_at, voted_at, "berth-1", granted);
--- a/tests/test_placement.cpp
+++ b/tests/test_placement.cpp
@@ -116,13 +116,13 @@
     }
     Assignment run() {
         for (std::size_t bin = 0; bin < bins_.size(); ++bin)
-            try_bin(bin);
+            extend_by_bin(bin);
         return trace_back();
     }
 
 private:
     static constexpr double unreachable = -1e300;
-    static constexpr double task_value = 1e9;
+    static constexpr double placed_task_value = 1e9;
 
     [[nodiscard]] int digit(std::size_t state, std::size_t group) const {
         return static_cast<int>(state / steps_[group] % (static_cast<std::size_t>(groups_[group].count) + 1));
@@ -145,11 +145,11 @@
             const int count = digit(code, group);
             need += groups_[group].each * count;
             if (count > 0)
-                value += count * (task_value - groups_[group].cost[bin]);
+                value += count * (placed_task_value - groups_[group].cost[bin]);
         }
         return value - (fragmentation(free - need, whole, shape_) - fragmentation(free, whole, shape_));
     }
-    void try_bin(std::size_t bin) {
+    void extend_by_bin(std::size_t bin) {
         auto next = best_;
         auto& taken = taken_.emplace_back(states_);
         for (std::size_t state = 0; state < states_; ++state) {
--- a/tests/test_records.cpp
+++ b/tests/test_records.cpp
@@ -41,7 +41,7 @@
     EXPECT_TRUE(r.damaged);
     EXPECT_EQ(intents::read("n-1 a 1 wk-1/5-999999999:1").unproven.size(), 1U);
     std::uint32_t seen = 0;
-    intents::each_in_ranges("0-2,5,9-", [&](std::uint32_t) { ++seen; });
+    intents::for_each_in_ranges("0-2,5,9-", [&](std::uint32_t) { ++seen; });
     EXPECT_EQ(seen, 4U);
 }
 
@@ -165,16 +165,16 @@
 TEST(ClusterRecords, TheEarlierLayoutIsReadAndRemoved) {
     const auto settings = small_settings();
     auto stored = one_job(job(1, Shape::array, 4, 1));
-    stored.earlier.push_back({"m/n-1",
-                              {{"addr", "10.1.0.1:9000"},
-                               {"flavor", "m8"},
-                               {"yard", "a"},
-                               {"standby", false},
-                               {"tenure", 1},
-                               {"tasks", {"wk-000001/2:5"}}},
-                              1,
-                              false});
-    stored.earlier.push_back({"d/wk-000001", {{"done", "0-1"}}, 1, false});
+    stored.legacy.push_back({"m/n-1",
+                             {{"addr", "10.1.0.1:9000"},
+                              {"flavor", "m8"},
+                              {"yard", "a"},
+                              {"standby", false},
+                              {"tenure", 1},
+                              {"tasks", {"wk-000001/2:5"}}},
+                             1,
+                             false});
+    stored.legacy.push_back({"d/wk-000001", {{"done", "0-1"}}, 1, false});
     Core core(settings, 7, stored, 0, 0);
     EXPECT_EQ(core.live_tasks("wk-000001"), 1U);
     EXPECT_EQ(core.view("wk-000001")->done, 2U);
--- a/tests/test_room_index.cpp
+++ b/tests/test_room_index.cpp
@@ -26,20 +26,20 @@
         m->zone = pick(0, 2);
         m->type_name = view_.types[static_cast<std::size_t>(m->type)].name;
         m->zone_name = settings_.zones[static_cast<std::size_t>(m->zone)];
-        m->whole = view_.types[static_cast<std::size_t>(m->type)].room;
+        m->total = view_.types[static_cast<std::size_t>(m->type)].room;
         m->spot = one_in(3);
-        m->status = one_in(12) ? Status::booting : Status::up;
-        m->proven = !one_in(12);
+        m->status = one_in(12) ? MachineStatus::booting : MachineStatus::up;
+        m->term_seen = !one_in(12);
         m->draining = one_in(12);
         m->retiring = one_in(12);
-        m->bad = one_in(12);
+        m->out_of_service = one_in(12);
         m->releasing = one_in(12);
         m->last_heartbeat_at = one_in(12) ? view_.now - 5 : view_.now;
         m->avoid_until = one_in(12) ? view_.now + 1 : 0;
         m->slow_until = one_in(8) ? view_.now + 1 : -1;
         m->pool = !m->spot && one_in(3);
-        m->used = {0.1 * pick(0, static_cast<int>(m->whole.cpus * 10)), double(pick(0, int(m->whole.gpus))),
-                   0.1 * pick(0, static_cast<int>(m->whole.memory_gb * 10))};
+        m->used = {0.1 * pick(0, static_cast<int>(m->total.cpus * 10)), double(pick(0, int(m->total.gpus))),
+                   0.1 * pick(0, static_cast<int>(m->total.memory_gb * 10))};
         view_.machines.emplace(m->id, std::move(m));
     }
     Job& add_job() {
@@ -69,7 +69,7 @@
             m.reserved_until = view_.now + pick(-1, 2);
             m.reserved_priority = static_cast<Priority>(pick(0, 3));
         } else {
-            m.used = m.whole * (0.1 * pick(0, 10));
+            m.used = m.total * (0.1 * pick(0, 10));
         }
     }
     Machine& any_machine() {
@@ -77,10 +77,11 @@
         std::advance(it, pick(0, static_cast<int>(view_.machines.size()) - 1));
         return *it->second;
     }
-    [[nodiscard]] std::vector<const Machine*> look_at_all(const Job& j, bool leave_plain) const {
+    [[nodiscard]] std::vector<const Machine*> look_at_all(const Job& j, bool exclude_on_demand) const {
         std::vector<const Machine*> out;
         for (const auto& [id, m] : view_.machines)
-            if (j.spec.each.fits(m->whole - m->used) && usable(view_, *m, j) && !(leave_plain && plain(*m)))
+            if (j.spec.each.fits(m->total - m->used) && usable(view_, *m, j) &&
+                !(exclude_on_demand && is_cpu_only_on_demand(*m)))
                 out.push_back(m.get());
         return out;
     }
@@ -106,12 +107,12 @@
 
 void expect_same(const RandomFleet& fleet, const RoomIndex& index) {
     for (const auto& j : fleet.jobs_)
-        for (const bool leave_plain : {false, true}) {
+        for (const bool exclude_on_demand : {false, true}) {
             std::vector<const Machine*> found;
-            for (const auto p :
-                 index.find(*j, leave_plain ? RoomIndex::PlainMachines::left_out : RoomIndex::PlainMachines::included))
+            for (const auto p : index.find(*j, exclude_on_demand ? RoomIndex::CpuOnlyOnDemand::excluded
+                                                                 : RoomIndex::CpuOnlyOnDemand::included))
                 found.push_back(index.machines()[p]);
-            EXPECT_EQ(found, fleet.look_at_all(*j, leave_plain));
+            EXPECT_EQ(found, fleet.look_at_all(*j, exclude_on_demand));
         }
 }
 
--- a/tests/test_stored_records.cpp
+++ b/tests/test_stored_records.cpp
@@ -81,7 +81,7 @@
     auto earlier = json(text);
     earlier.erase("offeredOrdinary");
     ASSERT_TRUE(decode_learned(earlier));
-    EXPECT_EQ(decode_learned(earlier)->offered_ordinary, 0);
+    EXPECT_EQ(decode_learned(earlier)->offered_on_demand, 0);
     for (const char* other : malformed)
         EXPECT_FALSE(decode_learned(json(other))) << other;
 }
@@ -94,20 +94,20 @@
 }
 
 TEST(StoredRecords, TheEarliestLayoutIsReadAsFarAsItCanBe) {
-    const auto record = decode_earlier_machine(
+    const auto record = decode_legacy_machine(
         "n-1", json(R"({"yard":"a","tenure":2,"tasks":["wk-000001/3:70",7,"wk-000001/4-5:70"]})"));
     EXPECT_TRUE(record.damaged); // a number, and a range where one task is expected
     ASSERT_EQ(record.intents.size(), 3U);
     EXPECT_EQ(record.intents[0], (intents::Intent{"n-1", "a", 2, "wk-000001", 3, 70}));
-    EXPECT_FALSE(decode_earlier_machine("n-1", json(R"({"yard":"a","tenure":2,"tasks":[]})")).damaged);
+    EXPECT_FALSE(decode_legacy_machine("n-1", json(R"({"yard":"a","tenure":2,"tasks":[]})")).damaged);
     for (const char* text : malformed)
-        EXPECT_TRUE(decode_earlier_machine("n-1", json(text)).damaged) << text;
-    const auto job = decode_earlier_job(json(R"({"done":"0-1","final":"done"})"));
+        EXPECT_TRUE(decode_legacy_machine("n-1", json(text)).damaged) << text;
+    const auto job = decode_legacy_job(json(R"({"done":"0-1","final":"done"})"));
     ASSERT_TRUE(job);
     EXPECT_EQ(job->done, "0-1");
     EXPECT_EQ(job->final, "done");
-    EXPECT_FALSE(decode_earlier_job(json("[]")));
-    EXPECT_THROW((void)decode_earlier_job(json(R"({"done":7})")), codec::Json::type_error);
+    EXPECT_FALSE(decode_legacy_job(json("[]")));
+    EXPECT_THROW((void)decode_legacy_job(json(R"({"done":7})")), codec::Json::type_error);
 }
 
 } // namespace
