--- a/src/scheduling/placement.cpp
+++ b/src/scheduling/placement.cpp
@@ -14,7 +14,7 @@
 // Placement cost in seconds that is low enough to accept a machine without looking for a better one.
 constexpr double good_place_s = 18;
 constexpr int placements_a_pass = 64; // bounds the pass, so that heartbeats and requests are not delayed
-constexpr double replica_looks = 6;   // limit of requests for room, for replicas
+constexpr double replica_looks = 6;   // requests for room for replicas per heartbeat interval
 constexpr double task_looks = 2;      // the same for other tasks
 constexpr double pool_offset_s = 1;   // cost without any gain in payoff; keeps the costs above zero
 
