--- a/src/leadership/leader_lease.hpp
+++ b/src/leadership/leader_lease.hpp
@@ -85,8 +85,10 @@
     double extended_until_ = 0;
     std::map<std::string, double> extension_votes_; // the end of the extension granted by each peer
     double not_before_;
-    double served_since_ = -1;         // the store has answered every call since then; below zero: the last call failed
-    bool acquisition_in_doubt_ = true; // initially true: an earlier process may have left a claim pending
+    // The store has answered every call since then; below zero: the last call failed.
+    double served_since_ = -1;
+    // True at the start because an earlier process may have left a claim pending.
+    bool acquisition_in_doubt_ = true;
 };
 
 } // namespace heronshift
