--- a/src/persistence/cascade_records.cpp
+++ b/src/persistence/cascade_records.cpp
@@ -37,7 +37,7 @@
     if (oldest == nullptr)
         return false;
     const auto& data = cluster_.view();
-    const bool waited_in_earlier_term = oldest->submitted < data.started; // It may have, for an unknown time.
+    const bool waited_in_earlier_term = oldest->submitted < data.started; // How long, if at all, is not known.
     return waited_in_earlier_term || data.now - oldest->final_due_at >= settings_.report_s;
 }
 
--- a/src/persistence/intent_records.cpp
+++ b/src/persistence/intent_records.cpp
@@ -250,7 +250,8 @@
 
 void ClusterRecords::IntentRecords::committed(bool applied) {
     for (const auto number : std::exchange(in_flight_, {})) {
-        const auto entries = records_[number].entries; // A copy, since `settle` may move entries out of the record.
+        // A copy, since `settle` may move entries out of the record.
+        const auto entries = records_[number].entries;
         for (auto* entry : entries)
             settle(*entry, applied);
         if (!applied)
