--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -72,8 +72,8 @@
 } // namespace
 
 Gateway::Gateway(const Settings& settings, TimerQueue& timers, store::StateStore& store, Peers& peers,
-                 const membership::Membership& members, metrics::Timings& timings, Host& host)
-    : settings_(settings), timers_(timers), store_(store), peers_(peers), members_(members), timings_(timings),
+                 const membership::Membership& membership, metrics::Timings& timings, Host& host)
+    : settings_(settings), timers_(timers), store_(store), peers_(peers), membership_(membership), timings_(timings),
       host_(host),
       // What a user's read may take when this node is alone with the store.
       reads_(settings.state_rps / 4, settings.state_rps / 6, patience_leases * settings.lease_s, max_refused(settings)),
@@ -123,10 +123,10 @@
     std::vector<std::string> out;
     const auto& leader = host_.leader();
     if (to_leader && !leader.empty() && leader != settings_.name &&
-        members_.peer(leader) != membership::Reachability::unreachable)
+        membership_.peer(leader) != membership::Reachability::unreachable)
         out.push_back(leader);
-    if (to_store && members_.store() == membership::Reachability::unreachable)
-        if (const auto by = members_.with_store(leader); by && (out.empty() || *by != out.front()))
+    if (to_store && membership_.store() == membership::Reachability::unreachable)
+        if (const auto by = membership_.relay_to_store(leader); by && (out.empty() || *by != out.front()))
             out.push_back(*by);
     return out;
 }
@@ -184,7 +184,7 @@
 }
 
 bool Gateway::may_look_up(const std::string& id) {
-    if (members_.store() == membership::Reachability::unreachable)
+    if (membership_.store() == membership::Reachability::unreachable)
         return false;
     const double now = timers_.now();
     if (lookups_ <= max_lookups_ && reads_.take(id, now))
@@ -467,7 +467,7 @@
 }
 
 void Gateway::accept(const OpenSubmission& submission) {
-    if (members_.store() == membership::Reachability::unreachable) {
+    if (membership_.store() == membership::Reachability::unreachable) {
         ++timings_.refused;
         return try_later(submission->res);
     }
--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -46,7 +46,7 @@
         virtual void stored(JobStored&& command) = 0;
     };
     Gateway(const Settings& settings, TimerQueue& timers, store::StateStore& store, Peers& peers,
-            const membership::Membership& members, metrics::Timings& timings, Host& host);
+            const membership::Membership& membership, metrics::Timings& timings, Host& host);
 
     /// A request to a path under codec::path_jobs. forwarded: by another controller, so it is not passed on again.
     void serve(HttpRequest&& request, const Responder& res, bool forwarded);
@@ -142,7 +142,7 @@
     TimerQueue& timers_;
     store::StateStore& store_;
     Peers& peers_;
-    const membership::Membership& members_;
+    const membership::Membership& membership_;
     metrics::Timings& timings_;
     Host& host_;
     FairTokenBucket reads_, submissions_;
--- a/src/leadership/election_state_machine.cpp
+++ b/src/leadership/election_state_machine.cpp
@@ -367,7 +367,7 @@
 
 bool ElectionStateMachine::workers_silent(double now) const {
     return candidate_policy_.workers_silent(
-               {now, acquired_at_, hints_.last_worker_heartbeat_at(), hints_.all_zones_lost()}) &&
+               {now, acquired_at_, hints_.last_worker_contact_at(), hints_.all_zones_lost()}) &&
            hints_.machines_up() >= CandidatePolicy::min_machines_to_judge_silence;
 }
 
--- a/src/leadership/leader_election.cpp
+++ b/src/leadership/leader_election.cpp
@@ -25,15 +25,15 @@
 // LeaderElection::Hints.
 
 bool LeaderElection::Hints::store_reachable() const {
-    return members_.store() != membership::Reachability::unreachable;
+    return membership_.store() != membership::Reachability::unreachable;
 }
 
 bool LeaderElection::Hints::all_zones_lost() const {
-    return members_.all_zones_lost();
+    return membership_.all_zones_lost();
 }
 
-double LeaderElection::Hints::last_worker_heartbeat_at() const {
-    return members_.last_worker_heartbeat_at();
+double LeaderElection::Hints::last_worker_contact_at() const {
+    return membership_.last_worker_contact_at();
 }
 
 std::size_t LeaderElection::Hints::machines_up() const {
@@ -41,38 +41,38 @@
 }
 
 double LeaderElection::Hints::candidacy_delay_s() const {
-    return members_.candidacy_delay_s();
+    return membership_.candidacy_delay_s();
 }
 
 std::optional<std::string> LeaderElection::Hints::better_candidate() const {
-    return members_.better_candidate();
+    return membership_.better_candidate();
 }
 
 bool LeaderElection::Hints::no_better_candidate() const {
-    return members_.no_better_candidate();
+    return membership_.no_better_candidate();
 }
 
 std::optional<std::string> LeaderElection::Hints::peer_served_by_store() const {
-    return members_.peer_served_by_store();
+    return membership_.peer_served_by_store();
 }
 
 std::optional<membership::Membership::ReportedLeader> LeaderElection::Hints::reported_leader() const {
-    return members_.reported_leader();
+    return membership_.reported_leader();
 }
 
 membership::Eligibility LeaderElection::Hints::own_eligibility() const {
-    return members_.own_eligibility();
+    return membership_.own_eligibility();
 }
 
 membership::Eligibility LeaderElection::Hints::eligibility(const std::string& peer) const {
-    return members_.eligibility(peer);
+    return membership_.eligibility(peer);
 }
 
 // Public functions and requests from peers.
 
 LeaderElection::LeaderElection(const Settings& settings, TimerQueue& timers, store::StateStore& store, Peers& peers,
-                               const membership::Membership& members, metrics::Timings& timings, Host& host)
-    : settings_(settings), timers_(timers), store_(store), peers_(peers), host_(host), hints_(members, host),
+                               const membership::Membership& membership, metrics::Timings& timings, Host& host)
+    : settings_(settings), timers_(timers), store_(store), peers_(peers), host_(host), hints_(membership, host),
       state_machine_(settings, hints_, timers.now()), state_loader_(settings, timers, store),
       transactions_(settings, timers, store, timings,
                     {[this](TxnOutcome outcome) { host_.committed(outcome); },
--- a/src/leadership/leader_election.hpp
+++ b/src/leadership/leader_election.hpp
@@ -50,7 +50,7 @@
 
     /// Keeps all references.
     LeaderElection(const Settings& settings, TimerQueue& timers, store::StateStore& store, Peers& peers,
-                   const membership::Membership& members, metrics::Timings& timings, Host& host);
+                   const membership::Membership& membership, metrics::Timings& timings, Host& host);
 
     void start();
     /// Must be called often, at least about sixty times per heartbeat interval.
@@ -114,10 +114,10 @@
     // Takes the hints from Membership and the host.
     class Hints final : public LinkHints {
     public:
-        Hints(const membership::Membership& members, const Host& host) : members_(members), host_(host) {}
+        Hints(const membership::Membership& membership, const Host& host) : membership_(membership), host_(host) {}
         [[nodiscard]] bool store_reachable() const override;
         [[nodiscard]] bool all_zones_lost() const override;
-        [[nodiscard]] double last_worker_heartbeat_at() const override;
+        [[nodiscard]] double last_worker_contact_at() const override;
         [[nodiscard]] std::size_t machines_up() const override;
         [[nodiscard]] double candidacy_delay_s() const override;
         [[nodiscard]] std::optional<std::string> better_candidate() const override;
@@ -128,7 +128,7 @@
         [[nodiscard]] membership::Eligibility eligibility(const std::string& peer) const override;
 
     private:
-        const membership::Membership& members_;
+        const membership::Membership& membership_;
         const Host& host_;
     };
 
--- a/src/leadership/link_hints.hpp
+++ b/src/leadership/link_hints.hpp
@@ -24,7 +24,7 @@
     /// Whether this node cannot reach the workers of any zone.
     [[nodiscard]] virtual bool all_zones_lost() const = 0;
     /// When any worker was last heard from, directly or through another controller; below zero: never.
-    [[nodiscard]] virtual double last_worker_heartbeat_at() const = 0;
+    [[nodiscard]] virtual double last_worker_contact_at() const = 0;
     /// How many machines are expected to send heartbeats to the leader. Each call scans all machines.
     [[nodiscard]] virtual std::size_t machines_up() const = 0;
     /// How long this node waits, when there is no leader, so that better candidates can acquire the leadership first.
--- a/src/leadership/transaction_queue.cpp
+++ b/src/leadership/transaction_queue.cpp
@@ -9,7 +9,7 @@
 
 // A transaction that is not applied is sent again. After this many repeated sends, the term ends instead if this node
 // may not act as leader.
-constexpr int max_attempts = 3;
+constexpr int max_resends_while_inactive = 3;
 
 } // namespace
 
@@ -88,7 +88,7 @@
         return callbacks_.term_over(ResignReason::newer_term_stored);
     if (counter.transactions == transactions_ + 1)
         return applied(revision);
-    if (attempts > max_attempts && !callbacks_.valid())
+    if (attempts > max_resends_while_inactive && !callbacks_.valid())
         return callbacks_.term_over(ResignReason::outcome_unknown);
     send(std::move(commit), attempts);
 }
--- a/src/membership/eligibility.hpp
+++ b/src/membership/eligibility.hpp
@@ -23,7 +23,7 @@
     /// Number of zones whose workers it reaches directly.
     int zones = 0;
     /// Number of zones whose workers it reaches only through another controller.
-    int zones_by_others = 0;
+    int zones_via_peers = 0;
     /// 0 if it is known not to reach the cloud, else 1.
     int cloud = 0;
     auto operator<=>(const Eligibility&) const = default;
@@ -59,7 +59,8 @@
 
 /// The name of the most eligible peer, if it is more eligible than this node; the first of several equal ones. Empty if
 /// no peer is more eligible.
-[[nodiscard]] std::optional<std::string> best_above(const Eligibility& own, const std::vector<Candidate>& peers);
+[[nodiscard]] std::optional<std::string> best_candidate_above(const Eligibility& own,
+                                                              const std::vector<Candidate>& peers);
 
 /// How long this node waits before it tries to acquire a free leadership, in seconds: a fraction of a lease if a peer
 /// is a better candidate, else a shorter time for each equal candidate whose name sorts before this node's, so that
--- a/src/membership/link_health.cpp
+++ b/src/membership/link_health.cpp
@@ -13,7 +13,7 @@
     // the leadership or redirect the workers each time.
     if (lost() && now - *succeeding_since_ < thresholds_.min_recovery_s)
         return false;
-    return std::exchange(reach_, Reachability::reachable) == Reachability::unreachable;
+    return std::exchange(reachability_, Reachability::reachable) == Reachability::unreachable;
 }
 
 bool LinkHealth::record_failure(double now) {
@@ -26,7 +26,7 @@
     const double outage_since = succeeded_at_ ? *succeeded_at_ : *failing_since_;
     if (now - outage_since < thresholds_.min_outage_s)
         return false;
-    reach_ = Reachability::unreachable;
+    reachability_ = Reachability::unreachable;
     return true;
 }
 
--- a/src/membership/link_health.hpp
+++ b/src/membership/link_health.hpp
@@ -34,10 +34,10 @@
     bool record_failure(double now);
 
     [[nodiscard]] Reachability reach() const {
-        return reach_;
+        return reachability_;
     }
     [[nodiscard]] bool lost() const {
-        return reach_ == Reachability::unreachable;
+        return reachability_ == Reachability::unreachable;
     }
     /// The time of the last success; empty if there was none.
     [[nodiscard]] std::optional<double> succeeded_at() const {
@@ -55,7 +55,7 @@
 
 private:
     FailureThresholds thresholds_;
-    Reachability reach_ = Reachability::unknown;
+    Reachability reachability_ = Reachability::unknown;
     std::optional<double> succeeded_at_, failed_at_;
     // The times of the first of the latest consecutive failures and of the first of the latest consecutive successes.
     std::optional<double> failing_since_, succeeding_since_;
--- a/src/membership/machine_samples.hpp
+++ b/src/membership/machine_samples.hpp
@@ -26,11 +26,11 @@
     /// Records a heartbeat of the machine at this address. Sampled machines stay in the sample for as long as they send
     /// heartbeats, so that the connections to them stay open; when the sample is full, a new machine replaces a silent
     /// one, if there is any.
-    void heard_from(const std::string& address, double now);
-    /// Replaces this sample by that of another controller, with `heard_at` as the time of each machine's heartbeat.
-    void replace(const std::vector<std::string>& addresses, double heard_at);
+    void record_heartbeat(const std::string& address, double now);
+    /// Replaces this sample by that of another controller, with `heartbeat_at` as the time of each machine's heartbeat.
+    void replace(const std::vector<std::string>& addresses, double heartbeat_at);
     /// Removes the machine at this address from the sample.
-    void forget(const std::string& address);
+    void remove(const std::string& address);
     void clear() {
         samples_.clear();
     }
@@ -38,9 +38,9 @@
     /// heartbeats: a released machine answers no probe, and that must not make the zone look unreachable.
     void drop_stale(double now);
     /// The addresses of the next machines to probe, in rotation: `max_count` of them, or all if the sample is smaller.
-    [[nodiscard]] std::vector<std::string> take_turn(std::size_t max_count);
+    [[nodiscard]] std::vector<std::string> next_in_rotation(std::size_t max_count);
     /// The addresses of the machines whose last heartbeat is less than a machine's lease (lease_s) old.
-    [[nodiscard]] std::vector<std::string> heard_within_lease(double now) const;
+    [[nodiscard]] std::vector<std::string> addresses_within_lease(double now) const;
     [[nodiscard]] bool empty() const {
         return samples_.empty();
     }
@@ -48,7 +48,7 @@
 private:
     struct Sample {
         std::string address;
-        double heard_at = 0;
+        double heartbeat_at = 0;
     };
     [[nodiscard]] bool is_silent(const Sample& sample, double now) const;
 
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -11,15 +11,15 @@
 
 // Intervals and timeouts as fractions of report_s, the interval at which each machine sends a heartbeat, plus or minus
 // a quarter.
-constexpr double exchange_heartbeats = 1.0 / 3;         // between two exchanges of views with the peers
-constexpr double urgent_exchange_heartbeats = 1.0 / 30; // the same if something has changed
+constexpr double exchange_interval_heartbeats = 1.0 / 3;         // between two exchanges of views with the peers
+constexpr double urgent_exchange_interval_heartbeats = 1.0 / 30; // the same if something has changed
 constexpr double exchange_timeout_heartbeats = 1.0 / 4;
-constexpr double probe_heartbeats = 1.0 / 2; // between two rounds of probes
+constexpr double probe_interval_heartbeats = 1.0 / 2; // between two rounds of probes
 constexpr double probe_timeout_heartbeats = 1.0 / 4;
-constexpr double store_quiet_heartbeats = 1.0 / 3; // without an answer from the store before it is probed
+constexpr double store_idle_heartbeats = 1.0 / 3; // without an answer from the store before it is probed
 constexpr double silence_checks_per_heartbeat = 10;
 // The interval between two probes of the cloud, as a fraction of lease_s.
-constexpr double cloud_probe_leases = 1.0 / 2;
+constexpr double cloud_probe_interval_leases = 1.0 / 2;
 
 FailureThresholds service_thresholds(const Settings& settings) {
     return {.min_outage_s = settings.report_s / 4, .min_failures = 2, .min_recovery_s = settings.report_s / 4};
@@ -79,7 +79,7 @@
 
 void Membership::link_changed(const std::string& target, Reachability state) {
     ++link_changes_;
-    exchange_soon_ = true; // so that the peers learn of it soon
+    exchange_urgent_ = true; // so that the peers learn of it soon
     spdlog::info("link changed target=\"{}\" state={}", target, to_text(state));
 }
 
@@ -103,7 +103,7 @@
 
 void Membership::heartbeat_received(const std::string& zone, const std::string& addr) {
     const double now = timers_.now();
-    last_worker_heartbeat_at_ = now;
+    last_worker_contact_at_ = now;
     auto* health = find_zone(zone);
     if (health != nullptr && health->record_heartbeat(addr, now))
         link_changed(zone_target(zone), reach(*health));
@@ -111,7 +111,7 @@
 
 void Membership::heartbeat_relayed(const std::string& zone, const std::string& addr) {
     const double now = timers_.now();
-    last_worker_heartbeat_at_ = now;
+    last_worker_contact_at_ = now;
     if (auto* health = find_zone(zone); health != nullptr)
         health->record_relayed_heartbeat(addr, now);
 }
@@ -130,29 +130,30 @@
         check_silence();
     }
     if (now >= next_probe_ && !settings_.peers.empty()) {
-        next_probe_ = now + probe_heartbeats * settings_.report_s;
+        next_probe_ = now + probe_interval_heartbeats * settings_.report_s;
         probe();
     }
-    announce_change_of_leader();
+    check_leadership_change();
     if (exchange_is_due(now)) {
-        next_exchange_ = now + exchange_heartbeats * settings_.report_s;
-        exchange_soon_ = false;
+        next_exchange_ = now + exchange_interval_heartbeats * settings_.report_s;
+        exchange_urgent_ = false;
         exchange();
     }
 }
 
 // Peers that cannot reach the store learn of the new leader only through the exchange of views.
-void Membership::announce_change_of_leader() {
+void Membership::check_leadership_change() {
     const bool is_active_leader = host_.is_active_leader();
     if (is_active_leader == was_active_leader_)
         return;
     was_active_leader_ = is_active_leader;
-    exchange_soon_ = true;
+    exchange_urgent_ = true;
 }
 
 bool Membership::exchange_is_due(double now) const {
-    const double head_start_s = (exchange_heartbeats - urgent_exchange_heartbeats) * settings_.report_s;
-    return now >= next_exchange_ || (exchange_soon_ && now >= next_exchange_ - head_start_s);
+    const double head_start_s =
+        (exchange_interval_heartbeats - urgent_exchange_interval_heartbeats) * settings_.report_s;
+    return now >= next_exchange_ || (exchange_urgent_ && now >= next_exchange_ - head_start_s);
 }
 
 // While this node is the active leader, the machines should send their heartbeats to it. If none of a zone's machines
@@ -169,7 +170,7 @@
             link_changed(zone_target(name), Reachability::unreachable);
             break;
         case ZoneHealth::SilenceCheck::inbound_reset:
-            exchange_soon_ = true;
+            exchange_urgent_ = true;
             break;
         case ZoneHealth::SilenceCheck::unchanged:
             break;
@@ -187,7 +188,7 @@
 // Reads an arbitrary key: only whether an answer comes matters, and that is recorded by `store_answered`, as for all
 // calls to the store.
 void Membership::probe_store() {
-    if (store_probe_pending_ || timers_.now() - store_answered_at_ < store_quiet_heartbeats * settings_.report_s)
+    if (store_probe_pending_ || timers_.now() - store_answered_at_ < store_idle_heartbeats * settings_.report_s)
         return;
     store_probe_pending_ = true;
     state_store_.get("office", probe_timeout_heartbeats * settings_.report_s,
@@ -214,7 +215,7 @@
     const auto* leader = peers_.find_fresh(host_.leader(), now);
     if (leader == nullptr || leader->view.cloud != Reachability::unreachable || now < next_cloud_probe_)
         return;
-    next_cloud_probe_ = now + cloud_probe_leases * settings_.lease_s;
+    next_cloud_probe_ = now + cloud_probe_interval_leases * settings_.lease_s;
     executor_.types(settings_.report_s,
                     [this](std::optional<std::vector<MachineType>>&& types) { cloud_answered(types.has_value()); });
 }
@@ -255,7 +256,7 @@
             continue;
         peer.exchange_pending = true;
         ++exchanges_;
-        peer_clients_.request(Lane::control, name, "POST", peer_view, body,
+        peer_clients_.request(Lane::control, name, "POST", path_peer_view, body,
                               exchange_timeout_heartbeats * settings_.report_s,
                               [this, name = name, sent_at = timers_.now()](HttpReply&& reply) {
                                   handle_view_reply(name, sent_at, reply);
@@ -273,12 +274,12 @@
         return;
     // The peer made its reply after this node had sent the request, however long the reply took to arrive. The time of
     // the request less the reported age is therefore a lower bound on the time at which the service answered the peer.
-    const auto note_answer = [sent_at](std::optional<double>& answered_at, std::optional<double> age_s) {
+    const auto update_answered_at = [sent_at](std::optional<double>& answered_at, std::optional<double> age_s) {
         if (age_s)
             answered_at = std::max(answered_at.value_or(sent_at - *age_s), sent_at - *age_s);
     };
-    note_answer(peer.store_answered_at, received->store_s);
-    note_answer(peer.cloud_answered_at, received->cloud_s);
+    update_answered_at(peer.store_answered_at, received->store_s);
+    update_answered_at(peer.cloud_answered_at, received->cloud_s);
     receive_view(std::move(*received));
 }
 
@@ -297,18 +298,18 @@
     const double made_at = view_made_at(view.sent, timers_.wall(), timers_.now(), settings_.time_bound_s);
     if (made_at < peer->view_made_at)
         return; // a newer view has arrived before this one
-    learn_machines(view);
+    adopt_machines(view);
     peer->view = std::move(view);
     peer->view_made_at = made_at;
 }
 
 // The active leader needs no addresses from its peers: it gets the machines' heartbeats itself.
-void Membership::learn_machines(const PeerView& view) {
+void Membership::adopt_machines(const PeerView& view) {
     if (host_.is_active_leader())
         return;
     for (const auto& [name, addresses] : view.machines)
         if (auto* zone = find_zone(name); zone != nullptr)
-            zone->learn_machines(addresses, view.is_active_leader, timers_.now());
+            zone->adopt_machines(addresses, view.is_active_leader, timers_.now());
 }
 
 // --- state of this node's links ---
@@ -344,7 +345,7 @@
 // If the store is lost but a peer is reached, a request may be relayed through it; if no peer reaches the store either,
 // it is an outage of the store itself, and users have to wait whichever controller they ask. If neither the store nor a
 // peer is reached, this node may be the only one that is cut off, and users should go to another controller.
-bool Membership::can_serve() const {
+bool Membership::can_serve_users() const {
     return host_.is_active_leader() || has_any_link();
 }
 
@@ -358,7 +359,7 @@
 
 // If this node has lost its own link to the store or the cloud, a peer counts as reaching that service only if it was
 // answered after this node's failures began.
-Eligibility Membership::sure_eligibility(const PeerState& peer, const std::vector<const PeerView*>& views) const {
+Eligibility Membership::confirmed_eligibility(const PeerState& peer, const std::vector<const PeerView*>& views) const {
     auto eligibility = evaluate(peer.view, views, settings_.zones, UnknownLinks::as_unreachable);
     if (!answered_since_lost(peer.store_answered_at, store_link_, settings_.report_s))
         eligibility.store = 0;
@@ -377,7 +378,7 @@
     if (state == nullptr)
         return {};
     const auto own = own_view();
-    return sure_eligibility(*state, all_views(own));
+    return confirmed_eligibility(*state, all_views(own));
 }
 
 bool Membership::no_better_candidate() const {
@@ -396,8 +397,8 @@
     std::vector<Candidate> candidates;
     for (const auto& [name, peer] : peers_.all())
         if (peers_.is_fresh(peer, timers_.now()))
-            candidates.push_back({name, sure_eligibility(peer, views)});
-    return best_above(evaluate(own, views, settings_.zones, UnknownLinks::as_reachable), candidates);
+            candidates.push_back({name, confirmed_eligibility(peer, views)});
+    return best_candidate_above(evaluate(own, views, settings_.zones, UnknownLinks::as_reachable), candidates);
 }
 
 double Membership::candidacy_delay_s() const {
@@ -426,11 +427,11 @@
 
 // --- relays ---
 
-std::optional<std::string> Membership::with_store(const std::string& preferred) const {
+std::optional<std::string> Membership::relay_to_store(const std::string& preferred) const {
     return relays_.to_store(preferred, timers_.now());
 }
 
-std::optional<std::string> Membership::relay_to(const std::string& zone) {
+std::optional<std::string> Membership::relay_to_zone(const std::string& zone) {
     return relays_.to_zone(zone, timers_.now());
 }
 
--- a/src/membership/membership.hpp
+++ b/src/membership/membership.hpp
@@ -71,7 +71,7 @@
     void stop_probing(const std::string& zone, const std::string& addr);
     /// Records that a machine answered a request of this node, directly or relayed.
     void machine_answered() {
-        last_worker_heartbeat_at_ = timers_.now();
+        last_worker_contact_at_ = timers_.now();
     }
 
     /// The state of this node's own links; unknown for names that are not in the settings.
@@ -84,8 +84,8 @@
     [[nodiscard]] Reachability peer(const std::string& name) const;
     /// When the last heartbeat or answer of any machine came, directly or relayed, in seconds on the monotonic clock;
     /// `never` (below zero) if none came yet.
-    [[nodiscard]] double last_worker_heartbeat_at() const {
-        return last_worker_heartbeat_at_;
+    [[nodiscard]] double last_worker_contact_at() const {
+        return last_worker_contact_at_;
     }
 
     /// Whether this node has a fresh view of every peer, and none of the peers could lead.
@@ -113,14 +113,14 @@
     [[nodiscard]] std::optional<ReportedLeader> reported_leader() const;
 
     /// A peer that reaches the store and that this node reaches: `preferred` if it does, else the first by name.
-    [[nodiscard]] std::optional<std::string> with_store(const std::string& preferred) const;
+    [[nodiscard]] std::optional<std::string> relay_to_store(const std::string& preferred) const;
     /// A peer that reaches the workers of the zone and that this node reaches; if there are several, they are returned
     /// in rotation.
-    [[nodiscard]] std::optional<std::string> relay_to(const std::string& zone);
+    [[nodiscard]] std::optional<std::string> relay_to_zone(const std::string& zone);
     /// Whether a worker of this zone should send its heartbeats to the leader directly.
     [[nodiscard]] bool leader_reaches(const std::string& leader, const std::string& zone) const;
     /// Whether this node can serve users, by itself or through another controller.
-    [[nodiscard]] bool can_serve() const;
+    [[nodiscard]] bool can_serve_users() const;
 
     /// The states of the links, and counters of link changes, sent views and probes.
     [[nodiscard]] std::vector<metrics::Value> metrics() const;
@@ -131,17 +131,18 @@
     void probe_store();
     void probe_zone(const std::string& name, ZoneHealth& zone);
     void probe_cloud();
-    void announce_change_of_leader();
+    void check_leadership_change();
     [[nodiscard]] bool exchange_is_due(double now) const;
     void exchange();
     void handle_view_reply(const std::string& name, double sent_at, const HttpReply& reply);
     void receive_view(PeerView&& view);
-    void learn_machines(const PeerView& view);
+    void adopt_machines(const PeerView& view);
     void link_changed(const std::string& target, Reachability state);
 
     [[nodiscard]] PeerView own_view() const;
     [[nodiscard]] std::vector<const PeerView*> all_views(const PeerView& own) const;
-    [[nodiscard]] Eligibility sure_eligibility(const PeerState& peer, const std::vector<const PeerView*>& views) const;
+    [[nodiscard]] Eligibility confirmed_eligibility(const PeerState& peer,
+                                                    const std::vector<const PeerView*>& views) const;
     [[nodiscard]] Reachability reach(const ZoneHealth& zone) const;
     ZoneHealth* find_zone(const std::string& name);
 
@@ -156,11 +157,11 @@
     std::map<std::string, ZoneHealth> zones_;
     PeerViews peers_;
     RelayChoice relays_;
-    double store_answered_at_ = never, last_worker_heartbeat_at_ = never;
+    double store_answered_at_ = never, last_worker_contact_at_ = never;
 
     double next_exchange_ = 0, next_probe_ = 0, next_silence_check_ = 0, next_cloud_probe_ = 0;
     bool store_probe_pending_ = false;
-    bool exchange_soon_ = false;     // something changed: send the next views without waiting for the full interval
+    bool exchange_urgent_ = false;   // something changed: send the next views without waiting for the full interval
     bool was_active_leader_ = false; // at the last check for a change of leadership
     std::uint64_t exchanges_ = 0, probes_ = 0, link_changes_ = 0;
 };
--- a/src/membership/peer_view.cpp
+++ b/src/membership/peer_view.cpp
@@ -14,7 +14,7 @@
 constexpr std::size_t max_name_length = 128;
 
 // Stands in the JSON for an age that is not known.
-constexpr double no_age = -1;
+constexpr double unknown_age = -1;
 
 constexpr std::string_view text_reachable = "works", text_unreachable = "lost", text_unknown = "unknown";
 
@@ -41,7 +41,7 @@
     return json.is_string() && json.get_ref<const std::string&>().size() <= max_name_length;
 }
 
-Reachability read_reach(const Json& json) {
+Reachability read_reachability(const Json& json) {
     if (!json.is_string())
         return Reachability::unknown;
     const auto& text = json.get_ref<const std::string&>();
@@ -50,9 +50,9 @@
                                       : Reachability::unknown;
 }
 
-Reachability read_reach(const Json& json, const char* field) {
+Reachability read_reachability(const Json& json, const char* field) {
     const auto it = json.find(field);
-    return it != json.end() ? read_reach(*it) : Reachability::unknown;
+    return it != json.end() ? read_reachability(*it) : Reachability::unknown;
 }
 
 std::optional<double> read_number(const Json& json, const char* field) {
@@ -91,7 +91,8 @@
 
 std::map<std::string, Reachability> read_links(const Json& json, const char* field) {
     std::map<std::string, Reachability> out;
-    for_each_entry(json, field, [&](const std::string& name, const Json& value) { out[name] = read_reach(value); });
+    for_each_entry(json, field,
+                   [&](const std::string& name, const Json& value) { out[name] = read_reachability(value); });
     return out;
 }
 
@@ -109,7 +110,7 @@
 
 } // namespace
 
-Reachability zone_reach(const PeerView& view, const std::string& zone) {
+Reachability zone_reachability(const PeerView& view, const std::string& zone) {
     const auto it = view.zones.find(zone);
     return it == view.zones.end() ? Reachability::unknown : it->second;
 }
@@ -118,9 +119,9 @@
     return Json{{"node", view.node},
                 {"sent", view.sent},
                 {"store", to_text(view.store)},
-                {"storeS", view.store_s.value_or(no_age)},
+                {"storeS", view.store_s.value_or(unknown_age)},
                 {"cloud", to_text(view.cloud)},
-                {"cloudS", view.cloud_s.value_or(no_age)},
+                {"cloudS", view.cloud_s.value_or(unknown_age)},
                 {"zones", to_json(view.zones)},
                 {"peers", to_json(view.peers)},
                 {"machines", view.machines},
@@ -140,8 +141,8 @@
     if (view.node.empty())
         return {};
     view.sent = read_number(json, "sent").value_or(0);
-    view.store = read_reach(json, "store");
-    view.cloud = read_reach(json, "cloud");
+    view.store = read_reachability(json, "store");
+    view.cloud = read_reachability(json, "cloud");
     view.store_s = read_age(json, "storeS");
     view.cloud_s = read_age(json, "cloudS");
     view.zones = read_links(json, "zones");
--- a/src/membership/peer_view.hpp
+++ b/src/membership/peer_view.hpp
@@ -16,7 +16,7 @@
 namespace heronshift::membership {
 
 /// The path to which views are posted.
-inline constexpr const char* peer_view = "/peer/view";
+inline constexpr const char* path_peer_view = "/peer/view";
 
 /// The view of one controller.
 struct PeerView {
@@ -45,7 +45,7 @@
 };
 
 /// Whether the sender of the view reaches the workers of the zone; unknown if the view doesn't say.
-[[nodiscard]] Reachability zone_reach(const PeerView& view, const std::string& zone);
+[[nodiscard]] Reachability zone_reachability(const PeerView& view, const std::string& zone);
 
 /// Serializes a view as the body of a request or a reply.
 std::string to_body(const PeerView& view);
--- a/src/membership/relay_choice.cpp
+++ b/src/membership/relay_choice.cpp
@@ -21,7 +21,7 @@
 std::optional<std::string> RelayChoice::to_zone(const std::string& zone, double now) {
     std::vector<const std::string*> relays;
     for (const auto& [name, peer] : peers_.all())
-        if (is_usable(peer, now) && zone_reach(peer.view, zone) == Reachability::reachable)
+        if (is_usable(peer, now) && zone_reachability(peer.view, zone) == Reachability::reachable)
             relays.push_back(&name);
     if (relays.empty())
         return {};
@@ -30,7 +30,7 @@
 
 bool RelayChoice::leader_reaches(const std::string& leader, const std::string& zone, double now) const {
     const auto* peer = peers_.find_fresh(leader, now);
-    return peer == nullptr || zone_reach(peer->view, zone) != Reachability::unreachable;
+    return peer == nullptr || zone_reachability(peer->view, zone) != Reachability::unreachable;
 }
 
 } // namespace heronshift::membership
--- a/src/membership/zone_health.cpp
+++ b/src/membership/zone_health.cpp
@@ -5,10 +5,10 @@
 namespace heronshift::membership {
 namespace {
 
-// In a zone of fewer than small_fleet_machines machines, all of them may well miss a heartbeat at the same time
+// In a zone of fewer than small_zone_machines machines, all of them may well miss a heartbeat at the same time
 // although the zone is reachable, so they may be silent for longer.
-constexpr std::size_t small_fleet_machines = 4;
-constexpr double small_fleet_silence_heartbeats = 2.5;
+constexpr std::size_t small_zone_machines = 4;
+constexpr double small_zone_silence_heartbeats = 2.5;
 constexpr std::size_t probes_per_round = 2;
 
 // A single failure suffices and no time has to pass: the failure is recorded only after the zone's machines have been
@@ -27,24 +27,24 @@
     : settings_(settings), inbound_(inbound_thresholds(settings)), outbound_(outbound_thresholds(settings)),
       samples_(settings) {}
 
-void ZoneHealth::note_sign(double now) {
-    silent_since_ = std::max(silent_since_.value_or(now), now);
+void ZoneHealth::update_silence_start(double now) {
+    silence_start_ = std::max(silence_start_.value_or(now), now);
 }
 
 void ZoneHealth::reset_inbound(double now) {
     inbound_ = LinkHealth(inbound_thresholds(settings_));
-    note_sign(now);
+    update_silence_start(now);
 }
 
 bool ZoneHealth::record_heartbeat(const std::string& address, double now) {
-    note_sign(now);
-    samples_.heard_from(address, now);
+    update_silence_start(now);
+    samples_.record_heartbeat(address, now);
     return inbound_.record_success(now);
 }
 
 void ZoneHealth::record_relayed_heartbeat(const std::string& address, double now) {
-    note_sign(now);
-    samples_.heard_from(address, now);
+    update_silence_start(now);
+    samples_.record_heartbeat(address, now);
 }
 
 ZoneHealth::SilenceCheck ZoneHealth::check_silence(std::size_t machines, double active_since, double now) {
@@ -57,9 +57,10 @@
         reset_inbound(now);
         result = SilenceCheck::inbound_reset;
     }
-    const double patience = machines < small_fleet_machines ? small_fleet_silence_heartbeats : silence_heartbeats;
-    const double since = std::max(silent_since_.value_or(active_since), active_since);
-    if (now - since < patience * settings_.report_s)
+    const double silence_limit_heartbeats =
+        machines < small_zone_machines ? small_zone_silence_heartbeats : silence_heartbeats;
+    const double since = std::max(silence_start_.value_or(active_since), active_since);
+    if (now - since < silence_limit_heartbeats * settings_.report_s)
         return result;
     return inbound_.record_failure(now) ? SilenceCheck::lost : result;
 }
@@ -68,7 +69,7 @@
     samples_.drop_stale(now);
     if (probes_sent_ > probes_finished_ || samples_.empty())
         return {};
-    auto addresses = samples_.take_turn(probes_per_round);
+    auto addresses = samples_.next_in_rotation(probes_per_round);
     probes_sent_ = addresses.size();
     probes_finished_ = 0;
     round_answered_ = false;
@@ -88,7 +89,7 @@
     return round_failed && outbound_.record_failure(now);
 }
 
-void ZoneHealth::learn_machines(const std::vector<std::string>& addresses, bool from_active_leader, double now) {
+void ZoneHealth::adopt_machines(const std::vector<std::string>& addresses, bool from_active_leader, double now) {
     if (addresses.empty() || !(from_active_leader || samples_.empty()))
         return;
     samples_.replace(addresses, from_active_leader ? now : now - settings_.lease_s);
--- a/src/membership/zone_health.hpp
+++ b/src/membership/zone_health.hpp
@@ -34,7 +34,7 @@
     void record_relayed_heartbeat(const std::string& address, double now);
     /// Stops probing this machine: its missing answers say nothing about the link to the zone.
     void stop_probing(const std::string& address) {
-        samples_.forget(address);
+        samples_.remove(address);
     }
     /// Marks the inbound link as lost if the zone's machines have sent no heartbeat for too long. To be called
     /// regularly while this node is the active leader, with the number of machines that should send heartbeats to it,
@@ -56,10 +56,10 @@
     /// the sample. Addresses from another peer may be outdated: they are used only if the sample is empty, and count as
     /// one lease old, so that this node doesn't share them in turn; otherwise controllers would pass them around
     /// forever.
-    void learn_machines(const std::vector<std::string>& addresses, bool from_active_leader, double now);
+    void adopt_machines(const std::vector<std::string>& addresses, bool from_active_leader, double now);
     /// The machines to list in this node's view: those whose last heartbeat is less than a lease old.
     [[nodiscard]] std::vector<std::string> machines_to_share(double now) const {
-        return samples_.heard_within_lease(now);
+        return samples_.addresses_within_lease(now);
     }
 
     /// Whether the zone's workers can be reached. The inbound link counts only while this node is the active leader,
@@ -68,13 +68,13 @@
 
 private:
     void reset_inbound(double now);
-    void note_sign(double now);
+    void update_silence_start(double now);
 
     const Settings& settings_;
     LinkHealth inbound_, outbound_;
     // When silence began to count: the time of the last heartbeat, direct or relayed, or of the last reset of the
     // inbound link.
-    std::optional<double> silent_since_;
+    std::optional<double> silence_start_;
     MachineSamples samples_;
     std::size_t probes_sent_ = 0, probes_finished_ = 0; // of the latest round
     bool round_answered_ = false;
--- a/src/node/controller.cpp
+++ b/src/node/controller.cpp
@@ -30,13 +30,13 @@
 Controller::Controller(Settings settings, Parts parts)
     : settings_(std::move(settings)), clock_(std::move(parts.clock)), timers_(clock_), store_(std::move(parts.state)),
       executor_(std::move(parts.executor)), peers_(std::move(parts.peers)),
-      members_(settings_, timers_, store_, *executor_, peers_, *this),
-      election_(settings_, timers_, store_, peers_, members_, timings_, *this),
-      gateway_(settings_, timers_, store_, peers_, members_, timings_, *this),
-      heartbeat_handler_(settings_, timers_, *executor_, peers_, members_, timings_, *this),
+      membership_(settings_, timers_, store_, *executor_, peers_, *this),
+      election_(settings_, timers_, store_, peers_, membership_, timings_, *this),
+      gateway_(settings_, timers_, store_, peers_, membership_, timings_, *this),
+      heartbeat_handler_(settings_, timers_, *executor_, peers_, membership_, timings_, *this),
       cloud_(settings_, timers_, store_, *executor_, *this) {
-    store_.on_answer = [this](bool ok) { members_.store_answered(ok); };
-    peers_.on_answer = [this](const std::string& name, bool ok) { members_.peer_answered(name, ok); };
+    store_.on_answer = [this](bool ok) { membership_.store_answered(ok); };
+    peers_.on_answer = [this](const std::string& name, bool ok) { membership_.peer_answered(name, ok); };
     timers_.on_change = [this] {
         if (on_wake_at)
             on_wake_at();
@@ -56,7 +56,7 @@
     store_.sweep();
     executor_->sweep();
     peers_.sweep();
-    members_.tick();
+    membership_.tick();
     election_.tick();
     cloud_.tick();
     heartbeat_handler_.retry_pending_heartbeats();
@@ -200,7 +200,7 @@
     const auto& all = core_->state().machines;
     for (const auto& id : machines)
         if (const auto it = all.find(id); it != all.end())
-            members_.stop_probing(it->second->zone_name, it->second->addr);
+            membership_.stop_probing(it->second->zone_name, it->second->addr);
 }
 
 void Controller::serve_peer(HttpRequest&& request, const Responder& res) {
@@ -208,7 +208,7 @@
         return res.send(http_status::not_found, codec::error_answer("no such path"));
     request.path.erase(0, std::string_view(peer_prefix).size());
     if (request.path == "/view")
-        return members_.handle_view(request, res);
+        return membership_.handle_view(request, res);
     if (request.path == "/promise")
         return election_.handle_extension_vote_request(request, res);
     if (request.path == "/take")
@@ -242,7 +242,7 @@
 }
 
 void Controller::serve_health(const Responder& res) const {
-    if (types().empty() || !members_.can_serve())
+    if (types().empty() || !membership_.can_serve_users())
         return res.send(http_status::service_unavailable, codec::not_now, retry_soon_s);
     res.send(http_status::ok, "{}");
 }
@@ -274,7 +274,7 @@
 
 std::string Controller::metrics() const {
     auto values = core_ ? core_->metrics() : std::vector<metrics::Value>{};
-    for (auto&& part : {election_.metrics(), members_.metrics()})
+    for (auto&& part : {election_.metrics(), membership_.metrics()})
         values.insert(values.end(), part.begin(), part.end());
     values.push_back(
         {"heronshift_relayed_total", "reports and orders passed on for others", static_cast<double>(timings_.relayed)});
--- a/src/node/controller.hpp
+++ b/src/node/controller.hpp
@@ -122,7 +122,7 @@
     [[nodiscard]] bool is_inbound_unreachable(const std::string& machine) const override;
     [[nodiscard]] std::map<std::string, std::size_t> machines_by_zone() const override;
     void cloud_answered(bool ok) override {
-        members_.cloud_answered(ok);
+        membership_.cloud_answered(ok);
     }
     void stored(JobStored&& command) override;
     void push(Command command) override;
@@ -142,7 +142,7 @@
     membership::ObservedStore store_;
     std::unique_ptr<Executor> executor_;
     membership::ObservedPeers peers_;
-    membership::Membership members_;
+    membership::Membership membership_;
     leadership::LeaderElection election_;
     gateway::Gateway gateway_;
     workers::HeartbeatHandler heartbeat_handler_;
--- a/src/persistence/cascade_records.cpp
+++ b/src/persistence/cascade_records.cpp
@@ -37,7 +37,7 @@
     if (oldest == nullptr)
         return false;
     const auto& data = cluster_.view();
-    const bool may_have_waited_in_earlier_term = oldest->submitted < data.started; // It may have, for an unknown time.
+    const bool may_have_waited_in_earlier_term = oldest->submitted < data.started; // How long, if at all, is not known.
     return may_have_waited_in_earlier_term || data.now - oldest->final_due_at >= settings_.report_s;
 }
 
--- a/src/persistence/final_states.cpp
+++ b/src/persistence/final_states.cpp
@@ -75,8 +75,8 @@
 }
 
 ClusterRecords::FinalStates::Queue& ClusterRecords::FinalStates::next_queue() {
-    const bool from_cascade =
-        !named_in_cascade_.empty() && since_named_in_cascade_ + 1 >= cascaded_interval && cascades_.over_half_used();
+    const bool from_cascade = !named_in_cascade_.empty() && written_since_named_in_cascade_ + 1 >= cascaded_interval &&
+                              cascades_.over_half_used();
     for (auto* queue : {&cancelled_, &done_, &dependents_})
         if (!queue->empty() && !from_cascade)
             return *queue;
@@ -92,7 +92,7 @@
 
 void ClusterRecords::FinalStates::write_next(persistence::TransactionBuilder& transaction) {
     auto& queue = next_queue();
-    since_named_in_cascade_ = &queue == &named_in_cascade_ ? 0 : since_named_in_cascade_ + 1;
+    written_since_named_in_cascade_ = &queue == &named_in_cascade_ ? 0 : written_since_named_in_cascade_ + 1;
     auto& job = pop(queue);
     const bool final_record_stored = job.final_stored && job.cascade_record < 0;
     if (!final_record_stored)
--- a/src/persistence/final_states.hpp
+++ b/src/persistence/final_states.hpp
@@ -102,9 +102,10 @@
     ReadyRecords& ready_;
     CascadeRecords& cascades_;
     Queue cancelled_, done_, dependents_;
-    Queue named_in_cascade_;                 // Dependents that a cascade record in the store names.
-    std::size_t since_named_in_cascade_ = 0; // The number of jobs written since the last one from `named_in_cascade_`.
-    bool left_no_room_for_intents_ = false;  // Whether the last transaction left no room for intents.
+    Queue named_in_cascade_; // Dependents that a cascade record in the store names.
+    std::size_t written_since_named_in_cascade_ =
+        0;                                  // The number of jobs written since the last one from `named_in_cascade_`.
+    bool left_no_room_for_intents_ = false; // Whether the last transaction left no room for intents.
     // Jobs of the transaction in flight: those whose job record gets the final state, and those whose job record is
     // removed.
     std::vector<InFlight> updates_in_flight_, removals_in_flight_;
--- a/src/persistence/intent_records.cpp
+++ b/src/persistence/intent_records.cpp
@@ -19,7 +19,7 @@
 // the longest record.
 constexpr double max_live_share = 0.25;
 // Up to this number of new intents are not sorted by urgency, since they all fit into one write.
-constexpr std::size_t max_unsorted = 16;
+constexpr std::size_t max_unsorted_intents = 16;
 
 // Only these jobs have rules about zones. The intents of others are written without the zone, which would take a third
 // of a line.
@@ -108,7 +108,7 @@
 }
 
 void ClusterRecords::IntentRecords::add_writes(persistence::TransactionBuilder& transaction) {
-    if (unrecorded_.size() > max_unsorted)
+    if (unrecorded_.size() > max_unsorted_intents)
         order_by_urgency();
     while (!transaction.would_overflow(1) && any_recordable())
         if (!write_record(transaction, emptiest_record()))
@@ -250,8 +250,8 @@
 
 void ClusterRecords::IntentRecords::committed(bool applied) {
     for (const auto number : std::exchange(in_flight_, {})) {
-        const auto entries =
-            records_[number].entries; // A copy, since `apply_outcome` may move entries out of the record.
+        // A copy, since `apply_outcome` may move entries out of the record.
+        const auto entries = records_[number].entries;
         for (auto* entry : entries)
             apply_outcome(*entry, applied);
         if (!applied)
--- a/src/persistence/layout.hpp
+++ b/src/persistence/layout.hpp
@@ -40,9 +40,9 @@
 inline constexpr std::string_view image_prefix = "c/";
 inline constexpr std::string_view learned_prefix = "l/";
 inline constexpr std::string_view cascade_prefix = "x/";
-inline constexpr std::string_view legacy_progress_prefix = "p/"; ///< Only read, never written.
-inline constexpr std::string_view legacy_machine_prefix = "m/";  ///< DecodedRecord, then removed.
-inline constexpr std::string_view legacy_job_prefix = "d/";      ///< DecodedRecord, then removed.
+inline constexpr std::string_view legacy_progress_prefix = "p/"; ///< Such records are read but never written.
+inline constexpr std::string_view legacy_machine_prefix = "m/";  ///< Such records are read and then removed.
+inline constexpr std::string_view legacy_job_prefix = "d/";      ///< Such records are read and then removed.
 
 inline constexpr std::size_t initial_intent_records = 32; ///< More records are added when these are full.
 /// Never changed, since the number of a job's progress record is a hash of its id modulo this number.
--- a/src/scheduling/placement.cpp
+++ b/src/scheduling/placement.cpp
@@ -14,7 +14,7 @@
 // Placement cost in seconds that is low enough to accept a machine without looking for a better one.
 constexpr double good_placement_cost_s = 18;
 constexpr int max_placements_per_pass = 64;         // bounds the pass, so that heartbeats and requests are not delayed
-constexpr double replica_requests_per_interval = 6; // limit of requests for room, for replicas
+constexpr double replica_requests_per_interval = 6; // requests for room for replicas per heartbeat interval
 constexpr double task_requests_per_interval = 2;    // the same for other tasks
 constexpr double pool_cost_offset_s = 1;            // cost without any gain in payoff; keeps the costs above zero
 
--- a/src/workers/heartbeat_handler.cpp
+++ b/src/workers/heartbeat_handler.cpp
@@ -14,8 +14,8 @@
 constexpr double heartbeat_answer_timeout_s = 4;
 // The longest time that a machine spends at one controller before it tries the next: it waits for the answer and then
 // for one more second, and its heartbeat takes time to arrive.
-constexpr double max_visit_s = heartbeat_answer_timeout_s * 3 / 2;
-constexpr double relay_s = heartbeat_answer_timeout_s / 2; // leaves time for the paths from and to the machine
+constexpr double max_controller_attempt_s = heartbeat_answer_timeout_s * 3 / 2;
+constexpr double relay_timeout_s = heartbeat_answer_timeout_s / 2; // leaves time for the paths from and to the machine
 constexpr double max_pending_s = heartbeat_answer_timeout_s * 3 / 4; // longest wait of a heartbeat for a new leader
 // Share of the memory limit for heartbeats that wait during a failover: 9 MB of 72 MB, enough for about 10,000
 // heartbeats with five tasks each. Any further heartbeat is answered 503 at once, and its machine tries the next
@@ -23,8 +23,8 @@
 constexpr double pending_memory_share = 1.0 / 8;
 // Share of the memory limit for the table of machines that were redirected to the leader: 9,437 entries at 72 MB. When
 // the table is full, the entries of machines that were redirected to an earlier leader, or were last seen longer than
-// `remember_s_` ago, are removed. If there are none, a machine without an entry is redirected to the leader each time
-// that its heartbeat arrives here.
+// `redirect_retention_s_` ago, are removed. If there are none, a machine without an entry is redirected to the leader
+// each time that its heartbeat arrives here.
 constexpr double redirected_memory_share = 1.0 / 32;
 constexpr std::size_t redirected_bytes = 256;
 // Share of the memory limit for the jobs whose first launch is timed: 9,216 jobs at 72 MB. If there are more, the
@@ -35,13 +35,13 @@
 // machines is relayed by four controllers with report_s 3, each of them relays 167 heartbeats a second, which stays
 // within the limit if the leader answers within 0.3 s on average. Any further heartbeat is answered 503, and its
 // machine tries the next controller.
-constexpr int sockets_per_relay = 20;
+constexpr int fds_per_relay = 20;
 // Times after the arrival of a heartbeat: until when a relay of it may still begin, and by when the relay has ended, so
 // that the answer reaches the machine in time.
-constexpr double relayed_until_s = heartbeat_answer_timeout_s * 3 / 4,
-                 answered_by_s = heartbeat_answer_timeout_s * 7 / 8;
-constexpr std::string_view peer_relay = "/peer/relay?to=";
-constexpr std::string_view no_orders = "{}"; // body of an answer without orders
+constexpr double relay_cutoff_s = heartbeat_answer_timeout_s * 3 / 4,
+                 answer_deadline_s = heartbeat_answer_timeout_s * 7 / 8;
+constexpr std::string_view path_peer_relay = "/peer/relay?to=";
+constexpr std::string_view empty_body = "{}"; // body of an answer without orders
 
 Executor::HeartbeatDone answer_to(const Responder& res) {
     return [res](const HeartbeatResponse& response) {
@@ -49,7 +49,7 @@
             return res.send(response.status, codec::orders(response.fencing_token, response.orders));
         if (response.status == http_status::misdirected_request)
             return res.send(response.status, codec::redirect(response.leader));
-        res.send(response.status, no_orders);
+        res.send(response.status, empty_body);
     };
 }
 
@@ -62,17 +62,19 @@
 } // namespace
 
 HeartbeatHandler::HeartbeatHandler(const Settings& settings, TimerQueue& timers, Executor& executor, Peers& peers,
-                                   membership::Membership& members, metrics::Timings& timings, Host& host)
-    : settings_(settings), timers_(timers), executor_(executor), peers_(peers), members_(members), timings_(timings),
-      host_(host), max_redirected_(entries_in_share(settings.memory_mb, redirected_memory_share, redirected_bytes)),
+                                   membership::Membership& membership, metrics::Timings& timings, Host& host)
+    : settings_(settings), timers_(timers), executor_(executor), peers_(peers), membership_(membership),
+      timings_(timings), host_(host),
+      max_redirected_(entries_in_share(settings.memory_mb, redirected_memory_share, redirected_bytes)),
       max_pending_bytes_(bytes_in_share(settings.memory_mb, pending_memory_share)),
-      max_relays_(static_cast<std::size_t>(settings.fd_limit / sockets_per_relay)),
-      remember_s_(std::max(settings.lease_s, max_visit_s * static_cast<double>(settings.peers.size() + 1))) {
+      max_relays_(static_cast<std::size_t>(settings.fd_limit / fds_per_relay)),
+      redirect_retention_s_(
+          std::max(settings.lease_s, max_controller_attempt_s * static_cast<double>(settings.peers.size() + 1))) {
     timings_.first_launches.limit(entries_in_share(settings.memory_mb, timed_jobs_memory_share, timed_job_bytes));
     executor_.set_heartbeat_handler([this](Heartbeat&& heartbeat, Executor::HeartbeatDone done) {
         if (!host_.is_active_leader())
             return done(not_leader_response());
-        take({std::move(heartbeat), false, std::move(done), timers_.now(), std::nullopt, ""});
+        handle_or_enqueue({std::move(heartbeat), false, std::move(done), timers_.now(), std::nullopt, ""});
     });
 }
 
@@ -93,18 +95,18 @@
         spdlog::warn("heartbeat rejected reason=malformed");
         return res.send(http_status::bad_request, codec::error_answer("malformed report"));
     }
-    const auto other = not_leader_response();
-    if (!relayed && !host_.is_active_leader() && other.status == http_status::misdirected_request) {
+    const auto not_leader_answer = not_leader_response();
+    if (!relayed && !host_.is_active_leader() && not_leader_answer.status == http_status::misdirected_request) {
         const auto route = route_of(*heartbeat);
         log_route(*heartbeat, name_of(route));
         if (route == Route::relay)
             return relay(std::move(*heartbeat), {std::move(request.body), res}, timers_.now());
-        return answer_to(res)(route == Route::leader ? other : HeartbeatResponse{});
+        return answer_to(res)(route == Route::leader ? not_leader_answer : HeartbeatResponse{});
     }
     std::optional<RawRequest> raw;
     if (!relayed)
         raw = RawRequest{std::move(request.body), res};
-    take({std::move(*heartbeat), relayed, answer_to(res), timers_.now(), std::move(raw), ""});
+    handle_or_enqueue({std::move(*heartbeat), relayed, answer_to(res), timers_.now(), std::move(raw), ""});
 }
 
 std::string_view HeartbeatHandler::name_of(Route route) {
@@ -129,18 +131,18 @@
 // Hands the heartbeat to the core if this node is the active leader. During a change of leadership the heartbeat waits
 // for a short time instead: if it were rejected, its machine might find no other controller that it can reach before
 // its lease expires.
-void HeartbeatHandler::take(PendingHeartbeat&& pending) {
+void HeartbeatHandler::handle_or_enqueue(PendingHeartbeat&& pending) {
     if (!host_.is_active_leader()) {
         // A node that is cut off from the store and from all other controllers would not learn who the new leader is.
-        if (pending_bytes_ + pending.bytes() > max_pending_bytes_ || !members_.has_any_link())
+        if (pending_bytes_ + pending.bytes() > max_pending_bytes_ || !membership_.has_any_link())
             return pending.done({});
-        keep_waiting(std::move(pending));
+        enqueue_pending(std::move(pending));
         return;
     }
     log_route(pending.heartbeat, pending.relayed ? "taken, relayed by another" : "taken");
     const auto handle = ++handle_seq_;
-    unanswered_[handle] = {std::move(pending.done), timers_.now(),          pending.heartbeat.machine,
-                           pending.heartbeat.zone,  pending.heartbeat.addr, pending.relayed};
+    unanswered_heartbeats_[handle] = {std::move(pending.done), timers_.now(),          pending.heartbeat.machine,
+                                      pending.heartbeat.zone,  pending.heartbeat.addr, pending.relayed};
     host_.push(HeartbeatReceived{std::move(pending.heartbeat), handle, pending.relayed});
 }
 
@@ -155,25 +157,27 @@
 // until its lease expires.
 void HeartbeatHandler::retry(PendingHeartbeat&& pending) {
     if (host_.is_active_leader())
-        return take(std::move(pending));
-    const auto other = not_leader_response();
-    const double waited = timers_.now() - pending.since;
-    const bool led_elsewhere =
-        !host_.is_acquiring() && other.status == http_status::misdirected_request && other.leader != pending.refused_by;
-    if (led_elsewhere && pending.raw && waited < relayed_until_s && route_of(pending.heartbeat) == Route::relay)
+        return handle_or_enqueue(std::move(pending));
+    const auto not_leader_answer = not_leader_response();
+    const double waited_s = timers_.now() - pending.since;
+    const bool other_node_leads = !host_.is_acquiring() &&
+                                  not_leader_answer.status == http_status::misdirected_request &&
+                                  not_leader_answer.leader != pending.failed_relay_target;
+    if (other_node_leads && pending.raw && waited_s < relay_cutoff_s && route_of(pending.heartbeat) == Route::relay)
         return relay(std::move(pending.heartbeat), std::move(*pending.raw), pending.since);
-    if (led_elsewhere || waited > max_pending_s)
-        return pending.done(other);
-    keep_waiting(std::move(pending));
+    if (other_node_leads || waited_s > max_pending_s)
+        return pending.done(not_leader_answer);
+    enqueue_pending(std::move(pending));
 }
 
-void HeartbeatHandler::keep_waiting(PendingHeartbeat&& pending) {
+void HeartbeatHandler::enqueue_pending(PendingHeartbeat&& pending) {
     pending_bytes_ += pending.bytes();
     pending_heartbeats_.push_back(std::move(pending));
 }
 
 // Makes room in `redirected_` for one more machine, if necessary. False if the table stays full: all its machines were
-// redirected to the present leader and seen within `remember_s_`, or the last cleanup is less than report_s ago.
+// redirected to the present leader and seen within `redirect_retention_s_`, or the last cleanup is less than report_s
+// ago.
 bool HeartbeatHandler::make_room_for_redirected() {
     if (redirected_.size() < max_redirected_)
         return true;
@@ -183,7 +187,7 @@
     next_redirected_sweep_ = now + settings_.report_s;
     std::erase_if(redirected_, [&](const auto& entry) {
         const auto& sent = entry.second;
-        return sent.leader != host_.leader() || now - sent.seen_at > remember_s_;
+        return sent.leader != host_.leader() || now - sent.seen_at > redirect_retention_s_;
     });
     return redirected_.size() < max_redirected_;
 }
@@ -193,9 +197,9 @@
 // The heartbeat is relayed if the leader's view says that the leader does not reach the machine's zone, or if the
 // machine was redirected to the leader and has returned here. A machine that returned quickly was refused, or the
 // leader was not ready: one heartbeat is relayed. A machine that returned only after heartbeat_answer_timeout_s waited
-// there without an answer: its heartbeats are relayed for `remember_s_`. If this node does not reach the leader either,
-// a returned machine tries the next controller. If it were redirected once more, two controllers that both know only of
-// an old leader could send it back and forth until its lease expires.
+// there without an answer: its heartbeats are relayed for `redirect_retention_s_`. If this node does not reach the
+// leader either, a returned machine tries the next controller. If it were redirected once more, two controllers that
+// both know only of an old leader could send it back and forth until its lease expires.
 //
 // A machine that receives no answers tries all controllers in turn. Unless all of them relay its heartbeats, the leader
 // receives only one in each such round, and cannot detect in time that no answer reaches the machine. A returned
@@ -203,45 +207,45 @@
 // (docs/safety.md, 30; `InboundUnreachable.OneMachineGetsNothingMoreAndIsGivenBack`).
 HeartbeatHandler::Route HeartbeatHandler::route_of(const Heartbeat& heartbeat) {
     const auto& leader = host_.leader();
-    const bool reached = members_.peer(leader) != membership::Reachability::unreachable;
-    if (reached && !members_.leader_reaches(leader, heartbeat.zone))
+    const bool leader_reachable = membership_.peer(leader) != membership::Reachability::unreachable;
+    if (leader_reachable && !membership_.leader_reaches(leader, heartbeat.zone))
         return Route::relay;
     const double now = timers_.now();
     if (!redirected_.contains(heartbeat.machine) && !make_room_for_redirected())
         return Route::leader;
     auto& machine = redirected_[heartbeat.machine];
-    const bool known = machine.leader == leader && now - machine.seen_at <= remember_s_;
+    const bool known = machine.leader == leader && now - machine.seen_at <= redirect_retention_s_;
     machine.seen_at = now;
-    if (known && is_back(machine, now)) {
-        machine.sent_at.reset();
-        return reached ? Route::relay : Route::next;
+    if (known && has_returned(machine, now)) {
+        machine.redirected_at.reset();
+        return leader_reachable ? Route::relay : Route::next;
     }
     machine = {leader, now, 0, now};
     if (known || !host_.is_of_leader_term(heartbeat.fencing_token))
         return Route::leader;
     // The machine's fencing token is of this leader's term, so an answer of this leader has reached it; that it tries
     // another controller nevertheless shows that the leader's answers don't reach it any more.
-    machine.relay_until = now + remember_s_;
-    machine.sent_at.reset();
-    return reached ? Route::relay : Route::next;
+    machine.relay_until = now + redirect_retention_s_;
+    machine.redirected_at.reset();
+    return leader_reachable ? Route::relay : Route::next;
 }
 
 // Whether a machine that was redirected to the present leader has returned from it without success, or its heartbeats
 // are still being relayed since it returned earlier (`relay_until`).
-bool HeartbeatHandler::is_back(Redirected& machine, double now) const {
-    const bool back = machine.sent_at.has_value();
-    if (back && now - *machine.sent_at >= heartbeat_answer_timeout_s)
-        machine.relay_until = now + remember_s_;
-    return back || now < machine.relay_until;
+bool HeartbeatHandler::has_returned(Redirected& machine, double now) const {
+    const bool returned = machine.redirected_at.has_value();
+    if (returned && now - *machine.redirected_at >= heartbeat_answer_timeout_s)
+        machine.relay_until = now + redirect_retention_s_;
+    return returned || now < machine.relay_until;
 }
 
 // Counts one more relay in flight. False if there are max_relays_ already.
 bool HeartbeatHandler::begin_relay() {
-    if (relaying_ >= max_relays_) {
+    if (relays_in_flight_ >= max_relays_) {
         ++timings_.refused;
         return false;
     }
-    ++relaying_;
+    ++relays_in_flight_;
     ++timings_.relayed;
     return true;
 }
@@ -249,24 +253,24 @@
 void HeartbeatHandler::relay(Heartbeat&& heartbeat, RawRequest&& raw, double since) {
     const auto res = raw.res;
     if (!begin_relay())
-        return res.send(http_status::service_unavailable, no_orders);
-    const double wait_s = std::min(relay_s, answered_by_s - (timers_.now() - since));
-    auto on_reply = [this, kept = std::make_shared<Heartbeat>(std::move(heartbeat)), res, since,
+        return res.send(http_status::service_unavailable, empty_body);
+    const double wait_s = std::min(relay_timeout_s, answer_deadline_s - (timers_.now() - since));
+    auto on_reply = [this, shared_heartbeat = std::make_shared<Heartbeat>(std::move(heartbeat)), res, since,
                      leader = host_.leader()](const HttpReply& reply) {
-        --relaying_;
+        --relays_in_flight_;
         // An answer of the leader is passed on unchanged, and this node never makes up one in its name. If the leader
         // did not take the heartbeat, for example because it has just resigned, the heartbeat waits for the next
         // leader, and the machine is then told who that is.
         if (reply.status == http_status::ok || reply.status == http_status::misdirected_request)
             return res.send(reply.status, reply.body);
-        take({std::move(*kept), false, answer_to(res), since, std::nullopt, leader});
+        handle_or_enqueue({std::move(*shared_heartbeat), false, answer_to(res), since, std::nullopt, leader});
     };
     peers_.request(Lane::relays, host_.leader(), "POST", peer_prefix + std::string(codec::path_heartbeat),
                    std::move(raw.body), wait_s, std::move(on_reply));
 }
 
 void HeartbeatHandler::on_leadership_lost() {
-    for (const auto& [handle, heartbeat] : std::exchange(unanswered_, {}))
+    for (const auto& [handle, heartbeat] : std::exchange(unanswered_heartbeats_, {}))
         heartbeat.done({});
 }
 
@@ -276,27 +280,27 @@
             timings_.first_launches.launched(order.job, timers_.now(), timings_.launch);
 }
 
-void HeartbeatHandler::record_way(const Unanswered& heartbeat) {
+void HeartbeatHandler::record_path(const UnansweredHeartbeat& heartbeat) {
     if (heartbeat.relayed)
-        members_.heartbeat_relayed(heartbeat.zone, heartbeat.addr);
+        membership_.heartbeat_relayed(heartbeat.zone, heartbeat.addr);
     else
-        members_.heartbeat_received(heartbeat.zone, heartbeat.addr);
+        membership_.heartbeat_received(heartbeat.zone, heartbeat.addr);
     if (host_.is_inbound_unreachable(heartbeat.machine))
-        members_.stop_probing(heartbeat.zone, heartbeat.addr);
+        membership_.stop_probing(heartbeat.zone, heartbeat.addr);
 }
 
 void HeartbeatHandler::answer(AnswerHeartbeat&& effect) {
-    const auto it = unanswered_.find(effect.handle);
-    if (it == unanswered_.end())
+    const auto it = unanswered_heartbeats_.find(effect.handle);
+    if (it == unanswered_heartbeats_.end())
         return;
     const auto heartbeat = std::move(it->second);
-    unanswered_.erase(it);
+    unanswered_heartbeats_.erase(it);
     timings_.heartbeat.add(timers_.now() - heartbeat.since);
     record_launches(effect.orders);
     const bool taken = effect.status == http_status::ok;
     // The core refuses a late copy of a heartbeat; such a copy says nothing about the present state of its path.
     if (taken)
-        record_way(heartbeat);
+        record_path(heartbeat);
     // A 200 renews the machine's lease, so it is sent only while no other node can be the leader.
     if (taken && host_.is_active_leader())
         heartbeat.done({http_status::ok, effect.fencing_token, std::move(effect.orders), {}});
@@ -305,28 +309,28 @@
 }
 
 // The peer through which the orders are sent; empty if they are sent directly.
-std::optional<std::string> HeartbeatHandler::peer_for(const SendOrders& effect) const {
-    if (!effect.prefer_relay && !members_.any_zone_lost())
+std::optional<std::string> HeartbeatHandler::relay_peer_for(const SendOrders& effect) const {
+    if (!effect.prefer_relay && !membership_.any_zone_lost())
         return std::nullopt;
     const auto zone = host_.zone_of(effect.machine);
-    if (!effect.prefer_relay && members_.zone(zone) != membership::Reachability::unreachable)
+    if (!effect.prefer_relay && membership_.zone(zone) != membership::Reachability::unreachable)
         return std::nullopt;
-    return members_.relay_to(zone);
+    return membership_.relay_to_zone(zone);
 }
 
 void HeartbeatHandler::send(const SendOrders& effect, std::function<void(OrdersAnswered&&)> done) {
     record_launches(effect.orders);
-    if (const auto peer = peer_for(effect); peer)
-        return send_by(*peer, effect, std::move(done));
+    if (const auto peer = relay_peer_for(effect); peer)
+        return send_through(*peer, effect, std::move(done));
     executor_.command(effect, settings_.report_s / 2, [this, done = std::move(done)](OrdersAnswered&& command) {
         if (command.status != http_status::no_answer)
-            members_.machine_answered();
+            membership_.machine_answered();
         done(std::move(command));
     });
 }
 
-void HeartbeatHandler::send_by(const std::string& peer, const SendOrders& effect,
-                               std::function<void(OrdersAnswered&&)> done) {
+void HeartbeatHandler::send_through(const std::string& peer, const SendOrders& effect,
+                                    std::function<void(OrdersAnswered&&)> done) {
     ++timings_.relayed_by_others;
     auto on_reply = [this, done = std::move(done), machine = effect.machine,
                      batch = effect.batch](const HttpReply& reply) {
@@ -334,13 +338,13 @@
         if (reply.status == http_status::ok || reply.status == http_status::conflict) {
             command.status = reply.status;
             command.heartbeat = codec::heartbeat(reply.body);
-            members_.machine_answered();
+            membership_.machine_answered();
         } else if (reply.status == http_status::service_unavailable) {
             command.sent = false; // 503: the peer certainly did not forward the orders
         }
         done(std::move(command));
     };
-    peers_.request(Lane::relays, peer, "POST", std::string(peer_relay) + effect.addr,
+    peers_.request(Lane::relays, peer, "POST", std::string(path_peer_relay) + effect.addr,
                    codec::commands(effect.fencing_token, effect.agent_epoch, effect.orders), settings_.report_s / 2,
                    std::move(on_reply));
 }
@@ -354,7 +358,7 @@
     if (!begin_relay())
         return res.send(http_status::service_unavailable, codec::not_now);
     auto on_reply = [this, res](const HttpReply& reply) {
-        --relaying_;
+        --relays_in_flight_;
         if (reply.status != http_status::no_answer)
             return res.send(reply.status, reply.body);
         // 503 tells the caller that no order was executed, so it is sent only if nothing was sent to the machine.
--- a/src/workers/heartbeat_handler.hpp
+++ b/src/workers/heartbeat_handler.hpp
@@ -49,7 +49,7 @@
         virtual void push(Command command) = 0;
     };
     HeartbeatHandler(const Settings& settings, TimerQueue& timers, Executor& executor, Peers& peers,
-                     membership::Membership& members, metrics::Timings& timings, Host& host);
+                     membership::Membership& membership, metrics::Timings& timings, Host& host);
 
     /// Handles a machine's heartbeat (POST to `codec::path_heartbeat`); `relayed`: another controller has relayed it.
     void handle_heartbeat(HttpRequest&& request, const Responder& res, bool relayed);
@@ -75,9 +75,9 @@
         Heartbeat heartbeat;
         bool relayed = false;
         Executor::HeartbeatDone done;
-        double since = 0;              // when it arrived, in seconds of the steady clock
-        std::optional<RawRequest> raw; // empty if it must not be relayed, or has been relayed already
-        std::string refused_by;        // the leader to which it was relayed in vain, if any
+        double since = 0;                // when it arrived, in seconds of the steady clock
+        std::optional<RawRequest> raw;   // empty if it must not be relayed, or has been relayed already
+        std::string failed_relay_target; // the leader to which it was relayed in vain, if any
         [[nodiscard]] std::size_t bytes() const;
     };
     // What happens to a heartbeat that this node must not handle because another node leads: its machine is redirected
@@ -87,50 +87,50 @@
     // A machine that was redirected to a leader. Times are in seconds of the steady clock.
     struct Redirected {
         std::string leader;
-        std::optional<double> sent_at; // when it was last redirected; empty if it has returned since
-        double relay_until = 0;        // until when its heartbeats are relayed
-        double seen_at = 0;            // when its last heartbeat arrived here
+        std::optional<double> redirected_at; // when it was last redirected; empty if it has returned since
+        double relay_until = 0;              // until when its heartbeats are relayed
+        double seen_at = 0;                  // when its last heartbeat arrived here
     };
-    struct Unanswered { // a heartbeat that was handed to the core and is not answered yet
+    struct UnansweredHeartbeat { // a heartbeat that was handed to the core and is not answered yet
         Executor::HeartbeatDone done;
         double since = 0; // when it was handed to the core, in seconds of the steady clock
         std::string machine, zone, addr;
         bool relayed = false;
     };
 
-    void take(PendingHeartbeat&& pending);
+    void handle_or_enqueue(PendingHeartbeat&& pending);
     void retry(PendingHeartbeat&& pending);
-    void keep_waiting(PendingHeartbeat&& pending);
+    void enqueue_pending(PendingHeartbeat&& pending);
     [[nodiscard]] HeartbeatResponse not_leader_response() const;
     [[nodiscard]] Route route_of(const Heartbeat& heartbeat);
     [[nodiscard]] static std::string_view name_of(Route route);
-    [[nodiscard]] bool is_back(Redirected& machine, double now) const;
+    [[nodiscard]] bool has_returned(Redirected& machine, double now) const;
     [[nodiscard]] bool make_room_for_redirected();
     [[nodiscard]] bool begin_relay();
     void relay(Heartbeat&& heartbeat, RawRequest&& raw, double since);
-    [[nodiscard]] std::optional<std::string> peer_for(const SendOrders& effect) const;
-    void send_by(const std::string& peer, const SendOrders& effect, std::function<void(OrdersAnswered&&)> done);
-    void record_way(const Unanswered& heartbeat);
+    [[nodiscard]] std::optional<std::string> relay_peer_for(const SendOrders& effect) const;
+    void send_through(const std::string& peer, const SendOrders& effect, std::function<void(OrdersAnswered&&)> done);
+    void record_path(const UnansweredHeartbeat& heartbeat);
     void record_launches(const std::vector<Order>& orders);
 
     const Settings& settings_;
     TimerQueue& timers_;
     Executor& executor_;
     Peers& peers_;
-    membership::Membership& members_;
+    membership::Membership& membership_;
     metrics::Timings& timings_;
     Host& host_;
     std::uint64_t handle_seq_ = 0;
-    std::map<std::uint64_t, Unanswered> unanswered_; // by handle
+    std::map<std::uint64_t, UnansweredHeartbeat> unanswered_heartbeats_; // by handle
     std::vector<PendingHeartbeat> pending_heartbeats_;
     std::size_t pending_bytes_ = 0; // memory held by pending_heartbeats_
     std::unordered_map<std::string, Redirected> redirected_;
     double next_redirected_sweep_ = 0; // in seconds of the steady clock
     std::size_t max_redirected_, max_pending_bytes_;
-    std::size_t max_relays_, relaying_ = 0; // relays in flight: heartbeats, and orders of other controllers
+    std::size_t max_relays_, relays_in_flight_ = 0; // relays in flight: heartbeats, and orders of other controllers
     // How long a redirected machine is remembered after its last heartbeat: one lease, or the time that a machine needs
     // to try all controllers if that is longer.
-    double remember_s_;
+    double redirect_retention_s_;
 };
 
 } // namespace heronshift::workers
--- a/tests/test_golden.cpp
+++ b/tests/test_golden.cpp
@@ -289,7 +289,7 @@
     for (const auto path : {codec::path_jobs, codec::path_health, codec::path_heartbeat, codec::path_commands,
                             codec::path_status, codec::path_types, codec::path_rentals, codec::path_release,
                             codec::path_store, codec::path_txn, codec::path_leases, codec::path_follow,
-                            codec::suffix_cancel, codec::suffix_renew, std::string_view(membership::peer_view)})
+                            codec::suffix_cancel, codec::suffix_renew, std::string_view(membership::path_peer_view)})
         lines += std::string(path) + '\n';
     lines.pop_back();
     expect_golden("paths.txt", lines);
--- a/tests/test_golden_controller.cpp
+++ b/tests/test_golden_controller.cpp
@@ -63,7 +63,7 @@
 struct RecordingPeers final : Peers {
     void request(Lane, const std::string&, const char* method, const std::string& path, std::string body, double,
                  Done done) override {
-        if (path != membership::peer_view)
+        if (path != membership::path_peer_view)
             sent.emplace(std::string(method) + ' ' + path, body);
         const auto it = replies.find(path);
         done(it == replies.end() ? HttpReply{0, "", true} : it->second);
--- a/tests/test_leader_election.cpp
+++ b/tests/test_leader_election.cpp
@@ -255,7 +255,7 @@
     [[nodiscard]] bool all_zones_lost() const override {
         return false;
     }
-    [[nodiscard]] double last_worker_heartbeat_at() const override {
+    [[nodiscard]] double last_worker_contact_at() const override {
         return -1;
     }
     [[nodiscard]] std::size_t machines_up() const override {
--- a/tests/test_membership.cpp
+++ b/tests/test_membership.cpp
@@ -180,8 +180,8 @@
 
 TEST(BestAbove, IsTheFirstOfTheBestThatBeatThisNode) {
     const Eligibility low{1, 0, 0, 1}, middle{1, 1, 0, 1}, high{1, 2, 0, 1};
-    EXPECT_EQ(best_above(middle, {{"c0", low}, {"c2", middle}}), std::nullopt);
-    EXPECT_EQ(best_above(low, {{"c0", middle}, {"c2", high}, {"c3", high}}), "c2");
+    EXPECT_EQ(best_candidate_above(middle, {{"c0", low}, {"c2", middle}}), std::nullopt);
+    EXPECT_EQ(best_candidate_above(low, {{"c0", middle}, {"c2", high}, {"c3", high}}), "c2");
 }
 
 TEST(CandidacyDelay, YieldsToBetterOnesAndStaggersEqualOnes) {
@@ -249,14 +249,14 @@
     const auto settings = test_settings();
     MachineSamples samples(settings);
     for (const char* address : {"m1", "m2", "m3", "m4", "m5"})
-        samples.heard_from(address, 10);
-    EXPECT_EQ(samples.heard_within_lease(10), (std::vector<std::string>{"m1", "m2", "m3", "m4"}));
+        samples.record_heartbeat(address, 10);
+    EXPECT_EQ(samples.addresses_within_lease(10), (std::vector<std::string>{"m1", "m2", "m3", "m4"}));
     for (const char* address : {"m1", "m3", "m4"})
-        samples.heard_from(address, 16);
-    samples.heard_from("m5", 16); // m2 was silent for 1.5 heartbeat intervals, not for longer
-    EXPECT_EQ(samples.heard_within_lease(16), (std::vector<std::string>{"m1", "m2", "m3", "m4"}));
-    samples.heard_from("m5", 16.1);
-    EXPECT_EQ(samples.heard_within_lease(16.1), (std::vector<std::string>{"m1", "m5", "m3", "m4"}));
+        samples.record_heartbeat(address, 16);
+    samples.record_heartbeat("m5", 16); // m2 was silent for 1.5 heartbeat intervals, not for longer
+    EXPECT_EQ(samples.addresses_within_lease(16), (std::vector<std::string>{"m1", "m2", "m3", "m4"}));
+    samples.record_heartbeat("m5", 16.1);
+    EXPECT_EQ(samples.addresses_within_lease(16.1), (std::vector<std::string>{"m1", "m5", "m3", "m4"}));
 }
 
 TEST(MachineSamplesTest, DropSilentMachinesOnlyWhereOthersReport) {
@@ -264,11 +264,11 @@
     MachineSamples samples(settings);
     samples.replace({"m1", "m2"}, 10);
     samples.drop_stale(20);
-    EXPECT_EQ(samples.take_turn(3), (std::vector<std::string>{"m1", "m2"}))
+    EXPECT_EQ(samples.next_in_rotation(3), (std::vector<std::string>{"m1", "m2"}))
         << "all are silent: the zone may be cut off";
-    samples.heard_from("m2", 20);
+    samples.record_heartbeat("m2", 20);
     samples.drop_stale(20);
-    EXPECT_EQ(samples.take_turn(3), std::vector<std::string>{"m2"});
+    EXPECT_EQ(samples.next_in_rotation(3), std::vector<std::string>{"m2"});
     samples.drop_stale(100);
     EXPECT_FALSE(samples.empty()) << "two leases old";
     samples.drop_stale(100.1);
@@ -305,7 +305,7 @@
 TEST(ZoneHealthTest, AProbeRoundFailsOnlyIfNobodyAnswers) {
     const auto settings = test_settings();
     ZoneHealth zone(settings);
-    zone.learn_machines({"m1", "m2", "m3"}, true, 10);
+    zone.adopt_machines({"m1", "m2", "m3"}, true, 10);
     EXPECT_EQ(zone.start_probe_round(10), (std::vector<std::string>{"m1", "m2"}));
     EXPECT_TRUE(zone.start_probe_round(11).empty()) << "a round is under way";
     EXPECT_FALSE(zone.finish_probe(true, 11));
@@ -323,7 +323,7 @@
 TEST(ZoneHealthTest, AnExecutorThatCannotProbeProvesNothing) {
     const auto settings = test_settings();
     ZoneHealth zone(settings);
-    zone.learn_machines({"m1"}, true, 10);
+    zone.adopt_machines({"m1"}, true, 10);
     for (const double now : {10, 15, 20}) {
         ASSERT_EQ(zone.start_probe_round(now).size(), 1U);
         EXPECT_FALSE(zone.finish_probe(std::nullopt, now));
@@ -334,7 +334,7 @@
 TEST(ZoneHealthTest, ARecoveredProbeForgetsInboundSilence) {
     const auto settings = test_settings();
     ZoneHealth zone(settings);
-    zone.learn_machines({"m1"}, true, 10);
+    zone.adopt_machines({"m1"}, true, 10);
     EXPECT_EQ(zone.check_silence(4, 4, 10), ZoneHealth::SilenceCheck::lost);
     for (const double now : {10, 15}) {
         ASSERT_EQ(zone.start_probe_round(now).size(), 1U);
@@ -351,14 +351,14 @@
 TEST(ZoneHealthTest, MachinesThatPeersOnlyRememberAreNotHandedOn) {
     const auto settings = test_settings();
     ZoneHealth zone(settings);
-    zone.learn_machines({"m1"}, false, 50);
+    zone.adopt_machines({"m1"}, false, 50);
     EXPECT_TRUE(zone.machines_to_share(50).empty());
     EXPECT_EQ(zone.start_probe_round(50), std::vector<std::string>{"m1"}) << "but they are probed";
-    zone.learn_machines({"m2"}, false, 50);
+    zone.adopt_machines({"m2"}, false, 50);
     EXPECT_TRUE(zone.machines_to_share(50).empty()) << "something is known here already";
-    zone.learn_machines({"m3"}, true, 50);
+    zone.adopt_machines({"m3"}, true, 50);
     EXPECT_EQ(zone.machines_to_share(50), std::vector<std::string>{"m3"});
-    zone.learn_machines({}, true, 50);
+    zone.adopt_machines({}, true, 50);
     EXPECT_EQ(zone.machines_to_share(50), std::vector<std::string>{"m3"});
 }
 
