--- a/include/heronshift/embed/heronshift.h
+++ b/include/heronshift/embed/heronshift.h
@@ -1,17 +1,18 @@
 /** @file
- * The scheduler for programs in C and whatever calls C: see scheduler.hpp for what it does.
+ * The C interface of the scheduler, for programs in C and in languages that can call C. See scheduler.hpp for what the
+ * scheduler does.
  *
- * It runs on a thread of its own; functions may be called from any thread, callbacks come on that one.
- * No function throws, ends the process or sets a signal handler. A null or ended handle, a null text or
- * callback is HS_INVALID. Texts are UTF-8 and end in a zero byte; those handed to a callback are valid
- * until it returns. */
+ * A scheduler runs on a thread that it starts. All functions may be called from any thread; callbacks are called on the
+ * scheduler's thread. No function throws, ends the process or sets a signal handler. A function returns HS_INVALID if
+ * the handle is null or has been ended, or if a text or callback is null that the function needs. Texts are UTF-8 and
+ * end with a zero byte; those passed to a callback are valid until the callback returns. */
 #ifndef HERONSHIFT_EMBED_HERONSHIFT_H
 #define HERONSHIFT_EMBED_HERONSHIFT_H
 
 #include <stddef.h>
 #include <stdint.h>
 
-/** Marks former names: compilers that know the attribute warn where one is used. */
+/** Marks deprecated names: compilers that support the attribute warn about their use. */
 #if defined(__GNUC__) || defined(__clang__)
 #define HS_DEPRECATED __attribute__((deprecated))
 #else
@@ -25,57 +26,62 @@
 /** A running scheduler. */
 typedef struct hs_scheduler hs_scheduler;
 
-/** What functions return. */
+/** Return values of the functions. */
 enum {
-    HS_OK = 0,       /**< Done. */
-    HS_INVALID = 1,  /**< An argument is wrong. */
-    HS_SETTINGS = 2, /**< The settings are wrong, see the message. */
-    HS_STORE = 3,    /**< The state file cannot be used, see the message. */
-    HS_SYSTEM = 4    /**< An address in use, no thread, no memory. */
+    HS_OK = 0,       /**< Success. */
+    HS_INVALID = 1,  /**< An argument is invalid. */
+    HS_SETTINGS = 2, /**< The settings are invalid; the message tells why. */
+    HS_STORE = 3,    /**< The state file cannot be used; the message tells why. */
+    HS_SYSTEM = 4    /**< Another failure, such as an address in use, no thread or no memory. */
 };
 
-/** What came of a call. */
+/** The result of a call. */
 typedef struct hs_reply {
-    /** As the protocol says (201, 200, 400, 404, 422, 429, 503, 504), 0 if the scheduler ended before it answered. */
+    /** Status code of the protocol: 201, 200, 400, 404, 422, 429, 503 or 504 (see Reply::status in scheduler.hpp); 0 if
+     * the scheduler ended before it answered. */
     int status;
-    /** When to try again, in seconds; 0: not said. */
+    /** Time after which to try again, in seconds; 0: not specified. */
     int retry_after_s;
     /** The job's id, or "". */
     const char* id;
-    /** "pending", "running", "done", "withdrawn" or "". */
+    /** The job's state: "pending", "running", "done", "withdrawn" or "". */
     const char* state;
-    /** The number of its tasks that are done. */
+    /** The number of the job's tasks that are done. */
     uint64_t done;
-    /** The number of its tasks that run. */
+    /** The number of the job's tasks that are running. */
     uint64_t running;
-    /** Why it was refused, or "". */
+    /** Why the call was refused, or "". */
     const char* error;
 } hs_reply;
 
-/** Takes the answer to a call, on the scheduler's thread. */
+/** Receives the result of a call, on the scheduler's thread. context: the pointer that was passed to the call. */
 typedef void (*hs_done)(const hs_reply* reply, void* context);
-/** A job has come to its end; on the scheduler's thread. gap: some may have been missed, id and state are then "". */
+/** Receives the end of a job and its final state, on the scheduler's thread. gap: if not 0, notifications may have been
+ * missed, and id and state are "". context: the pointer that was passed to hs_subscribe(). */
 typedef void (*hs_change)(const char* id, const char* state, int gap, void* context);
 
-/** Starts a scheduler. Reads the platform's settings (TOML). state_file: a durable file, or null for the state service
- * that the settings name. On failure *out is null and message, if not null, holds the reason. Returns HS_OK,
- * HS_INVALID, HS_SETTINGS, HS_STORE or HS_SYSTEM. */
+/** Starts a scheduler. settings_path: the file of the platform's settings (TOML). state_file: a durable file that holds
+ * the state, or null to use the state service that the settings name. message: if not null, a buffer of message_size
+ * bytes for the reason of a failure. On failure *out is null. Returns HS_OK, HS_INVALID, HS_SETTINGS, HS_STORE or
+ * HS_SYSTEM. */
 int hs_start(const char* settings_path, const char* state_file, hs_scheduler** out, char* message, size_t message_size);
-/** Submits a job, a JSON text as POST /v2/runs takes it. If HS_OK is returned, done is called once. */
+/** Submits a job. json: the job as a JSON text, in the form of the body of POST /v2/runs. If HS_OK is returned, done is
+ * called exactly once. */
 int hs_submit(hs_scheduler* s, const char* json, hs_done done, void* context);
-/** Asks for a job's state. If HS_OK is returned, done is called once. */
+/** Queries a job's state. If HS_OK is returned, done is called exactly once. */
 int hs_get(hs_scheduler* s, const char* id, hs_done done, void* context);
-/** Cancels a job and all that need it. If HS_OK is returned, done is called once. */
+/** Cancels a job and all jobs that depend on it. If HS_OK is returned, done is called exactly once. */
 int hs_cancel(hs_scheduler* s, const char* id, hs_done done, void* context);
-/** Tells of each job that comes to its end, until the scheduler ends. Returns HS_OK, HS_INVALID or HS_SYSTEM. */
+/** Calls change for each job that ends, until the scheduler ends. Returns HS_OK, HS_INVALID or HS_SYSTEM. */
 int hs_subscribe(hs_scheduler* s, hs_change change, void* context);
-/** 1 if this copy is the leader and may act at this moment, 0 if not or if the handle is not valid. */
+/** Returns 1 if this controller is the leader and may act at this moment, 0 if not or if the handle is not valid. */
 int hs_is_active_leader(const hs_scheduler* s);
 /** Deprecated: the former name of hs_is_active_leader. */
 HS_DEPRECATED int hs_acts(const hs_scheduler* s);
-/** Ends it and forgets the handle: HS_OK or HS_INVALID. No callback starts after it; it may be called in one. */
+/** Ends the scheduler and invalidates the handle. No callback starts after hs_end() has returned. May be called within
+ * a callback. Returns HS_OK or HS_INVALID. */
 int hs_end(hs_scheduler* s);
-/** The version of the library, such as "0.1.0"; valid for ever. */
+/** Returns the version of the library, such as "0.1.0". The text stays valid. */
 const char* hs_version(void);
 
 #ifdef __cplusplus
--- a/include/heronshift/embed/scheduler.hpp
+++ b/include/heronshift/embed/scheduler.hpp
@@ -1,10 +1,10 @@
 /// @file
-/// The scheduler inside a program: the daemon's own controller without the daemon. A submission takes
-/// the same way as one over the network, so it is checked, refused and placed the same.
+/// The scheduler as a library: the controller that the daemon runs, for use within a program. Submissions take the same
+/// path as those over the network, so they are validated, refused and placed in the same way.
 ///
-/// Nothing here ends the process, sets signal handlers or keeps global state; log lines go to spdlog's
-/// default logger, which the program may replace. Errors are values (Reply); constructors throw
-/// SettingsError, store::StoreError, replay::LogError or std::system_error (cannot listen).
+/// Nothing here ends the process, sets signal handlers or keeps global state. Log lines go to spdlog's default logger,
+/// which the program may replace. Calls report errors as values (Reply). Constructors throw SettingsError,
+/// store::StoreError, replay::LogError, or std::system_error if the scheduler cannot listen.
 #pragma once
 
 #include "heronshift/clock.hpp"
@@ -20,105 +20,113 @@
 
 namespace heronshift {
 
-/// What came of a call.
+/// The result of a call.
 struct Reply {
-    /// The protocol's: 201 accepted, 200 known already or the answer, 400 malformed and 422 can never run (not to be
-    /// tried again), 404 never accepted, 429, 503 and 504 not now: try again later. 0: the scheduler was stopped
-    /// before it answered.
+    /// Status code of the protocol: 201 the job was accepted; 200 the job was accepted before, or the call succeeded;
+    /// 400 the request is malformed; 422 the job can never run; 404 the job was never accepted; 429, 503 and 504 the
+    /// call cannot be served now and should be tried again later. After 400 and 422 there is no use in trying again.
+    /// 0: the scheduler was stopped before it answered.
     int status = 0;
-    /// When to try again, in seconds; 0: not said.
+    /// Time after which to try again, in seconds; 0: not specified.
     int retry_after_s = 0;
     /// The job's id.
     std::string id;
     /// The job's state: pending, running, done or withdrawn.
     std::string state;
-    /// The number of its tasks that are done.
+    /// The number of the job's tasks that are done.
     std::uint64_t done = 0;
-    /// The number of its tasks that run.
+    /// The number of the job's tasks that are running.
     std::uint64_t running = 0;
-    /// Why it was refused; empty if it was not.
+    /// Why the call was refused; empty if it was not.
     std::string error;
-    /// The call did what it was asked for.
+    /// Whether the call succeeded.
     [[nodiscard]] bool ok() const {
         return status == 200 || status == 201;
     }
 };
 
-/// A job has come to its end, whoever saw to it.
+/// Notification that a job has ended, whichever controller of the cluster recorded that.
 struct Change {
     /// The job's id; empty where gap is set.
     std::string id;
     /// Its final state: done or withdrawn; empty where gap is set.
     std::string state;
-    /// Some changes may have been missed: ask for the jobs that matter.
+    /// Some notifications may have been missed: query the jobs that matter.
     bool gap = false;
 };
 
-/// What a scheduler is made of. Only the settings are needed.
+/// The configuration of a scheduler. Only the settings are required.
 struct SchedulerOptions {
     /// The platform's and the operators' settings.
     Settings settings;
-    /// A durable file of this machine that holds the state; empty: the state service of the settings.
+    /// A durable file on this machine that holds the state; empty: the state service that the settings name.
     std::string state_file;
-    /// Makes another store, on the thread of the scheduler's loop; if set, state_file and the state service do not
-    /// count. It must not return null.
+    /// Creates a store to use instead of `state_file` and the state service. Called on the thread of the scheduler's
+    /// loop. It must not return null.
     std::function<std::unique_ptr<store::StateStore>(uv_loop_t*)> state;
-    /// Makes what runs tasks, on the thread of the scheduler's loop; if not set: the platform's agents and cloud. With
-    /// one that reports by itself no port is needed: leave the hosts to listen at empty.
+    /// Creates the executor that runs the tasks; if not set, the platform's agents and cloud run them. Called on the
+    /// thread of the scheduler's loop. An executor that passes heartbeats on by itself needs no port: leave the hosts
+    /// of `Settings::listen` and `Settings::peer_listen` empty.
     std::function<std::unique_ptr<Executor>(uv_loop_t*)> executor;
-    /// Where time comes from; null: the system's clocks.
+    /// The source of time; null: the system's clocks.
     std::shared_ptr<const Clock> clock;
-    /// A file that records what is decided, for `heronshift replay`; empty: none.
+    /// A file in which commands and digests of the decisions are recorded, for `heronshift replay`; empty: none.
     std::string command_log;
 };
 
-/// A controller of the cluster. It acts while it holds the leadership, which copies of it on the same store share.
+/// A controller of the cluster. Controllers that use the same store elect one of them as the leader, and only the
+/// leader schedules.
 class Scheduler {
 public:
-    /// Takes the answer to a call, on the thread of the scheduler's loop. It must not throw.
+    /// Receives the result of a call, on the thread of the scheduler's loop. It must not throw.
     using Done = std::function<void(const Reply&)>;
-    /// Takes what is told to subscribers, on the thread of the scheduler's loop. It must not throw.
+    /// Receives the notifications of a subscription, on the thread of the scheduler's loop. It must not throw.
     using Watch = std::function<void(const Change&)>;
 
-    /// Runs on the program's loop, which must go on running: while it stands still for longer than the leadership's
-    /// lease (settings' report_s, in seconds) another copy takes over. Calls from the loop's thread only. After the
-    /// destructor the loop has to run once more for handles to close. Throws as the head of this file says.
+    /// Runs the scheduler on the program's loop. All functions must be called on the loop's thread, except where they
+    /// say otherwise. The program must keep the loop running: if the loop stalls for longer than the leadership's lease
+    /// (report_s of the settings, in seconds), another controller takes over. After the destructor the loop has to run
+    /// once more so that handles are closed. Throws the exceptions listed at the head of this file.
     Scheduler(uv_loop_t* loop, SchedulerOptions options);
-    /// Runs on a thread that it starts. Calls from any thread; callbacks come on that thread. Throws as the head of
-    /// this file says.
+    /// Runs the scheduler on a thread that it starts. Functions may be called on any thread; callbacks are called on
+    /// the thread that it starts. Throws the exceptions listed at the head of this file.
     explicit Scheduler(SchedulerOptions options);
-    /// Gives the leadership up. No callback starts after it, but one that runs is waited for, unless it is
-    /// the one that destroys the scheduler.
+    /// Gives up the leadership. No callback starts after the destructor has returned. The destructor waits for a
+    /// callback that is running, unless it is called within that callback.
     ~Scheduler();
     Scheduler(const Scheduler&) = delete;
     Scheduler& operator=(const Scheduler&) = delete;
 
-    /// Submits a job. Answered once, never before the call returns: 201 once it is stored, 200 with its state if it
-    /// was before, 400 or 422 with the reason.
+    /// Submits a job. `done` is called exactly once, never before submit() returns: with 201 once the job is stored,
+    /// 200 and its state if it had been accepted before, or 400 or 422 and the reason.
     void submit(const JobSpec& job, Done done);
-    /// Submits a job as POST /v2/runs takes it, a JSON text; otherwise the same.
+    /// Submits a job given as a JSON text, in the form of the body of POST /v2/runs. Otherwise like the other submit().
     void submit(std::string json, Done done);
-    /// Asks for a job's state. Answered once, never before the call returns: 200, or 404 if it was never accepted.
+    /// Queries a job's state. `done` is called exactly once, never before get() returns: with 200, or 404 if the job
+    /// was never accepted.
     void get(const std::string& id, Done done);
-    /// Cancels a job and all that need it. Answered once, never before the call returns: 200 with its final state,
-    /// which is done if it came first, or 404 if it was never accepted.
+    /// Cancels a job and all jobs that depend on it. `done` is called exactly once, never before cancel() returns: with
+    /// 200 and the job's final state, which is "done" if the job was done before the cancellation, or 404 if the job
+    /// was never accepted.
     void cancel(const std::string& id, Done done);
-    /// Tells of each job that comes to its end, from now on until the scheduler ends.
+    /// Calls `watch` for each job that ends, from now on until the scheduler ends.
     void subscribe(Watch watch);
-    /// Gives the leadership up and answers nothing more; open calls get status 0. May be called twice.
+    /// Gives up the leadership and stops serving calls. Calls that have no result yet get status 0. May be called more
+    /// than once.
     void stop();
 
-    /// For a clock whose time the program moves: does what has become due. On the loop's thread only.
+    /// Does all work that has become due. For programs that supply a clock and move its time themselves. To be called
+    /// on the loop's thread only.
     void turn();
 
-    /// Whether this copy may act at this moment; another may share its store. False too while its loop has
-    /// stood still for so long that it no longer may. On any thread.
+    /// Whether this controller is the leader and may act at this moment. Also false if its loop has stalled for so long
+    /// that its leadership has expired. May be called on any thread.
     [[nodiscard]] bool is_active_leader() const;
     /// The former name of is_active_leader().
     [[deprecated("use is_active_leader()")]] [[nodiscard]] bool acts() const {
         return is_active_leader();
     }
-    /// The TCP port for machines' reports; 0: it does not listen.
+    /// The TCP port that receives the machines' heartbeats; 0: the scheduler does not listen.
     [[nodiscard]] int port() const;
 
 private:
--- a/include/heronshift/http_reply.hpp
+++ b/include/heronshift/http_reply.hpp
@@ -1,4 +1,4 @@
-// The answer to a request over HTTP.
+// The response to an HTTP request.
 #pragma once
 
 #include <string>
@@ -6,9 +6,9 @@
 namespace heronshift {
 
 struct HttpReply {
-    int status = 0; // 0: no answer
+    int status = 0; // the HTTP status code; 0: there was no valid response
     std::string body;
-    bool sent = false; // false: the request surely never left this node
+    bool sent = false; // false: no part of the request has left this node
 };
 
 } // namespace heronshift
--- a/include/heronshift/loop_handle.hpp
+++ b/include/heronshift/loop_handle.hpp
@@ -5,9 +5,10 @@
 
 namespace heronshift {
 
-/// Owns a libuv handle of type Handle (uv_tcp_t, uv_timer_t, ...). libuv goes on using a handle until a later turn of
-/// its loop has run the close callback, so the handle lives on the heap and is deleted there; the owner may be gone by
-/// then. A closed handle's `data` is null, for callbacks that libuv had queued already. On the loop's thread only.
+/// Owns a libuv handle of type Handle (uv_tcp_t, uv_timer_t, ...). libuv uses a handle until its close callback has
+/// run, in a later iteration of the loop. So the handle is allocated on the heap and deleted in that callback, when the
+/// owner may already have been destroyed. close() sets the handle's `data` to null, by which callbacks that libuv had
+/// already queued can tell that the handle is closed. To be used on the loop's thread only.
 template <class Handle> class LoopHandle {
 public:
     LoopHandle() = default;
@@ -17,14 +18,14 @@
     LoopHandle(const LoopHandle&) = delete;
     LoopHandle& operator=(const LoopHandle&) = delete;
 
-    /// Allocates the handle. The caller initialises it with libuv (uv_tcp_init, ...) before anything else happens to
-    /// it.
+    /// Allocates a handle, after closing an earlier one. The caller must initialise it with libuv (uv_tcp_init, ...)
+    /// before any other use.
     Handle* create() {
         close();
         handle_ = new Handle{};
         return handle_;
     }
-    /// Closes the handle, if there is one; it calls back no more.
+    /// Closes the handle, if there is one. Its `data` is null from then on.
     void close() {
         if (handle_ == nullptr)
             return;
@@ -45,7 +46,7 @@
     Handle* handle_ = nullptr;
 };
 
-/// A TCP handle as the stream that it is.
+/// Casts a TCP handle to its base type, a stream handle.
 [[nodiscard]] inline uv_stream_t* as_stream(uv_tcp_t* tcp) {
     return reinterpret_cast<uv_stream_t*>(tcp);
 }
--- a/include/heronshift/loop_queue.hpp
+++ b/include/heronshift/loop_queue.hpp
@@ -1,4 +1,4 @@
-// Functions that run in a later turn of a libuv loop.
+// A queue of functions that run in a later iteration of a libuv loop.
 #pragma once
 
 #include "heronshift/loop_handle.hpp"
@@ -10,8 +10,9 @@
 
 namespace heronshift {
 
-/// Runs functions in a later turn of the loop, in the order in which they were posted, while the queue lives. One of
-/// them may destroy the queue; then the rest is dropped. On the loop's thread only.
+/// Runs functions in a later iteration of the loop, in the order in which they were posted. Functions that have not run
+/// when the queue is destroyed are dropped; a function may destroy the queue itself. To be used on the loop's thread
+/// only.
 class LoopQueue {
 public:
     explicit LoopQueue(uv_loop_t* loop) {
