--- a/include/heronshift/store/direct.hpp
+++ b/include/heronshift/store/direct.hpp
@@ -1,5 +1,6 @@
-// A state store on the loop itself, in memory: for programs that simulate, and for those whose jobs need
-// not outlive them. No thread and no time of its own; what can block or must last belongs in LocalStore.
+// A state store that runs on the loop's thread: for simulations, and for programs whose jobs need not outlive them. It
+// has no thread, and takes the time from a Clock. An engine whose calls can block, or whose data must be durable,
+// belongs in a LocalStore.
 #pragma once
 
 #include "heronshift/clock.hpp"
@@ -10,12 +11,13 @@
 
 class DirectStore final : public StateStore {
 public:
-    // The loop must run once more after the store is destroyed: a handle closes there.
+    // After the store is destroyed the loop must run once more, so that a libuv handle is closed. Without a clock the
+    // store uses the system's clocks.
     DirectStore(uv_loop_t* loop, std::unique_ptr<Engine> engine, std::shared_ptr<const Clock> clock = nullptr);
 
     void call(Call&& c, double timeout_s, Callback done) override;
     void sweep() override;
-    // For who serves it to others.
+    // For servers that give other processes access to the store.
     [[nodiscard]] Engine& engine() {
         return *engine_;
     }
@@ -29,7 +31,7 @@
     std::shared_ptr<const Clock> clock_;
     LoopQueue answers_;
     std::vector<std::pair<Engine::Waiting, Callback>> follows_;
-    std::uint64_t seen_ = 0; // epoch that all who wait know of
+    std::uint64_t seen_ = 0; // the revision up to which the waiting follow calls have been checked
 };
 
 } // namespace heronshift::store
--- a/include/heronshift/types.hpp
+++ b/include/heronshift/types.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// The plain types that every part of the scheduler shares. Values only: no thread owns them, nothing throws.
+/// The plain types that all parts of the scheduler share. They are values without any synchronisation, and none of
+/// their functions throws.
 #pragma once
 
 #include <cstdint>
@@ -9,16 +10,17 @@
 /// The scheduler.
 namespace heronshift {
 
-/// How the tasks of a job belong together: an array's run one by one, a gang's all at once, a service's for good.
+/// How the tasks of a job run: those of an `array` independently of each other, those of a `gang` all at the same time,
+/// and those of a `service` until the job is cancelled.
 enum class Shape : std::uint8_t { array, gang, service };
-/// A job's priority. Smaller means more urgent.
+/// A job's priority. Lower values are more urgent.
 enum class Priority : std::uint8_t { critical, high, normal, low };
 
-/// An amount of resources, of a task or of a machine.
+/// Amounts of resources, such as those that a task needs or that a machine has.
 struct Resources {
-    /// Processor cores; fractions are allowed.
+    /// Number of processor cores; may be fractional.
     double cpus = 0;
-    /// Accelerators; fractions are allowed.
+    /// Number of accelerators; may be fractional.
     double gpus = 0;
     /// Memory in GB.
     double memory_gb = 0;
@@ -41,12 +43,12 @@
     friend Resources operator-(Resources resources, const Resources& b) {
         return resources -= b;
     }
-    /// Each amount k times.
+    /// Multiplies each amount by `k`.
     friend Resources operator*(Resources resources, double k) {
         return {resources.cpus * k, resources.gpus * k, resources.memory_gb * k};
     }
-    /// Whether each amount is at most that of `room`. Amounts are decimal numbers, so sums carry rounding errors,
-    /// which are allowed for.
+    /// Whether each amount is at most that of `room`. Amounts are often decimal fractions, whose sums have rounding
+    /// errors, so a small excess is tolerated.
     [[nodiscard]] bool fits(const Resources& room) const {
         constexpr double dust = 1e-6;
         return cpus <= room.cpus + dust && gpus <= room.gpus + dust && memory_gb <= room.memory_gb + dust;
@@ -55,163 +57,165 @@
 
 /// A job as it was submitted.
 struct JobSpec {
-    /// Its unique id, of the form wk-000412.
+    /// Unique id of the job, of the form wk-000412.
     std::string id;
-    /// Its class: jobs of one class behave alike; objectives name classes.
+    /// The job's class. Jobs of one class behave alike, and objectives refer to classes.
     std::string job_class;
-    /// The team that it belongs to and whose limits it counts against.
+    /// The team that the job belongs to and against whose limits its tasks count.
     std::string team;
-    /// How its tasks belong together.
+    /// How the job's tasks run.
     Shape shape = Shape::array;
-    /// Its priority.
+    /// Priority of the job.
     Priority priority = Priority::normal;
-    /// The number of its tasks, 1 to 100,000.
+    /// Number of tasks, 1 to 100,000.
     std::uint32_t tasks = 1;
-    /// What each task needs.
+    /// The resources that each task needs.
     Resources each;
-    /// The image that its tasks run.
+    /// The image that the tasks run.
     std::string image;
     /// The size of the image in GB.
     double image_gb = 0;
-    /// Machine types that it may run on; empty: any.
+    /// Machine types that the tasks may run on; empty: any.
     std::vector<std::string> types;
-    /// The zone that it must run in; empty: any.
+    /// The zone that the tasks must run in; empty: any.
     std::string zone;
-    /// All of its tasks run in one zone.
+    /// All tasks have to run in the same zone.
     bool one_zone = false;
-    /// Its tasks are spread over zones.
+    /// The tasks have to be spread over zones.
     bool spread = false;
-    /// It may run on spot machines.
+    /// The tasks may run on spot machines.
     bool spot = false;
-    /// How long a task is expected to run, in seconds; 0: unknown.
+    /// The expected run time of a task, in seconds; 0: unknown.
     double estimate_s = 0;
-    /// The interval at which a task saves its progress, in seconds; 0: never.
+    /// The interval between a task's checkpoints, in seconds; 0: the tasks save none.
     double checkpoint_s = 0;
-    /// How long saving takes, in seconds.
+    /// The time that it takes to save a checkpoint, in seconds.
     double save_s = 0;
-    /// When it should be done, in seconds after its submission; below zero: no deadline.
+    /// The time by which the job should be done, in seconds after its submission; below zero: no deadline.
     double deadline_s = -1;
-    /// Ids of the jobs that must be done before any task of this one starts.
+    /// Ids of the jobs that must be done before any task of this job starts.
     std::vector<std::string> dependencies;
-    /// As stored: `needs` cannot be read.
+    /// The list of dependencies in the store is malformed, so `dependencies` is not valid.
     bool dependencies_damaged = false;
 };
 
 /// A type of machine that the cloud rents out.
 struct MachineType {
-    /// Its name.
+    /// Name of the type.
     std::string name;
-    /// What tasks can use on such a machine.
+    /// The resources of such a machine that tasks can use.
     Resources room;
-    /// Room for images, in GB.
+    /// The size of its image cache, in GB.
     double cache_gb = 0;
-    /// The speed at which images are fetched, in GB per second.
+    /// The rate at which it fetches images, in GB per second.
     double fetch_gb_per_s = 1;
-    /// The price of an ordinary machine per unit of time, as the cloud gives it.
+    /// The price of an on-demand machine per unit of time, as the cloud gives it.
     double price = 0;
     /// The price of a spot machine, in the same unit.
     double spot_price = 0;
-    /// From the rental until the machine is up, in seconds.
+    /// The time from the rental until the machine is up, in seconds.
     double boot_s = 0;
-    /// Zones in which it can be rented.
+    /// Zones in which such machines can be rented.
     std::vector<std::string> zones;
 };
 
-/// What a task on a machine does; `waiting` is for the other tasks of its gang.
+/// The state of a task on a machine. `fetching`: its image is being fetched; `waiting`: the other tasks of its gang
+/// have not started yet; `saving`: it is saving a checkpoint.
 enum class TaskState : std::uint8_t { fetching, waiting, running, saving, ended };
-/// Why a task ended. `peers`: others of its gang were lost; `alone`: they never came; `no_room`: the machine was
-/// full; `busy`: what it needs was in use there.
+/// Why a task ended. `none`: it has not ended; `peers`: other tasks of its gang were lost; `alone`: the other tasks of
+/// its gang did not start in time; `no_room`: the machine had too few free resources; `busy`: something that the task
+/// needs was in use on the machine.
 enum class ExitCause : std::uint8_t { none, done, stopped, peers, alone, error, no_room, busy, unknown };
 
 /// One task in a heartbeat.
 struct ReportedTask {
-    /// The id of its job.
+    /// The id of the task's job.
     std::string job;
-    /// Its index in the job, from 0.
+    /// The task's index in the job, from 0.
     std::uint32_t index = 0;
-    /// The number of the attempt; a later attempt has a greater one.
+    /// The number of the attempt to run the task. Later attempts have greater numbers.
     std::uint64_t attempt = 0;
-    /// What it does.
+    /// The task's state.
     TaskState state = TaskState::running;
-    /// Why it ended; `none` while it has not.
+    /// Why the task ended; `none` if it has not.
     ExitCause cause = ExitCause::none;
-    /// Its progress was saved before it ended.
+    /// The task saved a checkpoint before it ended.
     bool saved = false;
 };
 
-/// A machine's heartbeat: all that is on it at one moment.
+/// A machine's heartbeat: a complete report of the tasks that are on it at one moment.
 struct Heartbeat {
     /// The id of the machine.
     std::string machine;
-    /// The address that takes orders, HOST:PORT.
+    /// The address at which the machine receives orders, HOST:PORT.
     std::string addr;
-    /// The name of its machine type.
+    /// The name of the machine's type.
     std::string type;
-    /// Its zone.
+    /// The machine's zone.
     std::string zone;
-    /// It is a spot machine.
+    /// The machine is a spot machine.
     bool spot = false;
-    /// The epoch of the agent on it: a restarted agent has a greater one and no tasks.
+    /// The epoch of the agent on the machine. It grows with each start of the agent, which then has no tasks.
     std::uint64_t agent_epoch = 0;
-    /// The number of the heartbeat within the epoch.
+    /// The number of the heartbeat within the agent epoch.
     std::uint64_t counter = 0;
     /// The highest fencing token that the agent has seen.
     std::uint64_t fencing_token = 0;
-    /// Until the machine is reclaimed, in seconds; below zero: no notice was given.
+    /// The time until the cloud reclaims the machine, in seconds; below zero: no notice has been given.
     double notice_s = -1;
-    /// The tasks on it; ended ones until they are reaped.
+    /// The tasks on the machine, including ended ones that have not been reaped yet.
     std::vector<ReportedTask> tasks;
 };
 
-/// What an order asks for.
+/// What a machine is ordered to do with a task.
 enum class Verb : std::uint8_t {
-    launch, ///< To start the task.
-    stop,   ///< To end it, with some time for saving its progress.
-    reap,   ///< To forget that it has ended, which need not be reported any more.
+    launch, ///< Start the task.
+    stop,   ///< Stop the task, after some time for saving a checkpoint.
+    reap,   ///< Discard the ended task, so that heartbeats no longer contain it.
 };
 /// An order to a machine about one attempt of one task.
 struct Order {
-    /// What is asked for.
+    /// What to do with the task.
     Verb verb = Verb::launch;
-    /// The id of the job.
+    /// The id of the task's job.
     std::string job;
     /// The task's index in the job, from 0.
     std::uint32_t index = 0;
     /// The number of the attempt.
     std::uint64_t attempt = 0;
-    /// For a stop: the time that the task has for saving its progress, in seconds.
+    /// For Verb::stop: the time that the task has for saving a checkpoint, in seconds.
     double drain_s = 0;
 };
 
-/// A machine as the cloud lists it.
+/// A machine in the cloud's list of rented machines.
 struct ListedMachine {
-    /// Its id.
+    /// The id of the machine.
     std::string id;
-    /// The address that takes orders, HOST:PORT; may be empty while it boots.
+    /// The address at which the machine receives orders, HOST:PORT; may be empty while the machine boots.
     std::string addr;
-    /// The name of its machine type.
+    /// The name of the machine's type.
     std::string type;
-    /// Its zone.
+    /// The machine's zone.
     std::string zone;
-    /// What the cloud calls its state.
+    /// The machine's state, in the cloud's own terms.
     std::string status;
-    /// It is a spot machine.
+    /// The machine is a spot machine.
     bool spot = false;
-    /// Since it was rented, in seconds.
+    /// The time since the machine was rented, in seconds.
     double age_s = 0;
 };
 
-/// A team's limits on what its running tasks use.
+/// A team's guarantees and limits for the resources that its running tasks use.
 struct TeamLimits {
-    /// The team.
+    /// Name of the team.
     std::string name;
-    /// Its guaranteed processor cores; 0: none.
+    /// Number of processor cores guaranteed to the team; 0: none.
     double cpus = 0;
-    /// Processor cores that it never exceeds; 0: no such limit.
+    /// Maximum number of processor cores that the team's tasks may use; 0: no limit.
     double cpus_max = 0;
-    /// Its guaranteed accelerators; 0: none.
+    /// Number of accelerators guaranteed to the team; 0: none.
     double gpus = 0;
-    /// Accelerators that it never exceeds; 0: no such limit.
+    /// Maximum number of accelerators that the team's tasks may use; 0: no limit.
     double gpus_max = 0;
 };
 
