--- a/include/heronshift/types.hpp
+++ b/include/heronshift/types.hpp
@@ -81,7 +81,7 @@
     std::string zone;
     /// All tasks have to run in the same zone.
     bool one_zone = false;
-    /// The tasks have to be spread over zones.
+    /// The tasks are to be spread over several zones.
     bool spread = false;
     /// The tasks may run on spot machines.
     bool spot = false;
--- a/src/codec/cloud.cpp
+++ b/src/codec/cloud.cpp
@@ -1,4 +1,4 @@
-// Messages of the cloud: machine types, rentals, releases and the list of machines.
+// Messages exchanged with the cloud: machine types, rentals, releases and the list of machines.
 #include "fields.hpp"
 
 #include <fmt/format.h>
@@ -7,8 +7,8 @@
 
 namespace {
 
-constexpr double usual_boot_s = 60; // where the list does not say it
-constexpr std::uint64_t max_rental = 50;
+constexpr double usual_boot_s = 60;      // boot time of a machine type if the cloud doesn't give one
+constexpr std::uint64_t max_rental = 50; // machines in one rental
 
 std::optional<MachineType> read_type(const Json& json) {
     if (!json.is_object())
--- a/src/codec/fields.hpp
+++ b/src/codec/fields.hpp
@@ -1,5 +1,5 @@
-/// Readers of single JSON fields, for the decoders of this folder. They take any JSON value; one that is no object has
-/// no fields. None of them throws.
+/// Functions that read single JSON fields, for the decoders in src/codec. They accept any JSON value; a value that is
+/// not an object has no fields. None of them throws.
 #pragma once
 
 #include "heronshift/codec.hpp"
@@ -10,37 +10,38 @@
 
 namespace heronshift::codec {
 
-/// The field of that name; null if it is missing or null.
+/// Returns the field `name`, or a null pointer if it is missing or its value is null.
 [[nodiscard]] inline const Json* field(const Json& json, const char* name) {
     const auto it = json.find(name);
     return it == json.end() || it->is_null() ? nullptr : &*it;
 }
 
-/// The array of that name; null if it is missing or of another kind.
+/// Returns the array `name`, or a null pointer if it is missing or of another type.
 [[nodiscard]] inline const Json* array_field(const Json& json, const char* name) {
     const auto* found = field(json, name);
     return found != nullptr && found->is_array() ? found : nullptr;
 }
 
-/// The string of that name; empty where it is missing or of another kind.
+/// Returns the string `name`, or an empty one if it is missing or of another type.
 [[nodiscard]] inline std::string text(const Json& json, const char* name) {
     const auto* found = field(json, name);
     return found != nullptr && found->is_string() ? found->get<std::string>() : std::string();
 }
 
-/// The flag of that name; false where it is missing or of another kind.
+/// Returns the boolean `name`, or false if it is missing or of another type.
 [[nodiscard]] inline bool flag(const Json& json, const char* name) {
     const auto* found = field(json, name);
     return found != nullptr && found->is_boolean() && found->get<bool>();
 }
 
-/// The number of that name; the fallback where it is missing or of another kind.
+/// Returns the number `name`, or `fallback` if it is missing or of another type.
 [[nodiscard]] inline double number(const Json& json, const char* name, double fallback = 0) {
     const auto* found = field(json, name);
     return found != nullptr && found->is_number() ? found->get<double>() : fallback;
 }
 
-/// False where it is no unsigned integer; then the value is left as it was.
+/// Reads the unsigned integer `name` into `out`. Returns false, and leaves `out` unchanged, if it is missing or of
+/// another type.
 inline bool count(const Json& json, const char* name, std::uint64_t& out) {
     const auto* found = field(json, name);
     if (found == nullptr || !found->is_number_unsigned())
@@ -49,8 +50,8 @@
     return true;
 }
 
-/// Appends the members of the list of that name, each as read() decodes it; a missing list has none.
-/// False if it is no list, or read() returns nothing for a member.
+/// Decodes each member of the array `name` with read() and appends it to `out`. A missing array is treated as empty.
+/// Returns false if the field is not an array, or if read() returns nothing for a member.
 template <class T>
 [[nodiscard]] bool read_list(const Json& json, const char* name, std::optional<T> (*read)(const Json&),
                              std::vector<T>& out) {
--- a/src/codec/jobs.cpp
+++ b/src/codec/jobs.cpp
@@ -1,4 +1,4 @@
-// Jobs: submissions, their records in the store, and what users are answered.
+// Messages about jobs: submissions, records in the store, and answers to users.
 #include "fields.hpp"
 
 #include <charconv>
@@ -10,10 +10,10 @@
 
 namespace {
 
-constexpr std::size_t max_text = 200; // bytes of a name in a submission
+constexpr std::size_t max_text = 200; // length of a text in a submission, in bytes
 constexpr double max_number = 1e12;
 
-// Reads a submission field by field; the first complaint is kept.
+// Reads the fields of a submission and keeps the first error.
 class FieldReader {
 public:
     explicit FieldReader(const Json& json) : json_(json) {}
@@ -25,7 +25,7 @@
         if (error_.empty())
             error_ = fmt::format("{}: {}", name, what);
     }
-    // The field of that name; null if it is missing, which is a complaint where it is required.
+    // Returns the field `name`, or a null pointer if it is missing, which is an error if the field is required.
     const Json* find(const char* name, bool required) {
         const auto* found = field(json_, name);
         if (found == nullptr && required)
@@ -66,7 +66,7 @@
             return complain(name, "must be true or false"), false;
         return found->get<bool>();
     }
-    // One of the words of an enumeration.
+    // Reads a required enumeration value into `out`; `otherwise` is the error message for a value not in `table`.
     template <class Enum, std::size_t n>
     void word(const char* name, const words::Word<Enum> (&table)[n], const char* otherwise, Enum& out) {
         if (const auto value = words::value_of(table, text(name, true)); value)
@@ -80,7 +80,7 @@
     std::string error_;
 };
 
-// False if it is no list of job ids. Repeats count once.
+// Returns false if the field is not an array of job ids. Duplicate ids are dropped.
 bool read_dependencies(const Json& json, std::vector<std::string>& out) {
     const auto* list = field(json, words::dependencies);
     if (list == nullptr)
--- a/src/codec/store.cpp
+++ b/src/codec/store.cpp
@@ -1,4 +1,4 @@
-// Messages of the store: items, transactions, leases and watches; the client's side and the server's.
+// Messages of the store: items, transactions, leases and watches, for clients of the store and for servers.
 #include "fields.hpp"
 
 #include <fmt/format.h>
--- a/src/codec/words.hpp
+++ b/src/codec/words.hpp
@@ -1,8 +1,8 @@
-/// The words of the wire, each with the term that the program uses for it.
+/// The names of JSON fields and values on the wire, each under the term that the code uses for it.
 ///
-/// The names on the wire were given by the services that this scheduler talks to and never change. Encoders and
-/// decoders take them from here; only the format strings of frequent answers (orders and job answers) spell some of
-/// them out.
+/// The names on the wire are defined by the services that this scheduler communicates with, and they never change.
+/// Encoders and decoders use the constants of this header. Only the format strings of frequent messages (orders and
+/// answers about jobs) contain some of the names literally.
 #pragma once
 
 #include "heronshift/types.hpp"
@@ -13,27 +13,27 @@
 
 namespace heronshift::codec::words {
 
-// Names of fields, all messages.
+// Fields of several kinds of messages.
 inline constexpr const char* id = "id";
 inline constexpr const char* status = "status";
-inline constexpr const char* error = "error"; // what is wrong, in an answer
-inline constexpr const char* more = "more";   // another page follows
+inline constexpr const char* error = "error"; // error message, in an answer
+inline constexpr const char* more = "more";   // whether another page follows
 
 // Machines and their types.
 inline constexpr const char* machine = "host";
 inline constexpr const char* machines = "hosts";
 inline constexpr const char* address = "addr";
 inline constexpr const char* machine_type = "flavor";
-inline constexpr const char* machine_types = "flavors"; // of a job: those it may run on
+inline constexpr const char* machine_types = "flavors"; // the cloud's list; in a job: those that it may run on
 inline constexpr const char* zone = "yard";             // availability zone
 inline constexpr const char* zones = "yards";
-inline constexpr const char* spot = "standby"; // machine that the cloud may take back; of a job: may run on one
+inline constexpr const char* spot = "standby"; // the cloud may reclaim the machine; in a job: it may run on such
 inline constexpr const char* age_s = "ageS";
 inline constexpr const char* name = "name";
 inline constexpr const char* cpus = "cpus";
 inline constexpr const char* gpus = "accelerators";
 inline constexpr const char* memory_gb = "memGb";
-inline constexpr const char* cache_gb = "cacheGb"; // for images
+inline constexpr const char* cache_gb = "cacheGb"; // size of the image cache
 inline constexpr const char* fetch_gb_per_s = "fetchGbPerS";
 inline constexpr const char* price = "rate";
 inline constexpr const char* spot_price = "lowPrice";
@@ -43,18 +43,18 @@
 
 // Workers.
 inline constexpr const char* agent_epoch = "tenure"; // grows with each start of the agent
-inline constexpr const char* counter = "counter";    // of heartbeats in one agent epoch
+inline constexpr const char* counter = "counter";    // number of the heartbeat within the agent epoch
 inline constexpr const char* fencing_token = "fence";
-inline constexpr const char* notice_s = "evictionInS"; // until the cloud takes the machine back
+inline constexpr const char* notice_s = "evictionInS"; // time until the cloud reclaims the machine
 inline constexpr const char* task = "shard";           // "JOB/INDEX"
-inline constexpr const char* tasks = "shards";         // of a job: how many; of a heartbeat: the list
+inline constexpr const char* tasks = "shards";         // in a job: the number of tasks; in a heartbeat: the list
 inline constexpr const char* attempt = "try";
 inline constexpr const char* exit_cause = "exitCause";
 inline constexpr const char* saved = "stored"; // a checkpoint was saved
 inline constexpr const char* orders = "orders";
 inline constexpr const char* verb = "verb";
 inline constexpr const char* drain_s = "drainS";
-inline constexpr const char* redirected_to = "reportsTo"; // the node that takes the heartbeats: a redirect
+inline constexpr const char* redirected_to = "reportsTo"; // the node that the worker's heartbeats have to go to
 
 // Jobs.
 inline constexpr const char* job_class = "jobclass";
@@ -68,14 +68,14 @@
 inline constexpr const char* estimate_s = "expectedS";
 inline constexpr const char* checkpoint_s = "snapshotEveryS"; // interval between checkpoints
 inline constexpr const char* save_s = "snapshotS";            // duration of a checkpoint
-inline constexpr const char* deadline_s = "dueS";             // after submission
+inline constexpr const char* deadline_s = "dueS";             // relative to the submission
 inline constexpr const char* dependencies = "waitsOn";
-inline constexpr const char* done = "done";       // numbers of tasks
-inline constexpr const char* running = "running"; // as done
+inline constexpr const char* done = "done";       // number of tasks that are done
+inline constexpr const char* running = "running"; // number of tasks that are running
 
 // Records of jobs and final states.
 inline constexpr const char* spec = "spec";
-inline constexpr const char* waiting_spec = "chain"; // of a job that waits for its dependencies, see StoredJob
+inline constexpr const char* waiting_spec = "chain"; // instead of `spec` while the job waits, see StoredJob
 inline constexpr const char* submitted_at = "at";
 inline constexpr const char* ready_at = "ready";
 inline constexpr const char* final_state = "final";
@@ -85,10 +85,10 @@
 inline constexpr const char* key = "k";
 inline constexpr const char* mod_revision = "stamp";
 inline constexpr const char* value = "data";
-inline constexpr const char* put = "set";      // the key of a write; in a change: the key that was written
-inline constexpr const char* erase = "delete"; // the key of a deletion
+inline constexpr const char* put = "set";      // the key that a transaction writes, or that was written in a change
+inline constexpr const char* erase = "delete"; // the key that a transaction deletes, or that was deleted in a change
 inline constexpr const char* lease = "lease";
-inline constexpr const char* ttl_ms = "ttlMs"; // of a lease
+inline constexpr const char* ttl_ms = "ttlMs"; // duration of a lease
 inline constexpr const char* revision = "epoch";
 inline constexpr const char* guards = "guards"; // conditions of a transaction
 inline constexpr const char* writes = "writes";
@@ -113,9 +113,9 @@
     {Priority::low, "low"},
 };
 inline constexpr Word<TaskState> task_states[] = {
-    {TaskState::fetching, "fetching"},                                // its image
+    {TaskState::fetching, "fetching"},                                // the image is being fetched
     {TaskState::waiting, "gathering"},                                // for the other tasks of its gang
-    {TaskState::running, "running"},   {TaskState::saving, "saving"}, // a checkpoint
+    {TaskState::running, "running"},   {TaskState::saving, "saving"}, // saving a checkpoint
     {TaskState::ended, "ended"},
 };
 inline constexpr Word<ExitCause> exit_causes[] = {
@@ -126,10 +126,11 @@
     {ExitCause::busy, "in_use"},      {ExitCause::unknown, "unknown"},
 };
 inline constexpr Word<Verb> verbs[] = {
-    {Verb::launch, "launch"}, {Verb::stop, "stop"}, {Verb::reap, "reap"}, // forget a task that has ended
+    {Verb::launch, "launch"}, {Verb::stop, "stop"}, {Verb::reap, "reap"}, // discard an ended task
 };
 
-/// The word of a value. One that is in no table (ExitCause::none) gets the last word of the table.
+/// Returns the name on the wire of an enumerator. An enumerator that is not in the table (ExitCause::none) gets the
+/// last name of the table.
 template <class Enum, std::size_t count_of_words>
 [[nodiscard]] constexpr std::string_view word_of(const Word<Enum> (&table)[count_of_words], Enum value) {
     for (const auto& entry : table)
@@ -137,7 +138,7 @@
             return entry.word;
     return table[count_of_words - 1].word;
 }
-/// The value of a word; empty for an unknown one.
+/// Returns the enumerator with the name `word` on the wire, or nothing if there is none.
 template <class Enum, std::size_t count_of_words>
 [[nodiscard]] constexpr std::optional<Enum> value_of(const Word<Enum> (&table)[count_of_words], std::string_view word) {
     for (const auto& entry : table)
--- a/src/codec/workers.cpp
+++ b/src/codec/workers.cpp
@@ -1,4 +1,4 @@
-// Messages of workers: heartbeats, orders and redirects.
+// Messages exchanged with workers: heartbeats, orders and redirects.
 #include "fields.hpp"
 
 #include <charconv>
