--- a/src/replay/command_log.cpp
+++ b/src/replay/command_log.cpp
@@ -1,4 +1,4 @@
-// Writing a command log.
+// Writes command logs.
 #include "replay/command_log.hpp"
 
 #include "log_fields.hpp"
@@ -15,17 +15,18 @@
 namespace heronshift::replay {
 namespace {
 
-// On standard error, which collectors of logs cut into lines of a few KiB: "@+ " before a part that goes
-// on, "@ " before the last one.
+// Lines on standard error are written in parts of this length, since log collectors split lines that are longer than a
+// few KiB. A part that is continued begins with "@+ ", the last part of a line with "@ ".
 constexpr std::size_t part_bytes = 4000;
-constexpr std::uint64_t flush_bytes = 64UL * 1024; // before compression: the most that a kill loses
+// The log is flushed after this many bytes before compression, so that a kill of the process loses no more than these.
+constexpr std::uint64_t flush_bytes = 64UL * 1024;
 
 } // namespace
 
-// The open file, and the compressor if it is to be compressed.
+// The open file, and the compressor if the file is compressed.
 struct CommandLog::Out {
     std::FILE* file = nullptr;
-    bool owned = true; // else standard error
+    bool owned = true; // false for standard error, which must not be closed
     ZSTD_CCtx* zstd = nullptr;
     std::vector<char> buffer;
     std::uint64_t unflushed = 0;
@@ -44,7 +45,7 @@
     bool put(const char* at, std::size_t bytes) {
         return std::fwrite(at, 1, bytes, file) == bytes;
     }
-    // False: errno says why.
+    // Returns false on an error, with the reason in errno.
     bool write(std::string_view text, ZSTD_EndDirective how) {
         if (zstd == nullptr)
             return put(text.data(), text.size());
@@ -73,7 +74,7 @@
         out_->file = stderr;
         out_->owned = false;
     } else {
-        out_->file = std::fopen(path.c_str(), "wbx"); // an earlier record is never written over
+        out_->file = std::fopen(path.c_str(), "wbx"); // fails if the file exists: an earlier log is never overwritten
         if (out_->file == nullptr)
             throw LogError(fmt::format("{}: {}", path, std::strerror(errno)));
     }
@@ -91,7 +92,7 @@
     out_.reset();
 }
 
-// Each part in a write of its own.
+// Writes each part with a separate call.
 void CommandLog::line_in_parts(const std::string& text) {
     std::size_t at = 0;
     for (; text.size() - at > part_bytes; at += part_bytes)
@@ -106,7 +107,7 @@
         return line_in_parts(text);
     const auto whole = text + '\n';
     if (whole.size() > left_)
-        return end("its bound is reached");
+        return end("the limit on the file's size is reached");
     left_ -= whole.size();
     if (!out_->write_line(whole))
         end(std::strerror(errno));
@@ -130,7 +131,7 @@
 void CommandLog::effects(const std::vector<Effect>& list) {
     if (!out_ || pending_.empty())
         return;
-    pending_.back() = ','; // one more field
+    pending_.back() = ','; // replaces the closing brace, so that the field "effects" can be added
     line(pending_ + fmt::format(R"("effects":"{}"}})", digest_of(list)));
     pending_.clear();
 }
--- a/src/replay/log_fields.hpp
+++ b/src/replay/log_fields.hpp
@@ -1,8 +1,8 @@
-/// The keys of command logs, and how typed messages become JSON in them.
+/// The JSON encoding of typed messages in command logs.
 ///
-/// The keys are written out, so that recorded logs stay readable whatever the fields of the program are called. A key
-/// never changes while log_version stays the same. Reading throws nlohmann::json::exception where a field is missing or
-/// of another type.
+/// Each member of a type is listed with its key in the log, so that members can be renamed while recorded logs stay
+/// readable. A key must not change while log_version stays the same. Decoding throws nlohmann::json::exception if a
+/// field is missing or of another type.
 #pragma once
 
 #include "replay/command_log.hpp"
@@ -15,11 +15,11 @@
 
 namespace heronshift::replay {
 
-/// One field of a type and its key.
+/// A member of a type and its key in the log.
 template <class T, class Member> struct LogField {
     const char* key;
     Member T::*member;
-    bool may_be_missing = false; ///< In logs of earlier builds, which did not know it.
+    bool may_be_missing = false; ///< The field may be missing, since logs of earlier builds don't contain it.
 };
 template <class T, class Member> constexpr LogField<T, Member> field(const char* key, Member T::*member) {
     return {key, member};
@@ -28,7 +28,7 @@
     return {key, member, true};
 }
 
-/// Specialised for every type that occurs in a log: a tuple of its fields.
+/// The fields of a type, as a tuple of LogField. Specialised for every type that is written to a log.
 template <class T> inline constexpr std::nullptr_t log_fields = nullptr;
 template <>
 inline constexpr auto log_fields<codec::Item> =
@@ -205,7 +205,7 @@
 template <>
 inline constexpr auto log_fields<LogLine> = std::tuple{field("level", &LogLine::level), field("text", &LogLine::text)};
 
-/// A type that has such a tuple.
+/// A type for which `log_fields` is specialised.
 template <class T>
 concept Logged = !std::is_same_v<std::remove_cv_t<decltype(log_fields<T>)>, std::nullptr_t>;
 
--- a/src/replay/log_format.hpp
+++ b/src/replay/log_format.hpp
@@ -1,4 +1,4 @@
-/// What the writer, the reader and the replay of command logs share.
+/// Parts of the command log format that the writer, the reader and the replay share.
 #pragma once
 
 #include "heronshift/messages.hpp"
@@ -14,27 +14,28 @@
 
 using Json = nlohmann::json;
 
-/// Value of the first line's field "heronshift".
+/// Value of the field "heronshift" in the first line of a log, which identifies a command log.
 inline constexpr const char* log_kind = "command log";
-/// Hexadecimal digits of an effect in the digest of a batch.
+/// Number of hexadecimal digits for each effect in the digest of a batch.
 inline constexpr std::size_t digest_digits = 8;
 
-/// Whether a log of that name is compressed.
+/// Whether the log at this path is compressed, according to the file's extension.
 [[nodiscard]] inline bool compressed(std::string_view path) {
     return path.ends_with(".zst");
 }
 
-/// One line of JSON; bytes that are not UTF-8 are replaced.
+/// Encodes JSON in one line. Bytes that are not valid UTF-8 are replaced.
 [[nodiscard]] inline std::string dump(const Json& json) {
     return json.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
-/// A variant as [which, value].
+/// Encodes a variant as [index of the alternative, value].
 template <class Variant> [[nodiscard]] Json to_json_of(const Variant& variant) {
     return std::visit([&](const auto& value) { return Json::array({variant.index(), value}); }, variant);
 }
 
-/// The digest of a batch: one short number for each effect, so that the first that differs can be named.
+/// The digest of a batch's effects: a hash of each effect, in order, so that the first effect that differs can be
+/// identified.
 [[nodiscard]] std::string digest_of(const std::vector<Effect>& list);
 
 } // namespace heronshift::replay
--- a/src/replay/log_reader.cpp
+++ b/src/replay/log_reader.cpp
@@ -1,4 +1,4 @@
-// Reading a command log line by line.
+// Reads command logs line by line.
 #include "replay/command_log.hpp"
 
 #include "log_format.hpp"
@@ -11,7 +11,7 @@
 
 namespace heronshift::replay {
 
-// The open file, what is decompressed of it and how far that has been read.
+// The open file, the text decompressed from it, and the position up to which that has been read.
 struct LogReader::In {
     std::FILE* file = nullptr;
     ZSTD_DCtx* zstd = nullptr;
@@ -19,7 +19,7 @@
     ZSTD_inBuffer in{nullptr, 0, 0};
     std::string text;
     std::size_t at = 0;
-    bool inside = false; // a compressed frame that has not ended yet
+    bool inside = false; // the end of the current compressed frame has not been read yet
 
     In() = default;
     In(const In&) = delete;
@@ -30,14 +30,15 @@
         if (file != nullptr)
             std::fclose(file);
     }
-    // Reads bytes of the file; 0 at its end, and at an error, which is put into `wrong`.
+    // Reads bytes from the file into `raw` and returns their number. Returns 0 at the end of the file and on an error,
+    // which is described in `wrong`.
     std::size_t read_raw(std::string& wrong) {
         const auto bytes = std::fread(raw.data(), 1, raw.size(), file);
         if (bytes == 0 && std::ferror(file) != 0)
             wrong = std::strerror(errno);
         return bytes;
     }
-    // More text; false at the end of the file, and at an error, which is put into `wrong`.
+    // Appends to `text`. Returns false at the end of the file and on an error, which is described in `wrong`.
     bool more(std::string& wrong) {
         text.erase(0, at);
         at = 0;
@@ -58,7 +59,7 @@
             ZSTD_outBuffer out{plain.data(), plain.size(), 0};
             const auto hint = ZSTD_decompressStream(zstd, &out, &in);
             if (ZSTD_isError(hint) != 0U) {
-                wrong = fmt::format("not compressed as it should be: {}", ZSTD_getErrorName(hint));
+                wrong = fmt::format("cannot be decompressed: {}", ZSTD_getErrorName(hint));
                 return false;
             }
             inside = hint != 0;
--- a/src/replay/replay.cpp
+++ b/src/replay/replay.cpp
@@ -1,4 +1,4 @@
-// Feeding a command log to cores of this build.
+// Replays a command log with cores of this build.
 #include "replay/command_log.hpp"
 
 #include "log_fields.hpp"
@@ -17,12 +17,12 @@
     double now = 0, wall = 0;
     bool may_act = true;
     std::vector<Command> commands;
-    std::string effects; // their digest
+    std::string effects; // the digest of the effects
 };
 
 template <class Variant, std::size_t index = 0> Variant variant_from(std::size_t which, const Json& json) {
     if constexpr (index == std::variant_size_v<Variant>) {
-        throw std::invalid_argument("a command of an unknown kind");
+        throw std::invalid_argument("commands: unknown kind of command");
     } else {
         if (which == index)
             return json.get<std::variant_alternative_t<index, Variant>>();
@@ -40,7 +40,7 @@
         throw std::invalid_argument("effects: not a list of digests");
     for (const auto& command : json.at("commands")) {
         if (!command.is_array() || command.size() != 2)
-            throw std::invalid_argument("commands: not a kind and a value");
+            throw std::invalid_argument("commands: a command must be an array of its kind and its value");
         batch.commands.push_back(variant_from<Command>(command[0].get<std::size_t>(), command[1]));
     }
     return batch;
@@ -62,7 +62,7 @@
     return difference;
 }
 
-// One log on its way through the cores of its terms.
+// The replay of one log, with a new core for each term.
 class Replay {
 public:
     Replay(const std::string& path, bool allow_cut) : in_(path), allow_cut_(allow_cut) {}
@@ -88,12 +88,12 @@
 
     void read_head() {
         if (!next())
-            in_.fail("it is empty");
+            in_.fail("the file is empty");
         const auto head = Json::parse(line_, nullptr, false);
         if (!head.is_object() || head.value("heronshift", Json()) != log_kind)
-            in_.fail("this is no command log");
+            in_.fail("the file is not a command log");
         if (head.value("version", Json()) != log_version)
-            in_.fail(fmt::format("its version is not {}, which this program reads", log_version));
+            in_.fail(fmt::format("unsupported version of the log format: this program reads version {}", log_version));
     }
 
     void take_line() {
@@ -107,7 +107,7 @@
                 take_batch(json);
         } catch (const LogError&) {
             throw;
-        } catch (const std::exception& error) { // of the JSON library: a missing field, a wrong type
+        } catch (const std::exception& error) { // from the JSON library (a missing field, a wrong type) or read_batch()
             in_.fail(error.what());
         }
     }
@@ -117,7 +117,7 @@
         const auto stored = json.at("stored").get<Snapshot>();
         const auto now = json.at("now").get<double>(), wall = json.at("wall").get<double>();
         term_ = json.at("begin").get<std::uint64_t>();
-        core_.reset(); // it refers to the settings
+        core_.reset(); // must not outlive the settings, which are replaced in the next line
         settings_ = std::move(settings);
         core_ = std::make_unique<Core>(settings_, term_, stored, now, wall);
         ++outcome_.terms;
@@ -126,7 +126,7 @@
     void take_batch(const Json& json) {
         auto batch = read_batch(json);
         if (!core_)
-            in_.fail("a batch before any term began");
+            in_.fail("a batch of commands before any term has begun");
         ++outcome_.batches;
         outcome_.commands += batch.commands.size();
         const auto effects = core_->step(batch.commands, batch.now, batch.wall, batch.may_act);
--- a/tests/test_replay.cpp
+++ b/tests/test_replay.cpp
@@ -117,9 +117,9 @@
     EXPECT_NE(damaged(R"("commands":[[)", R"("commands":[[7)").find(":3: "), std::string::npos);
     EXPECT_NE(damaged(R"("effects":")", R"("effects":"0)").find("effects: not a list"), std::string::npos);
     f.write("");
-    EXPECT_NE(error_of(f.path).find(":1: it is empty"), std::string::npos);
+    EXPECT_NE(error_of(f.path).find(":1: the file is empty"), std::string::npos);
     f.write("{}\n");
-    EXPECT_NE(error_of(f.path).find("no command log"), std::string::npos);
+    EXPECT_NE(error_of(f.path).find("not a command log"), std::string::npos);
     f.write(R"({"heronshift":"command log","version":99})"
             "\n");
     EXPECT_NE(error_of(f.path).find("version"), std::string::npos);
