--- a/include/heronshift/store/engine.hpp
+++ b/include/heronshift/store/engine.hpp
@@ -80,7 +80,7 @@
     virtual void set_lease(std::uint64_t id, const Lease& h) = 0;
     virtual void erase_lease(std::uint64_t id) = 0;
     virtual std::vector<std::uint64_t> expired_leases(std::int64_t now_ms) = 0;
-    virtual std::vector<std::string> keys_of(std::uint64_t lease) = 0; // the keys attached to the lease
+    virtual std::vector<std::string> keys_of(std::uint64_t lease) = 0;
     // Whether other users of the same data may have changed it since the last call.
     virtual bool changed_by_others() = 0;
 };
@@ -121,7 +121,8 @@
     void renew_all(std::int64_t now_ms);
 
 private:
-    // Counts requests and changes against the limits. Returns false if these are exceeded.
+    // Counts requests and changes against the limits per second. Returns false, and counts nothing, if one of the
+    // limits is exceeded.
     bool take(double n_requests, double n_writes, std::int64_t now_ms);
     // Ends a lease and deletes its keys.
     void drop_lease(std::uint64_t id);
--- a/src/codec/jobs.cpp
+++ b/src/codec/jobs.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr std::size_t max_text = 200; // length of a text in a submission, in bytes
+constexpr std::size_t max_text = 200; // applies to each text in a submission
 constexpr double max_number = 1e12;
 
 // Reads the fields of a submission and keeps the first error.
--- a/src/replay/command_log.hpp
+++ b/src/replay/command_log.hpp
@@ -17,8 +17,10 @@
 
 namespace heronshift::replay {
 
-inline constexpr int log_version = 1;                     ///< Version of the log's format.
-inline constexpr std::uint64_t usual_size = 1024'000'000; ///< Default limit on a log's size: bytes before compression.
+/// Version of the log's format.
+inline constexpr int log_version = 1;
+/// Default limit on the size of a log before compression.
+inline constexpr std::uint64_t usual_size = 1024'000'000;
 
 /// A command log cannot be written or read. The message names the file, the line if there is one, and the reason.
 struct LogError : std::runtime_error {
