--- a/include/heronshift/embed/heronshift.h
+++ b/include/heronshift/embed/heronshift.h
@@ -78,8 +78,8 @@
 int hs_is_active_leader(const hs_scheduler* s);
 /** Deprecated: the former name of hs_is_active_leader. */
 HS_DEPRECATED int hs_acts(const hs_scheduler* s);
-/** Ends the scheduler and invalidates the handle. No callback starts after hs_end() has returned. May be called within
- * a callback. Returns HS_OK or HS_INVALID. */
+/** Ends the scheduler and invalidates the handle. No callback starts after hs_end() has returned. hs_end() may be
+ * called within a callback. Returns HS_OK or HS_INVALID. */
 int hs_end(hs_scheduler* s);
 /** Returns the version of the library, such as "0.1.0". The text stays valid. */
 const char* hs_version(void);
