--- a/include/heronshift/store/engine.hpp
+++ b/include/heronshift/store/engine.hpp
@@ -28,7 +28,7 @@
 // Limits in bytes on a key, a transaction and a page, and in items on a page. A caller that lists items requests the
 // next page as long as the answer says that there are more.
 inline constexpr std::size_t max_key = 200, max_txn = 64UL * 1024, max_page = 512UL * 1024, max_items = 1000;
-// Limits on the duration of a lease.
+// Bounds on the duration of a lease.
 inline constexpr std::int64_t min_lease_ms = 100, max_lease_ms = 600'000;
 
 // The data cannot be used, at present or at all. The message names the file and the reason.
@@ -36,6 +36,7 @@
     using std::runtime_error::runtime_error;
 };
 
+// A change to a key, by a write or a deletion.
 struct Change {
     std::string key;
     std::optional<std::string> data; // JSON; none: deleted
@@ -92,7 +93,7 @@
     Data& data() {
         return *data_;
     }
-    // The functions from here to run() have to be called between data().begin() and data().commit().
+    // get() to revoke_lease() have to be called between data().begin() and data().commit().
     Answer get(const std::string& key, std::int64_t now_ms);
     Answer list(const std::string& under, const std::string& since, int most, std::int64_t now_ms);
     Answer transact(const std::vector<codec::Guard>& guards, const std::vector<codec::Write>& writes,
@@ -104,7 +105,7 @@
     Answer follow_opened(const std::string& under, std::uint64_t since, std::int64_t now_ms);
     // Returns the changes after `since` without waiting; no items: nothing has changed yet.
     Answer follow(const std::string& under, std::uint64_t since);
-    // Executes any call except a Follow.
+    // Executes any call except a Follow. To be called between data().begin() and data().commit().
     Answer run(const Call& call, std::int64_t now_ms);
     // A follow call that waits for changes.
     struct Waiting {
