--- a/src/cloud/cloud_client.cpp
+++ b/src/cloud/cloud_client.cpp
@@ -6,13 +6,13 @@
 namespace heronshift::cloud {
 namespace {
 
-// The core's rentals and returns go first. A list that is due while more requests than these wait is not asked for, and
-// the next comes when that is due. This holds for each page: if more wait when a further page is due, the pages that
-// have come are dropped with it, and the next list begins again with the first.
+// Renting and releasing for the core take precedence over listing: while more requests than this are queued, a page of
+// the machine list is not requested. If that happens to a page other than the first, the pages received so far are
+// discarded, and the next listing, at its regular time, begins with the first page.
 constexpr std::size_t max_queued_lists = 4;
-constexpr double budget_share = 0.8; // of the rate that all controllers share, for this one
+constexpr double budget_share = 0.8; // this controller's share of the rate limit that all controllers share
 constexpr const char* types_key = "types";
-constexpr double types_write_s = 1; // for the copy of the types, which nobody waits for
+constexpr double types_write_s = 1; // timeout; no request depends on this copy of the machine types
 
 } // namespace
 
@@ -44,7 +44,7 @@
 }
 
 void CloudClient::pump() {
-    // What a leader asked for that may no longer act must not reach the cloud later.
+    // Requests that were queued by a leader must not reach the cloud once it may no longer act.
     if (!host_.is_active_leader())
         for (auto gone = std::move(queue_); !gone.empty(); gone.pop_front())
             gone.front()(false);
@@ -119,8 +119,8 @@
     listing_.clear();
 }
 
-// The types come from the cloud; the leader keeps a copy in the store for nodes that start while
-// the cloud is in fault.
+// Reads the machine types from the cloud. The first time, a copy in the store is tried before the cloud, for nodes that
+// start during an outage of the cloud.
 void CloudClient::learn_types() {
     next_types_ = timers_.now() + settings_.report_s;
     if (learning_types_)
@@ -146,7 +146,7 @@
             return;
         const bool first = types_.empty();
         if (first)
-            spdlog::info("{} machine types known", types->size());
+            spdlog::info("machine types loaded count={}", types->size());
         learned(std::move(*types));
         if (first)
             store_.transact({{types_key, 0}}, {{types_key, codec::types_to_json(types_), 0}}, types_write_s,
--- a/src/cloud/cloud_client.hpp
+++ b/src/cloud/cloud_client.hpp
@@ -1,4 +1,4 @@
-// What a controller asks the cloud: rentals, returns, the list of machines, the machine types.
+// A controller's requests to the cloud: rent machines, release machines, list the machines, list the machine types.
 #pragma once
 
 #include "heronshift/config.hpp"
@@ -15,51 +15,53 @@
 
 namespace heronshift::cloud {
 
-/// Sends requests to the cloud within the rate that all controllers share. It keeps the requests that wait for that
-/// budget, the list of machines as far as it has come, and the machine types, of which the store has a copy.
+/// Sends requests to the cloud within the rate limit that all controllers share. Its state: the requests queued for
+/// this rate limit, the pages of the machine list received so far, and the machine types, of which the store has a
+/// copy.
 ///
-/// All calls and callbacks on the thread of the node's loop.
+/// All calls and callbacks run on the thread of the node's loop.
 class CloudClient {
 public:
-    /// What the client needs of the node around it.
+    /// What the client needs from its node.
     class Host {
     public:
         virtual ~Host() = default;
-        /// This node may act as the leader at this moment.
+        /// Whether this node may act as the leader at this moment.
         [[nodiscard]] virtual bool is_active_leader() const = 0;
-        /// This node is the leader.
+        /// Whether this node is the leader, even if it may not act at this moment.
         [[nodiscard]] virtual bool is_leader() const = 0;
-        /// Hands a command to the core, if there is one.
+        /// Hands a command to the core; drops it while this node has no core, since it is not the leader.
         virtual void push(Command command) = 0;
-        /// ok: a request to the cloud was answered as it should be.
+        /// A request to the cloud has ended; `ok`: with a valid answer.
         virtual void cloud_answered(bool ok) = 0;
     };
     CloudClient(const Settings& settings, TimerQueue& timers, store::StateStore& store, Executor& executor, Host& host);
 
-    /// Begins to learn the machine types.
+    /// Begins to load the machine types.
     void start() {
         learn_types();
     }
-    /// Does what has become due. To be called some thirty times in report_s.
+    /// Sends the requests that are due. To be called about thirty times per report_s.
     void tick();
     void on_leadership_acquired();
-    /// Drops what waits; answers to what is under way are not passed on any more.
+    /// Drops the queued requests. Answers to requests in flight are no longer passed to the core.
     void on_leadership_lost() {
         ++generation_;
         queue_.clear();
     }
-    /// Empty: not known yet.
+    /// The machine types; empty until they are known.
     [[nodiscard]] const std::vector<MachineType>& types() const {
         return types_;
     }
 
-    /// Rents machines for the core, which hears of it as Rented.
+    /// Rents machines for the core, which receives the result as a `Rented` command.
     void rent(const Rent& wanted);
-    /// Returns machines for the core, which hears of it as Released.
+    /// Releases machines for the core, which receives the result as a `Released` command.
     void release(const Release& wanted);
 
 private:
-    // Called once: with true when the budget allows to ask the cloud, with false when it must not be asked any more.
+    // A queued request. Called once: with true when the rate limit allows it to be sent, with false when it must not be
+    // sent any more.
     using Ask = std::function<void(bool allowed)>;
     void request(Ask ask);
     void pump();
@@ -75,13 +77,14 @@
     Executor& executor_;
     Host& host_;
     TokenBucket budget_;
-    std::uint64_t generation_ = 0; // counts losses of the leadership
+    std::uint64_t generation_ =
+        0; // incremented when the leadership is lost, so that answers for an earlier term are recognised
     std::deque<Ask> queue_;
-    std::vector<ListedMachine> listing_; // the pages that have come
-    // By the steady clock, in seconds.
-    double listing_at_ = 0; // when the first page was asked for
+    std::vector<ListedMachine> listing_; // the machines of the pages received so far
+    // Times are in seconds of the steady clock.
+    double listing_at_ = 0; // when the first page was requested
     double next_list_ = 0, next_types_ = 0;
-    double types_at_ = 0; // when types_ came; of no meaning while there are none
+    double types_at_ = 0; // when `types_` was received; meaningless while it is empty
     std::vector<MachineType> types_;
     bool learning_types_ = false;
 };
--- a/src/executor/http_executor.cpp
+++ b/src/executor/http_executor.cpp
@@ -8,15 +8,16 @@
 namespace heronshift {
 namespace {
 
-constexpr std::string_view no_capacity = "no capacity"; // in the cloud's answer: not an outage
+constexpr std::string_view no_capacity = "no capacity"; // in a 503 of the cloud that is not an outage
 constexpr int max_listed = 500;
 
-// Connections, and requests that wait for one, to each address.
+// Limits for each address: connections, and requests that wait for a connection.
 constexpr std::size_t cloud_connections = 2, cloud_waiting = 16;
 constexpr std::size_t agent_connections = 1, agent_waiting = 4;
 constexpr std::size_t probe_connections = 1, probe_waiting = 1;
 
-// What the cloud's answer says of a rental that it did not make. A request that was surely not executed has failed.
+// The outcome of a rental request that the cloud did not answer with 200: `failed` if the request was certainly not
+// executed, `unknown` if it may have been.
 RentOutcome refused_outcome(const HttpReply& reply) {
     switch (reply.status) {
     case http_status::service_unavailable:
--- a/src/executor/http_executor.hpp
+++ b/src/executor/http_executor.hpp
@@ -1,4 +1,4 @@
-// The platform's machines and cloud over HTTP.
+// The platform's machine agents and cloud, reached over HTTP.
 #pragma once
 
 #include "heronshift/executor/executor.hpp"
@@ -6,11 +6,11 @@
 
 namespace heronshift {
 
-/// Speaks the platform's protocol. Heartbeats come to the controller's own port, not here. All calls and callbacks on
-/// the thread of the loop.
+/// Implements the platform's protocol. Heartbeats arrive at the controller's own port, not here. All calls and
+/// callbacks run on the loop's thread.
 class HttpExecutor final : public Executor {
 public:
-    /// max_agent_connections: to the agents of all machines together.
+    /// `cloud`: the address of the cloud. `max_agent_connections`: limit for the agents of all machines together.
     HttpExecutor(uv_loop_t* loop, const Endpoint& cloud, std::size_t max_agent_connections);
 
     void command(const SendOrders& orders, double timeout_s, std::function<void(OrdersAnswered&&)> done) override;
