--- a/src/cloud/cloud_client.cpp
+++ b/src/cloud/cloud_client.cpp
@@ -119,8 +119,8 @@
     listing_.clear();
 }
 
-// Reads the machine types from the cloud. The first time, a copy in the store is tried before the cloud, for nodes that
-// start during an outage of the cloud.
+// Loads the machine types: at first from the copy in the store, so that a node can start during an outage of the cloud,
+// or from the cloud if there is no copy, which is then written. Later the leader refreshes them from the cloud.
 void CloudClient::learn_types() {
     next_types_ = timers_.now() + settings_.report_s;
     if (learning_types_)
--- a/src/executor/http_executor.cpp
+++ b/src/executor/http_executor.cpp
@@ -16,8 +16,8 @@
 constexpr std::size_t agent_connections = 1, agent_waiting = 4;
 constexpr std::size_t probe_connections = 1, probe_waiting = 1;
 
-// The outcome of a rental request that the cloud did not answer with 200: `failed` if the request was certainly not
-// executed, `unknown` if it may have been.
+// The outcome of a rental request that the cloud did not answer with 200: `no_capacity` or `failed` if the request was
+// certainly not executed, `unknown` if it may have been.
 RentOutcome refused_outcome(const HttpReply& reply) {
     switch (reply.status) {
     case http_status::service_unavailable:
--- a/src/gateway/fair_token_bucket.hpp
+++ b/src/gateway/fair_token_bucket.hpp
@@ -1,4 +1,4 @@
-// A token bucket that many clients share, in which each has its turn.
+// A token bucket that many clients share without any of them starving.
 #pragma once
 
 #include "bounded_cache.hpp"
@@ -10,18 +10,22 @@
 
 namespace heronshift::gateway {
 
-/// A budget that does not suffice for all who ask. Nobody is held back: whoever finds too little is refused at once and
-/// asks again. The longer a client has been refused, the deeper it may draw, so that of many who ask again and again
-/// each has its turn. Times are seconds of the steady clock. Not synchronised: on the loop's thread only.
+/// A token bucket for more requests than its rate allows. Requests are not queued: if there are too few tokens, a
+/// request is refused at once, and its client has to retry. Part of the burst is reserved for clients that were refused
+/// before. The longer a client has been refused, the more of this reserve it may use, so that each of many clients that
+/// keep retrying is served eventually. Times are in seconds of the steady clock. Not synchronised: on the loop's thread
+/// only.
 class FairTokenBucket {
 public:
-    /// per_s, burst: of the budget, in tokens.
-    /// patience_s: a client that was refused for so long may spend the last of the budget.
-    /// max_refused: clients that are remembered as refused; of more, the oldest counts as new when it asks again.
+    /// `per_s`, `burst`: rate and capacity of the bucket, in tokens.
+    /// `patience_s`: a client that has been refused for this long may use the whole reserve.
+    /// `max_refused`: number of refused clients that are remembered. Beyond it the client that was added first is
+    /// removed, and counts as new at its next request.
     FairTokenBucket(double per_s, double burst, double patience_s, std::size_t max_refused = min_table_entries)
         : budget_(per_s, burst), burst_(burst), patience_s_(patience_s), refused_since_(max_refused) {}
 
-    /// Takes n tokens, which the client will surely spend; what it needs beyond is taken by spend(). False: refused.
+    /// Takes the n tokens that the client's request needs in any case; tokens that it turns out to need beyond these
+    /// are taken by spend(). Returns false if the request is refused.
     [[nodiscard]] bool take(const std::string& client, double now, double n = 1) {
         if (!would_take(client, now, n)) {
             refused(client, now);
@@ -31,26 +35,26 @@
         budget_.take(now, n);
         return true;
     }
-    /// Whether take() would succeed. Nothing is taken and nobody counts as refused.
+    /// Whether take() would succeed. Takes no tokens and does not record a refusal.
     [[nodiscard]] bool would_take(const std::string& client, double now, double n) {
         const auto* since = refused_since_.find(client);
         const double waited = since == nullptr ? 0 : std::min(1.0, (now - *since) / patience_s_);
         return budget_.would_take(now, n + (burst_ - n) * kept * (1 - waited));
     }
-    /// Counts a client as refused that was sent away for another reason.
+    /// Records that the client was refused, also if that was for another reason than this bucket.
     void refused(const std::string& client, double now) {
         if (const auto* since = refused_since_.find(client); since != nullptr && now - *since > forgotten * patience_s_)
-            refused_since_.erase(client); // asked long ago, and not since
+            refused_since_.erase(client); // an old series of refusals: a new one starts now
         refused_since_.add(client, now);
     }
-    /// Takes n tokens whether they are there or not.
+    /// Takes n tokens even if fewer are left; the balance may become negative.
     void spend(double now, double n) {
         budget_.spend(now, n);
     }
 
 private:
-    static constexpr double kept = 0.5;    // of the burst, for those that were refused before
-    static constexpr double forgotten = 4; // times the patience
+    static constexpr double kept = 0.5;    // share of the burst that is reserved for clients refused before
+    static constexpr double forgotten = 4; // a series of refusals ends after this many times `patience_s`
     TokenBucket budget_;
     double burst_, patience_s_;
     BoundedCache<double> refused_since_;
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -19,21 +19,23 @@
 using persistence::job_key;
 using persistence::max_cascade_records;
 
-// Look-ups under way: those that the budget of reads lets begin while one waits for its three reads in vain. So the
-// budget binds first, and the same happens then: 503 with Retry-After.
+// The limit for look-ups in flight: as many as the rate limit of reads lets start while one look-up waits for three
+// reads that are not answered. So the rate limit takes effect first. Beyond either limit, the answer is 503 with
+// Retry-After.
 constexpr std::size_t min_lookups = 100;
 constexpr double reads_per_lookup = 3;
-// What is remembered of jobs; what was forgotten is read from the store again, within the budget of reads. At 72 MB
-// 8,192 accepted jobs, 14,745 final states, and 8,192 who were refused for each of the two budgets: beyond, the one who
-// has waited longest is treated like one who comes for the first time.
+// The sizes of the caches, as shares of the memory limit. What is no longer cached is read from the store again, within
+// the rate limit of reads. At 72 MB the caches hold 8,192 accepted jobs, 14,745 final states, and 8,192 refused clients
+// for each of the two token buckets. Beyond that, the client that was refused first is removed, and is then treated
+// like one that was never refused.
 constexpr double accepted_memory_share = 1.0 / 64, finals_memory_share = 1.0 / 32, refused_memory_share = 1.0 / 64;
-constexpr std::size_t job_bytes = 160, final_bytes = 160; // 144 and 160 were measured
-constexpr double patience_leases = 2;                     // then who asks in vain has its turn
-constexpr int max_store_tries = 3;                        // while the store's budget is spent
-constexpr double store_retry_s = 0.05;                    // until the first of them; each next one waits longer
-constexpr double look_up_s = 2, submit_s = 5;             // that a user waits, says the protocol
-constexpr double share_of_wait = 0.8;                     // for the others that are asked
-constexpr double rounding = 1e-6;                         // that a demand may exceed a team's limit by
+constexpr std::size_t job_bytes = 160, final_bytes = 160; // an accepted job takes 144 bytes, a final state 160
+constexpr double patience_leases = 2;                     // until a read that keeps being refused takes precedence
+constexpr int max_store_tries = 3;                        // while the store's rate limit is exceeded
+constexpr double store_retry_s = 0.05;                    // before the first of these; the delay grows with each
+constexpr double look_up_s = 2, submit_s = 5;             // how long users wait for an answer by the protocol
+constexpr double share_of_wait = 0.8;                     // for forwarding, shared by all attempts
+constexpr double rounding = 1e-6;                         // by which a demand may exceed a team's limit
 
 std::size_t max_refused(const Settings& settings) {
     return entries_in_share(settings.memory_mb, refused_memory_share, job_bytes);
@@ -59,7 +61,7 @@
     res.send(http_status::ok, codec::job_answer(id, status));
 }
 
-// The id that a submission names, even where all else of it cannot be read; empty: none.
+// The id of a submission, also if the rest of it is invalid; empty if it has none.
 std::string submitted_id(const std::string& body) {
     const auto json = codec::parse(body);
     return json.is_object() && json.contains("id") && json["id"].is_string() ? json["id"].get<std::string>() : "";
@@ -75,7 +77,7 @@
                  const membership::Membership& membership, metrics::Timings& timings, Host& host)
     : settings_(settings), timers_(timers), store_(store), peers_(peers), membership_(membership), timings_(timings),
       host_(host),
-      // What a user's read may take when this node is alone with the store.
+      // The rates available to users' requests while no other node uses the store.
       reads_(settings.state_rps / 4, settings.state_rps / 6, patience_leases * settings.lease_s, max_refused(settings)),
       submissions_(settings.state_write_rps / 5, settings.state_write_rps / 3, settings.lease_s, max_refused(settings)),
       max_lookups_(
@@ -101,7 +103,7 @@
 }
 
 void Gateway::tick() {
-    // A cancellation that the store does not take in time is refused, not held back.
+    // A cancellation that is not stored in time is refused, so that the user can retry, instead of waiting on.
     for (auto it = cancellations_.begin(); it != cancellations_.end();) {
         if (timers_.now() - it->second.since < settings_.report_s / 2) {
             ++it;
@@ -118,7 +120,8 @@
         try_later(cancellation.res);
 }
 
-// Who else could answer: the leader; where the store does not serve this node, one that it serves.
+// The controllers to which a request can be forwarded: the leader (`to_leader`), and a controller that reaches the
+// store if this node does not (`to_store`).
 std::vector<std::string> Gateway::alternatives(bool to_leader, bool to_store) const {
     std::vector<std::string> out;
     const auto& leader = host_.leader();
@@ -131,8 +134,9 @@
     return out;
 }
 
-// Passes a request on, to one after the other; what none answers is handled here. Each can be asked again
-// without harm: a job is accepted once, and cancelled by one.
+// Forwards a request to the controllers in `to`, one after the other, until one answers; if none does, `otherwise`
+// handles it. Repeating a request at several controllers is safe: a job is accepted only once, and only the leader
+// cancels jobs.
 void Gateway::forward(SharedRequest request, const Responder& res, std::vector<std::string> to, double wait_s,
                       Otherwise otherwise) {
     if (to.empty())
@@ -175,8 +179,9 @@
     return view.has_value();
 }
 
-// Look-ups. The final state is read first, since most jobs that the leader does not know are over, and last: it is
-// never taken back, and it is there before the job's record goes. What cannot be found out is said at once.
+// Look-ups. The final state is read first, since most jobs that the leader does not know are over, and once more at the
+// end: it may have been stored meanwhile, it is never removed, and it is stored before the job's record is removed. If
+// a read fails, the look-up ends at once as `unanswered`.
 
 void Gateway::LookupResult::accepted_as(std::string_view known_status) {
     acceptance = Acceptance::accepted;
@@ -227,7 +232,7 @@
         const auto final = read_final(answer, lookup->result);
         if (final == FinalState::unanswered || final == FinalState::read)
             return end_lookup(lookup);
-        // A damaged one may be told by what is left of the job's record.
+        // If the final state is damaged, the job's record may still contain it.
         reads_.spend(timers_.now(), reads_per_lookup - 1);
         read_record(lookup);
     });
@@ -245,8 +250,9 @@
     });
 }
 
-// A job that waits for others may be cancelled with them before it has a final state of its own. It leaves its cascade
-// record only after that is stored, so this comes before the last read (invariant 15).
+// A job that waits for dependencies may be cancelled with them before its own final state is stored. It is removed from
+// its cascade record only after that, so the cascade records are read before the last read of the final state
+// (invariant 15).
 void Gateway::read_cascades(const OpenLookup& lookup) {
     reads_.spend(timers_.now(), 1);
     store_.list(std::string(cascade_prefix), "", max_cascade_records, settings_.report_s / 3,
@@ -280,9 +286,9 @@
     });
 }
 
-// From memory, where this node acts. Not while the transaction with the job's final state is under way: another
-// controller may read that state and tell it before the answer to the transaction comes here, and this node would
-// still say "pending".
+// The job's status from memory, if this node is the active leader. Empty while the transaction with the job's final
+// state is in flight: another controller may read that state and report it before the answer to the transaction arrives
+// here, and this node would still report "pending".
 std::optional<JobView> Gateway::known_here(const std::string& id) const {
     const auto* core = host_.active_core();
     const auto view = core != nullptr ? core->view(id) : std::nullopt;
@@ -290,7 +296,7 @@
 }
 
 void Gateway::get(const std::string& id, HttpRequest&& request, const Responder& res, bool forwarded) {
-    // An id that can't have been accepted needs no reading.
+    // A job with an invalid id cannot have been accepted, so the store need not be read.
     if (!codec::valid_job_id(id))
         return no_such_job(res);
     if (tell_final(id, res)) {
@@ -303,7 +309,7 @@
             [this, id](const Responder& responder) { poll(id, responder); });
 }
 
-// The store's answer is as new as any: what was told was stored before.
+// An answer from the store is never older than one given before: a status is stored before it is reported.
 void Gateway::poll(const std::string& id, const Responder& res) {
     if (const auto view = known_here(id); view) {
         ++timings_.answers_from_memory;
@@ -331,7 +337,7 @@
         return ask_core_to_cancel(id, res);
     if (forwarded)
         return try_later(res);
-    // Only the leader decides, so that its answers from memory are never old.
+    // Only the leader may cancel jobs, so that its answers from memory are never outdated.
     forward(std::make_shared<HttpRequest>(std::move(request)), res, alternatives(true, false), look_up_s, try_later);
 }
 
@@ -356,7 +362,7 @@
     });
 }
 
-// Cancels a job that the core does not know, by what the store says of it.
+// Cancels a job that the core does not know: passes its stored record to the core first.
 void Gateway::cancel_stored(const Cancellation& cancellation, const LookupResult& found) {
     const auto& res = cancellation.res;
     if (found.acceptance == Acceptance::unanswered)
@@ -366,7 +372,7 @@
     if (found.status != codec::status_pending)
         return tell_status(cancellation.id, found.status, res);
     auto job = found.job ? codec::stored_job(found.job->value, timers_.wall()) : std::nullopt;
-    // A damaged record: nobody can do anything with such a job.
+    // A job with a damaged record can be neither run nor cancelled.
     if (!job)
         return try_later(res);
     host_.push(job_stored(std::move(*job), timers_.wall()));
@@ -415,17 +421,16 @@
         return why;
     if (contains(spec.dependencies, spec.id))
         return "waitsOn: names the job itself";
-    // Its longest record, with the times written out.
+    // The size of the job's longest possible record, with both times at full precision.
     const auto record =
         codec::to_record({spec, 1e9 + 0.123456, 1e9 + 0.123456, !spec.dependencies.empty(), {}}).dump().size() + 40;
     if (record > static_cast<std::size_t>(settings_.value_kb * 1024))
-        return fmt::format("the job's record is longer than the {} KiB that the state service takes",
-                           settings_.value_kb);
+        return fmt::format("the job's record exceeds the state service's limit of {} KiB", settings_.value_kb);
     return fits_a_type(spec) ? "" : "a task fits no allowed machine type";
 }
 
 void Gateway::submit(HttpRequest&& request, const Responder& res, bool forwarded) {
-    // Where the store is known not to serve this node, nothing can be found out here.
+    // While the store is unreachable, this node can neither check nor store a submission.
     if (auto others = forwarded ? std::vector<std::string>() : alternatives(false, true); !others.empty())
         return forward(std::make_shared<HttpRequest>(std::move(request)), res, std::move(others), submit_s, try_later);
     auto parsed = codec::submission(request.body);
@@ -443,7 +448,7 @@
     submission->spec.dependencies.empty() ? accept(submission) : check_dependencies(submission);
 }
 
-// Even where nothing else of a submission can be read, a known id gets its state.
+// If an invalid submission has the id of an accepted job, the answer is that job's status.
 void Gateway::refuse_invalid(const std::string& body, const std::string& why, const Responder& res) {
     const auto id = submitted_id(body);
     if (!codec::valid_job_id(id))
@@ -452,7 +457,7 @@
         refuse_unless_known(id, http_status::bad_request, why, res);
 }
 
-// A known id gets its state, whatever else is wrong.
+// Refuses a submission, unless its id is that of an accepted job: then the answer is that job's status.
 void Gateway::refuse_unless_known(const std::string& id, int status, const std::string& why, const Responder& res) {
     look_up(id, [id, res, status, why](const LookupResult& found) {
         switch (found.acceptance) {
@@ -473,14 +478,14 @@
     }
     if (!submissions_.take(submission->spec.id, timers_.now())) {
         ++timings_.refused;
-        spdlog::debug("submission of {} refused, too many at once", submission->spec.id);
+        spdlog::debug("submission refused job={} reason=rate_limit", submission->spec.id);
         return submission->res.send(http_status::too_many_requests, not_now, retry_soon_s);
     }
     store_job(submission);
 }
 
-// That a job was accepted stays true, so it is remembered; that it never was is said only after a
-// fresh read. One dependency after the other, within the budget for reads.
+// Checks the dependencies one after the other, within the rate limit of reads. That a job was accepted stays true, so
+// it is cached; that a job was never accepted is reported only after a new read of the store.
 void Gateway::check_dependencies(const OpenSubmission& submission) {
     for (; submission->next_dependency < submission->spec.dependencies.size(); ++submission->next_dependency) {
         const auto& id = submission->spec.dependencies[submission->next_dependency];
@@ -527,14 +532,15 @@
     const std::vector<codec::Guard> guards{{job_key(id), 0}, {final_key(id), 0}};
     const std::vector<codec::Write> writes{
         {job_key(id), codec::to_record({submission->spec, at, -1, !submission->spec.dependencies.empty(), {}}), 0}};
-    // Where the store does not answer this node, another may still be served within the user's time.
+    // The timeout is short unless the request was forwarded: if the store does not answer this node, another controller
+    // can still store the job while the user waits.
     const double patience = submission->forwarded ? settings_.report_s / 2 : settings_.report_s / 10;
     store_.transact(guards, writes, patience, [this, submission, at, began](const store::Answer& answer) {
         stored(submission, answer, at, began);
     });
 }
 
-// at: by the wall clock, began: by the steady clock; when the transaction was sent.
+// `at` and `began`: when the transaction was sent, by the wall clock and by the steady clock.
 void Gateway::stored(const OpenSubmission& submission, const store::Answer& answer, double at, double began) {
     const auto id = submission->spec.id;
     const bool waits = !submission->spec.dependencies.empty();
@@ -551,15 +557,16 @@
                 return try_later(res);
             tell_status(id, found.status, res);
         });
-    // The budget is shared: a moment later there may be room.
+    // All controllers share the store's rate limit, so a retry a moment later may succeed.
     if (answer.status == http_status::too_many_requests && submission->tries < max_store_tries)
         return timers_.after(store_retry_s * (1 + submission->tries++), [this, submission] { store_job(submission); });
     const auto refuse = [this, id, status = answer.status](const Responder& responder) {
         ++timings_.refused;
-        spdlog::debug("submission of {} refused, the store said {}", id, status);
+        spdlog::debug("submission refused job={} reason=store store_status={}", id, status);
         try_later(responder);
     };
-    // A process of the version before would take a chained job for one that may start.
+    // A job with dependencies is not forwarded: a controller of the previous version would ignore its dependencies and
+    // let it start.
     if (submission->forwarded || waits || answer.status == http_status::too_many_requests)
         return refuse(submission->res);
     forward(submission->request, submission->res, alternatives(true, true), submit_s, refuse);
--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -1,4 +1,4 @@
-// The users' requests: submit, look up and cancel jobs.
+// Serves the users' requests: submitting, looking up and cancelling jobs.
 #pragma once
 
 #include "core/core.hpp"
@@ -17,58 +17,59 @@
 
 namespace heronshift::gateway {
 
-/// What a user is told to wait before asking again, in seconds (Retry-After).
+/// The time after which a refused user should retry, in seconds (the header Retry-After).
 inline constexpr int retry_soon_s = 1;
 
-/// Answers users: from memory where this node is the active leader, from the store where it is not, and by way of
-/// another controller where only that one can answer. It keeps the answers that are still owed, what it remembers of
-/// accepted and finished jobs, and the budgets of reads and submissions.
+/// Answers users: from memory if this node is the active leader, else from the store, or by forwarding the request to
+/// another controller if only that one can answer. Its state: the cancellations whose answer is outstanding, caches of
+/// accepted jobs and of final states, and the token buckets for reads and submissions.
 ///
-/// It uses the store, the peers and membership, and through its Host the core's view. It does not judge who leads:
-/// Host::active_core() says whether this node may decide.
+/// It uses the store, the peers and the membership, and through its `Host` the core's view of jobs. It doesn't decide
+/// who leads: Host::active_core() says whether this node may answer from memory.
 ///
-/// All calls and callbacks on the thread of the node's loop.
+/// All calls and callbacks run on the thread of the node's loop.
 class Gateway {
 public:
-    /// What the gateway needs of the node around it.
+    /// What the gateway needs from its node.
     class Host {
     public:
         virtual ~Host() = default;
-        /// The core, while this node may answer from its memory and decide; else null.
+        /// The core, if this node may act as the leader at this moment; else null.
         [[nodiscard]] virtual const Core* active_core() const = 0;
-        /// The name of the leader: a hint, may be empty.
+        /// The name of the leader as far as this node knows: a hint, empty if not known.
         [[nodiscard]] virtual const std::string& leader() const = 0;
-        /// The machine types; empty: not known yet.
+        /// The machine types; empty until they are known.
         [[nodiscard]] virtual const std::vector<MachineType>& types() const = 0;
         /// Hands a command to the core.
         virtual void push(Command command) = 0;
-        /// A job was accepted here.
+        /// The store has accepted a job that was submitted to this node.
         virtual void stored(JobStored&& command) = 0;
     };
     Gateway(const Settings& settings, TimerQueue& timers, store::StateStore& store, Peers& peers,
             const membership::Membership& membership, metrics::Timings& timings, Host& host);
 
-    /// A request to a path under codec::path_jobs. forwarded: by another controller, so it is not passed on again.
+    /// Handles a request to a path under codec::path_jobs. `forwarded`: another controller has forwarded it, so it is
+    /// not forwarded again.
     void serve(HttpRequest&& request, const Responder& res, bool forwarded);
-    /// Refuses cancellations that the store does not take in time. To be called some thirty times in report_s.
+    /// Refuses cancellations that were not stored in time. To be called about thirty times per report_s.
     void tick();
-    /// Refuses what was asked of the core, which answers nothing any more.
+    /// Refuses the cancellations that wait for the core, which will not answer them any more.
     void on_leadership_lost();
 
-    /// The core's answer to CancellationRequested.
+    /// Handles the core's answer to a `CancellationRequested` command.
     void answered(const AnswerCancellation& effect);
-    /// Finds out for the core what the store says of a job.
+    /// Looks a job up in the store for the core.
     void find(const std::string& id, std::function<void(JobFound&&)> done);
 
 private:
     enum class Acceptance : std::uint8_t { unanswered, never_accepted, accepted };
-    // What a fresh read of the store says of a job.
+    // What the store says about a job, read after the request came.
     struct LookupResult {
         Acceptance acceptance = Acceptance::unanswered;
-        std::string status;             // if accepted, as users are told it
-        bool service = false;           // if its final state says so
-        bool cascaded = false;          // a cascade record says that it is cancelled
-        std::optional<codec::Item> job; // its record, as far as it was read
+        std::string status;             // if accepted: the status in answers to users
+        bool service = false;           // whether the final state says that the job is a service
+        bool cascaded = false;          // whether a cascade record says that it is cancelled
+        std::optional<codec::Item> job; // its record, if that was read and exists
         void accepted_as(std::string_view known_status);
     };
     using LookupDone = std::function<void(const LookupResult&)>;
@@ -80,23 +81,23 @@
     using OpenLookup = std::shared_ptr<Lookup>;
     enum class FinalState : std::uint8_t { unanswered, none, damaged, read };
 
-    // A submission that is checked, or on its way to the store.
+    // A submission that is being checked or stored.
     struct Submission {
         JobSpec spec;
         std::shared_ptr<const HttpRequest> request;
         Responder res;
         bool forwarded = false;
-        double since = 0; // by the steady clock, in seconds
-        std::size_t next_dependency = 0;
-        int tries = 0; // that the store refused for its budget
+        double since = 0;                // when it was received, in seconds of the steady clock
+        std::size_t next_dependency = 0; // the dependencies before this index have been checked
+        int tries = 0;                   // attempts that the store refused because its rate limit was exceeded
     };
     using OpenSubmission = std::shared_ptr<Submission>;
 
-    // A cancellation that the core has not answered.
+    // A cancellation that waits for the core's answer.
     struct Cancellation {
         Responder res;
         std::string id;
-        double since = 0; // by the steady clock, in seconds
+        double since = 0; // when it was handed to the core, in seconds of the steady clock
     };
 
     using Otherwise = std::function<void(const Responder&)>;
@@ -132,9 +133,9 @@
     void stored(const OpenSubmission& submission, const store::Answer& answer, double at, double began);
     void refuse_unless_known(const std::string& id, int status, const std::string& why, const Responder& res);
     void remember_final(const std::string& id, const std::string& status);
-    [[nodiscard]] bool tell_final(const std::string& id, const Responder& res) const; // false: none is known here
-    [[nodiscard]] bool tell_known(const std::string& id, const Responder& res) const; // false: not known here
-    [[nodiscard]] std::string impossible(const JobSpec& spec) const;                  // why; empty: it is not
+    [[nodiscard]] bool tell_final(const std::string& id, const Responder& res) const; // false: no final state is cached
+    [[nodiscard]] bool tell_known(const std::string& id, const Responder& res) const; // false: unknown to this node
+    [[nodiscard]] std::string impossible(const JobSpec& spec) const; // why it can never run; empty: it can
     [[nodiscard]] std::string beyond_team_limits(const JobSpec& spec) const;
     [[nodiscard]] bool fits_a_type(const JobSpec& spec) const;
 
@@ -146,12 +147,12 @@
     metrics::Timings& timings_;
     Host& host_;
     FairTokenBucket reads_, submissions_;
-    std::size_t max_lookups_, lookups_ = 0; // under way
+    std::size_t max_lookups_, lookups_ = 0; // `lookups_`: those in flight
     std::uint64_t handle_seq_ = 0;
-    std::uint64_t generation_ = 0; // counts losses of the leadership
+    std::uint64_t generation_ = 0; // incremented when the leadership is lost
     std::map<std::uint64_t, Cancellation> cancellations_;
     BoundedCache<bool> accepted_;
-    BoundedCache<std::string> finals_; // never taken back, so whoever heard of one may tell it
+    BoundedCache<std::string> finals_; // status by job; never outdated, since a final state never changes
 };
 
 } // namespace heronshift::gateway
