--- a/src/metrics/metrics.cpp
+++ b/src/metrics/metrics.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr double min_s = 0.001, max_s = 65.536;
-constexpr unsigned bins = 16; // each twice the one before
+constexpr unsigned bins = 16; // each is twice as wide as the one before
 
 } // namespace
 
@@ -19,7 +19,7 @@
     if (!std::isfinite(seconds))
         return;
     seconds = std::max(0.0, seconds);
-    bins_(std::max(seconds, min_s / 2)); // a logarithm of nothing is none: below the first bin
+    bins_(std::max(seconds, min_s / 2)); // zero has no logarithm, so it counts as a value below the first bin
     ++count_;
     sum_ += seconds;
 }
@@ -27,7 +27,7 @@
 std::vector<Latency::Bucket> Latency::buckets() const {
     std::vector<Bucket> out;
     std::uint64_t below = 0;
-    for (int i = -1; i < static_cast<int>(bins_.axis().size()); ++i) { // -1: below the first
+    for (int i = -1; i < static_cast<int>(bins_.axis().size()); ++i) { // -1: values below the first bin
         below += static_cast<std::uint64_t>(bins_.at(i));
         out.push_back({bins_.axis().value(i + 1), below});
     }
@@ -55,7 +55,7 @@
     if (it == since_.end() || it->second < 0)
         return;
     into.add(now - it->second);
-    it->second = -1; // stays known until it is the oldest, so that a second launch is not a first one
+    it->second = -1; // the entry stays, so that a second launch is not taken for the first
 }
 
 std::string text(const std::vector<Value>& values, const std::vector<Timed>& timed) {
--- a/src/metrics/metrics.hpp
+++ b/src/metrics/metrics.hpp
@@ -1,5 +1,6 @@
-// What a controller counts and times, and its text for monitoring systems (the Prometheus format, written
-// by prometheus-cpp). Times in seconds, in Boost.Histogram, from a millisecond to a minute and beyond.
+// Metric types of a controller, and their output in the Prometheus text format, written by prometheus-cpp. Latencies
+// are in seconds, in histograms of Boost.Histogram from a millisecond to about a minute, with a last bucket for longer
+// ones.
 #pragma once
 
 #include "memory_share.hpp"
@@ -25,8 +26,8 @@
         return sum_;
     }
     struct Bucket {
-        double upto = 0;         // infinite for the last
-        std::uint64_t count = 0; // of all up to there
+        double upto = 0;         // upper bound in seconds; infinite for the last bucket
+        std::uint64_t count = 0; // cumulative: all values up to this bound
     };
     [[nodiscard]] std::vector<Bucket> buckets() const;
 
@@ -38,7 +39,8 @@
     double sum_ = 0;
 };
 
-// From the moment the leader knows a job to its first launch. Bounded: of too many, the oldest is forgotten.
+// Measures the time from when the leader knows a job to the job's first launch. Remembers a limited number of jobs;
+// beyond it, the job that was added first is removed.
 class FirstLaunches {
 public:
     void known(const std::string& job, double now);
@@ -51,10 +53,10 @@
     std::deque<std::string> order_;
 };
 
-struct Value { // a name that ends in _total is a counter's, all others are gauges'
+struct Value { // a counter if its name ends in _total, else a gauge
     std::string name, help;
     double value = 0;
-    std::vector<std::pair<std::string, std::string>> labels = {}; // values of one name follow each other
+    std::vector<std::pair<std::string, std::string>> labels = {}; // values with the same name have to be adjacent
 };
 struct Timed {
     std::string name, help;
--- a/src/metrics/timings.hpp
+++ b/src/metrics/timings.hpp
@@ -1,4 +1,4 @@
-// What the parts of one controller count and time, in one place, for /metrics.
+// The counters and latencies that the components of one controller record for /metrics.
 #pragma once
 
 #include "metrics/metrics.hpp"
@@ -9,11 +9,11 @@
     Latency submit, heartbeat, commit, step, launch;
     FirstLaunches first_launches;
     std::uint64_t requests = 0, refused = 0;
-    /// Questions about jobs answered from the leader's memory, from a final state heard before, from the record of a
-    /// final state, from a cascade record and from the record of the job.
+    /// Look-ups of jobs, by the source of the answer: the leader's memory, a cached final state, the record of the
+    /// final state, a cascade record, and the job's record.
     std::uint64_t answers_from_memory = 0, answers_from_cache = 0, answers_from_finals = 0, answers_from_cascades = 0,
                   answers_from_jobs = 0;
-    std::uint64_t relayed = 0, relayed_by_others = 0; // for another controller; by another controller
+    std::uint64_t relayed = 0, relayed_by_others = 0; // relayed by this controller for others; by others for this one
 };
 
 } // namespace heronshift::metrics
--- a/src/peers/peers.cpp
+++ b/src/peers/peers.cpp
@@ -3,10 +3,12 @@
 namespace heronshift {
 namespace {
 
-// To each peer, and for each kind of request. What finds no place is not sent, which is said at once. Four peers with
-// all their connections are 72, below the tenth of fd_limit 1024 that a controller accepts from its peers. Relays are
-// bounded before by workers::HeartbeatHandler (51 under way); eight connections carry 167 relayed heartbeats a second,
-// a quarter of what 2,000 machines send in report_s 3, if each is answered within 48 ms on average.
+// Limits for each peer and each class of requests: connections, and requests that wait for a connection. A request
+// beyond these limits is not sent, and its callback is called at once. Four peers with all their connections have 72,
+// fewer than the tenth of fd_limit 1024 that a controller accepts from its peers. The number of relays in flight is
+// limited to 51 by workers::HeartbeatHandler before it reaches these limits. Eight connections carry 167 relayed
+// heartbeats per second, a quarter of those that 2,000 machines send at a report_s of 3, if each is answered within 48
+// ms on average.
 constexpr std::size_t connections = 8, waiting = 64, control_connections = 2, control_waiting = 8;
 
 } // namespace
--- a/src/peers/peers.hpp
+++ b/src/peers/peers.hpp
@@ -1,4 +1,4 @@
-// Requests of a controller to the others.
+// A controller's requests to the other controllers.
 #pragma once
 
 #include "http.hpp"
@@ -9,14 +9,15 @@
 
 namespace heronshift {
 
-/// What the paths of all requests between controllers begin with.
+/// The prefix of the paths of all requests between controllers.
 inline constexpr const char* peer_prefix = "/peer";
 
-/// The kinds of requests. Those of one kind never wait behind those of another.
+/// The classes of requests between controllers. Each class has its own connections, so that its requests never wait
+/// behind those of another class.
 enum class Lane : std::uint8_t { control, users, relays };
 
-/// Reaches other controllers by name, at their address for peers. An answer that does not come proves nothing about
-/// them. All calls and callbacks on the thread of the node's loop.
+/// Sends requests to other controllers, which are identified by name, at the addresses where they listen for peers. A
+/// missing answer proves nothing about a peer's state. All calls and callbacks run on the thread of the node's loop.
 class Peers {
 public:
     using Done = std::function<void(HttpReply&&)>;
@@ -26,16 +27,16 @@
     Peers(const Peers&) = delete;
     Peers& operator=(const Peers&) = delete;
 
-    /// The path begins with peer_prefix. Calls back once, after timeout_s (seconds) at about the latest, and not after
-    /// this was destroyed. Without an answer the status is http_status::no_answer, and `sent` says whether the request
-    /// may have reached the peer.
+    /// `path` begins with peer_prefix. Calls back once, after about `timeout_s` seconds at the latest, but never after
+    /// this object was destroyed. Without an answer the status is http_status::no_answer, and `sent` says whether the
+    /// request may have reached the peer.
     virtual void request(Lane lane, const std::string& name, const char* method, const std::string& path,
                          std::string body, double timeout_s, Done done) = 0;
-    /// Ends what takes too long. To be called some thirty times in report_s.
+    /// Ends the requests whose timeout has passed. To be called about thirty times per report_s.
     virtual void sweep() {}
 };
 
-/// Over HTTP, to the addresses of the settings.
+/// Sends the requests over HTTP, to the addresses from the settings.
 class HttpPeers final : public Peers {
 public:
     HttpPeers(uv_loop_t* loop, const std::vector<Peer>& all);
