--- a/src/node/controller.cpp
+++ b/src/node/controller.cpp
@@ -79,7 +79,7 @@
     if (!core_)
         return;
     if (const auto* released = std::get_if<Released>(&command); released != nullptr && released->ok)
-        stop_probing(released->machines); // one may have sent a heartbeat since the request
+        stop_probing(released->machines); // again, since a heartbeat after the request resumes the probing
     queue_.push_back(std::move(command));
     if (on_wake_at)
         on_wake_at();
@@ -92,7 +92,7 @@
     if (log_)
         log_->begin(settings_, term, stored, at, wall_at);
     core_ = std::make_unique<Core>(settings_, term, stored, at, wall_at);
-    spdlog::info("term {}: {} jobs and {} records read", term, stored.jobs.size(),
+    spdlog::info("state loaded term={} jobs={} records={}", term, stored.jobs.size(),
                  stored.intents.size() + stored.progress.size() + stored.legacy.size());
     cloud_.on_leadership_acquired();
     heartbeat_handler_.retry_pending_heartbeats();
@@ -135,12 +135,12 @@
     std::vector<Command> batch;
     batch.swap(queue_);
     auto effects = step_core(batch, now);
-    // What the core has left of the batch goes before what has come meanwhile.
+    // The commands that the core has left in the batch go before those that were queued meanwhile.
     queue_.insert(queue_.begin(), std::make_move_iterator(batch.begin()), std::make_move_iterator(batch.end()));
     const auto generation = core_generation_;
     for (auto& effect : effects) {
         if (generation != core_generation_)
-            break; // an effect before this one has ended the leadership
+            break; // an earlier effect has ended the leadership
         perform(effect);
     }
     running_core_ = false;
@@ -159,7 +159,8 @@
     const double took = timers_.now() - now;
     timings_.step.add(took);
     if (took > settings_.report_s / 100)
-        spdlog::debug("slow step: {:.0f} ms, {} commands, {} effects", took * 1000, commands, effects.size());
+        spdlog::debug("slow core step duration_ms={:.0f} commands={} effects={}", took * 1000, commands,
+                      effects.size());
     return effects;
 }
 
@@ -169,7 +170,7 @@
     log_->effects(effects);
     if (log_->open())
         return;
-    spdlog::warn("command log ends: {}", log_->why());
+    spdlog::warn("command log ended reason=\"{}\"", log_->why());
     log_.reset();
 }
 
@@ -195,7 +196,7 @@
                effect);
 }
 
-// Of machines that are given back.
+// Stops the probing of machines that are being released.
 void Controller::stop_probing(const std::vector<std::string>& machines) {
     const auto& all = core_->state().machines;
     for (const auto& id : machines)
@@ -215,7 +216,7 @@
         return election_.handle_takeover_request(request, res);
     if (request.path == "/relay")
         return heartbeat_handler_.forward(std::move(request), res);
-    if (request.path == "/office") // for versions without views
+    if (request.path == "/office") // used by versions that do not exchange views
         return res.send(http_status::ok,
                         codec::Json{{"holder", election_.leader()}, {"term", election_.leader_term()}}.dump());
     serve(std::move(request), res, true);
--- a/src/node/controller.hpp
+++ b/src/node/controller.hpp
@@ -1,4 +1,4 @@
-// One controller without a loop of its own.
+// One controller, independent of any event loop.
 #pragma once
 
 #include "cloud/cloud_client.hpp"
@@ -17,19 +17,20 @@
 
 namespace heronshift {
 
-/// Wires the parts of a controller together: the queue of commands for the core, the core while this node is the
-/// leader, and the parts that commands come from and effects go to. It decides nothing: who may act is for the leader
-/// election to say, and what is done for the core.
+/// Connects the components of a controller: the queue of commands for the core, the core (while this node is the
+/// leader), and the components that create commands and perform effects. It makes no decisions itself: the leader
+/// election decides whether this node may act, and the core decides what is done.
 ///
-/// Whoever drives it (Node on libuv, the simulation of the tests) calls tick() some thirty times in report_s, and
-/// wake() when wake_at() has come and after anything was handed in. Not synchronised: one thread, that of the loop.
+/// Its driver (Node on libuv, or the simulation in the tests) calls tick() about thirty times per report_s, and wake()
+/// when the time wake_at() has come and after each request or answer that it passed in. Not synchronised: to be used on
+/// the loop's thread only.
 class Controller final : leadership::LeaderElection::Host,
                          gateway::Gateway::Host,
                          workers::HeartbeatHandler::Host,
                          cloud::CloudClient::Host,
                          membership::Membership::Host {
 public:
-    /// What it runs on. All are needed.
+    /// The interfaces to the outside. None may be null.
     struct Parts {
         std::unique_ptr<store::StateStore> state;
         std::unique_ptr<Executor> executor;
@@ -38,27 +39,28 @@
     };
     Controller(Settings settings, Parts parts);
 
-    /// Records what goes into the core from its next term on, see replay/command_log.hpp.
+    /// Records the commands that go into the core from the next term on, see replay/command_log.hpp.
     void record(std::unique_ptr<replay::CommandLog> log) {
         log_ = std::move(log);
     }
     void start();
     /// Gives up the leadership.
     void stop();
-    /// What each part does at intervals.
+    /// Does the periodic work of all components.
     void tick();
-    /// Does what has become due; then the core takes the commands that have gathered.
+    /// Runs the timers that are due, then run_core().
     void wake();
-    /// When wake() is due next, in seconds of the clock; 0: at once; infinity: not by itself.
+    /// When wake() has to be called next, in seconds of the clock; 0: at once; infinity: only after something was
+    /// passed in.
     [[nodiscard]] double wake_at() const;
-    /// Called when wake_at() may have become sooner.
+    /// Called when wake_at() may have become earlier.
     std::function<void()> on_wake_at;
-    /// Lets the core take the commands that have gathered and performs the effects that it asks for.
+    /// Lets the core process the queued commands, and performs the effects that it returns.
     void run_core();
 
-    /// A request of a user or a machine.
+    /// Handles a request of a user or a machine.
     void serve(HttpRequest&& request, const Responder& res);
-    /// A request of another controller, its path with peer_prefix.
+    /// Handles a request of another controller, whose path begins with peer_prefix.
     void serve_peer(HttpRequest&& request, const Responder& res);
 
     [[nodiscard]] const Settings& settings() const {
@@ -70,17 +72,18 @@
     [[nodiscard]] store::StateStore& state() {
         return store_;
     }
-    /// Until when, in seconds of its clock, this node may act if it hears nothing more; 0: it may not.
+    /// Until when, in seconds of its clock, this node may act as leader unless its validity is extended further; 0: it
+    /// may not.
     [[nodiscard]] double active_until() const {
         return election_.active_until();
     }
-    /// Null while it is not the leader.
+    /// Null while this node is not the leader.
     [[nodiscard]] const Core* core() const {
         return core_.get();
     }
 
 private:
-    // What the parts ask of each other goes through here.
+    // The components' Host interfaces, through which they use each other.
     void leadership_acquired(std::uint64_t term, Snapshot&& stored) override;
     void leadership_lost() override;
     void jobs_stored_by_others(std::vector<codec::StoredJob>&& jobs) override;
@@ -149,7 +152,7 @@
     cloud::CloudClient cloud_;
 
     std::unique_ptr<Core> core_;
-    std::uint64_t core_generation_ = 0; // answers for an earlier core are dropped
+    std::uint64_t core_generation_ = 0; // incremented when `core_` changes, to drop answers for an earlier core
     std::vector<Command> queue_;
     bool running_core_ = false;
     std::unique_ptr<replay::CommandLog> log_;
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -13,11 +13,11 @@
 constexpr double max_sleep_s = 1;
 constexpr double server_sweep_s = 1;
 
-// Shares of the sockets that this process may have. What they leave is for connections to peers, the store and the
-// cloud.
-constexpr double listen_share = 0.65; // workers and users
+// Shares of the file descriptors that this process may use (fd_limit). The rest is for outgoing connections to peers,
+// the store and the cloud.
+constexpr double listen_share = 0.65; // connections of workers and users
 constexpr double peers_share = 0.1, agents_share = 0.15;
-// Of the first: neither workers nor users ever have all of it.
+// Shares of `listen_share`, so that neither workers nor users can take all of these connections.
 constexpr double workers_share = 0.9, users_share = 0.3;
 
 std::size_t sockets(const Settings& settings, double share) {
@@ -29,7 +29,7 @@
             sockets(settings, listen_share * users_share)};
 }
 
-// Health checks count for nobody: refused, they would take this controller away from all users.
+// Health checks count against no limit: if they were refused, a load balancer would stop sending any user here.
 ClientKind kind_of(const HttpRequest& request) {
     if (request.path == codec::path_health)
         return ClientKind::unknown;
@@ -56,7 +56,7 @@
 }
 
 Node::~Node() {
-    // The handles and the servers go before the controller, whose parts may still ask to be woken.
+    // The handles and servers are destroyed before the controller, whose components may still request a wake-up.
     controller_.on_wake_at = nullptr;
 }
 
@@ -85,10 +85,10 @@
     return 0;
 }
 
-// A turn of the loop: the timers only mark what is due, then the sockets are read, and only then does the controller do
-// what is due and the core take the commands that have gathered. libuv itself runs timers before it reads: after a long
-// step, answers that lie unread in the sockets would count as timed out, and a leader that the store serves would
-// resign. Within a turn the leader's renewals and its timers go before planning.
+// An iteration of the loop: the timers only set flags, then the sockets are read, and only then the controller does the
+// work that is due and the core processes the queued commands. libuv itself runs timers before it reads sockets: after
+// a long step of the core, answers that are still unread in the sockets would count as timed out, and a leader that the
+// store serves would resign. Within an iteration, the lease renewals and timers run before the core's planning.
 void Node::start_timers() {
     auto* tick_timer = tick_timer_.create();
     auto* wake_timer = wake_timer_.create();
@@ -109,7 +109,7 @@
     uv_check_start(check, [](uv_check_t* handle) { static_cast<Node*>(handle->data)->after_sockets(); });
 }
 
-// While an idle handle is active, libuv looks at the sockets without waiting for any.
+// While an idle handle is active, libuv polls the sockets without blocking.
 void Node::look_at_sockets_first() {
     uv_idle_start(idle_.get(), [](uv_idle_t*) {});
 }
@@ -143,11 +143,11 @@
     const auto on_wake = [](uv_timer_t* timer) {
         auto* node = static_cast<Node*>(timer->data);
         if (uv_is_active(reinterpret_cast<uv_handle_t*>(node->check_.get())) == 0)
-            return node->wake(); // stopped: nothing is concluded any more
+            return node->wake(); // after stop() no missing answer matters, so the sockets need not be read first
         node->wake_due_ = true;
         node->look_at_sockets_first();
     };
-    // Never 0: libuv runs a timer that is due again at once for ever.
+    // Never 0: a timer with delay 0 would be due again at once, and libuv would run timers forever.
     const auto in_ms = std::max<std::uint64_t>(1, static_cast<std::uint64_t>(in * 1000 + 0.999));
     uv_timer_start(wake_timer_.get(), on_wake, in_ms, 0);
 }
--- a/src/node/node.hpp
+++ b/src/node/node.hpp
@@ -1,4 +1,4 @@
-// A controller on a libuv loop.
+// Runs a controller on a libuv loop.
 #pragma once
 
 #include "heronshift/loop_handle.hpp"
@@ -9,51 +9,54 @@
 
 namespace heronshift {
 
-/// Runs a Controller on a libuv loop, with its servers, clients and timers. On the loop's thread only.
+/// A Controller on a libuv loop, with its servers, clients and timers. To be used on the loop's thread only.
 class Node {
 public:
     using Parts = Controller::Parts;
-    /// Parts that are missing are those of the daemon: the state service and the cloud that the settings name, the
-    /// peers over HTTP, and the system's time.
+    /// Parts that are null are replaced by those of the daemon: clients of the state service, the cloud and the peers
+    /// at the addresses in `settings`, and the system clock.
     Node(uv_loop_t* loop, const Settings& settings, Parts parts);
     Node(uv_loop_t* loop, const Settings& settings) : Node(loop, settings, Parts{}) {}
     ~Node();
     Node(const Node&) = delete;
     Node& operator=(const Node&) = delete;
 
-    /// Records what goes into the core, see Controller::record.
+    /// Records the commands that go into the core, see Controller::record().
     void record(std::unique_ptr<replay::CommandLog> log) {
         controller_.record(std::move(log));
     }
-    /// Listens, unless the settings name no host to listen at, and starts the controller. Returns 0 or a libuv error.
+    /// Listens at each address in the settings whose host is not empty, and starts the controller. Returns 0 or a libuv
+    /// error.
     [[nodiscard]] int start();
-    /// Gives up the leadership, and listens no more.
+    /// Gives up the leadership and stops listening.
     void stop();
-    /// Does all that is due by the clock, for a program whose time does not pass by itself.
+    /// Does all work that is due by the clock. For programs that advance the clock themselves.
     void turn() {
         tick();
         wake();
     }
-    /// A user's request from inside this process, answered as one that came over the network.
+    /// Handles a user's request from inside this process like one from the network.
     void call(HttpRequest&& request, const Responder& res) {
         controller_.serve(std::move(request), res);
     }
-    /// Calls back once on the loop, in delay_s seconds, if the node still lives.
+    /// Calls back once on the loop after `delay_s` seconds, unless the node is destroyed before.
     void after(double delay_s, std::function<void()> callback) {
         controller_.timers().after(delay_s, std::move(callback));
     }
-    /// Calls back on the loop some thirty times in report_s.
+    /// Sets a function that is called on the loop about thirty times per report_s.
     void each_tick(std::function<void()> callback) {
         on_tick_ = std::move(callback);
     }
     [[nodiscard]] store::StateStore& state() {
         return controller_.state();
     }
-    /// Until when, in seconds of its clock, this node may act if it hears nothing more; 0: it may not.
+    /// Until when, in seconds of its clock, this node may act as leader unless its validity is extended further; 0: it
+    /// may not.
     [[nodiscard]] double active_until() const {
         return controller_.active_until();
     }
-    /// The port that workers and users reach, once started: the system's choice where 0 was asked for.
+    /// The port where this node listens for workers and users; chosen by the system if the settings have port 0. 0
+    /// before start().
     [[nodiscard]] int port() const {
         return users_ ? users_->port() : 0;
     }
@@ -75,7 +78,7 @@
     LoopHandle<uv_check_t> check_;
     bool tick_due_ = false, wake_due_ = false;
     std::unique_ptr<HttpServer> users_, peers_;
-    double next_sweep_ = 0; // of the servers, by the clock
+    double next_sweep_ = 0; // when the servers are swept next, in seconds of the clock
     std::function<void()> on_tick_;
 };
 
