--- a/src/cloud/cloud_client.cpp
+++ b/src/cloud/cloud_client.cpp
@@ -12,7 +12,7 @@
 constexpr std::size_t max_queued_lists = 4;
 constexpr double budget_share = 0.8; // this controller's share of the rate limit that all controllers share
 constexpr const char* types_key = "types";
-constexpr double types_write_s = 1; // timeout; no request depends on this copy of the machine types
+constexpr double types_write_s = 1; // short, since no request depends on this copy of the machine types
 
 } // namespace
 
--- a/src/gateway/fair_token_bucket.hpp
+++ b/src/gateway/fair_token_bucket.hpp
@@ -53,8 +53,10 @@
     }
 
 private:
-    static constexpr double kept = 0.5;    // share of the burst that is reserved for clients refused before
-    static constexpr double forgotten = 4; // a series of refusals ends after this many times `patience_s`
+    // The share of the burst that is reserved for clients that were refused before.
+    static constexpr double kept = 0.5;
+    // A series of refusals ends this many times `patience_s` after its first refusal.
+    static constexpr double forgotten = 4;
     TokenBucket budget_;
     double burst_, patience_s_;
     BoundedCache<double> refused_since_;
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -27,15 +27,15 @@
 // The sizes of the caches, as shares of the memory limit. What is no longer cached is read from the store again, within
 // the rate limit of reads. At 72 MB the caches hold 8,192 accepted jobs, 14,745 final states, and 8,192 refused clients
 // for each of the two token buckets. Beyond that, the client that was refused first is removed, and is then treated
-// like one that was never refused.
+// like one that was never refused. An accepted job takes 144 bytes, a final state 160.
 constexpr double accepted_memory_share = 1.0 / 64, finals_memory_share = 1.0 / 32, refused_memory_share = 1.0 / 64;
-constexpr std::size_t job_bytes = 160, final_bytes = 160; // an accepted job takes 144 bytes, a final state 160
-constexpr double patience_leases = 2;                     // until a read that keeps being refused takes precedence
-constexpr int max_store_tries = 3;                        // while the store's rate limit is exceeded
-constexpr double store_retry_s = 0.05;                    // before the first of these; the delay grows with each
-constexpr double look_up_s = 2, submit_s = 5;             // how long users wait for an answer by the protocol
-constexpr double share_of_wait = 0.8;                     // for forwarding, shared by all attempts
-constexpr double rounding = 1e-6;                         // by which a demand may exceed a team's limit
+constexpr std::size_t job_bytes = 160, final_bytes = 160;
+constexpr double patience_leases = 2;         // until a read that keeps being refused takes precedence
+constexpr int max_store_tries = 3;            // while the store's rate limit is exceeded
+constexpr double store_retry_s = 0.05;        // before the first of these; the delay grows with each
+constexpr double look_up_s = 2, submit_s = 5; // how long users wait for an answer by the protocol
+constexpr double share_of_wait = 0.8;         // for forwarding, shared by all attempts
+constexpr double rounding = 1e-6;             // by which a demand may exceed a team's limit
 
 std::size_t max_refused(const Settings& settings) {
     return entries_in_share(settings.memory_mb, refused_memory_share, job_bytes);
--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -133,8 +133,8 @@
     void stored(const OpenSubmission& submission, const store::Answer& answer, double at, double began);
     void refuse_unless_known(const std::string& id, int status, const std::string& why, const Responder& res);
     void remember_final(const std::string& id, const std::string& status);
-    [[nodiscard]] bool tell_final(const std::string& id, const Responder& res) const; // false: no final state is cached
-    [[nodiscard]] bool tell_known(const std::string& id, const Responder& res) const; // false: unknown to this node
+    [[nodiscard]] bool tell_final(const std::string& id, const Responder& res) const; // false: none cached
+    [[nodiscard]] bool tell_known(const std::string& id, const Responder& res) const; // false: job not known
     [[nodiscard]] std::string impossible(const JobSpec& spec) const; // why it can never run; empty: it can
     [[nodiscard]] std::string beyond_team_limits(const JobSpec& spec) const;
     [[nodiscard]] bool fits_a_type(const JobSpec& spec) const;
@@ -147,7 +147,7 @@
     metrics::Timings& timings_;
     Host& host_;
     FairTokenBucket reads_, submissions_;
-    std::size_t max_lookups_, lookups_ = 0; // `lookups_`: those in flight
+    std::size_t max_lookups_, lookups_ = 0; // limit and number of look-ups in flight
     std::uint64_t handle_seq_ = 0;
     std::uint64_t generation_ = 0; // incremented when the leadership is lost
     std::map<std::uint64_t, Cancellation> cancellations_;
--- a/src/metrics/metrics.hpp
+++ b/src/metrics/metrics.hpp
@@ -26,7 +26,7 @@
         return sum_;
     }
     struct Bucket {
-        double upto = 0;         // upper bound in seconds; infinite for the last bucket
+        double upto = 0;         // in seconds; infinite for the last bucket
         std::uint64_t count = 0; // cumulative: all values up to this bound
     };
     [[nodiscard]] std::vector<Bucket> buckets() const;
