--- a/src/peers/peers.cpp
+++ b/src/peers/peers.cpp
@@ -6,9 +6,8 @@
 // Limits for each peer and each class of requests: connections, and requests that wait for a connection. A request
 // beyond these limits is not sent, and its callback is called at once. Four peers with all their connections have 72,
 // fewer than the tenth of fd_limit 1024 that a controller accepts from its peers. Relays do not reach these limits:
-// workers::HeartbeatHandler allows at most 51 in flight. Eight connections carry 167 relayed
-// heartbeats per second, a quarter of those that 2,000 machines send at a report_s of 3, if each is answered within 48
-// ms on average.
+// workers::HeartbeatHandler allows at most 51 in flight. Eight connections carry 167 relayed heartbeats per second, a
+// quarter of those that 2,000 machines send at a report_s of 3, if each is answered within 48 ms on average.
 constexpr std::size_t connections = 8, waiting = 64, control_connections = 2, control_waiting = 8;
 
 } // namespace
