--- a/src/connection_shares.hpp
+++ b/src/connection_shares.hpp
@@ -1,5 +1,6 @@
-// Who may have how many of a server's connections, and which idle one makes room for another. Counts only, without
-// sockets and clock; used on the thread of the server's loop.
+// Limits how many of a server's connections each kind of client may hold, and selects the idle connection to close when
+// a limit is exceeded. It only counts, and uses neither sockets nor a clock. Used on the thread of the
+// server's loop only.
 #pragma once
 
 #include <array>
@@ -11,23 +12,24 @@
 
 namespace heronshift {
 
-// Whose connection it is: told by its first request.
+// The kind of client at the other end of a connection. `unknown` until its first request has arrived.
 enum class ClientKind : std::uint8_t { unknown, worker, user };
 inline constexpr std::size_t client_kinds = 3;
 
-// One share for each kind; together they may be more than there is, so that what one leaves free another can use.
+// Maximum numbers of connections: of all kinds together, of workers and of users. `workers` and `users` may add up to
+// more than `total`, so that one kind can use connections that the other leaves free.
 struct ConnectionLimits {
     std::size_t total = 0;
     std::size_t workers = 0, users = 0;
 };
 
-// Counts connections by kind and keeps the idle ones in the order in which they became so. Every operation takes
-// constant time. A connection is a pointer that is not followed here.
+// Counts connections by kind and lists the idle ones in the order in which they became idle. Every operation takes
+// constant time. Pointers to connections are stored but never dereferenced.
 template <class Connection> class ConnectionShares {
-    using Idle = std::list<std::pair<Connection*, std::uint64_t>>; // with the turn in which it became idle
+    using Idle = std::list<std::pair<Connection*, std::uint64_t>>; // with the value of turns_ when it became idle
 
 public:
-    // What is kept of a connection, by the connection itself.
+    // What is stored for each connection, as a member of the connection.
     class Entry {
         friend class ConnectionShares;
         ClientKind kind_ = ClientKind::unknown;
@@ -61,7 +63,7 @@
             idle_[index(entry.kind_)].erase(entry.at_);
         entry.idle_ = false;
     }
-    // Its first request has come.
+    // Sets the kind of a connection, which a request has shown.
     void classify(Entry& entry, ClientKind kind) {
         busy(entry);
         --counts_[index(entry.kind_)];
@@ -79,12 +81,12 @@
     [[nodiscard]] std::size_t count(ClientKind kind) const {
         return counts_[index(kind)];
     }
-    // The one of this kind that has been idle for longest; null: none is.
+    // The connection of this kind that has been idle for longest; null if none is idle.
     [[nodiscard]] Connection* longest_idle(ClientKind kind) const {
         const auto& list = idle_[index(kind)];
         return list.empty() ? nullptr : list.front().first;
     }
-    // The same of all kinds.
+    // The connection of any kind that has been idle for longest; null if none is idle.
     [[nodiscard]] Connection* longest_idle() const {
         const typename Idle::value_type* out = nullptr;
         for (const auto& list : idle_)
--- a/src/http.hpp
+++ b/src/http.hpp
@@ -1,5 +1,5 @@
-// A small HTTP/1.1 server and client on libuv; http-parser reads, this writes. Everything here belongs to one loop and
-// is used, and calls back, on that loop's thread only.
+// An HTTP/1.1 server and client on libuv. http-parser parses incoming messages; outgoing ones are formatted here. Every
+// object belongs to one loop: it is used, and runs its callbacks, on that loop's thread only.
 #pragma once
 
 #include "connection_shares.hpp"
@@ -23,28 +23,30 @@
 
 namespace heronshift {
 
-/// The steady time at which this turn of the loop began, in seconds.
+/// The steady time at which the loop's current iteration began, in seconds.
 inline double steady_now(uv_loop_t* loop) {
     return static_cast<double>(uv_now(loop)) / 1000.0;
 }
 
-/// A request as a handler gets it. `query` is what follows the first ? of the URL, undecoded; `path` what precedes it.
+/// A request as passed to a handler. `path` is the URL up to its first ?, and `query` the rest after it. Neither is
+/// percent-decoded.
 struct HttpRequest {
     std::string method, path, query, body;
 };
 
 class ServerConnection;
 
-/// Answers one request. It may be kept and used later, also when the connection is gone by then: such an answer is
-/// dropped, as is a second one.
+/// Answers one request. It may be stored and used later. An answer is dropped if the connection has been closed by then
+/// or the request has been answered already.
 class Responder {
 public:
     Responder() = default;
     explicit Responder(std::shared_ptr<ServerConnection> c) : conn_(std::move(c)) {}
-    /// For a caller in this process; called once, with http_status::no_answer if nobody ever answers.
+    /// Receives the answer to a request made from within this process. Called exactly once: with http_status::no_answer
+    /// if the last copy of the Responder is destroyed without an answer.
     using Direct = std::function<void(int status, std::string_view body, int retry_after_s)>;
     explicit Responder(Direct callback) : direct_(std::make_shared<Once>(std::move(callback))) {}
-    /// retry_after_s: the value of the header Retry-After, in seconds; 0: none.
+    /// `retry_after_s`: the value of the Retry-After header, in seconds; 0 omits the header.
     void send(int status, std::string_view body, int retry_after_s = 0) const;
 
 private:
@@ -65,19 +67,21 @@
     std::shared_ptr<Once> direct_;
 };
 
-/// Listens at one address and hands each request to a handler.
+/// Listens at one address and passes each request to a handler.
 ///
-/// Beyond its limits the connection that has been idle for longest makes room: a client that keeps one open loses it
-/// between two requests and opens another, so that more clients than connections are served in turns. Where none is
-/// idle, a request is answered 503 with Retry-After and its connection closed.
+/// When a limit is exceeded, the server closes the connection that has been idle for longest. A client with a
+/// persistent connection then loses it between two requests and opens a new one, so that more clients can be served
+/// than there are connections. If the limit of a client kind is exceeded and no connection of that kind is idle, the
+/// request is answered 503 with Retry-After and its connection is closed. If the total is exceeded and no connection is
+/// idle, the new connection is closed.
 class HttpServer {
 public:
     using Handler = std::function<void(HttpRequest&&, Responder)>;
     using Classifier = std::function<ClientKind(const HttpRequest&)>;
-    /// idle_s: after which an idle connection is closed, in seconds; one on which a request is arriving after a
-    /// quarter.
+    /// `idle_s`: idle connections are closed after this time, in seconds. Connections on which a request has begun to
+    /// arrive but is incomplete are closed after a quarter of it.
     HttpServer(uv_loop_t* loop, std::size_t max_connections, double idle_s, Handler handler);
-    /// With a share for each kind of client.
+    /// `limits` includes a limit for each kind of client. `classifier` tells the kind from a request.
     HttpServer(uv_loop_t* loop, ConnectionLimits limits, double idle_s, Classifier classifier, Handler handler);
     ~HttpServer(); // NOLINT(bugprone-exception-escape): says why where it is defined
     HttpServer(const HttpServer&) = delete;
@@ -85,9 +89,11 @@
 
     /// Returns 0 or a libuv error.
     [[nodiscard]] int listen(const Endpoint& at);
-    /// The port that it listens on: the system's choice where 0 was asked for. 0: it does not listen.
+    /// The port that the server listens on: the one that the system chose if listen() was called with port 0. Returns 0
+    /// if the server does not listen.
     [[nodiscard]] int port() const;
-    /// Closes slow and idle connections; to be called about once a second.
+    /// Closes connections whose idle time is over or whose request takes too long to arrive. To be called about once a
+    /// second.
     void sweep();
     [[nodiscard]] std::size_t connections() const {
         return connections_.size();
@@ -106,26 +112,27 @@
     std::unordered_set<std::shared_ptr<ServerConnection>> connections_;
 };
 
-/// Sends requests, with a bounded pool of connections to each address and of all together: an idle connection to
-/// another address makes room for one that is needed, and where none is idle requests wait. When it is destroyed,
-/// requests under way end without a callback.
+/// Sends requests, with a limit on the number of connections to each address and in total. If the total is reached, an
+/// idle connection to another address is closed to open a new one; if none is idle, the request waits. When the client
+/// is destroyed, outstanding requests end without a callback.
 class HttpClient {
 public:
     using Callback = std::function<void(HttpReply&&)>;
     static constexpr std::size_t unlimited = SIZE_MAX;
-    /// max_waiting: requests that wait for a connection to one address. More are not sent.
+    /// `max_waiting`: how many requests may wait for a connection to one address. Further ones fail at once, unsent.
     HttpClient(uv_loop_t* loop, std::size_t max_per_address, std::size_t max_waiting,
                std::size_t max_connections = unlimited);
     ~HttpClient();
     HttpClient(const HttpClient&) = delete;
     HttpClient& operator=(const HttpClient&) = delete;
 
-    /// addr: IPv4:PORT. Calls back once, perhaps before it returns. Without an answer the status is
-    /// http_status::no_answer, and `sent` says whether the request may have reached the server.
+    /// `addr`: IPv4:PORT. Calls `done` once, possibly before this function returns. If there is no answer, the status
+    /// is http_status::no_answer and `sent` of the reply says whether the request may have reached the server.
     void request(const std::string& addr, const char* method, const std::string& path, std::string body,
                  double timeout_s, Callback done);
-    /// Ends the requests that have waited for too long. To be called about ten times a second, after the loop has read
-    /// its sockets (in a uv_check): an answer that lies unread is none that is missing.
+    /// Fails the requests that have timed out, and closes connections that have been idle for too long. To be called
+    /// about ten times a second, in a uv_check handle: these run after the loop has read its sockets, so that a request
+    /// whose answer has arrived but is not read yet does not count as timed out.
     void sweep();
     [[nodiscard]] std::size_t connections() const {
         return connections_;
@@ -137,9 +144,10 @@
     struct PendingRequest {
         std::string method, path, body;
         double timeout_s = 0;
-        double deadline = 0;   // by http::precise_now()
-        bool extended = false; // the deadline, by time in which the loop did not turn
+        double deadline = 0;   // on the clock of http::precise_now()
+        bool extended = false; // whether the deadline was extended because the loop was blocked
         Callback done;
+        // Whether the request has timed out. Extends the deadline once if the loop was blocked.
         [[nodiscard]] bool overdue(double now);
     };
     struct Pool {
@@ -160,8 +168,8 @@
     std::size_t max_per_address_, max_waiting_, max_connections_;
     std::size_t connections_ = 0;
     std::unordered_map<std::string, Pool> pools_;
-    std::list<Connection*> idle_;     // of all pools, the longest idle first
-    std::deque<std::string> starved_; // addresses whose requests wait for room
+    std::list<Connection*> idle_;     // of all pools, longest idle first
+    std::deque<std::string> starved_; // addresses whose requests wait because of max_connections_
 };
 
 } // namespace heronshift
--- a/src/http/client.cpp
+++ b/src/http/client.cpp
@@ -10,19 +10,20 @@
 namespace {
 
 constexpr std::size_t max_reply = 8UL * 1024 * 1024;
-// Of a time-out: what is found overdue later than that was kept waiting by our own loop.
+// A request that is found overdue by more than this share of its time-out was delayed because the event loop of this
+// process was blocked.
 constexpr double punctual = 0.25;
-// After which a connection that is not used is closed.
+// Idle connections are closed after this time.
 constexpr double idle_connection_s = 30;
 
-// What ends a request that may have reached the server.
+// The reply to a request that failed without an answer. `sent`: the request may have reached the server.
 HttpReply no_answer(bool sent) {
     return {http_status::no_answer, {}, sent};
 }
 
 } // namespace
 
-// One connection to an address, with the request that is under way on it. Owned by the client's pool.
+// One connection to an address, with the request in progress on it, if any. Owned by the client's pool.
 struct HttpClient::Connection {
     Connection(HttpClient* owner, std::string address, PendingRequest&& first)
         : client(owner), addr(std::move(address)), busy(true), request(std::move(first)) {
@@ -35,13 +36,13 @@
     std::string addr;
     LoopHandle<uv_tcp_t> tcp;
     http_parser parser{};
-    bool busy = false;     // with `request`
-    bool complete = false; // the answer has been read to its end
-    bool used = false;     // a request was written
+    bool busy = false;     // `request` is in progress
+    bool complete = false; // the whole answer has been read
+    bool used = false;     // at least one request was written
     PendingRequest request;
-    std::string body;                         // of the answer, as far as it has come
-    double idle_since = 0;                    // by steady_now(), while it is not busy
-    std::list<Connection*>::iterator idle_at; // in the client's idle_, while it is not busy
+    std::string body;                         // of the answer, as far as received
+    double idle_since = 0;                    // on the clock of steady_now(); valid while not busy
+    std::list<Connection*>::iterator idle_at; // position in the client's idle_; valid while not busy
 
     void start() {
         uv_read_start(as_stream(tcp.get()), http::give_buffer, [](uv_stream_t* s, ssize_t n, const uv_buf_t* buf) {
@@ -72,7 +73,7 @@
         if (!busy)
             return client->finish(this, {}, false);
         static const http_parser_settings callbacks = make_callbacks();
-        // At the end of the stream the parser is told so: a body without length ends there.
+        // A length of 0 tells the parser that the stream has ended, which completes a body without Content-Length.
         http_parser_execute(&parser, &callbacks, buf->base, n < 0 ? 0 : static_cast<std::size_t>(n));
         if (complete) {
             const bool keep = n > 0 && http_should_keep_alive(&parser) != 0;
@@ -128,7 +129,7 @@
     return idle;
 }
 
-// Gives the requests that wait for this address to connections, as far as there are any or may be opened.
+// Sends the requests that wait for this address on idle connections, or on new ones as far as the limits allow.
 void HttpClient::pump(const std::string& addr) {
     auto& pool = pools_[addr];
     while (!pool.waiting.empty()) {
@@ -153,8 +154,8 @@
     idle->send();
 }
 
-// Opens a connection for a request. False: libuv could not even begin, so the request has failed and the queue of the
-// address was gone through again already.
+// Opens a connection for a request. Returns false if libuv could not start to connect: then the request has failed, and
+// finish() has already called pump() for the address, so the caller must not go on with its queue.
 bool HttpClient::connect(const std::string& addr, PendingRequest&& request) {
     const auto colon = addr.rfind(':');
     sockaddr_in to{};
@@ -172,7 +173,7 @@
                                          auto* opened = static_cast<Connection*>(done->handle->data);
                                          delete done;
                                          if (opened == nullptr)
-                                             return; // closed meanwhile
+                                             return; // the connection was closed before it was established
                                          if (status != 0)
                                              return opened->client->finish(opened, {}, false);
                                          opened->start();
@@ -181,11 +182,12 @@
         finish(connection, {}, false);
         return false;
     }
-    (void)operation.release(); // the callback deletes it
+    (void)operation.release(); // now owned by the callback
     return true;
 }
 
-// Requests to an address wait here at most once each time that there was no room, and go on when there is.
+// Resumes addresses whose requests were blocked by max_connections_, for as long as connections are available. pump()
+// adds an address again each time that its requests are blocked.
 void HttpClient::pump_starved() {
     while (!starved_.empty() && (connections_ < max_connections_ || !idle_.empty())) {
         const auto addr = std::move(starved_.front());
@@ -194,6 +196,7 @@
     }
 }
 
+// Closes the connection that has been idle for longest. Returns false if none is idle.
 bool HttpClient::make_room() {
     if (idle_.empty())
         return false;
@@ -210,8 +213,8 @@
     delete connection;
 }
 
-// Ends the request under way on a connection, if any, with this reply; then the connection is kept or closed, and what
-// waits goes on.
+// Completes the request in progress on a connection, if any, with `reply`. Then keeps the connection as idle or closes
+// it, and sends waiting requests.
 void HttpClient::finish(Connection* connection, HttpReply reply, bool keep) {
     const auto addr = connection->addr;
     const bool was_busy = connection->busy;
@@ -231,9 +234,9 @@
     pump_starved();
 }
 
-// Time in which the loop did not turn is not counted as waited, once and for at most the time-out itself: the answer
-// may have come in it, and may need another turn to be read. So a server that is silent is still found out within twice
-// the time-out, and on a loop that turns as it should within the time-out.
+// If the request is found overdue much too late, the event loop was blocked: the answer may have arrived meanwhile and
+// still have to be read. The deadline is then extended by the delay, once and by at most the time-out itself. A server
+// that does not answer is thus detected within twice the time-out, and within the time-out if the loop is not blocked.
 bool HttpClient::PendingRequest::overdue(double now) {
     const double late = now - deadline;
     if (late <= 0)
@@ -269,7 +272,7 @@
         it = pool.connections.empty() && pool.waiting.empty() ? pools_.erase(it) : std::next(it);
     }
     for (auto* connection : late)
-        if (is_open(connection)) // an earlier callback may have ended it already
+        if (is_open(connection)) // the callback of an earlier element may have closed it
             finish(connection, no_answer(connection->used), false);
     for (auto& request : unsent)
         request.done({});
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -11,7 +11,7 @@
 constexpr std::size_t max_body = 64UL * 1024;
 constexpr std::size_t max_url = 16UL * 1024;
 constexpr int listen_backlog = 512;
-// After which a client that was refused for want of connections may ask again.
+// Retry-After for requests that are refused because there are too many connections.
 constexpr int refused_retry_s = 2;
 
 const char* reason(int status) {
@@ -43,8 +43,8 @@
 
 } // namespace
 
-// One connection. It belongs to its server and, while a request is unanswered, to that request's Responder, which may
-// outlive both the socket and the server.
+// One connection of a client. Owned by the server and, while a request is unanswered, also by the request's Responder,
+// which may outlive both the socket and the server.
 class ServerConnection : public std::enable_shared_from_this<ServerConnection> {
 public:
     explicit ServerConnection(HttpServer* server) : server_(server) {
@@ -78,7 +78,7 @@
         server_->connections_.erase(self);
     }
 
-    // The server is gone: an answer that still comes is not counted there.
+    // To be called when the server is destroyed, since a Responder may still hold this connection.
     void detach() {
         server_ = nullptr;
     }
@@ -102,13 +102,13 @@
             server_->shares_.idle(share_, this);
     }
 
-    // Answers the request under way, if any, and closes after it.
+    // Answers the request in progress, if any, with 503 and closes the connection.
     void refuse() {
         keep_ = false;
         respond(http_status::service_unavailable, R"({"error":"too many connections"})", refused_retry_s);
     }
 
-    // A request that takes too long to arrive, or an idle connection.
+    // Whether the connection should be closed: its idle time is over, or its request takes too long to arrive.
     [[nodiscard]] bool stale(double now, double idle_s) const {
         if (busy_)
             return false;
@@ -125,7 +125,7 @@
         if (n < 0)
             return close();
         if (busy_)
-            return bad(); // pipelining is not part of the protocol
+            return bad(); // the protocol does not allow pipelining
         static const http_parser_settings callbacks = make_callbacks();
         const auto used = http_parser_execute(&parser_, &callbacks, buf->base, static_cast<std::size_t>(n));
         if (!tcp_)
@@ -260,11 +260,12 @@
         if (longest == nullptr)
             return;
     }
-    shares_.idle(c->share_, c.get()); // until its first request comes
+    shares_.idle(c->share_, c.get()); // until its first request arrives
     c->start();
 }
 
-// Whether a request may be served: beyond the share of its kind an idle connection of that kind has to make room.
+// Returns whether a request may be served. If its client kind exceeds its limit, the longest idle connection of that
+// kind is closed; if there is none, the request may not be served.
 bool HttpServer::admit(ServerConnection& c, const HttpRequest& request) {
     if (!classifier_)
         return true;
--- a/src/http/socket.cpp
+++ b/src/http/socket.cpp
@@ -30,7 +30,7 @@
     op->data = std::move(data);
     op->request.data = op.get();
     const uv_buf_t all = uv_buf_init(op->data.data(), static_cast<unsigned>(op->data.size()));
-    // Most answers leave at once; only the rest needs a queued write.
+    // Most messages fit into the socket's send buffer at once. Only the remainder, if any, is queued.
     const int written = uv_try_write(as_stream(tcp), &all, 1);
     if (written == static_cast<int>(op->data.size()))
         return 0;
@@ -39,7 +39,7 @@
     const int error = uv_write(&op->request, as_stream(tcp), &rest, 1,
                                [](uv_write_t* r, int) { delete static_cast<WriteOp*>(r->data); });
     if (error == 0)
-        (void)op.release(); // the callback deletes it
+        (void)op.release(); // now owned by the callback
     return error;
 }
 
--- a/src/http/socket.hpp
+++ b/src/http/socket.hpp
@@ -1,4 +1,4 @@
-// What HTTP server and client share: reading, writing and addresses on libuv.
+// Socket functions shared by the HTTP server and client: reading, writing and parsing of addresses with libuv.
 #pragma once
 
 #include <string>
@@ -6,18 +6,20 @@
 
 namespace heronshift::http {
 
-/// The time of this moment, in seconds of the clock of steady_now(). steady_now() itself is the time at which the
-/// loop's turn began, which a long turn leaves behind.
+/// The current time, in seconds, on the same clock as steady_now(). steady_now() returns the time at which the loop's
+/// current iteration began, which is outdated during a long iteration.
 [[nodiscard]] double precise_now();
 
-/// libuv's allocation callback. All connections of a thread share one buffer: libuv fills one at a time on a loop, and
-/// a loop runs on one thread. The buffer is per thread since a program may run several loops.
+/// The allocation callback for uv_read_start. All connections of a thread share one buffer, because a loop reads from
+/// one connection at a time and passes the data on before it reads from the next. The buffer is thread-local because a
+/// program may run several loops, each on its own thread.
 void give_buffer(uv_handle_t* handle, std::size_t hint, uv_buf_t* buf);
 
-/// Writes all of `data`, at once as far as the socket takes it and the rest when it can. Returns 0 or a libuv error.
+/// Writes all of `data`: as much as the socket accepts at once, and the remainder when the socket becomes writable.
+/// Returns 0 or a libuv error.
 int write_all(uv_tcp_t* tcp, std::string data);
 
-/// Reads an IPv4 address. False: `host` is none.
+/// Parses an IPv4 address. Returns false if `host` is not one.
 [[nodiscard]] bool read_address(const std::string& host, int port, sockaddr_in& out);
 
 } // namespace heronshift::http
--- a/src/http_status.hpp
+++ b/src/http_status.hpp
@@ -1,9 +1,9 @@
-// The HTTP status codes that the software sends or tells apart.
+// The HTTP status codes that this program sends or handles separately.
 #pragma once
 
 namespace heronshift::http_status {
 
-/// Not a code of HTTP: no answer came. HttpReply::sent says whether the request may have arrived.
+/// Not an HTTP status code: there was no answer. HttpReply::sent says whether the request may have reached the server.
 inline constexpr int no_answer = 0;
 inline constexpr int ok = 200;
 inline constexpr int created = 201;
