--- a/src/store/engine.cpp
+++ b/src/store/engine.cpp
@@ -36,7 +36,8 @@
 
 Engine::Engine(std::unique_ptr<Data> data, Limits limits) : data_(std::move(data)), limits_(limits) {}
 
-// Bursts of one second's worth.
+// Takes from the two token buckets for requests and writes, which allow bursts of one second's worth. Returns false and
+// takes nothing if either has too little.
 bool Engine::take(double n_requests, double n_writes, std::int64_t now_ms) {
     const double passed = at_ms_ < 0 ? 1 : static_cast<double>(now_ms - at_ms_) / 1000;
     at_ms_ = now_ms;
@@ -53,7 +54,7 @@
 
 Answer Engine::get(const std::string& key, std::int64_t now_ms) {
     if (!valid_key(key))
-        return refused(400, "the key");
+        return refused(400, "key: must be 1 to 200 bytes without spaces and control characters");
     if (!take(1, 0, now_ms))
         return refused(429, "too many requests");
     auto answer = good(data_->revision());
@@ -68,7 +69,7 @@
 
 Answer Engine::list(const std::string& under, const std::string& since, int most, std::int64_t now_ms) {
     if (most < 1)
-        return refused(400, "most");
+        return refused(400, "most: must be at least 1");
     if (!take(1, 0, now_ms))
         return refused(429, "too many requests");
     auto answer = good(data_->revision());
@@ -90,26 +91,26 @@
                         std::int64_t now_ms) {
     const auto ops = static_cast<std::size_t>(limits_.txn_ops);
     if (writes.size() > ops)
-        return refused(400, fmt::format("{} changes, {} are allowed", writes.size(), ops));
+        return refused(400, fmt::format("{} changes, at most {} are allowed", writes.size(), ops));
     if (guards.size() > 4 * ops)
-        return refused(400, fmt::format("{} guards, {} are allowed", guards.size(), 4 * ops));
+        return refused(400, fmt::format("{} guards, at most {} are allowed", guards.size(), 4 * ops));
     std::vector<std::string> texts;
     std::size_t total = 0;
     for (const auto& guard : guards) {
         if (!valid_key(guard.key))
-            return refused(400, "a guard's key");
+            return refused(400, "key of a guard: must be 1 to 200 bytes without spaces and control characters");
         total += guard.key.size() + 30;
     }
     for (const auto& write : writes) {
         if (!valid_key(write.key))
-            return refused(400, "a change's key");
+            return refused(400, "key of a change: must be 1 to 200 bytes without spaces and control characters");
         texts.push_back(write.value ? write.value->dump() : std::string());
         if (static_cast<double>(texts.back().size()) > limits_.value_kb * 1024)
-            return refused(400, fmt::format("{}: a value longer than {} KiB", write.key, limits_.value_kb));
+            return refused(400, fmt::format("{}: value is longer than {} KiB", write.key, limits_.value_kb));
         total += write.key.size() + texts.back().size() + 30;
     }
     if (total > max_txn)
-        return refused(400, "longer than 64 KiB");
+        return refused(400, "transaction is longer than 64 KiB");
     if (!take(1, static_cast<double>(writes.size()), now_ms))
         return refused(429, "too many requests or changes");
     for (const auto& write : writes)
@@ -143,7 +144,7 @@
 
 Answer Engine::create_lease(std::int64_t ttl_ms, std::int64_t now_ms) {
     if (ttl_ms < min_lease_ms || ttl_ms > max_lease_ms)
-        return refused(400, "ttlMs");
+        return refused(400, "ttlMs: must be 100 to 600000");
     if (!take(1, 0, now_ms))
         return refused(429, "too many requests");
     auto answer = good(data_->revision());
@@ -194,7 +195,7 @@
 Answer Engine::follow(const std::string& under, std::uint64_t since) {
     const auto list = data_->changes(under, since);
     if (!list)
-        return refused(410, "no longer kept: read the keys again");
+        return refused(410, "changes after this revision are no longer kept: read the keys again");
     auto answer = good(data_->revision());
     for (const auto& c : *list) {
         codec::Item i;
@@ -216,7 +217,7 @@
                           [&](const CreateLease& x) { return create_lease(std::llround(x.ttl_s * 1000), now_ms); },
                           [&](const RenewLease& x) { return renew_lease(x.lease, now_ms); },
                           [&](const RevokeLease& x) { return revoke_lease(x.lease, now_ms); },
-                          [&](const Follow&) { return refused(400, "a follow waits"); },
+                          [&](const Follow&) { return refused(400, "a follow cannot run in a transaction"); },
                       },
                       call);
 }
@@ -233,7 +234,7 @@
     }
     data_->abandon();
     w.opened = true;
-    // During fault open watches stay open, as with the state service.
+    // While the data cannot be used (503), follows that are open go on waiting, as with the state service.
     if ((answer.status == 503 || (answer.status == 200 && answer.items.empty())) && now_ms < w.until_ms)
         return {};
     return answer;
--- a/src/store/file_data.cpp
+++ b/src/store/file_data.cpp
@@ -12,10 +12,10 @@
 namespace heronshift::store {
 namespace {
 
-constexpr int application = 0x48535354; // "HSST", in the file's header
+constexpr int application = 0x48535354; // "HSST", in the header of the SQLite file
 constexpr std::size_t trim_every = 1000;
 
-// Each step brings the file from one schema to the next. Steps are never changed once released.
+// Migrations: each one upgrades the file from one schema to the next. A migration is never changed after its release.
 constexpr std::array<const char*, file_schema> steps = {
     "CREATE TABLE meta(k TEXT PRIMARY KEY, v) WITHOUT ROWID;"
     "INSERT INTO meta VALUES('epoch', 0), ('boot', '');"
@@ -23,7 +23,7 @@
     " WITHOUT ROWID;"
     "CREATE TABLE holds(id INTEGER PRIMARY KEY AUTOINCREMENT, ttl INTEGER NOT NULL, ends INTEGER NOT NULL);"
     "CREATE TABLE changes(n INTEGER PRIMARY KEY AUTOINCREMENT, stamp INTEGER NOT NULL, k TEXT NOT NULL, data TEXT);",
-    // What hangs on a store lease was found by reading every key.
+    // The index kv_lease finds the keys of a store lease, which took a scan of all keys without it.
     "CREATE INDEX kv_lease ON kv(lease) WHERE lease <> 0;"
     "CREATE INDEX changes_stamp ON changes(stamp);"
     "INSERT INTO meta VALUES('forgotten', 0);",
@@ -52,7 +52,7 @@
     FileData& operator=(const FileData&) = delete;
 
     void begin() override {
-        // A file that was removed or replaced still takes writes, which nobody would ever read.
+        // SQLite goes on writing to a file that was removed or replaced, and nobody could read what it writes.
         struct stat s {};
         if (::stat(path_.c_str(), &s) != 0 || s.st_ino != inode_ || s.st_dev != device_)
             throw StoreError(fmt::format("{}: the file was removed or replaced", path_));
@@ -68,7 +68,7 @@
         const std::string why = sqlite3_errmsg(db_);
         sqlite3_exec(db_, "ROLLBACK", nullptr, nullptr, nullptr);
         if (e == SQLITE_IOERR)
-            return false; // the sync may have failed after the write
+            return false; // the outcome is unknown: the sync may have failed after the write
         throw StoreError(fmt::format("{}: {}", path_, why));
     }
     void abandon() override {
@@ -196,7 +196,7 @@
     }
 
 private:
-    // A prepared statement, ready to be bound.
+    // A prepared statement.
     class Statement {
     public:
         Statement(sqlite3* db, const std::string& path, const std::string& sql) : db_(db), path_(path) {
@@ -266,8 +266,8 @@
             statement = std::make_unique<Statement>(db_, path_, sql);
         return statement->reset();
     }
-    // A statement that was not read to its end holds on to an old view of the file, and the next
-    // transaction could not begin on top of it.
+    // To be called at the end of a transaction. A statement whose rows were not all read keeps its read snapshot open,
+    // and the next write transaction could not begin on an outdated snapshot.
     void reset_all() {
         for (auto& [sql, statement] : statements_)
             statement->reset();
@@ -296,14 +296,15 @@
         sqlite3_extended_result_codes(db_, 0);
         sqlite3_busy_timeout(db_, static_cast<int>(options.busy_wait_s * 1000));
         const int newest = options.schema > 0 ? options.schema : file_schema;
-        // At one moment: between two, another process may have made the file its and our own.
+        // All three are read in one transaction. Between separate reads, another process could create the schema, and
+        // the file would look like a database of another program.
         run("BEGIN");
         const auto owner = ask("PRAGMA application_id");
         const auto tables = ask("SELECT count(*) FROM sqlite_master");
         const auto schema = ask("PRAGMA user_version");
         run("COMMIT");
         if (owner != application && (owner != 0 || tables != 0))
-            throw StoreError(fmt::format("{}: a database of another program", path_));
+            throw StoreError(fmt::format("{}: not a heronshift store but a database of another program", path_));
         if (schema > static_cast<std::uint64_t>(file_schema))
             throw StoreError(fmt::format("{}: written by a newer version (schema {}, this one knows {})", path_, schema,
                                          file_schema));
@@ -316,7 +317,7 @@
         run(options.fsync ? "PRAGMA synchronous=FULL" : "PRAGMA synchronous=OFF");
         run("BEGIN IMMEDIATE");
         try {
-            // Another process may have done it meanwhile.
+            // Reads the schema again, since another process may have migrated the file meanwhile.
             for (auto k = ask("PRAGMA user_version"); k < static_cast<std::uint64_t>(newest); ++k)
                 run(steps[k]);
             run(fmt::format("PRAGMA application_id={}", application).c_str());
@@ -335,7 +336,8 @@
         device_ = s.st_dev;
     }
 
-    // SQLite does not wait by itself here, where another process is about to do the same.
+    // Switches the file to WAL mode. Retries for up to `wait_s`, because SQLite's busy time-out does not apply when
+    // another process is switching the mode at the same time.
     void to_wal(double wait_s) {
         constexpr auto pause = std::chrono::milliseconds(5);
         const auto end = std::chrono::steady_clock::now() + std::chrono::duration<double>(wait_s);
@@ -349,7 +351,8 @@
         }
     }
 
-    // The clock that leases end by began anew.
+    // Gives all leases their full time again after a boot of the machine, since the steady clock that they expire by
+    // has started anew.
     void renew_after_boot() {
         const auto boot = boot_id();
         Statement statement(db_, path_, "SELECT v FROM meta WHERE k='boot'");
@@ -380,7 +383,7 @@
 void back_up(const std::string& path, const std::string& to) {
     struct stat s {};
     if (::stat(to.c_str(), &s) == 0)
-        throw StoreError(fmt::format("{}: exists", to));
+        throw StoreError(fmt::format("{}: already exists", to));
     sqlite3 *from = nullptr, *into = nullptr;
     int e = sqlite3_open_v2(path.c_str(), &from, SQLITE_OPEN_READONLY, nullptr);
     std::string why = e == SQLITE_OK ? "" : fmt::format("{}: {}", path, sqlite3_errmsg(from));
--- a/src/store/local.cpp
+++ b/src/store/local.cpp
@@ -35,20 +35,21 @@
     return !is_follow(call) && !std::holds_alternative<Get>(call) && !std::holds_alternative<List>(call);
 }
 
-// Calls of one controller, beyond which the next is answered 503 at once. Machines do not call the store: the leader
-// has one transaction under way, and look-ups and submissions of users have their own bounds (gateway/gateway.cpp).
+// Maximum number of queued calls; further ones are answered 503 at once. All are calls of one controller, since
+// machines do not call the store: the leader has one transaction in progress, and look-ups and submissions of users
+// have their own limits (gateway/gateway.cpp).
 constexpr std::size_t max_waiting = 1000;
-constexpr std::size_t max_batch = 200; // for one commit of the file; the rest goes into the next
+constexpr std::size_t max_batch = 200; // calls per commit of the file; the rest goes into the next batch
 
 } // namespace
 
 struct LocalStore::Asked {
     std::uint64_t id = 0;
     Call call;
-    std::int64_t until_ms = 0; // of a follow
+    std::int64_t until_ms = 0; // when a follow is answered at the latest; unused for other calls
 };
 
-// What the loop and the thread share. The thread owns the engine.
+// The state shared by the loop's thread and the engine's thread. Only the latter uses the engine.
 struct LocalStore::Shared {
     std::mutex lock;
     std::condition_variable wake;
@@ -63,11 +64,12 @@
         std::uint64_t id;
         Engine::Waiting w;
     };
-    std::vector<Waiting> follows; // the thread's
+    std::vector<Waiting> follows; // used by the engine's thread only
 
     void run() {
         std::unique_lock l(lock);
-        while (!stop || !queue.empty()) { // what was asked for before the end is done, such as giving a store lease up
+        // Calls that were queued before the store is destroyed, such as the revocation of a store lease, are executed.
+        while (!stop || !queue.empty()) {
             if (queue.empty())
                 wake.wait_for(l, std::chrono::duration<double>(poll_s));
             std::vector<Asked> batch;
@@ -108,14 +110,14 @@
                 }
                 open_outcome = !engine->data().commit();
                 if (open_outcome)
-                    wrong = "the disk failed, the outcome is open";
+                    wrong = "I/O error during commit, the outcome is unknown";
             }
         } catch (const std::exception& error) {
             wrong = error.what();
             engine->data().abandon();
         }
         if (!wrong.empty()) {
-            // Nothing of the batch is told that is not surely stored.
+            // Discards all answers of the batch, since nothing in it is known to be stored.
             out.clear();
             for (const auto& c : batch)
                 if (!is_follow(c.call))
@@ -167,7 +169,7 @@
     const auto until = f != nullptr ? steady_ms() + static_cast<std::int64_t>(f->block_s * 1000) : 0;
     const std::lock_guard l(shared_->lock);
     if (shared_->queue.size() >= max_waiting) {
-        shared_->answers.emplace_back(id, failed(503, "too many calls wait"));
+        shared_->answers.emplace_back(id, failed(503, "too many calls are queued"));
         uv_async_send(shared_->async);
         return;
     }
@@ -186,7 +188,7 @@
     for (auto& [id, answer] : list) {
         const auto it = open_.find(id);
         if (it == open_.end())
-            continue; // given up
+            continue; // has timed out
         const auto done = std::move(it->second.done);
         open_.erase(it);
         done(std::move(answer));
@@ -208,7 +210,7 @@
     }
     const auto alive = alive_;
     for (const auto& done : late) {
-        done(failed(0, "no answer in time"));
+        done(failed(0, "timed out"));
         if (!*alive)
             return;
     }
--- a/src/store/local.hpp
+++ b/src/store/local.hpp
@@ -1,7 +1,7 @@
-// A state store inside this process: an engine on a thread of its own, which takes what has gathered
-// as one batch, with one commit. So a slow disk holds up no loop, and one sync serves many changes.
+// A state store inside this process. Its engine runs on a separate thread, which executes the queued calls in batches
+// with one commit each. A slow disk therefore does not block the event loop, and one sync covers many changes.
 //
-// Owns: the engine and its thread, who waits for changes, deadlines of calls.
+// Owns the engine and its thread, the waiting follows and the deadlines of calls.
 #pragma once
 
 #include "heronshift/store/engine.hpp"
@@ -12,7 +12,7 @@
 
 class LocalStore final : public StateStore {
 public:
-    // The loop must run, or be run once more, after the store is destroyed: a handle closes there.
+    // The loop must run at least once more after the store is destroyed, to close a libuv handle.
     LocalStore(uv_loop_t* loop, std::unique_ptr<Engine> engine, double poll_s = 0.02);
     ~LocalStore() override;
 
@@ -33,7 +33,7 @@
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
-// One on a file of this machine, see file_data.hpp. Throws StoreError.
+// Creates a store on a file of this machine, see file_data.hpp. Throws StoreError.
 std::unique_ptr<StateStore> file_store(uv_loop_t* loop, const std::string& path, int txn_ops, double value_kb);
 
 } // namespace heronshift::store
--- a/src/store/remote.cpp
+++ b/src/store/remote.cpp
@@ -9,12 +9,12 @@
 namespace {
 
 constexpr std::size_t connections = 8, waiting = 200, follow_connections = 2, follow_waiting = 4;
-constexpr double max_block_s = 60; // the state service refuses a longer one
+constexpr double max_block_s = 60; // the state service refuses a longer wait
 
-// An answer that cannot be read is none: what was asked for may have been done.
+// Marks an answer that cannot be parsed with status 502: the call may have been executed.
 void unreadable(Answer& answer) {
     answer.status = 502;
-    answer.error = "an answer that cannot be read";
+    answer.error = "the answer cannot be parsed";
 }
 
 void read_item(const std::string& body, Answer& answer) {
@@ -103,8 +103,8 @@
             },
             [&](const RevokeLease& c) { ask(calls_, "DELETE", lease_path(c.lease), "", nullptr); },
             [&](const Follow& c) {
-                // With leases of three minutes every follow was refused, and the leader never heard of the jobs
-                // that other nodes had stored.
+                // Limited because block_s depends on the lease time: with leases of three minutes the state service
+                // would refuse every follow, and the leader would never see the jobs that other nodes have stored.
                 const double block_s = std::min(c.block_s, max_block_s);
                 timeout_s -= c.block_s - block_s;
                 ask(follows_, "GET",
--- a/src/store/remote.hpp
+++ b/src/store/remote.hpp
@@ -1,4 +1,4 @@
-// The state service over HTTP, as the platform has it.
+// Client of the platform's state service, over HTTP.
 #pragma once
 
 #include "heronshift/store/store.hpp"
--- a/src/store/server.cpp
+++ b/src/store/server.cpp
@@ -47,14 +47,14 @@
         engine().renew_all(store_.now_ms());
     fault_mode_ = m;
     if (m != FaultMode::silent)
-        unanswered_.clear(); // their callers have given up
+        unanswered_.clear(); // the clients have timed out by now
 }
 
 void StoreServer::poll() {
     if (++polls_ % polls_a_sweep == 0)
         server_.sweep();
     if (fault_mode_ == FaultMode::well)
-        store_.sweep(); // else open watches stay open
+        store_.sweep(); // during a fault, open follows stay open
 }
 
 void StoreServer::handle(HttpRequest&& request, const Responder& res) {
@@ -68,7 +68,7 @@
     if (fault_mode_ == FaultMode::busy)
         return res.send(429, R"({"error":"too many requests"})", 1);
     const auto bad = [&](const char* what) { res.send(400, codec::Json{{"error", what}}.dump()); };
-    // The text of a good answer; others say what is wrong.
+    // Executes a call. `text` formats the body of an answer with status 200; other answers contain the error.
     const auto ask = [&](Call&& call, std::string (*text)(Answer &&)) {
         store_.call(std::move(call), 0, [res, text](Answer&& answer) {
             const int status = answer.status;
@@ -89,7 +89,7 @@
     if (get && request.path == store) {
         int most = static_cast<int>(max_items);
         if (const auto text = field_of(request.query, "most"); !text.empty() && !number(text, most))
-            return bad("most");
+            return bad("most: must be an integer");
         return ask(List{field_of(request.query, "under"), field_of(request.query, "since"), most}, [](Answer&& answer) {
             return codec::page_answer({std::move(answer.items), answer.more, answer.revision});
         });
@@ -97,14 +97,14 @@
     if (post && request.path == codec::path_txn) {
         auto t = codec::txn_request(request.body);
         if (!t)
-            return bad("not a transaction");
+            return bad("the body is not a transaction");
         return ask(Transact{std::move(t->guards), std::move(t->writes)},
                    [](Answer&& answer) { return codec::revision_answer(answer.revision); });
     }
     if (post && request.path == leases) {
         const auto ttl = codec::ttl_ms_of(request.body);
         if (!ttl)
-            return bad("ttlMs");
+            return bad("ttlMs: must be a non-negative integer");
         return ask(CreateLease{static_cast<double>(*ttl) / 1000},
                    [](Answer&& answer) { return codec::lease_answer(answer.lease); });
     }
@@ -125,11 +125,11 @@
         std::uint64_t since = 0;
         std::int64_t block = 0;
         if (!number(field_of(request.query, "since"), since))
-            return bad("since");
+            return bad("since: must be a revision number");
         if (const auto text = field_of(request.query, "blockMs"); !text.empty() && !number(text, block))
-            return bad("blockMs");
+            return bad("blockMs: must be an integer");
         if (block < 0 || block > max_block_ms)
-            return bad("blockMs");
+            return bad("blockMs: must be 0 to 60000");
         return ask(Follow{field_of(request.query, "under"), since, static_cast<double>(block) / 1000},
                    [](Answer&& answer) {
                        return codec::events_answer({std::move(answer.items), answer.more, answer.revision});
--- a/src/store/server.hpp
+++ b/src/store/server.hpp
@@ -1,5 +1,5 @@
-// an emulator of the state service: an engine behind HTTP on loopback, for tests, tries and scripts.
-// Faults can be played: an outage (503) or silence, for everybody.
+// An emulator of the state service, for tests, experiments and scripts: an engine served over HTTP on loopback. It can
+// simulate faults, which affect all clients.
 #pragma once
 
 #include "heronshift/store/direct.hpp"
@@ -10,7 +10,8 @@
 
 class StoreServer {
 public:
-    enum class FaultMode : std::uint8_t { well, out, busy, silent }; // 503, 429, no answer
+    // How requests are treated: `well` serves them, `out` answers 503, `busy` answers 429, `silent` does not answer.
+    enum class FaultMode : std::uint8_t { well, out, busy, silent };
     StoreServer(uv_loop_t* loop, std::unique_ptr<Engine> engine);
     StoreServer(const StoreServer&) = delete;
     StoreServer& operator=(const StoreServer&) = delete;
@@ -22,9 +23,9 @@
     [[nodiscard]] Engine& engine() {
         return store_.engine();
     }
-    // When an outage ends, all leases have their full time again.
+    // When a fault ends (the mode becomes `well`), all leases get their full time again.
     void set_fault_mode(FaultMode m);
-    void poll(); // answers who waits for a change; start() sees to it
+    void poll(); // answers follows whose keys have changed or whose time is over; start() calls it periodically
     [[nodiscard]] std::uint64_t requests() const {
         return requests_;
     }
