--- a/src/bounded_cache.hpp
+++ b/src/bounded_cache.hpp
@@ -1,4 +1,4 @@
-// A bounded map from names to values.
+// A map from names to values with a maximum size.
 #pragma once
 
 #include <cstddef>
@@ -9,13 +9,13 @@
 
 namespace heronshift {
 
-/// What was learned lately, by name. Of more than max_size entries the oldest is forgotten, so this is only for what
-/// may be forgotten; cluster/departed_machines.hpp is for what may not. Not synchronised.
+/// A map from names to values that evicts the oldest entry when it holds more than `max_size`. Use it only for data
+/// that may be lost; cluster/departed_machines.hpp keeps entries that must not be evicted. Not synchronised.
 template <class V> class BoundedCache {
 public:
     explicit BoundedCache(std::size_t max_size) : max_size_(max_size) {}
 
-    /// Null: not known. Valid until the next change.
+    /// Null if there is no entry with this name. The pointer is valid until the next modification.
     [[nodiscard]] const V* find(const std::string& name) const {
         const auto it = known_.find(name);
         return it == known_.end() ? nullptr : &it->second.value;
@@ -27,7 +27,7 @@
     [[nodiscard]] bool contains(const std::string& name) const {
         return known_.contains(name);
     }
-    /// Adds an entry as the newest. False: the name is known, and its entry stays as it was.
+    /// Adds an entry as the newest. Returns false, and leaves the existing entry unchanged, if there is one already.
     bool add(const std::string& name, V value) {
         if (known_.contains(name))
             return false;
@@ -43,7 +43,7 @@
         order_.erase(it->second.place);
         known_.erase(it);
     }
-    /// Sets another bound, and forgets the oldest beyond it.
+    /// Changes the maximum size and evicts the oldest entries beyond it.
     void limit(std::size_t max_size) {
         max_size_ = max_size;
         while (known_.size() > max_size_) {
@@ -62,7 +62,7 @@
     };
     std::size_t max_size_;
     std::unordered_map<std::string, Known> known_;
-    std::list<std::string> order_; // the oldest first
+    std::list<std::string> order_; // oldest first
 };
 
 } // namespace heronshift
--- a/src/config.cpp
+++ b/src/config.cpp
@@ -17,17 +17,17 @@
 namespace heronshift {
 namespace {
 
-constexpr double lease_clock_drift = 0.002; // of steady clocks, four times what the protocol allows
+constexpr double lease_clock_drift = 0.002; // of steady clocks; four times the drift that the protocol allows
 constexpr int max_port = 65535;
 constexpr int max_batch = 8;
 constexpr double max_count = 1e6;
-constexpr double min_gamma_of_alpha = 5; // "far above alpha"
-constexpr double min_begin_reports = 10; // begin-s, in intervals of heartbeats
+constexpr double min_gamma_of_alpha = 5; // the smallest ratio that counts as "far above alpha"
+constexpr double min_begin_reports = 10; // lower bound of begin-s, in heartbeat intervals
 constexpr double max_begin_s = 86'400;
 constexpr double min_memory_mb = 16, min_fd_limit = 64, min_txn_ops = 4;
 
-// Reads fields of a TOML file and says where one is wrong, as SettingsError. `at` is the path of the table, with a dot
-// at its end, that messages name.
+// Reads the fields of a TOML file. Throws SettingsError, with the path of the field, if one is missing or invalid. `at`
+// is the path of the parent table with a trailing dot, for these messages.
 class Reader {
 public:
     explicit Reader(std::string path) : path_(std::move(path)) {}
@@ -43,7 +43,7 @@
         return *value;
     }
 
-    // open: min itself is too little.
+    // `open`: the lower bound is exclusive, so the value must be above `min`.
     double number(const toml::table& parent, const std::string& at, const char* key, double min,
                   bool open = false) const {
         const auto& node = required(parent, at, key);
@@ -64,7 +64,7 @@
         return *node.as_table();
     }
 
-    // Calls back with each table of an array and its path; the array may be missing.
+    // Calls `callback` with each table of an array and the table's path. A missing array counts as empty.
     template <class F> void each(const toml::table& parent, const std::string& at, const char* key, F callback) const {
         const auto* node = parent.get(key);
         if (node == nullptr)
@@ -80,7 +80,7 @@
         }
     }
 
-    // The strings of an array, which may be missing.
+    // The strings of an array. A missing array counts as empty.
     std::vector<std::string> texts(const toml::table& parent, const std::string& at, const char* key) const {
         std::vector<std::string> out;
         const auto* node = parent.get(key);
@@ -123,7 +123,8 @@
     std::string path_;
 };
 
-// One setting of the operators' file: (name value). Exactly one of number, count and flag is set.
+// One setting of the operators' file, written there as (name value). Exactly one of `number`, `count` and `flag` is
+// set: the member of OperatorSettings that the value is stored in.
 struct OperatorField {
     const char* name;
     double OperatorSettings::*number = nullptr;
@@ -191,7 +192,7 @@
     }
 }
 
-// Comments run from ; to the end of the line.
+// Replaces comments, which run from ; to the end of the line, by spaces.
 void blank_comments(std::string& text) {
     bool comment = false;
     for (auto& c : text) {
@@ -211,7 +212,7 @@
     return depth == 0;
 }
 
-// Owns what sfsexp has parsed, and the memory that it keeps.
+// Owns an expression parsed by sfsexp, and frees the memory that sfsexp caches between parses.
 struct Expression {
     sexp_t* root;
     explicit Expression(std::string& text) : root(parse_sexp(text.data(), text.size())) {}
@@ -228,7 +229,7 @@
     std::string name, value;
 };
 
-// The settings of an operators' file, in its order.
+// Parses an operators' file. Returns its settings in the order of the file.
 std::vector<NamedValue> operator_file(const std::string& path) {
     auto text = read_file(path);
     blank_comments(text);
@@ -256,7 +257,7 @@
 }
 
 toml::table toml_file(const std::string& path) {
-    read_file(path); // says in our words that it cannot be read
+    read_file(path); // throws SettingsError if the file cannot be read, before toml++ reports it in its own form
     try {
         return toml::parse_file(path);
     } catch (const toml::parse_error& e) {
@@ -264,7 +265,7 @@
     }
 }
 
-// The sections of the platform's file.
+// The functions below read one section of the platform's settings file each.
 
 void read_peers(const Reader& reader, const toml::table& file, Settings& settings) {
     std::set<std::string> names{settings.name};
@@ -324,7 +325,8 @@
     settings.cancel_s = reader.number(workers, at, "cancel_s", 0, true);
     if (settings.lease_s < 2 * settings.report_s)
         reader.fail(at + "lease_s", "must be at least twice report_s");
-    // A machine that no stop reaches keeps a cancelled task until its lease has run out, by its own clock.
+    // A machine that does not receive the stop request goes on with a cancelled task until its lease expires by its
+    // own clock.
     if (settings.cancel_s < settings.lease_s * (1 + lease_clock_drift))
         reader.fail(at + "cancel_s",
                     "must be longer than lease_s, which is how long a machine that cannot be reached goes on");
@@ -341,7 +343,8 @@
     settings.state_write_rps = reader.number(state, at, "write_rps", 0, true);
     settings.value_kb = reader.number(state, at, "value_kb", 1);
     settings.txn_ops = read_txn_ops(reader, state, at);
-    // Lowered some time after an upgrade, without notice: what is written fits the smaller from the start.
+    // The state service switches to the limits of facts.state.next some time after an upgrade, without notice. Requests
+    // therefore keep to the smaller of both limits from the start.
     if (!state.contains("next"))
         return;
     const std::string in = "facts.state.next.";
--- a/src/loop_timer.hpp
+++ b/src/loop_timer.hpp
@@ -10,10 +10,10 @@
 
 namespace heronshift {
 
-/// Calls a function again and again for as long as the timer lives. On the loop's thread only.
+/// Calls a function at a fixed interval until the timer is destroyed. Used on the loop's thread only.
 class LoopTimer {
 public:
-    /// To be called once. Returns 0 or a libuv error.
+    /// To be called once. The first call of `callback` comes after one interval. Returns 0 or a libuv error.
     int start(uv_loop_t* loop, std::uint64_t every_ms, std::function<void()> callback) {
         callback_ = std::move(callback);
         auto* timer = timer_.create();
--- a/src/overloaded.hpp
+++ b/src/overloaded.hpp
@@ -1,10 +1,11 @@
-// One function for each alternative of a variant.
+// Visits a variant with one lambda for each alternative.
 #pragma once
 
 namespace heronshift {
 
 /// An overload set of lambdas: std::visit(Overloaded{...}, variant).
 template <class... F> struct Overloaded : F... { using F::operator()...; };
-template <class... F> Overloaded(F...) -> Overloaded<F...>; // for compilers without aggregate deduction
+// Deduction guide for compilers that cannot deduce the template arguments of an aggregate.
+template <class... F> Overloaded(F...) -> Overloaded<F...>;
 
 } // namespace heronshift
--- a/src/timer_queue.hpp
+++ b/src/timer_queue.hpp
@@ -1,4 +1,4 @@
-// Timers for parts that have no loop of their own.
+// Timers for components that do not have access to the event loop.
 #pragma once
 
 #include "heronshift/clock.hpp"
@@ -12,20 +12,21 @@
 
 namespace heronshift {
 
-/// Functions that are to run at a later time. Whoever drives the queue asks when the next is due and runs what is; it
-/// starts no thread and waits for nothing. Times are seconds. Not synchronised: on the loop's thread only.
+/// Functions to be called at a later time. The queue starts no thread and never blocks: its owner asks next_at() when
+/// the next function is due and calls run() then. Times are in seconds. Not synchronised: used on the loop's thread
+/// only.
 class TimerQueue {
 public:
     explicit TimerQueue(std::shared_ptr<const Clock> clock) : clock_(std::move(clock)) {}
 
-    /// Calls back once, by run(), delay_s from now.
+    /// Schedules `callback` to be called once, by run(), `delay_s` from now.
     void after(double delay_s, std::function<void()> callback) {
         list_.push_back({clock_->now() + delay_s, std::move(callback)});
         if (on_change)
             on_change();
     }
-    /// Calls what is due, also what the clock will make due within half a millisecond. What a callback adds waits for
-    /// the next call.
+    /// Calls the functions that are due or will be within half a millisecond. Functions that are added by a callback
+    /// are not called before the next run().
     void run() {
         std::vector<Entry> due;
         const double t = clock_->now() + timer_s;
@@ -41,26 +42,27 @@
         for (auto& entry : due)
             entry.f();
     }
-    /// When the next is due, by now(); infinity: there is none.
+    /// When the next function is due, on the clock of now(); infinity if the queue is empty.
     [[nodiscard]] double next_at() const {
         double at = std::numeric_limits<double>::infinity();
         for (const auto& entry : list_)
             at = std::min(at, entry.at);
         return at;
     }
-    /// The steady clock.
+    /// The time of the steady clock.
     [[nodiscard]] double now() const {
         return clock_->now();
     }
-    /// The wall clock: seconds since 1970.
+    /// The time of the wall clock: seconds since 1970.
     [[nodiscard]] double wall() const {
         return clock_->wall();
     }
-    /// Called when next_at() may have become sooner.
+    /// Called when next_at() may have become earlier.
     std::function<void()> on_change;
 
 private:
-    static constexpr double timer_s = 0.0005; // timers fire in steps
+    // The loop's timers have a resolution of one millisecond and may fire slightly before a function is due.
+    static constexpr double timer_s = 0.0005;
     struct Entry {
         double at;
         std::function<void()> f;
