--- a/src/connection_shares.hpp
+++ b/src/connection_shares.hpp
@@ -63,7 +63,7 @@
             idle_[index(entry.kind_)].erase(entry.at_);
         entry.idle_ = false;
     }
-    // Sets the kind of a connection, which a request has shown.
+    // Sets the kind of a connection, as determined from its latest request.
     void classify(Entry& entry, ClientKind kind) {
         busy(entry);
         --counts_[index(entry.kind_)];
--- a/src/http.hpp
+++ b/src/http.hpp
@@ -81,7 +81,7 @@
     /// `idle_s`: idle connections are closed after this time, in seconds. Connections on which a request has begun to
     /// arrive but is incomplete are closed after a quarter of it.
     HttpServer(uv_loop_t* loop, std::size_t max_connections, double idle_s, Handler handler);
-    /// `limits` includes a limit for each kind of client. `classifier` tells the kind from a request.
+    /// `limits` includes a limit for each kind of client. `classifier` determines the kind from a request.
     HttpServer(uv_loop_t* loop, ConnectionLimits limits, double idle_s, Classifier classifier, Handler handler);
     ~HttpServer(); // NOLINT(bugprone-exception-escape): says why where it is defined
     HttpServer(const HttpServer&) = delete;
--- a/src/http/client.cpp
+++ b/src/http/client.cpp
@@ -234,9 +234,10 @@
     pump_starved();
 }
 
-// If the request is found overdue much too late, the event loop was blocked: the answer may have arrived meanwhile and
-// still have to be read. The deadline is then extended by the delay, once and by at most the time-out itself. A server
-// that does not answer is thus detected within twice the time-out, and within the time-out if the loop is not blocked.
+// If the request is found overdue long after its deadline, the event loop was blocked: the answer may have arrived
+// meanwhile without having been read yet. The deadline is then extended by the delay, once and by at most the time-out
+// itself. A server that does not answer is thus detected within twice the time-out, and within the time-out if the loop
+// is not blocked.
 bool HttpClient::PendingRequest::overdue(double now) {
     const double late = now - deadline;
     if (late <= 0)
