--- a/apps/heronshift/main.cpp
+++ b/apps/heronshift/main.cpp
@@ -1,6 +1,7 @@
-// The program: the daemon, which runs one controller until it is killed, and the verbs for users and operators. Each
-// verb has a struct with its options, a function that declares them, and one that runs it and returns the exit code: 0
-// done, 1 failed, 2 wrong arguments or settings.
+// The heronshift program: the daemon, which runs one controller until it receives SIGTERM, and the subcommands for
+// users and operators. Each subcommand has a struct for its options, a function that declares them, and a function that
+// runs it and returns the exit code: 0 success, 1 failure, 2 invalid arguments or settings. For the exit codes of the
+// user subcommands see cli/client.hpp.
 #include "cli/client.hpp"
 #include "cli/schema.hpp"
 #include "heronshift/codec.hpp"
@@ -41,7 +42,8 @@
     return exit_usage;
 }
 
-// One JSON object a line: time (RFC 3339, UTC), level, node if it is known by then, message.
+// Formats each log record as a JSON object on a line of its own, with `time` (RFC 3339, UTC), `level`, `node` (left out
+// if there is no node name) and `message`.
 class JsonLines final : public spdlog::formatter {
 public:
     explicit JsonLines(std::string node) : node_(std::move(node)) {}
@@ -78,7 +80,7 @@
     spdlog::set_default_logger(std::move(log));
 }
 
-// --- the daemon, and the check of its settings ---
+// --- daemon, and validation of its settings ---
 
 struct DaemonOptions {
     std::string config, operators;
@@ -106,9 +108,10 @@
         check_against_schema(options.operators, cli::operators_schema, heronshift::operators_as_json);
 }
 
-// Stops the node, and the loop a moment later: what is told to the store on the way out gets that long.
+// Handles SIGTERM: stops the node at once and the loop after `shutdown_ms`, so that the last requests to the store,
+// such as the revocation of the leader lease, have time to be sent.
 void shut_down(uv_signal_t* signal, int /*number*/) {
-    spdlog::info("asked to end");
+    spdlog::info("shutting down signal=SIGTERM");
     static_cast<heronshift::Node*>(signal->data)->stop();
     static uv_timer_t end;
     uv_timer_init(signal->loop, &end);
@@ -127,7 +130,7 @@
     if (log)
         node.record(std::move(log));
     if (const int error = node.start(); error != 0) {
-        spdlog::error("cannot listen: {}", uv_strerror(error));
+        spdlog::error("cannot listen error=\"{}\"", uv_strerror(error));
         return exit_failed;
     }
     uv_signal_t terminate;
@@ -164,23 +167,26 @@
     }
 }
 
-// --- a platform on loopback ---
+// --- emulated platform on loopback ---
 
 CLI::App* add_local(CLI::App& app, local::LocalOptions& options) {
-    auto* verb = app.add_subcommand("local", "a platform on loopback to try it on: one command, no settings");
-    verb->add_option("--seconds", options.seconds, "in which jobs are submitted")
+    auto* verb =
+        app.add_subcommand("local", "run a whole emulated cluster on loopback, to try heronshift without any settings");
+    verb->add_option("--seconds", options.seconds, "period in which jobs are submitted")
         ->check(CLI::Range(5.0, 3600.0))
         ->capture_default_str();
-    verb->add_option("--jobs", options.jobs, "how many, besides a pipeline of three")
+    verb->add_option("--jobs", options.jobs, "number of jobs, in addition to a pipeline of three")
         ->check(CLI::Range(1, 2000))
         ->capture_default_str();
-    verb->add_option("--seed", options.seed, "of load and troubles")->capture_default_str();
-    verb->add_flag("--faults", options.faults, "kill, cut, hang and silence things now and then");
-    verb->add_option("--folder", options.folder, "for settings and logs");
+    verb->add_option("--seed", options.seed, "random seed of the load and the faults")->capture_default_str();
+    verb->add_flag("--faults", options.faults,
+                   "inject faults: controllers killed, machines lost, hung or cut off, store and cloud outages");
+    verb->add_option("--folder", options.folder,
+                     "folder for settings and logs; default: a new one under TMPDIR or /tmp");
     verb->add_option("--serve-port", options.serve_port,
-                     "stand-ins only: machines report to the scheduler of another program at this port")
+                     "run only the emulators; machines send heartbeats to a scheduler in another program at this port")
         ->check(CLI::Range(1, 65535));
-    verb->add_flag("--stay", options.stay, "go on serving after the load, until interrupted");
+    verb->add_flag("--stay", options.stay, "keep running after the last job has ended, until interrupted");
     return verb;
 }
 
@@ -188,7 +194,7 @@
     std::string listen;
     store::Limits limits{200, 100, 24, 16};
     local::PlatformPlan cloud;
-    std::vector<std::string> nodes; // NAME=ADDRESS:PORT
+    std::vector<std::string> nodes; // Controllers, as NAME=ADDRESS:PORT.
 };
 
 struct EmulatorVerbs {
@@ -196,22 +202,27 @@
 };
 
 void add_state_options(CLI::App& verb, store::Limits& limits) {
-    verb.add_option("--rps", limits.rps, "requests a second; 0: no limit")
+    verb.add_option("--rps", limits.rps, "limit of requests per second; 0: no limit")
         ->check(CLI::NonNegativeNumber)
         ->capture_default_str();
-    verb.add_option("--write-rps", limits.write_rps, "changes a second; 0: no limit")
+    verb.add_option("--write-rps", limits.write_rps, "limit of writes per second; 0: no limit")
         ->check(CLI::NonNegativeNumber)
         ->capture_default_str();
-    verb.add_option("--txn-ops", limits.txn_ops, "changes in a transaction")
+    verb.add_option("--txn-ops", limits.txn_ops, "maximum number of writes in a transaction")
         ->check(CLI::Range(1, 1000))
         ->capture_default_str();
-    verb.add_option("--value-kb", limits.value_kb, "of a value")->check(CLI::Range(1.0, 64.0))->capture_default_str();
+    verb.add_option("--value-kb", limits.value_kb, "maximum size of a value in kB")
+        ->check(CLI::Range(1.0, 64.0))
+        ->capture_default_str();
 }
 
 void add_cloud_options(CLI::App& verb, EmulatorOptions& options) {
     auto& cloud = options.cloud;
-    verb.add_option("--node", options.nodes, "a controller that machines report to, NAME=ADDRESS:PORT")->required();
-    verb.add_option("--capacity", cloud.capacity, "machines of a type, zone and kind")
+    verb.add_option("--node", options.nodes,
+                    "controller that machines send heartbeats to, as NAME=ADDRESS:PORT; repeatable")
+        ->required();
+    verb.add_option("--capacity", cloud.capacity,
+                    "maximum number of machines of each machine type and zone, for spot and on-demand machines each")
         ->check(CLI::Range(0, 1000))
         ->capture_default_str();
     verb.add_option("--report-s", cloud.workers.report_s)->check(CLI::Range(0.1, 60.0))->capture_default_str();
@@ -221,12 +232,13 @@
 
 EmulatorVerbs add_emulator(CLI::App& app, EmulatorOptions& options) {
     EmulatorVerbs verbs;
-    verbs.emulator = app.add_subcommand("stand-in", "one part of that platform, until interrupted");
+    verbs.emulator = app.add_subcommand("stand-in", "run one emulated service until interrupted");
     verbs.emulator->require_subcommand(1);
-    verbs.state = verbs.emulator->add_subcommand("state", "the state service, in memory");
-    verbs.cloud = verbs.emulator->add_subcommand("cloud", "the cloud, with machines that pretend to run tasks");
+    verbs.state = verbs.emulator->add_subcommand("state", "state service that keeps its data in memory");
+    verbs.cloud = verbs.emulator->add_subcommand("cloud", "cloud whose machines simulate the execution of tasks");
     for (auto* verb : {verbs.state, verbs.cloud})
-        verb->add_option("--listen", options.listen, "ADDRESS:PORT; port 0: one that is free")->required();
+        verb->add_option("--listen", options.listen, "address to listen on, ADDRESS:PORT; port 0: any free port")
+            ->required();
     add_state_options(*verbs.state, options.limits);
     add_cloud_options(*verbs.cloud, options);
     return verbs;
@@ -250,7 +262,7 @@
     }
 }
 
-// --- for users ---
+// --- subcommands for users ---
 
 struct UserOptions {
     std::vector<std::string> nodes;
@@ -263,7 +275,8 @@
 
 CLI::App* add_user_verb(CLI::App& app, UserOptions& options, const char* name, const char* what) {
     auto* verb = app.add_subcommand(name, what);
-    verb->add_option("--node", options.nodes, "address of a controller, host:port; several are tried in turn")
+    verb->add_option("--node", options.nodes,
+                     "address of a controller, HOST:PORT; if several are given, they are tried in turn")
         ->required()
         ->envname("HERONSHIFT_NODE");
     return verb;
@@ -271,13 +284,15 @@
 
 UserVerbs add_user_verbs(CLI::App& app, UserOptions& options) {
     UserVerbs verbs;
-    verbs.submit = add_user_verb(app, options, "submit", "submit a job; an id that is known gets its state");
-    verbs.submit->add_option("FILE", options.job_file, "the job as JSON, - for standard input")->required();
-    verbs.get = add_user_verb(app, options, "get", "the state of a job");
-    verbs.cancel = add_user_verb(app, options, "cancel", "cancel a job and all that wait for it");
-    verbs.watch = add_user_verb(app, options, "watch", "a line at each change, until the job is over");
+    verbs.submit = add_user_verb(app, options, "submit",
+                                 "submit a job; if its id was submitted before, print the state of that job");
+    verbs.submit->add_option("FILE", options.job_file, "file with the job as JSON; -: standard input")->required();
+    verbs.get = add_user_verb(app, options, "get", "print the state of a job");
+    verbs.cancel = add_user_verb(app, options, "cancel", "cancel a job and all jobs that depend on it");
+    verbs.watch = add_user_verb(app, options, "watch",
+                                "print a line at each change of state, until the job is done or cancelled");
     for (auto* verb : {verbs.get, verbs.cancel, verbs.watch})
-        verb->add_option("ID", options.job_id, "such as wk-000412")->required();
+        verb->add_option("ID", options.job_id, "id of a job, such as wk-000412")->required();
     return verbs;
 }
 
@@ -304,11 +319,11 @@
     return cli::watch(options.nodes, options.job_id);
 }
 
-// --- for operators ---
+// --- subcommands for operators ---
 
 CLI::App* add_schema(CLI::App& app, std::string& name) {
-    auto* verb = app.add_subcommand("schema", "print a JSON Schema");
-    verb->add_option("NAME", name, "submission, settings or operators")
+    auto* verb = app.add_subcommand("schema", "print the JSON Schema of a document");
+    verb->add_option("NAME", name, "document: submission, settings or operators")
         ->required()
         ->check(CLI::IsMember({"submission", "settings", "operators"}));
     return verb;
@@ -326,9 +341,9 @@
 };
 
 CLI::App* add_backup(CLI::App& app, BackupOptions& options) {
-    auto* verb = app.add_subcommand("backup", "copy a state file, also while it is in use");
+    auto* verb = app.add_subcommand("backup", "copy a state file; safe while a daemon uses it");
     verb->add_option("FILE", options.from, "the state file")->required();
-    verb->add_option("TO", options.to, "the copy, which must not exist")->required();
+    verb->add_option("TO", options.to, "path of the copy; must not exist yet")->required();
     return verb;
 }
 
@@ -347,32 +362,34 @@
 };
 
 CLI::App* add_replay(CLI::App& app, ReplayOptions& options) {
-    auto* verb = app.add_subcommand("replay", "run a command log again and name the first difference");
-    verb->add_option("FILE", options.file, "a command log")->required();
-    verb->add_flag("--allow-cut", options.allow_cut, "accept a log whose writer was killed");
+    auto* verb = app.add_subcommand("replay", "execute a command log again and report the first difference");
+    verb->add_option("FILE", options.file, "command log to execute")->required();
+    verb->add_flag("--allow-cut", options.allow_cut,
+                   "accept a log that ends in the middle of a line, because its writer was killed");
     return verb;
 }
 
-// exit_ok: this build decides the same; exit_failed: it does not, and where; exit_usage: the log cannot be read.
+// Returns `exit_ok` if this build makes the same decisions as the log, `exit_failed` if it does not (the first
+// difference is printed), and `exit_usage` if the log cannot be read.
 int run_replay(const ReplayOptions& options) {
     try {
         const auto result = heronshift::replay::replay(options.file, options.allow_cut);
         if (result.first) {
             const auto& first = *result.first;
-            std::cout << fmt::format("{}:{}: term {}, at {:.3f} s: {}\n  here: {}\n", options.file, first.line,
+            std::cout << fmt::format("{}:{}: term {}, at {:.3f} s: {}\n  this build: {}\n", options.file, first.line,
                                      first.term, first.now, first.what, first.got);
             return exit_failed;
         }
-        std::cout << fmt::format("the same: {} terms, {} batches, {} commands, {} effects{}\n", result.terms,
+        std::cout << fmt::format("no difference: {} terms, {} batches, {} commands, {} effects{}\n", result.terms,
                                  result.batches, result.commands, result.effects,
-                                 result.cut ? "; the log is cut off after these" : "");
+                                 result.cut ? "; the log is truncated after these" : "");
         return exit_ok;
     } catch (const heronshift::replay::LogError& error) {
         return usage_error(error.what());
     }
 }
 
-// --- all of them ---
+// --- command line as a whole ---
 
 struct Options {
     DaemonOptions daemon;
@@ -390,24 +407,28 @@
     UserVerbs user;
 };
 
-// Options and verbs stand in the help in the order in which they are declared.
+// The help lists options and subcommands in the order in which they are declared here.
 CLI::App* add_daemon(CLI::App& app, DaemonOptions& options) {
     app.set_version_flag("--version", std::string("heronshift ") + heronshift::version);
-    app.add_option("--config", options.config, "the platform's settings (TOML)");
-    app.add_option("--operators", options.operators, "the operators' own settings (S-expressions), optional");
-    auto* check = app.add_subcommand("check", "validate the settings and print what is in force");
+    app.add_option("--config", options.config, "settings of the platform (TOML)");
+    app.add_option("--operators", options.operators, "optional settings of the operators (S-expressions)");
+    auto* check = app.add_subcommand("check", "validate the settings and print the effective values");
     check->fallthrough();
-    app.add_option("--log-format", options.log_format, "of stderr: text, or json with one object a line")
+    app.add_option("--log-format", options.log_format,
+                   "format of log lines on stderr: text, or json with one object per line")
         ->check(CLI::IsMember({"text", "json"}))
         ->capture_default_str();
-    auto* serve = app.add_subcommand("serve", "run one controller until it is asked to end; so does no verb at all");
+    auto* serve = app.add_subcommand("serve", "run one controller until SIGTERM (the default without a subcommand)");
     serve->fallthrough();
-    app.add_option("--command-log", options.command_log,
-                   "record what goes into the core and a digest of what comes out; .zst: compressed; -: stderr");
-    app.add_option("--command-log-mb", options.command_log_mb, "the record's bound, before compression")
+    app.add_option(
+        "--command-log", options.command_log,
+        "record the inputs of the core and a digest of its outputs in this file; .zst: compressed; -: stderr");
+    app.add_option("--command-log-mb", options.command_log_mb,
+                   "maximum size of the command log in MB, before compression")
         ->check(CLI::Range(1.0, 1e6))
         ->capture_default_str();
-    app.add_option("--state-file", options.state_file, "keep state in this file (SQLite) instead of the state service");
+    app.add_option("--state-file", options.state_file,
+                   "keep the state in this SQLite file instead of the state service");
     return check;
 }
 
@@ -443,7 +464,7 @@
 
 } // namespace
 
-// NOLINTNEXTLINE(bugprone-exception-escape): what is thrown here ends the program with its text
+// NOLINTNEXTLINE(bugprone-exception-escape): an exception that is not handled ends the program and prints its message
 int main(int argc, char** argv) {
     CLI::App app{"heronshift, a cluster scheduler"};
     Options options;
@@ -452,7 +473,7 @@
         app.parse(argc, argv);
     } catch (const CLI::ParseError& error) {
         if (error.get_exit_code() == 0)
-            return app.exit(error); // help and version
+            return app.exit(error); // Prints the help or the version.
         return usage_error(error.what());
     }
     return run(verbs, options);
--- a/src/cli/client.cpp
+++ b/src/cli/client.cpp
@@ -10,14 +10,16 @@
 namespace heronshift::cli {
 namespace {
 
-// The protocol's: a submission is tried for 60 s, waits 5 s for each answer and 1 s between two.
+// The protocol prescribes 60 s of attempts in total, at most 5 s of waiting for each answer, and a pause of 1 s between
+// two attempts.
 constexpr double patience_s = 60, answer_s = 5, pause_s = 1, poll_s = 2;
 
 class Client {
 public:
     explicit Client(std::vector<std::string> nodes) : nodes_(std::move(nodes)), http_(&loop_.loop, 1, 4) {}
 
-    // The first answer that is not "not now", or none.
+    // Sends the request to the nodes in turn until one gives a definite answer, that is, any status but 429, 503 and
+    // 504. Returns nothing if none did within `patience_s`.
     std::optional<HttpReply> ask(const char* method, const std::string& path, const std::string& body) {
         const double end = now() + patience_s;
         do {
@@ -39,7 +41,8 @@
     }
     int print(const std::optional<HttpReply>& reply) const {
         if (!reply) {
-            std::cerr << "heronshift: not in " << patience_s << " s; the last answer: " << last_ << "\n";
+            std::cerr << "heronshift: no definite answer within " << patience_s << " s; last attempt: " << last_
+                      << "\n";
             return 3;
         }
         const bool good = reply->status == 200 || reply->status == 201;
@@ -107,7 +110,7 @@
         if (!a)
             return c.print(reply);
         if (reply->body != last)
-            std::cout << reply->body << std::endl; // seen at once, also through a pipe
+            std::cout << reply->body << std::endl; // Flushed, so that a pipe gets the line at once.
         last = reply->body;
         if (a->status == codec::status_done)
             return 0;
--- a/src/cli/schema.cpp
+++ b/src/cli/schema.cpp
@@ -30,7 +30,7 @@
     for (const auto& part : deepest.context) {
         if (part == "<root>")
             continue;
-        // "[name]" of a field, "[3]" of an element.
+        // valijson writes "[name]" for a field and "[3]" for an element of an array.
         const bool element = part.size() > 2 && part.find_first_not_of("0123456789", 1) == part.size() - 1;
         const auto name = part.size() > 2 && part.front() == '[' ? part.substr(1, part.size() - 2) : part;
         path += element ? "[" + name + "]" : (path.empty() ? "" : ".") + name;
--- a/src/cli/schema.hpp
+++ b/src/cli/schema.hpp
@@ -1,4 +1,5 @@
-// JSON Schemas that are shipped, and documents held against them before anything is sent.
+/// @file
+/// The JSON Schemas that the program contains, and the validation of documents against them.
 #pragma once
 
 #include <string>
@@ -7,11 +8,11 @@
 namespace heronshift::cli {
 
 extern const char* const submission_schema;
-extern const char* const settings_schema;  // of the TOML file, as if it were JSON
-extern const char* const operators_schema; // of the S-expressions, as an object of numbers
+extern const char* const settings_schema;  ///< Of the TOML file of settings, converted to JSON.
+extern const char* const operators_schema; ///< Of the S-expressions of operator settings, as a JSON object of numbers.
 
-// Empty if the document is as the schema says; else the first thing that is wrong, with its path:
-// "shards: ...". A document that is no JSON at all is said so.
+/// Validates a JSON document against a schema. Returns an empty string if it is valid, "not JSON" if it cannot be
+/// parsed, and otherwise the most deeply nested error with the path of its field, such as "shards: ...".
 std::string violation(std::string_view schema, std::string_view document);
 
 } // namespace heronshift::cli
