--- a/examples/embed_c.c
+++ b/examples/embed_c.c
@@ -1,5 +1,5 @@
-/* The scheduler in a C program: embed_c SETTINGS.toml STATE.db
- * Submits one job and polls it until it is done. */
+/* Embeds the scheduler in a C program: embed_c SETTINGS.toml STATE.db
+ * Submits one job and polls its state until it is done. */
 #include "heronshift/embed/heronshift.h"
 
 #include <stdatomic.h>
--- a/examples/embed_core.cpp
+++ b/examples/embed_core.cpp
@@ -1,5 +1,5 @@
-// Embeds the core without any I/O: one job, a cloud that always has machines, and what the core
-// asks for. A program would carry the effects out and feed back what came of them.
+// Drives the core directly, without any I/O: passes it one job and one machine type, and prints which machines it asks
+// to rent. A real program would execute all effects and pass their results back to the core as commands.
 #include "core/core.hpp"
 
 #include <iostream>
--- a/examples/embed_loop.cpp
+++ b/examples/embed_loop.cpp
@@ -1,5 +1,6 @@
-// The scheduler on the program's own libuv loop.
-//   embed_loop SETTINGS.toml STATE.db     says when it acts, polls a job that nobody submitted, ends
+// Runs the scheduler on the program's own libuv loop.
+//   embed_loop SETTINGS.toml STATE.db
+// Waits until it is the active leader, asks for a job that was never submitted, and exits.
 #include "heronshift/embed/scheduler.hpp"
 
 #include <iostream>
@@ -22,7 +23,7 @@
     }
     uv_loop_t* loop = uv_default_loop();
     Program program;
-    spdlog::set_level(spdlog::level::err); // the program decides what is logged, and where
+    spdlog::set_level(spdlog::level::err); // The program chooses the log level and destination.
     try {
         heronshift::SchedulerOptions options;
         options.settings = heronshift::load_settings(argv[1]);
@@ -44,7 +45,7 @@
             uv_close(reinterpret_cast<uv_handle_t*>(t), nullptr);
             p.scheduler->get("wk-000001", [&p](const heronshift::Reply& r) {
                 std::cout << "wk-000001: " << r.status << "\n";
-                p.scheduler.reset(); // also inside a callback; the loop ends when all is closed
+                p.scheduler.reset(); // Allowed inside a callback. The loop ends once all handles are closed.
             });
         },
         50, 50);
--- a/examples/embed_thread.cpp
+++ b/examples/embed_thread.cpp
@@ -1,5 +1,5 @@
-// The scheduler on a thread of its own, its state in a file.
-//   embed_thread SETTINGS.toml STATE.db     submits one job and waits for its end
+// Runs the scheduler on a thread of its own, with its state in a file.
+//   embed_thread SETTINGS.toml STATE.db     submits one job and waits until it has ended
 #include "heronshift/embed/scheduler.hpp"
 
 #include <chrono>
@@ -13,7 +13,7 @@
         std::cerr << "usage: embed_thread SETTINGS.toml STATE.db\n";
         return 2;
     }
-    spdlog::set_level(spdlog::level::err); // the program decides what is logged, and where
+    spdlog::set_level(spdlog::level::err); // The program chooses the log level and destination.
     try {
         heronshift::SchedulerOptions options;
         options.settings = heronshift::load_settings(argv[1]);
--- a/examples/installed.sh
+++ b/examples/installed.sh
@@ -1,5 +1,6 @@
 #!/bin/sh
-# Builds two examples as an outsider does, against an installed heronshift: installed.sh BUILD_FOLDER
+# Installs heronshift into a temporary folder and builds two examples against it, with find_package and with pkg-config:
+# installed.sh BUILD_FOLDER
 set -eu
 here=$(cd "$(dirname "$0")" && pwd)
 work=$(mktemp -d)
--- a/examples/run.sh
+++ b/examples/run.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Runs the examples against stand-ins on loopback: run.sh BUILD_FOLDER
+# Runs the examples against emulators of the platform on loopback: run.sh BUILD_FOLDER
 set -eu
 build=$1
 folder=$(mktemp -d)
--- a/examples/stand_ins.sh
+++ b/examples/stand_ins.sh
@@ -1,13 +1,13 @@
 #!/bin/sh
-# A daemon of one's own against the stand-ins, each a program, from the command line only:
-# stand_ins.sh BUILD_FOLDER
+# Starts the emulators of the state service and the cloud and a daemon, each as a process of its own, and runs a job, with
+# the command line only: stand_ins.sh BUILD_FOLDER
 set -eu
 heronshift=$1/heronshift
 work=$(mktemp -d)
 pids=
 trap 'kill $pids 2>/dev/null || true; rm -rf "$work"' EXIT
 
-port_of() { # of what a stand-in says when it listens
+port_of() { # prints the port from an emulator's output file, once the emulator listens
     for _ in $(seq 200); do
         p=$(sed -n 's/.* on 127\.0\.0\.1:\([0-9]*\)$/\1/p' "$1")
         [ -n "$p" ] && echo "$p" && return
@@ -16,7 +16,7 @@
     return 1
 }
 "$heronshift" stand-in state --listen 127.0.0.1:0 2>"$work/state" & pids="$pids $!"
-# Two ports that are free now are free in a moment too.
+# Two emulators are started only to find two free ports for the daemon, which are most likely still free a moment later.
 "$heronshift" stand-in state --listen 127.0.0.1:0 2>"$work/p1" & p1=$!
 "$heronshift" stand-in state --listen 127.0.0.1:0 2>"$work/p2" & p2=$!
 user=$(port_of "$work/p1")
@@ -51,4 +51,4 @@
 "$heronshift" submit "$work/job.json"
 "$heronshift" watch wk-000001 | tail -1 | grep '"status":"done"'
 grep -q '"level":"info","node":"alone","message":"became leader term=1"' "$work/log"
-echo "the daemon ran it"
+echo "the daemon ran the job"
--- a/src/embed/c_api.cpp
+++ b/src/embed/c_api.cpp
@@ -15,7 +15,8 @@
 
 namespace {
 
-// The handles that are alive, so that one that has ended, or never was, is told from one that is.
+// Guards the set of handles that hs_start has returned and hs_end has not destroyed yet. The set makes it possible to
+// reject handles that have been destroyed or never existed.
 std::mutex lock;
 std::set<const hs_scheduler*>& alive() {
     static std::set<const hs_scheduler*> all;
@@ -43,7 +44,8 @@
     };
 }
 
-// Calls f unless an argument is wrong; whatever is thrown stays here.
+// Calls `f` with the scheduler if the handle is valid and `good`, the check of the other arguments, is true. Returns a
+// status code, and lets no exception pass into C code.
 template <class F> int guarded(hs_scheduler* s, bool good, F f) {
     if (!good || !known(s))
         return HS_INVALID;
--- a/src/embed/scheduler.cpp
+++ b/src/embed/scheduler.cpp
@@ -14,8 +14,8 @@
 
 namespace heronshift {
 
-// Lives on its loop and is kept by the Scheduler and, until its handle is closed, by itself: so it may
-// be let go inside one of its own callbacks.
+// The implementation of Scheduler, which runs on the loop's thread. It is owned by the Scheduler and, until its async
+// handle is closed, by itself, so that the Scheduler may be destroyed inside one of its own callbacks.
 class Scheduler::Inner : public std::enable_shared_from_this<Inner> {
 public:
     Inner(uv_loop_t* loop, SchedulerOptions options) : loop_(loop), options_(std::move(options)) {
@@ -23,7 +23,7 @@
             options_.clock = std::make_shared<Clock>();
     }
 
-    // On the loop's thread. Throws what the constructors of Scheduler do.
+    // To be called on the loop's thread. Throws what the constructors of Scheduler throw.
     void start() {
         Node::Parts parts;
         if (options_.state) {
@@ -53,7 +53,7 @@
         self_ = shared_from_this();
     }
 
-    // From any thread; f runs on the loop's.
+    // May be called on any thread. The callback runs on the loop's thread.
     void post(std::function<void(Inner&)> callback) {
         const std::lock_guard l(lock_);
         if (ended_)
@@ -86,7 +86,8 @@
             node_->turn();
     }
 
-    // end: nothing more is called, and all is torn down in a turn of the loop's own.
+    // Stops the node. With `end`, no callback is called any more, and all is torn down in a later iteration of the
+    // loop.
     void finish(bool end) {
         if (end)
             silent_ = true;
@@ -139,7 +140,7 @@
             callback(*this);
         if (!stopping_ || (!node_ && !end_now_))
             return;
-        // No call of the node's is on the stack here.
+        // The node may be destroyed here, since none of its functions is on the stack.
         node_.reset();
         active_until_ = 0;
         if (!end_now_)
@@ -155,7 +156,8 @@
         });
     }
 
-    // Final states are stored before they are told, so the store's changes are all there is to tell.
+    // Subscribers learn of ended jobs from the store's changes, which contain all of them: every final state is written
+    // to the store before it is announced.
     void watch_from_now() {
         if (!node_)
             return;
@@ -167,7 +169,8 @@
                             });
     }
 
-    void again() { // after a pause that costs the store little
+    // Resumes watching after `report_s`, a pause long enough to keep the load on the store low.
+    void again() {
         if (!node_)
             return;
         node_->after(options_.settings.report_s, [this] {
@@ -232,7 +235,7 @@
             started.set_exception(std::current_exception());
         }
         inner.reset();
-        uv_run(&loop, UV_RUN_DEFAULT); // until the scheduler has ended and all handles are closed
+        uv_run(&loop, UV_RUN_DEFAULT); // Returns once the scheduler has ended and all handles are closed.
         uv_loop_close(&loop);
     });
     try {
@@ -252,7 +255,7 @@
     if (!thread.joinable())
         return;
     if (own)
-        thread.detach(); // its loop ends by itself
+        thread.detach(); // The loop ends by itself once its handles are closed.
     else
         thread.join();
 }
