--- a/src/local/cloud.cpp
+++ b/src/local/cloud.cpp
@@ -149,7 +149,7 @@
 void EmulatedWorker::handle(HttpRequest&& request, const Responder& res) {
     const double now = platform_.now();
     if (now < hung_until || now < cut_until || !up(now))
-        return; // silence: the caller gives up
+        return; // No answer: the caller times out.
     if (request.method == "GET" && request.path == codec::path_status)
         return res.send(200, codec::to_body(heartbeat()));
     if (request.method != "POST" || request.path != codec::path_commands)
@@ -192,7 +192,7 @@
     if (a.status != 200)
         return next_node(now);
     if (a.fencing_token < fencing_token_ || agent_epoch != agent_epoch_)
-        return; // dropped; it stays with this node
+        return; // The response is outdated. The next heartbeat goes to the same controller.
     changed_ = changed_ || a.fencing_token > fencing_token_;
     fencing_token_ = a.fencing_token;
     lease_from_ = std::max(lease_from_, sent);
@@ -212,7 +212,7 @@
     changed_ = false;
     if (now < cut_until)
         return;
-    if (now < late_until) { // given up meanwhile: nobody hears the answer
+    if (now < late_until) { // Sent later, when this worker no longer waits for the response.
         held_.emplace_back([this, r = heartbeat()] { platform_.send(*this, r, [](const HeartbeatResponse&) {}); });
         return;
     }
@@ -237,7 +237,7 @@
                         if (reply.status == 421) {
                             a = {421, 0, {}, codec::redirected_to(reply.body)};
                         } else if (reply.status == 200) {
-                            // Token 0: one that cannot be read, older than any.
+                            // A missing fencing token counts as 0, which is older than any other.
                             a = {200, o && o->fencing_token ? *o->fencing_token : 0, {}, {}};
                             if (a.fencing_token > 0)
                                 a.orders = std::move(o->list);
@@ -250,7 +250,7 @@
     if (!up(now))
         return;
     const auto& w = platform_.plan_.workers;
-    // A hanging machine too: past its lease its tasks never go on.
+    // Applies to hung machines too: once the lease has expired, the tasks must not continue.
     if (now > lease_from_ + w.lease_s) {
         lose_all();
         ++agent_epoch_;
@@ -300,7 +300,7 @@
                 if (now > r.mate_lost + w.gang_peer_s)
                     end(r, ExitCause::peers);
             } else if (now >= r.until) {
-                for (const auto& x : all) // they complete together
+                for (const auto& x : all) // The tasks of a gang complete together.
                     if (x.run->t.state == TaskState::running)
                         x.on->end(*x.run, ExitCause::done);
             }
@@ -327,8 +327,8 @@
     return plan_.lockstep ? 0 : timer_.start(loop_, tick_ms, [this] { turn(); });
 }
 
-// The platform as an executor: what HTTP carries elsewhere, as calls. Answers come in a later turn of the
-// loop, as they do there.
+// Connects a scheduler in this process to the platform by function calls instead of HTTP. As with HTTP, answers arrive
+// in a later turn of the loop.
 class Platform::Direct final : public Executor {
 public:
     explicit Direct(Platform& p) : platform_(p), answers_(p.loop_) {}
--- a/src/local/cloud.hpp
+++ b/src/local/cloud.hpp
@@ -1,6 +1,7 @@
-// Stand-ins of the cloud and of its machines: the cloud rents and takes back, each machine is a worker
-// that reports to the controllers and pretends to run tasks. On loopback they speak the protocol, each
-// worker with an address of its own; to a scheduler in the same process they are an executor.
+/// @file
+/// Emulators of the cloud and of its machines. The cloud rents out machines and takes them back. On each machine a
+/// worker sends heartbeats to the controllers and simulates the execution of tasks. Controllers reach them over HTTP on
+/// loopback, each worker at an address of its own; a scheduler in the same process uses them through an Executor.
 #pragma once
 
 #include "heronshift/clock.hpp"
@@ -18,33 +19,44 @@
 
 namespace heronshift::local {
 
+/// The time limits that workers apply, and the controllers that they send heartbeats to.
 struct WorkerSettings {
     double report_s = 1, lease_s = 6, gang_wait_s = 10, gang_peer_s = 2;
-    std::vector<std::pair<std::string, std::string>> nodes; // names and addresses of the controllers
+    std::vector<std::pair<std::string, std::string>> nodes; ///< Names and addresses of the controllers.
 };
 
+/// What the emulated platform consists of.
 struct PlatformPlan {
     WorkerSettings workers;
     std::vector<MachineType> types;
-    int capacity = 12;    // machines of a type, zone and kind at once
-    double run_share = 1; // of expectedS that a task takes, give or take a third
+    /// The maximum number of machines rented at once for each machine type and zone, for spot and on-demand machines
+    /// each.
+    int capacity = 12;
+    /// The mean run time of tasks as a share of the job's `expectedS`. Run times deviate from the mean by up to a
+    /// third.
+    double run_share = 1;
     unsigned seed = 1;
-    // Lockstep: time is the clock's, nothing happens but in turn(), and nothing on the way to a controller
-    // is left to chance, so that two runs can be compared.
-    std::shared_ptr<const Clock> clock; // none: the system's
+    /// Where time comes from; null: the system's clock.
+    std::shared_ptr<const Clock> clock;
+    /// Makes two runs comparable: the emulators act only when `turn` is called, and neither the time of a heartbeat nor
+    /// the controller that it goes to is random.
     bool lockstep = false;
 };
 
 class Platform;
 
-// A machine and its worker.
+/// An emulated machine and the worker that runs on it.
 class EmulatedWorker {
 public:
     EmulatedWorker(Platform& p, std::string id, const MachineType& type, std::string zone, bool spot, double up_at);
+    /// Starts to listen, unless the scheduler is in this process. Returns 0 or a libuv error.
     int start();
+    /// Advances the tasks to the time `now` and sends a heartbeat if one is due.
     void tick(double now);
-    void lose_all(); // the machine is gone
-    // Status 200 or 409 with a heartbeat; 0: silence, the caller gives up.
+    /// Drops all tasks, because the machine is gone or its lease has expired.
+    void lose_all();
+    /// Executes orders. Returns status 200, or 409 if the fencing token is outdated or the agent epoch is not the
+    /// current one, each with a heartbeat; 0 without a heartbeat if the machine does not answer.
     std::pair<int, std::optional<Heartbeat>> obey(std::uint64_t fencing_token, std::uint64_t agent_epoch,
                                                   const std::vector<Order>& list);
 
@@ -52,18 +64,22 @@
     [[nodiscard]] bool up(double now) const {
         return now >= up_at_;
     }
-    double hung_until = -1, cut_until = -1; // a cut machine goes on running, a hanging one does not
-    bool sick = false;                      // fails every task
-    // Until then all that passes is held up, and arrives in order when nobody waits for it any more.
+    /// Faults. Until `hung_until` the machine does nothing; until `cut_until` it is cut off from the network, but its
+    /// tasks continue to run.
+    double hung_until = -1, cut_until = -1;
+    bool sick = false; ///< Every task fails.
+    /// Until then messages in both directions are delayed. They arrive in order afterwards, when their senders have
+    /// given up waiting for an answer.
     double late_until = -1;
 
 private:
     friend class Platform;
     struct Run {
         ReportedTask t;
-        double until = 0;      // its image is there, or it is through
-        bool counted = false;  // told to the history as on the machine
-        double mate_lost = -1; // since when
+        // When the current state ends: fetching the image, waiting for the rest of the gang, running, or saving.
+        double until = 0;
+        bool counted = false;  // The history has recorded the task as being on this machine.
+        double mate_lost = -1; // Since when a task of the same gang is missing; -1: none is.
     };
     void handle(HttpRequest&& request, const Responder& res);
     void execute(const std::vector<Order>& list, double now);
@@ -85,48 +101,56 @@
     double last_heartbeat_at_ = -1;
     std::set<std::string> images_;
     std::vector<Run> runs_;
-    std::vector<std::function<void()>> held_;
+    std::vector<std::function<void()>> held_; // Messages that are delayed until `late_until`.
     HttpServer server_;
 };
 
+/// The emulated cloud with all its machines.
 class Platform {
 public:
     Platform(uv_loop_t* loop, PlatformPlan plan, History& history);
     Platform(const Platform&) = delete;
     Platform& operator=(const Platform&) = delete;
-    int start(const Endpoint& cloud_at); // 0 or a libuv error
-    // Instead of start(): for one scheduler in this process. Lives as long as the platform does.
+    /// Serves the cloud's interface at `cloud_at` and runs the machines. Returns 0 or a libuv error.
+    int start(const Endpoint& cloud_at);
+    /// For one scheduler in this process, to be called instead of `start`. The executor must not outlive the platform.
     std::unique_ptr<Executor> executor();
-    void turn(); // what is due; start() sees to it, but in lockstep
+    /// Does what is due. Called by a timer, except in lockstep mode.
+    void turn();
     [[nodiscard]] int port() const {
         return server_.port();
     }
     void heartbeat_to(std::vector<std::pair<std::string, std::string>> nodes) {
         plan_.workers.nodes = std::move(nodes);
     }
-    void know(const JobSpec& spec) { // its user has uploaded it
+    /// Tells the machines the description of a job, without which they cannot run its tasks.
+    void know(const JobSpec& spec) {
         jobs_[spec.id] = spec;
     }
-    // For jobs of users from outside: their description, if there is one.
+    /// Called for a job that is not known yet, because it was submitted by another program. Returns its description, if
+    /// there is one.
     std::function<std::optional<JobSpec>(const std::string& id)> ask;
-    bool out = false; // an outage of the cloud
-    // A random machine that is up, or none.
+    bool out = false; ///< A fault: the cloud refuses all requests.
+    /// Returns a random machine that is up, or null if there is none.
     EmulatedWorker* any();
-    void kill(EmulatedWorker& w); // stops with all that is on it
+    /// Removes a machine together with its tasks.
+    void kill(EmulatedWorker& w);
 
     struct Sum {
-        std::size_t machines = 0, up = 0, running = 0;
-        std::uint64_t rented = 0, returned = 0, fencing_token = 0; // the highest any machine has seen
+        std::size_t machines = 0, up = 0, running = 0; ///< Machines, machines that are up, and running tasks.
+        /// Machines rented and returned so far, and the highest fencing token that a machine has seen.
+        std::uint64_t rented = 0, returned = 0, fencing_token = 0;
     };
     [[nodiscard]] Sum sum() const;
     [[nodiscard]] double now() const {
         return plan_.clock->now();
     }
-    // Of what has passed between machines, cloud and controllers; stands still when all is quiet.
+    /// The number of messages between machines, cloud and controllers so far. It does not change while there is no
+    /// traffic.
     [[nodiscard]] std::uint64_t messages() const {
         return messages_;
     }
-    // A launch as it reached its machine.
+    /// Called when a machine receives a launch order.
     std::function<void(const Order&, const MachineType&, const std::string& zone, bool spot)> on_launch;
 
 private:
@@ -140,13 +164,15 @@
     double between(double a, double b) {
         return std::uniform_real_distribution<double>(a, b)(rng_);
     }
-    // Drawn from what the attempt is called, so that it does not hang on the order of other draws.
+    // How long a task runs, in seconds. It is drawn from a generator seeded with the names of the job, the task and the
+    // attempt, so that it does not depend on how many random numbers were drawn before.
     [[nodiscard]] double run_s(const JobSpec& spec, const ReportedTask& task) const;
-    // The tasks of one attempt of a gang that are on machines.
+    // A task of a gang, on its machine.
     struct Mate {
         EmulatedWorker* on;
         EmulatedWorker::Run* run;
     };
+    // The tasks of one attempt of a gang that are on machines, without those that ended before they were done.
     std::vector<Mate> mates(const std::string& job, std::uint64_t attempt);
 
     uv_loop_t* loop_;
@@ -156,11 +182,12 @@
     HttpServer server_;
     HttpClient client_;
     std::map<std::string, std::unique_ptr<EmulatedWorker>> machines_;
-    std::vector<std::unique_ptr<EmulatedWorker>> gone_; // their servers close after the callbacks at hand
+    // Removed machines. They are destroyed in the next `turn`, since one of their callbacks may be running now.
+    std::vector<std::unique_ptr<EmulatedWorker>> gone_;
     std::map<std::string, std::vector<std::string>> claims_;
     std::map<std::string, JobSpec> jobs_;
     std::uint64_t ticks_ = 0, named_ = 0, returned_ = 0, messages_ = 0;
-    Executor::Heartbeats reports_; // of a scheduler in this process
+    Executor::Heartbeats reports_; // Takes heartbeats, if the scheduler is in this process.
     bool direct_ = false;
     LoopTimer timer_;
 };
--- a/src/local/emulator.cpp
+++ b/src/local/emulator.cpp
@@ -11,7 +11,7 @@
 namespace heronshift::local {
 namespace {
 
-// Serves on its own loop until a signal, then lets handles close.
+// A libuv loop that runs until SIGINT or SIGTERM. The destructor closes all handles.
 class Until {
 public:
     Until() {
@@ -36,7 +36,7 @@
             std::cerr << fmt::format("heronshift stand-in: {}: cannot listen: {}\n", what, uv_strerror(listening));
             return 2;
         }
-        std::cerr << fmt::format("{} on 127.0.0.1:{}\n", what, port);
+        std::cerr << fmt::format("{} listening on 127.0.0.1:{}\n", what, port);
         uv_run(&loop, UV_RUN_DEFAULT);
         return 0;
     }
--- a/src/local/emulator.hpp
+++ b/src/local/emulator.hpp
@@ -1,5 +1,6 @@
-// The emulators as programs of their own, for a daemon, a script or curl: the state service, and the
-// cloud with its machines. They serve until interrupted.
+/// @file
+/// Runs an emulator as a program of its own, which a daemon, a script or curl can use: the state service, or the cloud
+/// with its machines.
 #pragma once
 
 #include "heronshift/store/engine.hpp"
@@ -9,15 +10,16 @@
 
 namespace heronshift::local {
 
-// What the emulators rent out, if nothing else is said.
+/// The machine types that the emulated cloud offers by default.
 std::vector<MachineType> usual_types();
-// Of a job whose description cannot be read here: some task of no size that runs a second.
+/// Returns a substitute for the description of a job that cannot be read here. Its tasks need no resources and run for
+/// about one second.
 JobSpec any_job(const std::string& id);
 
-// "127.0.0.1:7001". Throws SettingsError.
+/// Parses an address such as "127.0.0.1:7001". Throws SettingsError.
 Endpoint address(const std::string& text);
 
-// 0 once interrupted (SIGINT, SIGTERM), 2 if it cannot listen.
+/// Each of these serves until SIGINT or SIGTERM and returns the exit code: 0, or 2 if it cannot listen.
 int run_state(const Endpoint& listen, const store::Limits& limits);
 int run_cloud(const Endpoint& listen, PlatformPlan plan);
 
--- a/src/local/history.cpp
+++ b/src/local/history.cpp
@@ -30,19 +30,20 @@
     }
     auto& job = it->second;
     if (job.accepted && (status == 404 || status == 400 || status == 422))
-        breaks("forgotten", fmt::format("{} was answered {}", id, status));
+        breaks("forgotten", fmt::format("{} was accepted, but later answered with {}", id, status));
     if (status != 200 && status != 201)
         return;
     job.accepted = true;
     if (!job.final.empty() && state != job.final)
-        breaks("went_back", fmt::format("{} was {}, now {}", id, job.final, state));
+        breaks("went_back", fmt::format("{} was {}, and is now {}", id, job.final, state));
     if (state == codec::status_done) {
         if (!over(job))
-            breaks("not_done", fmt::format("{} with {} of {} tasks", id, job.done.size(), job.spec.tasks));
+            breaks("not_done", fmt::format("{} is reported as done, but only {} of {} tasks are", id, job.done.size(),
+                                           job.spec.tasks));
         job.final = state;
     } else if (state == codec::status_cancelled) {
         if (!cancelled_with_dependency(id))
-            breaks("went_back", id + " was cancelled by nobody");
+            breaks("went_back", id + " is cancelled, but nobody asked for it");
         if (job.cancelled_at < 0)
             job.cancelled_at = now;
         job.final = state;
@@ -55,26 +56,26 @@
     const auto name = fmt::format("{}/{}", id, index);
     ++starts_;
     if (job.on.contains(index))
-        breaks("ran_twice", fmt::format("{} on {} and {}", name, job.on.find(index)->second.machine, at.machine));
+        breaks("ran_twice", fmt::format("{} runs on {} and {}", name, job.on.find(index)->second.machine, at.machine));
     if (at.spot && !spec.spot)
-        breaks("wrong_place", name + " on a spot machine");
+        breaks("wrong_place", name + " runs on a spot machine, which its job does not allow");
     if (!spec.zone.empty() && spec.zone != at.zone)
-        breaks("wrong_place", name + " in " + at.zone);
+        breaks("wrong_place", name + " runs in zone " + at.zone);
     if (!spec.types.empty() && std::find(spec.types.begin(), spec.types.end(), at.type) == spec.types.end())
-        breaks("wrong_place", name + " on a " + at.type);
+        breaks("wrong_place", name + " runs on machine type " + at.type);
     std::size_t here = 1;
     for (const auto& [i, p] : job.on) {
         here += p.zone == at.zone;
         if (spec.one_zone && p.zone != at.zone)
-            breaks("wrong_place", name + " apart from the others");
+            breaks("wrong_place", name + " runs in another zone than the tasks it must be placed with");
     }
     if (spec.spread && here > (spec.tasks + 1) / 2)
-        breaks("wrong_place", name + " with too many others in " + at.zone);
+        breaks("wrong_place", name + " runs with too many tasks of its job in zone " + at.zone);
     if (job.cancelled_at >= 0 && now > job.cancelled_at + cancel_s_)
         breaks("ran_cancelled", name);
     for (const auto& n : spec.dependencies)
         if (!over(jobs_[n]))
-            breaks("too_early", fmt::format("{} before {} is done", name, n));
+            breaks("too_early", fmt::format("{} runs before {} is done", name, n));
     job.on.emplace(index, at);
     Resources used;
     for (const auto& [other, o] : jobs_)
@@ -83,7 +84,7 @@
     for (const auto& limits : teams_)
         if (limits.name == spec.team && ((limits.cpus_max > 0 && used.cpus > limits.cpus_max + 1e-6) ||
                                          (limits.gpus_max > 0 && used.gpus > limits.gpus_max + 1e-6)))
-            breaks("quota", fmt::format("team {} uses {} CPUs with {}", spec.team, used.cpus, name));
+            breaks("quota", fmt::format("team {} is above its limits: {} CPUs with {}", spec.team, used.cpus, name));
 }
 
 void History::off_machine(const std::string& id, std::uint32_t index, const std::string& machine) {
@@ -101,14 +102,14 @@
         return;
     }
     for (std::uint32_t i = 0; i < job.spec.tasks; ++i)
-        job.done.insert(i); // they complete together
+        job.done.insert(i); // The tasks of a gang complete together.
 }
 
 void History::check(double now) {
     for (const auto& [id, job] : jobs_)
         if (job.cancelled_at >= 0 && !job.on.empty() && now > job.cancelled_at + cancel_s_)
-            breaks("ran_cancelled",
-                   fmt::format("{}/{} is still on {}", id, job.on.begin()->first, job.on.begin()->second.machine));
+            breaks("ran_cancelled", fmt::format("{}/{} is still on {} after the cancellation", id,
+                                                job.on.begin()->first, job.on.begin()->second.machine));
 }
 
 std::vector<std::string> History::unfinished() const {
--- a/src/local/history.hpp
+++ b/src/local/history.hpp
@@ -1,5 +1,5 @@
-// What happened on an emulator platform, held against the rules of the protocol as it happens. Knows
-// the users' side (what was told) and the machines' side (what ran where); times in seconds of one clock.
+/// @file
+/// Checks the rules of the protocol while an emulated platform runs. All times are in seconds on the same clock.
 #pragma once
 
 #include "heronshift/types.hpp"
@@ -11,8 +11,10 @@
 
 namespace heronshift::local {
 
+/// Records what users were answered and which tasks ran on which machines, and reports each rule that this breaks.
 class History {
 public:
+    /// `cancel_s` is the longest time that tasks may stay on machines after their job was reported as cancelled.
     History(std::vector<TeamLimits> teams, double cancel_s) : teams_(std::move(teams)), cancel_s_(cancel_s) {}
 
     void submitted(const JobSpec& spec) {
@@ -21,33 +23,37 @@
     void cancel_asked(const std::string& id) {
         jobs_[id].asked = true;
     }
-    // Any answer to a user: a submission, a poll or a cancellation.
+    /// Records an answer to a user's submission, poll or cancellation.
     void told(const std::string& id, int status, const std::string& state, double now);
 
     struct Place {
         std::string machine, type, zone;
         bool spot = false;
     };
-    // A task is on its machine from the moment it has its image until it is off it.
+    /// Records that a task has its image and occupies its machine from now on, until `off_machine` is called.
     void on_machine(const std::string& job, std::uint32_t index, const Place& at, double now);
     void off_machine(const std::string& job, std::uint32_t index, const std::string& machine);
     void task_done(const std::string& job, std::uint32_t index);
-    void check(double now); // what no event shows; call a few times a second
+    /// Checks the rules that are broken by the passage of time rather than by an event. To be called several times a
+    /// second.
+    void check(double now);
 
+    /// The rules that were broken: the name of each rule, and how it was broken.
     [[nodiscard]] const std::vector<std::string>& broken() const {
         return broken_;
     }
+    /// The number of tasks that have started on a machine.
     [[nodiscard]] int starts() const {
         return starts_;
     }
-    // Once all is over: jobs that were accepted and came to nothing.
+    /// The jobs that were accepted and have no final state. To be called at the end of a run.
     [[nodiscard]] std::vector<std::string> unfinished() const;
 
 private:
     struct Job {
         JobSpec spec;
-        bool accepted = false, asked = false; // asked: to be cancelled
-        std::string final;                    // told: done or withdrawn
+        bool accepted = false, asked = false; // `asked`: its user has requested its cancellation.
+        std::string final;                    // The final state that was reported: done or withdrawn.
         double cancelled_at = -1;
         std::set<std::uint32_t> done;
         std::multimap<std::uint32_t, Place> on;
@@ -56,7 +62,8 @@
     [[nodiscard]] bool over(const Job& job) const {
         return job.done.size() >= job.spec.tasks;
     }
-    [[nodiscard]] bool cancelled_with_dependency(const std::string& id) const; // a cancellation reaches it
+    // Whether the job, or a job that it depends on, is to be cancelled.
+    [[nodiscard]] bool cancelled_with_dependency(const std::string& id) const;
     std::vector<TeamLimits> teams_;
     double cancel_s_;
     std::map<std::string, Job> jobs_;
--- a/src/local/local.cpp
+++ b/src/local/local.cpp
@@ -24,9 +24,9 @@
 
 constexpr int nodes = 3;
 constexpr double report_s = 1, lease_s = 6, cancel_s = 15;
-constexpr double patience_s = 90; // after the last submission, for all to come to its end
+constexpr double patience_s = 90; // Time after the last submission in which all jobs must end.
 constexpr double user_timeout_s = 5, poll_timeout_s = 2, poll_every_s = 1, give_up_s = 60;
-constexpr double back_after_s = 2; // a killed controller
+constexpr double back_after_s = 2; // Delay before a controller that has ended is started again.
 constexpr double fault_every_s = 2.5;
 
 std::vector<TeamLimits> teams() {
@@ -66,7 +66,7 @@
         if (interrupt_ != nullptr)
             uv_close(reinterpret_cast<uv_handle_t*>(interrupt_),
                      [](uv_handle_t* h) { delete reinterpret_cast<uv_signal_t*>(h); });
-        uv_run(&loop_, UV_RUN_DEFAULT); // the controllers end, handles close
+        uv_run(&loop_, UV_RUN_DEFAULT); // Returns once the controllers have ended and all handles are closed.
         uv_loop_close(&loop_);
     }
     Local(const Local&) = delete;
@@ -89,7 +89,8 @@
         double back_at = -1;
         int starts = 0;
     };
-    struct User { // and the job that it wants
+    // A simulated user, who submits one job and polls it until it has ended.
+    struct User {
         JobSpec spec;
         double at = 0, next = 0, cancel_at = -1, first_try = -1;
         enum class State { waits, submits, polls, cancels, over } state = State::waits;
@@ -114,9 +115,9 @@
             const char* tmp = std::getenv("TMPDIR");
             folder_ = fmt::format("{}/heronshift-XXXXXX", tmp != nullptr ? tmp : "/tmp");
             if (::mkdtemp(folder_.data()) == nullptr)
-                return folder_ + ": cannot be made";
+                return folder_ + ": cannot create the folder";
         } else if (::mkdir(folder_.c_str(), 0755) != 0 && errno != EEXIST) {
-            return folder_ + ": cannot be made";
+            return folder_ + ": cannot create the folder";
         }
         store_ = std::make_unique<store::StoreServer>(
             &loop_, std::make_unique<store::Engine>(store::memory_data(), store::Limits{200, 100, 24, 16}));
@@ -147,21 +148,21 @@
                 return std::move(j->spec);
             if (options_.serve_port == 0)
                 return {};
-            // Kept in the other program's own store, where nobody here can read it.
+            // The job may be in the other program's own store, which cannot be read from here.
             return any_job(id);
         };
         for (std::size_t i = 0; i < nodes_.size(); ++i) {
             const auto& c = nodes_[i];
             if (!write_settings(c.config, c.name, c.user.number(), c.peer.number()))
-                return nodes_[i].config + ": cannot be written";
+                return nodes_[i].config + ": cannot write the settings";
             if (!spawn(nodes_[i]))
-                return "a controller cannot be started";
+                return "cannot start a controller";
         }
         if (options_.serve_port > 0) {
             const auto path = folder_ + "/settings.toml";
             if (!write_settings(path, "alone", options_.serve_port, spare_.number()))
-                return path + ": cannot be written";
-            say("settings for the program that schedules here: " + path);
+                return path + ": cannot write the settings";
+            say("settings for the program that runs the scheduler: " + path);
             options_.stay = true;
         } else {
             plan_load();
@@ -264,13 +265,14 @@
             } else if (i % 4 == 2) {
                 auto spec = job(++n, Shape::service, 2 + static_cast<std::uint32_t>(rng_() % 2), 1, team, 0);
                 spec.spread = true;
-                add(std::move(spec), at, last + 2); // its user ends it after the last submission
+                // Services never end by themselves, so their users cancel them after the last submission.
+                add(std::move(spec), at, last + 2);
             } else {
                 auto spec = job(++n, Shape::array, 3 + static_cast<std::uint32_t>(rng_() % 12), 2, team, 1.5);
                 add(std::move(spec), at, i % 8 == 7 ? at + between(0, 3) : -1);
             }
         }
-        // A pipeline: each step needs the one before.
+        // A pipeline: each step depends on the previous one.
         std::vector<std::string> before;
         for (const auto* step : {"gather", "clean", "publish"}) {
             auto spec = job(++n, Shape::array, 4, 1, "red", 1);
@@ -285,7 +287,7 @@
         return fmt::format("127.0.0.1:{}", nodes_[rng_() % nodes_.size()].user.number());
     }
 
-    // What a user does next, as the protocol says.
+    // Sends the next request of a user, if one is due, as the protocol prescribes for clients.
     void serve(std::size_t i, double t) {
         auto& u = users_wanted_[i];
         using S = User::State;
@@ -334,7 +336,7 @@
         if (!a) {
             const bool never = u.state == S::submits && (reply.status == 400 || reply.status == 422);
             if (never || (u.state == S::submits && t - u.first_try > give_up_s)) {
-                u.last = never ? fmt::format("refused with {}", reply.status) : "not accepted in time";
+                u.last = never ? fmt::format("rejected with status {}", reply.status) : "not accepted in time";
                 u.state = S::over;
             }
             return;
@@ -353,14 +355,14 @@
         auto* w = platform_->any();
         using FaultMode = store::StoreServer::FaultMode;
         const auto store = [&](const char* what, FaultMode fault_mode) {
-            say(fmt::format("trouble: the state service {}", what));
+            say(fmt::format("fault: the state service {}", what));
             store_->set_fault_mode(fault_mode);
             store_well_at_ = t + between(1, 5);
         };
         const auto worker = [&](const char* what, double EmulatedWorker::*until) {
             if (w == nullptr)
                 return;
-            say(fmt::format("trouble: {} {}", w->listed(0).id, what));
+            say(fmt::format("fault: {} {}", w->listed(0).id, what));
             if (until != nullptr)
                 w->*until = platform_->now() + between(1, 2 * lease_s);
             else
@@ -368,21 +370,21 @@
         };
         switch (std::uniform_int_distribution<int>(0, 9)(rng_)) {
         case 0:
-            return store("is out (503)", FaultMode::out);
+            return store("is unavailable (503)", FaultMode::out);
         case 1:
-            return store("has too much to do (429)", FaultMode::busy);
+            return store("is overloaded (429)", FaultMode::busy);
         case 2:
-            return store("is silent", FaultMode::silent);
+            return store("does not answer", FaultMode::silent);
         case 3:
             return worker("hangs", &EmulatedWorker::hung_until);
         case 4:
             return worker("is cut off", &EmulatedWorker::cut_until);
         case 5:
-            return worker("and its controller hear each other late", &EmulatedWorker::late_until);
+            return worker("and its controller receive each other's messages late", &EmulatedWorker::late_until);
         case 6:
-            return worker("stops with all that is on it", nullptr);
+            return worker("is lost with its tasks", nullptr);
         case 7:
-            say("trouble: the cloud is out");
+            say("fault: the cloud is unavailable");
             platform_->out = true;
             cloud_well_at_ = t + between(1, 5);
             return;
@@ -390,7 +392,7 @@
             auto& c = nodes_[rng_() % nodes_.size()];
             if (c.process == nullptr)
                 return;
-            say(fmt::format("trouble: {} is killed", c.name));
+            say(fmt::format("fault: {} is killed", c.name));
             uv_process_kill(c.process, SIGKILL);
             c.back_at = t + back_after_s;
         }
@@ -411,9 +413,9 @@
         for (auto& c : nodes_) {
             if (c.process != nullptr)
                 continue;
-            if (c.back_at < 0) { // by itself: never a good sign
+            if (c.back_at < 0) { // It ended without an injected fault, so the run has failed.
                 ++ended_;
-                say(fmt::format("{} has ended by itself, see {}", c.name, c.log));
+                say(fmt::format("{} exited unexpectedly, see {}", c.name, c.log));
                 c.back_at = t + back_after_s;
             }
             if (t < c.back_at)
@@ -434,7 +436,7 @@
         if (over && !options_.stay)
             finish("");
         if (t > options_.seconds + patience_s && !options_.stay)
-            finish("time is over");
+            finish("time limit reached before all jobs ended");
     }
 
     void progress() const {
@@ -445,8 +447,8 @@
         for (const auto& [s, n] : states)
             jobs += fmt::format("{}{} {}", jobs.empty() ? "" : ", ", n, s);
         const auto s = platform_->sum();
-        say(fmt::format("jobs: {} | machines: {} up of {}, {} tasks run | rules broken: {}", jobs, s.up, s.machines,
-                        s.running, history_.broken().size()));
+        say(fmt::format("jobs: {} | machines: {} of {} up | tasks running: {} | rules broken: {}", jobs, s.up,
+                        s.machines, s.running, history_.broken().size()));
     }
 
     void finish(const std::string& why) {
@@ -494,7 +496,7 @@
     std::unique_ptr<store::StoreServer> store_;
     std::unique_ptr<Platform> platform_;
     std::vector<Controller> nodes_;
-    Port spare_; // for the peers of a program that has none
+    Port spare_; // The peer port in the settings for `serve_port`, to which no peer connects.
     std::vector<User> users_wanted_;
     std::unique_ptr<LoopTimer> tick_;
     uv_signal_t* interrupt_ = nullptr;
--- a/src/local/local.hpp
+++ b/src/local/local.hpp
@@ -1,26 +1,29 @@
-// A platform to try heronshift on, in one command: emulators of state service, cloud and machines on
-// loopback, three controllers as processes of their own, users with a small load of all shapes and a
-// pipeline, and if asked for faults from a seed. Every rule is checked as things happen.
+/// @file
+/// A complete platform on loopback to try heronshift on, started with one command: emulators of the state service, the
+/// cloud and the machines; three controllers, each a process; and simulated users who submit a small load of jobs of
+/// all shapes and a pipeline. On request, random faults are injected. The rules of the protocol are checked throughout.
 #pragma once
 
 #include <string>
 
 namespace heronshift::local {
 
+/// Options of the subcommand `local`.
 struct LocalOptions {
-    double seconds = 20; // in which jobs are submitted; they may take longer
-    unsigned seed = 1;
-    bool faults = false;
-    int jobs = 24;
-    std::string folder;  // of settings and logs; empty: one under the system's temporary folder
-    std::string program; // the controllers'; empty: this one
-    bool stay = false;   // go on serving after the load, until interrupted
-    // Only the emulators, for a program that embeds the scheduler or a daemon of your own, whose port for
-    // workers this is: no controllers, no load, until interrupted.
+    double seconds = 20; ///< Period in which jobs are submitted. Jobs may end later.
+    unsigned seed = 1;   ///< Of the random load and the random faults.
+    bool faults = false; ///< Inject faults.
+    int jobs = 24;       ///< Number of jobs, in addition to the pipeline.
+    std::string folder;  ///< Folder for settings and logs; empty: a new one under the system's temporary folder.
+    std::string program; ///< Executable of the controllers; empty: this one.
+    bool stay = false;   ///< Keep running after the last job has ended, until interrupted.
+    /// If not 0, only the emulators run, until interrupted, without controllers and load. Machines send heartbeats to
+    /// this port, where a program that embeds the scheduler or a separate daemon listens.
     int serve_port = 0;
 };
 
-// 0: all that was accepted came to its end and no rule was broken; 1: not so; 2: it could not start.
+/// Runs the platform. Returns 0 if all accepted jobs ended and no rule was broken, 1 if not, and 2 if the platform
+/// could not be started.
 int run_local(const LocalOptions& options);
 
 } // namespace heronshift::local
--- a/src/local/port.hpp
+++ b/src/local/port.hpp
@@ -1,4 +1,5 @@
-// A port of loopback that is kept for a controller which is yet to start.
+/// @file
+/// Reserves a TCP port on loopback for a process that is not started yet.
 #pragma once
 
 #include <netinet/in.h>
@@ -8,9 +9,9 @@
 
 namespace heronshift::local {
 
-// A port that no other program is given while this one runs: it stays bound here, and what is bound but
-// does not listen may be bound once more by a controller. (Two platforms started at the same moment had
-// taken each other's ports, and users were answered by the wrong cluster.)
+/// A TCP port that the kernel gives to no other program while this object exists. The socket stays bound but never
+/// listens, so a controller can bind the same port with SO_REUSEADDR. Without the reservation, two platforms that were
+/// started at the same moment took each other's ports, and users were answered by the wrong cluster.
 class Port {
 public:
     Port() : fd_(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
