--- a/tools/check.sh
+++ b/tools/check.sh
@@ -1,12 +1,12 @@
 #!/bin/bash
-# The gates that every change passes before it is built. Each prints its name with "ok" or "FAILED"; exits 1 if one
-# of them fails.
+# Runs the checks (gates) that every change must pass before it is built. Prints "ok" or "FAILED" for each of them and
+# exits 1 if at least one fails.
 set -uo pipefail
 cd "$(dirname "$0")/.." || exit 2
 
 failed=0
 
-gate() { # its name, then its command
+gate() { # name, command...
     local name=$1
     shift
     if "$@"; then
@@ -17,7 +17,7 @@
     fi
 }
 
-# The pages themselves are of no use here.
+# Only the warnings are of interest, so the generated pages are deleted.
 # shellcheck disable=SC2317 # called by gate
 doc_comments() {
     local folder status
@@ -30,7 +30,7 @@
 
 mapfile -t sources < <(git ls-files '*.cpp' '*.hpp' '*.c' '*.h')
 if [ "${#sources[@]}" -eq 0 ]; then
-    echo "no sources found"
+    echo "git tracks no sources here"
     exit 2
 fi
 mapfile -t scripts < <(git ls-files '*.sh' .ci/run)
--- a/tools/check_tidy.sh
+++ b/tools/check_tidy.sh
@@ -1,11 +1,11 @@
 #!/bin/bash
-# Runs clang-tidy's checks that are a gate over the library and the program, with the options of .clang-tidy. Prints
-# what it finds and exits 1 if there is anything.
+# Runs the clang-tidy checks that every change must pass on the library and the program, with the options of .clang-tidy.
+# Prints the findings and exits 1 if there are any.
 #
-#   tools/check_tidy.sh BUILD_FOLDER [PROCESSES]     the folder was configured with cmake; it need not be built
+#   tools/check_tidy.sh BUILD_FOLDER [PROCESSES]     the folder must be configured with cmake, but need not be built
 set -euo pipefail
 
-# The other checks of .clang-tidy are not clean yet; they come here one by one.
+# The other checks of .clang-tidy still have findings. Each is added here once its findings are fixed.
 readonly gate="-*,readability-function-size,readability-function-cognitive-complexity"
 
 if [ "$#" -lt 1 ]; then
@@ -17,15 +17,15 @@
 cd "$(dirname "$0")/.."
 
 if ! grep -qF "\"$PWD/src/" "$build/compile_commands.json"; then
-    echo "$build/compile_commands.json knows no sources of $PWD" >&2
+    echo "$build/compile_commands.json contains no sources of $PWD" >&2
     exit 2
 fi
 output=$(mktemp)
 trap 'rm -f "$output"' EXIT
-# clang does not know all of GCC's warnings.
+# The compile commands contain warning options of GCC that clang does not know.
 if ! run-clang-tidy -quiet -p "$build" -j "$processes" -checks="$gate" \
     -extra-arg=-Wno-unknown-warning-option "^$PWD/(src|apps)/" >"$output" 2>&1; then
-    # Of what it says only the findings are of interest, and what else went wrong.
+    # Prints the findings and errors, without progress lines and warning counts.
     grep -vE '^(clang-tidy|/usr/bin/clang-tidy)|^[0-9]+ warnings? generated|^$' "$output" || true
     echo "clang-tidy: FAILED"
     exit 1
--- a/tools/measure.cpp
+++ b/tools/measure.cpp
@@ -1,7 +1,8 @@
-// Measures the library against the daemon in one run, and what stored jobs cost:
+// Measures the performance of the library and of the daemon in one run, and the cost of stored jobs at a start:
 //   heronshift-measure compare [--jobs N] [--rate N --seconds N]
 //   heronshift-measure restart [--jobs N ...]
-// All on this machine's loopback with emulators of cloud and workers; figures are simulated.
+// Everything runs on this machine's loopback, with emulators of the cloud and the workers, so the figures are those of
+// a simulation.
 #include "heronshift/codec.hpp"
 #include "heronshift/embed/scheduler.hpp"
 #include "local/cloud.hpp"
@@ -68,7 +69,7 @@
     s.state_rps = s.state_write_rps = 1e5;
     s.cloud_rps = 50;
     s.list_lag_s = 0.2;
-    s.ops.empty_s = 600; // machines stay from one part to the next
+    s.ops.empty_s = 600; // Machines remain rented from one phase of the measurement to the next.
     return s;
 }
 
@@ -91,7 +92,7 @@
 
 enum class Route { in_process, thread, daemon };
 
-// One way to run the scheduler, with its own emulators, store and load.
+// Measures one route to the scheduler, with emulators, store and load of its own.
 class Trial {
 public:
     Trial(Route way, bool fsync, std::string path) : way_(way), path_(std::move(path)), history_({}, 15) {
@@ -156,7 +157,7 @@
     Trial& operator=(const Trial&) = delete;
 
     void run(int burst, double rate, double seconds) {
-        submit(1); // it acts once this is taken
+        submit(1); // Once this job is accepted, the scheduler is the active leader.
         wait([&] { return accepted_ == 1; });
         const double began = now();
         int next = 2;
@@ -166,7 +167,7 @@
             return accepted_ == burst + 1;
         });
         const double burst_s = now() - began;
-        wait([&] { return asked_.empty(); }); // all are launched
+        wait([&] { return asked_.empty(); }); // Until all jobs are launched.
         waits_.clear();
         const double steady = now();
         const int first = next;
@@ -180,7 +181,7 @@
                                  share(waits_, 0.5) * 1000, share(waits_, 0.99) * 1000,
                                  resident_mb(child_ > 0 ? std::to_string(child_).c_str() : "self"));
         if (retries_ > 0)
-            std::cout << fmt::format("  {} were sent away and tried again\n", retries_);
+            std::cout << fmt::format("  {} submissions were refused and sent again\n", retries_);
     }
     std::string name_;
 
@@ -210,14 +211,14 @@
             return;
         }
         if (accepted_ > 0)
-            ++retries_; // until the first it only starts
+            ++retries_; // Refusals before the first acceptance are not counted, since the scheduler is still starting.
         again_.push_back(s);
     }
     void wait(const std::function<bool()>& over) {
         const double end = now() + patience_s;
         while (!over()) {
             if (now() > end)
-                throw std::runtime_error(name_ + ": it takes too long");
+                throw std::runtime_error(name_ + ": time limit exceeded");
             if (uv_run(&loop_, UV_RUN_NOWAIT) == 0 || answers_.empty())
                 usleep(200);
             std::vector<std::pair<JobSpec, int>> got;
@@ -263,11 +264,13 @@
                                   fsync ? "" : " *");
             t.run(jobs, rate, seconds);
         }
-    std::cout << fmt::format("* without fsync. jobs/s: {} jobs, {} at a time; ms: submission to launch, {} jobs/s\n",
-                             jobs, in_flight, rate);
+    std::cout << fmt::format(
+        "* without fsync. jobs/s: {} jobs, {} at a time; ms: from submission to launch, at {} jobs/s\n", jobs,
+        in_flight, rate);
 }
 
-// A store with n accepted jobs, and a scheduler that starts on it and can place none of them.
+// Writes `n` accepted jobs into a store, starts a scheduler on it that has no machines to place them on, and prints
+// what the start costs.
 void restart(const std::string& folder, int n) {
     const auto path = folder + "/measure.state";
     remove_file(path);
@@ -279,7 +282,7 @@
                 writes.push_back({"j/" + job(i + 1).id, codec::to_record({job(i + 1), 1.7e9, -1, false, {}}), 0});
             engine.data().begin();
             if (engine.transact({}, writes, 0).status != 200)
-                throw std::runtime_error("the store takes no jobs");
+                throw std::runtime_error("the store refused to write the jobs");
             engine.data().commit();
         }
     }
@@ -317,7 +320,7 @@
     std::cout << fmt::format("{:8} {:9.2f} {:9.2f} {:9.1f} {:9.2f} {:9.0f}\n", n, acts_s, answers_s,
                              resident_mb() - before_mb, (cpu_s() - cpu) / (now() - from), longest * 1000);
     if (status != (n == 0 ? 404 : 200))
-        throw std::runtime_error(fmt::format("the last job was answered {}", status));
+        throw std::runtime_error(fmt::format("unexpected status {} for the last job", status));
     s.reset();
     uv_run(&loop, UV_RUN_NOWAIT);
     platform.reset();
@@ -329,22 +332,26 @@
 } // namespace
 } // namespace heronshift
 
-// NOLINTNEXTLINE(bugprone-exception-escape): what is thrown here ends the program with its text
+// NOLINTNEXTLINE(bugprone-exception-escape): an exception that is not handled ends the program and prints its message
 int main(int argc, char** argv) {
-    CLI::App app{"heronshift-measure: the library against the daemon, and what stored jobs cost"};
+    CLI::App app{"heronshift-measure: compares the library with the daemon, and measures the cost of stored jobs"};
     app.require_subcommand(1);
     std::string folder = ".";
-    app.add_option("--folder", folder, "for state files; its disk is measured too")
+    app.add_option("--folder", folder, "folder for state files; the speed of its disk affects the figures")
         ->check(CLI::ExistingDirectory)
         ->capture_default_str();
     int jobs = 2000;
     double rate = 40, seconds = 10;
-    auto* compare = app.add_subcommand("compare", "submissions a second, and submission to launch");
+    auto* compare =
+        app.add_subcommand("compare", "measure submissions per second, and the time from submission to launch");
     compare->add_option("--jobs", jobs)->check(CLI::Range(10, 100'000))->capture_default_str();
-    compare->add_option("--rate", rate, "jobs a second")->check(CLI::Range(1.0, 200.0))->capture_default_str();
+    compare->add_option("--rate", rate, "jobs submitted per second")
+        ->check(CLI::Range(1.0, 200.0))
+        ->capture_default_str();
     compare->add_option("--seconds", seconds)->check(CLI::Range(1.0, 600.0))->capture_default_str();
     std::vector<int> stored{0, 10'000, 100'000};
-    auto* restart = app.add_subcommand("restart", "how long a start takes with stored jobs, and their memory");
+    auto* restart = app.add_subcommand(
+        "restart", "measure the duration of a start with stored jobs, and the memory that they need");
     restart->add_option("--jobs", stored)->check(CLI::Range(0, 1'000'000))->capture_default_str();
     CLI11_PARSE(app, argc, argv);
     spdlog::set_level(spdlog::level::err);
@@ -357,7 +364,7 @@
                                      "cores", "turn ms");
             std::cout.flush();
             for (const int n : stored) {
-                const pid_t child = fork(); // each in a process of its own, so that memory is its own
+                const pid_t child = fork(); // Each count in a process of its own, so that its memory can be measured.
                 if (child == 0) {
                     try {
                         heronshift::restart(folder, n);
--- a/tools/run_tests.sh
+++ b/tools/run_tests.sh
@@ -1,10 +1,11 @@
 #!/bin/bash
-# Runs the tests of a build folder, but for those that KNOWN-RED.txt at the root names, which it prints.
+# Runs the tests of a build folder, except for the known failures that KNOWN-RED.txt at the root lists, and prints those.
 #
 #   tools/run_tests.sh BUILD_FOLDER [options of ctest]
 #
-# KNOWN-RED.txt holds one line a test that fails for a real fault which is not mended yet, of four fields with " | "
-# between them: the test's exact name, the command with its seed that shows the fault, what was seen, the issue (a number).
+# KNOWN-RED.txt has one line for each test that fails because of a fault in the software that is not fixed yet. A line has
+# four fields, separated by " | ": the exact name of the test, the command and seed that reproduce the failure, the observed
+# failure, and the issue number.
 set -euo pipefail
 
 if [ "$#" -lt 1 ]; then
@@ -34,13 +35,13 @@
         exit 1
     fi
     name=${BASH_REMATCH[1]}
-    # Some builds leave tests out. A misspelt name passes nothing over, so the test itself fails then.
+    # Not every build contains all tests. A misspelt name excludes no test, so the failing test is noticed.
     if grep -qxF -- "$name" <<<"$all_names"; then
         echo "known red, not run: $line"
     else
         echo "known red, not in this build: $line"
     fi
-    # Every character that means something to a regular expression stands for itself.
+    # Escapes the characters that have a meaning in regular expressions.
     escaped=$(sed 's/[][\.^$*+?(){}|/]/\\&/g' <<<"$name")
     passed_over+="${passed_over:+|}$escaped"
 done
