--- a/src/local/cloud.hpp
+++ b/src/local/cloud.hpp
@@ -67,7 +67,7 @@
     /// Faults. Until `hung_until` the machine does nothing; until `cut_until` it is cut off from the network, but its
     /// tasks continue to run.
     double hung_until = -1, cut_until = -1;
-    bool sick = false; ///< Every task fails.
+    bool sick = false; ///< A fault: every task fails once it has its image.
     /// Until then messages in both directions are delayed. They arrive in order afterwards, when their senders have
     /// given up waiting for an answer.
     double late_until = -1;
--- a/src/local/history.hpp
+++ b/src/local/history.hpp
@@ -68,7 +68,7 @@
     double cancel_s_;
     std::map<std::string, Job> jobs_;
     std::vector<std::string> broken_;
-    std::set<std::string> said_;
+    std::set<std::string> said_; // The violations found so far, so that each is listed only once.
     int starts_ = 0;
 };
 
--- a/src/local/local.cpp
+++ b/src/local/local.cpp
@@ -95,7 +95,7 @@
         double at = 0, next = 0, cancel_at = -1, first_try = -1;
         enum class State { waits, submits, polls, cancels, over } state = State::waits;
         bool asking = false;
-        std::string last = "not submitted";
+        std::string last = "not submitted"; // The state of the job that the user was last told.
     };
 
     double between(double a, double b) {
--- a/tools/measure.cpp
+++ b/tools/measure.cpp
@@ -360,7 +360,7 @@
         if (compare->parsed())
             heronshift::compare(folder, jobs, rate, seconds);
         if (restart->parsed()) {
-            std::cout << fmt::format("{:>8} {:>9} {:>9} {:>9} {:>9} {:>9}\n", "jobs", "acts s", "answers s", "MB",
+            std::cout << fmt::format("{:>8} {:>9} {:>9} {:>9} {:>9} {:>9}\n", "jobs", "leader s", "answers s", "MB",
                                      "cores", "turn ms");
             std::cout.flush();
             for (const int n : stored) {
