--- a/tests/answers.hpp
+++ b/tests/answers.hpp
@@ -1,5 +1,5 @@
-// What users were answered, by whichever controller, held against what had been told before: no answer to a
-// question that was asked after some answer came may be older than that one.
+// Checks the answers that users got from any controller against earlier ones: an answer may not report an older state
+// of a job than another answer that had already arrived when the request was sent.
 #pragma once
 
 #include "heronshift/codec.hpp"
@@ -21,7 +21,8 @@
     void cancel_asked(const std::string& id) {
         jobs_[id].cancel_asked = true;
     }
-    // A question, a repeated submission or a cancellation, asked and answered then; states only of 200 and 201.
+    // Checks the answer to a status request, a submission or a cancellation that was sent at `asked` and answered at
+    // `now` by the controller `by`. `state` counts only with the statuses 200 and 201.
     void answered(const std::string& id, const std::string& by, double asked, double now, int status,
                   std::string_view state) {
         const auto it = jobs_.find(id);
@@ -32,13 +33,13 @@
         }
         auto& j = it->second;
         const auto said = status == 200 || status == 201 ? std::string(state) : std::to_string(status);
-        int age = -1; // 0 not known, 1 accepted, 2 over
+        int age = -1; // how far the job has come: 0 unknown, 1 accepted, 2 final; -1: the answer does not say
         if (status == 404 || status == 400 || status == 422)
             age = 0;
         if (status == 200 || status == 201)
             age = is_final(state) ? 2 : 1;
         if (age < 0)
-            return; // it could not answer
+            return; // the controller could not answer
         for (int newer = age + 1; newer <= 2; ++newer)
             if (j.token_acknowledged_at[static_cast<std::size_t>(newer)] < asked)
                 return wrong(newer == 2 ? "went_back" : "forgotten", id, by, said);
@@ -62,7 +63,7 @@
 
 private:
     struct Job {
-        std::array<double, 3> token_acknowledged_at{1e18, 1e18, 1e18}; // by age: when first
+        std::array<double, 3> token_acknowledged_at{1e18, 1e18, 1e18}; // by `age`: when first answered
         std::string final;
         bool cancel_asked = false;
     };
--- a/tests/direct_commands.hpp
+++ b/tests/direct_commands.hpp
@@ -1,5 +1,6 @@
-// Commands sent directly to machines: carried out by the machine's fencing token and session, at once or, when the
-// network or a hanging machine holds them back, late and without an answer.
+// Commands that controllers send to machines directly. A machine executes a command whose fencing token is not older
+// than the machine's and whose agent epoch is the machine's current one. A command that the network or a hanging
+// machine delays is checked when it arrives, and gets no answer.
 #pragma once
 
 #include "cluster/cluster_data.hpp"
@@ -10,24 +11,25 @@
 
 struct DirectCommands : Network {
     using Network::Network;
-    using Obeyed = std::pair<int, Heartbeat>; // status and report of the machine
+    using Obeyed = std::pair<int, Heartbeat>; // HTTP status and heartbeat of the machine
 
     struct Command {
         std::string address;
         std::uint64_t fencing_token = 0, agent_epoch = 0;
         std::vector<Order> orders;
     };
-    // How many direct commands are held back, for how long, and what became of them.
+    // The share of commands that the network delays, the range of the delay, and counters of what became of them.
     struct LateCommands {
         double share = 0;
         double shortest_s = 2, longest_s = 16;
         int held = 0;
         int executed = 0;
-        int executed_for_former_leader = 0; // the sender's term was over, the machine had not heard of the next one
+        int executed_for_former_leader =
+            0; // sent in a term that had ended, to a machine that had not heard of the next one
         int refused_by_token = 0;
         int refused_by_session = 0;
-        int held_by_hang = 0;                // delivered to a hanging machine, which went on later
-        int launches_after_cancellation = 0; // executed although the user knew the job as cancelled
+        int held_by_hang = 0;                // arrived at a hanging machine, delivered once it resumed
+        int launches_after_cancellation = 0; // executed after the user was told that the job is cancelled
     } late_commands;
 
     void deliver(const Command& command, const Answer<Obeyed>& answer) {
@@ -59,7 +61,7 @@
     }
     void hold_while_hung(const Command& command) {
         if (command.agent_epoch == 0)
-            return; // a probe, which no session matches
+            return; // a probe: no machine has the agent epoch 0
         ++late_commands.held_by_hang;
         send(wait_step_s, [this, command] { arrive_late(command); });
     }
@@ -82,7 +84,7 @@
             if (order.verb == Verb::launch && cancelled.contains(order.job))
                 ++late_commands.launches_after_cancellation;
     }
-    // The newest term that any machine has heard of.
+    // The newest term among the fencing tokens of all machines.
     std::uint64_t newest_term() const {
         std::uint64_t newest = 0;
         for (const auto& [id, machine] : workers)
--- a/tests/fault_injection.hpp
+++ b/tests/fault_injection.hpp
@@ -1,5 +1,7 @@
-// Faults drawn by seed, for a fleet at work: cut links of every kind, crashes, processes that stand still, outages,
-// machines that die, hang or are cut; and those that the users' last word added.
+// Random faults, drawn by seed, for a fleet under load: cut links of every kind, crashed and paused controllers, store
+// outages, machines that die, hang or are cut off; and a second set (`inject_later_fault`) of machines that are
+// unreachable inbound, duplicated heartbeats, isolated controllers, restarts within a moment
+// and lost spot machines.
 #pragma once
 
 #include "working.hpp"
@@ -12,6 +14,7 @@
     std::size_t pick(std::size_t n) {
         return static_cast<std::size_t>(between(0, static_cast<double>(n) - 0.01));
     }
+    // The leader with a probability of 0.5, otherwise the node `i`.
     std::size_t leader_or(std::size_t i) {
         return chance() < 0.5 ? leader().value_or(i) : i;
     }
@@ -25,7 +28,7 @@
         send(for_s, [this, a, b] { both(a, b, Mode::open); });
     }
 
-    // One of those that the matrices of cut links are drawn from.
+    // Injects a random fault of the first set, which the tests of cut links draw from.
     void inject_fault(double for_s) {
         hard_at = now;
         const double c = chance();
@@ -73,9 +76,10 @@
         }
     }
 
-    // --- those that were added ---
+    // --- the second set ---
 
-    // Reports of these machines arrive; what these controllers say to them does not.
+    // Makes a share of the machines (of one zone, if `zone_only` names one) and at least one machine unreachable
+    // inbound: their heartbeats arrive, but nothing that the controllers `to` send to them does.
     void make_some_inbound_unreachable(double share, const std::string& zone_only, const std::vector<std::size_t>& to,
                                        double for_s) {
         std::vector<std::string> names, list;
@@ -99,7 +103,7 @@
             out[i] = i;
         return out;
     }
-    // No store and no other controllers, but workers and users.
+    // Cuts a controller off from the store and from all other controllers; workers and users still reach it.
     void isolate(std::size_t i, Mode mode, double for_s) {
         cut(nodes[i].name, state, mode, false, for_s);
         for (std::size_t o = 0; o < nodes.size(); ++o)
@@ -142,8 +146,8 @@
                     w.dead = true;
         }
     }
-    // A machine that is back within a moment: it stood still, or its process is a new one with an agent epoch of its
-    // own.
+    // A machine that is back within a moment: either its process was paused, or it is a new process with a new agent
+    // epoch and without tasks.
     void restart(const std::string& id) {
         auto& w = workers[id];
         if (chance() < 0.5) {
--- a/tests/fault_scenario.hpp
+++ b/tests/fault_scenario.hpp
@@ -1,5 +1,5 @@
-// Scenarios of concurrent faults: a fleet at work, what happens to it from then on, and the checks that all of them
-// share (docs/combined-faults.md says which combination of faults each stands for).
+// Scenarios of concurrent faults: what happens to a fleet under load, and the checks that all scenarios share
+// (docs/combined-faults.md says which combination of faults each scenario covers).
 #pragma once
 
 #include "fault_injection.hpp"
@@ -17,9 +17,9 @@
         };
     }
     std::function<void()> on_step;
-    int added = 0; // jobs besides those that come all the time
+    int added = 0; // jobs submitted besides the steady load
 
-    // Before anything begins.
+    // This and `limit_teams` have to be called before the first step, in which the controllers start.
     void limit_store(double changes_per_s) {
         settings.state_rps = 100;
         settings.state_write_rps = changes_per_s;
@@ -33,11 +33,13 @@
             services += spec.shape == Shape::service ? spec.tasks * spec.each.cpus : 0;
         settings.teams = {{"red", cpus / 2, cpus, 0, 0}, {"blue", cpus / 2 + services, cpus + services, 0, 0}};
     }
-    // The first broken rule, empty if there is none.
+    // The first violation of a rule, empty if there is none.
     std::string violation() {
         if (!broken.empty())
             return first(*this);
-        return started_cancelled > 0 ? fmt::format("{} started though cancelled", started_cancelled) : "";
+        return started_cancelled > 0
+                   ? fmt::format("{} tasks launched although their jobs were cancelled", started_cancelled)
+                   : "";
     }
     std::string run_final_checks() {
         on_step = {};
@@ -48,16 +50,17 @@
     }
 };
 
-// What happens from the moment that the fleet is at work.
+// Events and limits of one test, which begins once the fleet is under load.
 struct Scenario {
     const char* name;
     std::function<void(FaultyFleet&)> begin;
     double for_s = 90;
-    double changes_per_s = 0; // that the store takes; 0: as the world has it
-    // Whether the faults that the name extension votes came about; empty: it is not counted.
+    double changes_per_s = 0; // rate limit of the store's writes; 0: the fleet's default
+    // Whether the faults that `name` announces occurred; empty: not checked.
     std::function<bool(const FaultyFleet&)> took_place = nullptr;
-    double team_cpus = 0; // the limit of each team, beyond what the services take; 0: as the world has it
-    // How long a task may run, if that is longer than the final checks: one that was lost late runs anew.
+    double team_cpus = 0; // the limit of each team, beyond what the services use; 0: the fleet's default
+    // The longest run time of a task, if it exceeds the final checks: a task that is lost late runs again from the
+    // start.
     double longest_task_s = 0;
     friend std::ostream& operator<<(std::ostream& o, const Scenario& s) {
         return o << s.name;
@@ -70,7 +73,8 @@
             f.request_cancellation(id);
 }
 
-// The share of machines that can't be asked for so long: cut, hanging, unreachable inbound or unreachable outbound.
+// Makes a share of the machines unreachable for `for_s` seconds: each is cut off, hanging, unreachable inbound or
+// unreachable outbound.
 inline void unreachable(FaultyFleet& f, double share, double for_s) {
     std::vector<std::string> list;
     for (auto& [id, w] : f.workers)
@@ -114,13 +118,13 @@
     return spec.id;
 }
 
-// Until no job is left that was asked for more than three leases ago, or the time is over.
+// Runs until every job submitted more than three leases ago is final, but for `for_s` seconds at most.
 inline void finish_old_jobs(FaultyFleet& f, double for_s) {
     for (const double end = f.now + for_s; f.now < end && f.unfinished(f.leases(3)) > 0;)
         f.step(0.1);
 }
 
-// Plays a scenario and checks the rules, all answers, that it took place, and the end of the day.
+// Runs a scenario and checks the rules, all answers to users, that the announced faults occurred, and the final checks.
 inline void play(const Scenario& scenario, unsigned seed) {
     FaultyFleet f(seed);
     if (scenario.changes_per_s > 0)
@@ -139,7 +143,7 @@
     EXPECT_EQ(f.run_final_checks(), "") << seed;
     EXPECT_EQ(std::count_if(f.asks.begin(), f.asks.end(), [](const auto& a) { return !a.second.accepted(); }), 0);
     finish_old_jobs(f, scenario.longest_task_s);
-    EXPECT_EQ(f.unfinished(f.leases(3)), 0) << seed; // nothing stays suspected, reserved or counted for ever
+    EXPECT_EQ(f.unfinished(f.leases(3)), 0) << seed; // nothing stays suspected, reserved or counted forever
 }
 
 } // namespace heronshift::testing
--- a/tests/final_checks.hpp
+++ b/tests/final_checks.hpp
@@ -1,6 +1,6 @@
-// What must be true at the end of a day, whatever happened on it, told from what users saw: every accepted job
-// that was not cancelled is known and runs, and of every class, every team and every class's largest jobs at
-// least half were served.
+// Checks at the end of a test run, whatever faults it had, based on what users saw: every accepted job that was not
+// cancelled is known and runs, and at least half of the jobs of every class, of every team and of the largest of every
+// class were served.
 #pragma once
 
 #include "heronshift/types.hpp"
@@ -15,20 +15,20 @@
 
 namespace heronshift::testing {
 
-// One job as its user saw it; times in seconds, below zero: it has not happened.
+// One job as its user saw it. Times are in seconds; below zero: it has not happened.
 struct Seen {
     std::string id, job_class, team;
     Shape shape = Shape::array;
     double size = 0; // of all its tasks together
     double asked_at = 0, accepted_at = -1;
-    double begun_at = -1; // array: a task runs, gang: all tasks, service: a replica
+    double begun_at = -1; // when the first task ran (array), all tasks (gang), or the first replica (service)
     double done_at = -1;
-    double silent_s = 0; // the longest time without an answer of 200, once all faults were over
+    double silent_s = 0; // the longest time without an answer of status 200, after all faults had ended
     bool cancelled = false;
-    bool running = false;    // at the end
-    bool may_begin = true;   // its team's limit and the machines allow it
-    double excused_s = 0;    // in which a fault made any start impossible: the scenario says so
-    bool repeated_ok = true; // submitted again it was answered 200
+    bool running = false;    // at the end of the run
+    bool may_begin = true;   // its team's limit and the machine types allow it
+    double excused_s = 0;    // how long a fault made any start impossible, as the scenario says
+    bool repeated_ok = true; // a repeated submission was answered with status 200
 };
 
 struct FinalChecks {
@@ -40,7 +40,7 @@
     [[nodiscard]] bool late(const Seen& j) const {
         return (j.begun_at < 0 ? now : j.begun_at) - j.asked_at - j.excused_s > begin_s;
     }
-    // What is wrong, one line each.
+    // All failed checks, one text each.
     [[nodiscard]] std::vector<std::string> wrong(const std::vector<Seen>& all) const {
         std::vector<std::string> out;
         std::map<std::string, std::vector<const Seen*>> groups, classes;
--- a/tests/fleet.hpp
+++ b/tests/fleet.hpp
@@ -1,5 +1,5 @@
-// Several real controllers in memory: the World's machines and rules, a state service and a cloud, on a network
-// of directed links between any two of them.
+// Several real controllers in one process, with the simulated machines and rules of `SimulatedCluster`, a state service
+// and a cloud. All of them talk over a simulated network of directed links.
 #pragma once
 
 #include "heronshift/store/engine.hpp"
@@ -18,13 +18,13 @@
         std::string name;
         std::unique_ptr<heronshift::Controller> controller;
         std::shared_ptr<Clock> clock;
-        std::uint64_t life = 0; // of the process: what was meant for an earlier one is dropped
+        std::uint64_t life = 0; // counts the node's processes: what was sent to an earlier one is dropped
         bool frozen = false, refused_by_store = false, healthy = false;
         double back_at = -1, frozen_until = -1;
-        double late_s = 0;                        // its loop stands still for so long after every turn
-        int late_turns = 0;                       // how often it has
-        std::vector<std::function<void()>> inbox; // while it stands still
-        int good = 0, bad = 0;                    // answers of /up in a row
+        double late_s = 0;                        // how long its event loop is paused after every turn
+        int late_turns = 0;                       // how often `late_s` has paused it
+        std::vector<std::function<void()>> inbox; // events that arrived while it is frozen
+        int good = 0, bad = 0;                    // consecutive successful and failed health checks (/up)
     };
     explicit Fleet(unsigned seed, std::size_t count = 5) : DirectCommands(seed) {
         settings.zones = {"a", "b", "c"};
@@ -44,11 +44,12 @@
     std::deque<Node> nodes;
     std::unique_ptr<store::Engine> engine;
     int expirations = 0;
-    // What a controller sends, to which (or none): a path under /peer, or what it asks of the store.
+    // Called for each request that a controller sends: `what` is a path under /peer for the node `to`, or the kind of a
+    // request to the store (`to` is SIZE_MAX then).
     std::function<void(std::size_t from, std::size_t to, const std::string& what)> on_sent;
-    std::vector<double> changes; // of the leader: when
+    std::vector<double> changes; // times at which the leader changed
     std::size_t last_leader = SIZE_MAX;
-    double bound_s = 2 * settings.lease_s; // from when a path is there: nothing may be late any more
+    double bound_s = 2 * settings.lease_s; // after a path has existed for so long, no lease may expire
 
     // --- parties of the network ---
     static std::string zone(const std::string& name) {
@@ -58,7 +59,7 @@
         for (const auto& z : settings.zones)
             both(node, zone(z), m);
     }
-    // A machine that does not hear has a name of its own.
+    // A machine that is unreachable inbound has a party name of its own, so that its links can be cut separately.
     std::string party(const Worker& w) const {
         return inbound_unreachable.contains(w.id) ? "deaf " + w.id : zone(w.zone);
     }
@@ -68,16 +69,16 @@
             out.push_back(n.name);
         return out;
     }
-    std::map<std::string, std::size_t> inbound_unreachable; // to how many controllers
-    std::set<std::string> misses_answers;                   // to reports, while orders reach them
-    // What it reports arrives; what these controllers answer or send it does not.
+    std::map<std::string, std::size_t> inbound_unreachable; // by machine: for how many controllers
+    std::set<std::string> misses_answers; // machines that get no answers to heartbeats, but get orders
+    // The machine's heartbeats arrive; what the controllers `to` answer or send to it does not.
     void make_inbound_unreachable(const std::string& machine, const std::vector<std::string>& to) {
         inbound_unreachable[machine] = to.size();
         for (const auto& name : to)
             set(name, "deaf " + machine, Mode::drop);
     }
 
-    // What happens in a node's process: not after its end, and later if it stands still.
+    // Runs `f` in a node's process: not at all if that process has ended, later if it is frozen.
     void in_node(std::size_t i, std::uint64_t life, std::function<void()> f) {
         auto& n = nodes[i];
         if (n.life != life || !n.controller)
@@ -94,7 +95,7 @@
                        in_node(i, life, [done, r = std::move(r), sent] { done(r, sent); });
                    });
     }
-    // A request over HTTP to a node, by a user, a worker or (peer) another node.
+    // An HTTP request to a node, from a user, a worker or (`peer`) another node.
     void http(const std::string& from, std::size_t to, HttpRequest r, bool peer, double timeout_s,
               Done<HttpReply> done) {
         request<HttpReply>(
@@ -118,7 +119,7 @@
         return SIZE_MAX;
     }
 
-    // --- what a controller has instead of sockets ---
+    // --- simulated replacements of a controller's clock, store, peers and executor ---
     struct Skewed final : Clock {
         Skewed(const Fleet& f, double rate, double start) : fleet(f), rate(rate), start(start) {}
         [[nodiscard]] double now() const override {
@@ -272,7 +273,7 @@
         ++n.life;
         begun_ = false;
     }
-    // Not before all nodes are known by name.
+    // Starts all nodes that are due; requires that the names of all nodes are set.
     void begin_all() {
         begun_ = true;
         for (std::size_t i = 0; i < nodes.size(); ++i) {
@@ -297,9 +298,9 @@
         n.frozen = n.healthy = false;
         n.back_at = now + for_s;
         begun_ = false;
-        ways.clear(); // a new process knows nothing yet: the time in which all must be well begins anew
+        ways.clear(); // a new process knows nothing yet: the time from which `bound_s` counts restarts
     }
-    void freeze(std::size_t i, double for_s) { // its clocks run on
+    void freeze(std::size_t i, double for_s) { // its clocks keep running
         nodes[i].frozen = true;
         nodes[i].frozen_until = now + for_s;
         ways.clear();
@@ -314,7 +315,7 @@
             if (now < n.frozen_until)
                 return;
             n.frozen = false;
-            // It goes on where it stood: what came meanwhile first, in an order that chance decides.
+            // The process resumes: it first handles, in random order, what arrived while it was frozen.
             auto list = std::exchange(n.inbox, {});
             std::shuffle(list.begin(), list.end(), rng);
             for (auto& f : list)
@@ -365,7 +366,7 @@
             return;
         }
         const bool writes = std::holds_alternative<store::Transact>(c);
-        if (writes && chance() < late_writes) // no answer, and carried out after newer ones
+        if (writes && chance() < late_writes) // gets no answer, and is applied after newer transactions
             return send(between(2, 12), [this, i, c] {
                 if (!refuses(i))
                     run_call(c);
@@ -422,7 +423,7 @@
             w.zone = r.zone;
             w.spot = r.spot;
             w.rented_at = now;
-            w.dead = true; // until it is up
+            w.dead = true; // until it has booted
             workers[w.id] = w;
             out.machines.push_back(w.id);
             send(between(0.5, 3), [this, id = w.id] {
@@ -439,13 +440,13 @@
         return out;
     }
 
-    // --- machines: as the protocol says ---
+    // --- machines, which follow the worker protocol ---
     void heartbeat_if_due(Worker& w) override {
         if (w.in_flight || w.cut || now < w.next_heartbeat)
             return;
         if (outbound_unreachable.contains(w.id)) {
             w.node = (w.node + 1) % nodes.size();
-            w.next_heartbeat = now + 5; // it waits for 4
+            w.next_heartbeat = now + 5; // the request times out after 4 s
             return;
         }
         w.in_flight = true;
@@ -464,7 +465,7 @@
                  x.in_flight = false;
                  if (misses_answers.contains(id)) {
                      x.node = (x.node + 1) % nodes.size();
-                     x.next_heartbeat = now + 5; // it waits for 4
+                     x.next_heartbeat = now + 5; // the request times out after 4 s
                      return;
                  }
                  const int status = a && !x.cut && !x.hung ? a->status : 0;
@@ -490,17 +491,17 @@
                  execute(x, o->list);
              });
     }
-    double copies = 0;      // the share of heartbeats of which copies come late
-    double kept_copies = 0; // the share of heartbeats of which copies come to every controller when the leader changes
-    std::vector<std::pair<std::string, std::string>> kept; // from where, and the heartbeat
+    double copies = 0;      // the share of heartbeats of which copies arrive late
+    double kept_copies = 0; // the share of heartbeats of which every controller gets a copy when the leader changes
+    std::vector<std::pair<std::string, std::string>> kept; // sender's party and body of the heartbeat
     void deliver_kept() {
         for (const auto& [from, body] : std::exchange(kept, {}))
             for (std::size_t to = 0; to < nodes.size(); ++to)
                 http(from, to, {"POST", std::string(codec::path_heartbeat), "", body}, false, 4,
                      [](const std::optional<HttpReply>&, bool) {});
     }
-    std::set<std::string> outbound_unreachable; // reach no controller, while orders reach them
-    // Up to three, at any controller, some by way of another.
+    std::set<std::string> outbound_unreachable; // machines that reach no controller, but get orders
+    // Sends three late copies of a heartbeat to random controllers, some of them as if relayed by another controller.
     void copy(const std::string& from, const std::string& body) {
         for (int k = 0; k < 3; ++k)
             send(chance() < 0.5 ? between(0.2, settings.lease_s) : between(1, 300), [this, from, body] {
@@ -512,20 +513,20 @@
     }
     void expired(Worker& w) override {
         ++expirations;
-        // A machine needs 5 s to find out that a node does not answer: past two of them its lease is in danger
-        // whatever the nodes do.
+        // A machine needs 5 s to find out that a node does not answer: with more than two such nodes its lease may
+        // expire whatever the controllers do.
         const bool findable = now - hard_at > settings.lease_s;
         if (!w.cut && !w.hung && findable && path_since >= 0 && now - path_since > bound_s &&
             now - w.well_since > bound_s)
-            broken.push_back(
-                fmt::format("the lease of {} ran out though it could be answered since {:.1f}", w.id, path_since));
+            broken.push_back(fmt::format(
+                "the lease of {} expired although a leader could have answered it since t={:.1f} s", w.id, path_since));
     }
 
-    // --- the whole ---
+    // --- paths between the parties, and one step of the controllers ---
     double path_since = -1, hard_at = -1e9;
-    // Since when everybody could be served, below zero: not now. By one controller that reaches the store
-    // and the cloud, and one other (or none) through which it reaches those workers and users that it does
-    // not reach itself; the same two all the time.
+    // Pairs of a controller that reaches the store and the cloud, and a relay (the same controller: none) through which
+    // it reaches those workers and users that it does not reach itself; and since when the pair could serve everybody
+    // without interruption. `path_since` is the earliest of these times; below zero: no pair can at present.
     std::map<std::pair<std::size_t, std::size_t>, double> ways;
     void look_for_paths() {
         const auto up = [&](std::size_t i) { return nodes[i].controller && !nodes[i].frozen; };
@@ -584,7 +585,7 @@
         look_for_paths();
         return leaders;
     }
-    void read_all() override {} // users do
+    void read_all() override {} // the simulated users read the jobs' states instead
 
 private:
     bool begun_ = false;
--- a/tests/golden.hpp
+++ b/tests/golden.hpp
@@ -1,9 +1,9 @@
-// Golden files: texts that went over the wire or into a store, kept in tests/golden. What the code writes is held
-// against them byte for byte, so that no renaming or rewrite changes a form that others read.
+// Golden files in tests/golden hold texts that went over the wire or into a store. What the code writes is compared
+// with them byte for byte, so that no renaming or rewrite changes a format that other programs read.
 //
-// After an intended change of a form: run the tests with HERONSHIFT_WRITE_GOLDEN=1, which rewrites the files and
-// fails, and look at what git says has changed. Files under golden/production came from released versions and
-// are never rewritten.
+// After an intended change of a format, run the tests with HERONSHIFT_WRITE_GOLDEN=1, which rewrites the files and
+// fails the tests, and review the changes with `git diff`. Files under golden/production came from released versions
+// and are never rewritten.
 #pragma once
 
 #include "heronshift/codec.hpp"
@@ -19,7 +19,7 @@
 
 class Golden : public ::testing::Test {
 protected:
-    // The text of a golden file without its last line end.
+    // The text of a golden file without its trailing newline.
     static std::string golden(const std::string& name) {
         std::ifstream file(path_of(name), std::ios::binary);
         EXPECT_TRUE(file) << path_of(name) << " cannot be read";
@@ -45,7 +45,7 @@
         const std::filesystem::path path = path_of(name);
         std::filesystem::create_directories(path.parent_path());
         std::ofstream(path, std::ios::binary) << text << '\n';
-        ADD_FAILURE() << name << " was written anew";
+        ADD_FAILURE() << name << " was rewritten because HERONSHIFT_WRITE_GOLDEN is set";
     }
 
 private:
--- a/tests/loop.hpp
+++ b/tests/loop.hpp
@@ -1,4 +1,4 @@
-// A libuv loop for tests in real time, and the clock that such tests measure with.
+// A libuv event loop for tests that run in real time, and the clock that they measure with.
 #pragma once
 
 #include <uv.h>
@@ -9,7 +9,7 @@
     return static_cast<double>(uv_hrtime()) * 1e-9;
 }
 
-// A loop that ends with the object; handles close in its last turns.
+// Owns an event loop; the destructor runs it until all handles are closed.
 struct Loop {
     uv_loop_t loop{};
     Loop() {
--- a/tests/machines.hpp
+++ b/tests/machines.hpp
@@ -1,5 +1,5 @@
-// Machines in memory that follow the protocol: leases, agent epochs, fencing tokens, orders, gangs; with every rule of
-// where and when a task may run checked as it starts.
+// Simulated machines that follow the worker protocol: leases, agent epochs, fencing tokens, orders, gangs. Each start
+// of a task is checked against all rules about where and when tasks may run.
 #pragma once
 
 #include "heronshift/codec.hpp"
@@ -59,14 +59,14 @@
         double lease_from = 0, next_heartbeat = 0, rented_at = 0;
         std::size_t node = 0; // the controller it reports to
         bool in_flight = false;
-        double well_since = -1; // not cut, hanging or dead
+        double well_since = -1; // since when it is not cut off, hanging or dead
         struct Run {
             std::string job;
             std::uint32_t index = 0;
             std::uint64_t attempt = 0;
             TaskState state = TaskState::fetching;
             ExitCause cause = ExitCause::none;
-            double until = 0; // of the fetch, the wait for its gang, the run
+            double until = 0; // when the present state ends: the fetch, the wait for the gang or the run
             double alone_since = -1;
         };
         std::vector<Run> tasks;
@@ -82,10 +82,10 @@
     double now = 0;
     std::map<std::string, Worker> workers;
     std::map<std::string, JobSpec> jobs;
-    std::map<std::string, double> cancelled; // told to the user
+    std::map<std::string, double> cancelled; // when the user was told, by job
     std::set<std::string> done_tasks;
-    int starts_at_limit = 0;                // after which the team's limit has no room for another such task
-    int started = 0, started_cancelled = 0; // the latter: launches though their users knew the job as cancelled
+    int starts_at_limit = 0;                // starts after which the team's limit leaves no room for another such task
+    int started = 0, started_cancelled = 0; // `started_cancelled`: launches after the user was told of the cancellation
     std::vector<std::string> broken;
     std::function<double(std::uint32_t)> takes; // how long a task runs, by its index
 
@@ -95,10 +95,10 @@
     double between(double a, double b) {
         return std::uniform_real_distribution<double>(a, b)(rng);
     }
-    virtual std::optional<codec::Json> stored(const std::string& key) = 0; // in the store, at this moment
+    virtual std::optional<codec::Json> stored(const std::string& key) = 0; // the store's present value of the key
     virtual void heartbeat_if_due(Worker& w) = 0;
     virtual void expired(Worker& /*w*/) {}
-    virtual void begun(const Worker::Run& /*t*/) {} // it makes progress
+    virtual void begun(const Worker::Run& /*t*/) {} // the task makes progress
 
     Heartbeat heartbeat(Worker& w) {
         Heartbeat r{w.id, w.addr, "m8", w.zone, w.spot, w.agent_epoch, ++w.counter, w.fencing_token, -1, {}};
@@ -107,7 +107,7 @@
         return r;
     }
 
-    // As they are sent; execute() counts those that arrive when the user knows.
+    // Counts launches sent after the user was told of the cancellation; `execute` counts those that arrive after it.
     void sent(const std::vector<Order>& orders) {
         for (const auto& o : orders)
             started_cancelled += o.verb == Verb::launch && cancelled.contains(o.job);
@@ -226,7 +226,7 @@
         return takes ? takes(index) : between(2, 12);
     }
 
-    // The tasks of one attempt of a gang start together, and notice when one is gone.
+    // The tasks of one attempt of a gang start together, and end when one of them has been gone for `gang_peer_s`.
     void run_gangs() {
         std::map<std::pair<std::string, std::uint64_t>, std::vector<Worker::Run*>> gangs;
         for (auto& [id, w] : workers)
--- a/tests/network.hpp
+++ b/tests/network.hpp
@@ -1,4 +1,5 @@
-// Directed links between any two parties by name, each of which may drop, hold, refuse or slow down what passes.
+// Simulated network: directed links between any two parties, by name. Each link may drop, hold back, refuse or slow
+// down the messages that pass over it.
 #pragma once
 
 #include "simulated_cluster.hpp"
--- a/tests/no_persistence.hpp
+++ b/tests/no_persistence.hpp
@@ -1,4 +1,4 @@
-// For tests of the cluster state on its own: nothing that it has to store goes anywhere.
+// A listener that ignores every record to be stored, for tests of the cluster state alone.
 #pragma once
 
 #include "cluster/cluster_state.hpp"
--- a/tests/simulated_cluster.hpp
+++ b/tests/simulated_cluster.hpp
@@ -1,6 +1,6 @@
-// A cluster in memory for scenarios: a store, a cloud, workers that follow the protocol, a network
-// that delays, loses and holds messages, and one controller whose leadership changes at a word, or
-// several that take it from each other. After every step all rules are checked.
+// A simulated cluster for scenarios: a store, a cloud, workers that follow the protocol, a network that delays, loses
+// and holds back messages, and either one controller whose test starts a new term by calling `acquire_leadership`, or
+// several controllers that compete for the leadership. The rules are checked after every step.
 #pragma once
 
 #include "machines.hpp"
@@ -22,12 +22,12 @@
 
     struct Controller {
         std::string name;
-        std::unique_ptr<Core> core; // while it is the leader, or believes so
+        std::unique_ptr<Core> core; // set while it is the leader or takes itself for it
         std::vector<Command> queue;
-        std::uint64_t life = 0, term = 0, store_lease = 0; // answers for an earlier life are dropped
-        std::optional<LeaderLease> leader_lease;           // none: alone, and always entitled
+        std::uint64_t life = 0, term = 0, store_lease = 0; // answers to an earlier `life` are dropped
+        std::optional<LeaderLease> leader_lease;           // none: the only controller, which may always act
         bool alive = true, acquiring = false, no_store = false, no_workers = false, no_peers = false;
-        bool old = false; // of the version before chains: see what it reads and writes below
+        bool old = false; // runs the version before job chains: `start_core`, `submit` and `perform` skip what it lacks
         double rate = 1, back_at = 0, next_look = 0, next_renew = 0;
     };
 
@@ -37,13 +37,13 @@
             controllers[i].name = fmt::format("berth-{}", i);
             if (count == 1)
                 continue;
-            controllers[i].rate = between(0.9995, 1.0005); // steady clocks drift apart
+            controllers[i].rate = between(0.9995, 1.0005); // the steady clocks of different hosts drift apart
             controllers[i].leader_lease.emplace(ttl_s(), count - 1, 0);
         }
     }
     Settings old_settings = settings;
     double heartbeat_loss = 0, order_loss = 0, late = 0;
-    bool store_down = false, strict = false; // strict: the store's lower limits hold
+    bool store_down = false, strict = false; // `strict`: a transaction above the store's limits is a violation
     bool check_orphaned = true;
     std::map<std::string, codec::Json> store;
     struct LeaderRecord {
@@ -51,24 +51,24 @@
         std::uint64_t store_lease = 0, term = 0;
     };
     std::optional<LeaderRecord> leader_record;
-    std::map<std::uint64_t, double> store_leases; // until when
+    std::map<std::uint64_t, double> store_leases; // expiry time by lease
     std::uint64_t term = 0, store_lease_seq = 0;
-    int acquisitions = 0, carried = 0; // times the leadership was taken; steps it was held by extension votes alone
+    int acquisitions = 0, carried = 0; // `carried`: steps in which extension votes alone kept the leadership
     std::map<std::string, double> submitted;
-    std::set<std::string> asked;             // to be cancelled, by their users
-    std::map<std::string, std::string> told; // final states heard
+    std::set<std::string> asked;             // jobs whose users requested the cancellation
+    std::map<std::string, std::string> told; // final states that users were told, by job
     std::vector<Message> messages;
     std::vector<Controller> controllers;
-    std::unique_ptr<Core>& core; // of the first
+    std::unique_ptr<Core>& core; // of the first controller
     std::map<std::uint64_t, std::function<void(int, std::uint64_t, std::vector<Order>)>> heartbeats;
     std::map<std::uint64_t, std::string> cancels;
     std::uint64_t handles = 0;
-    int capacity = 6;            // machines left to rent
-    std::optional<int> ordinary; // if set, capacity is of spot machines only
+    int capacity = 6;            // machines that can still be rented
+    std::optional<int> ordinary; // if set: the same for on-demand machines, and `capacity` counts spot machines only
     int machines = 0, steps = 0;
     std::set<std::string> claims;
     std::function<void(const std::vector<codec::Write>&)> on_commit;
-    replay::CommandLog* log = nullptr; // of the one controller, if it is to be recorded
+    replay::CommandLog* log = nullptr; // if set, records the commands and effects of the only controller
 
     void send(double delay, std::function<void()> f) {
         messages.push_back({now + delay, std::move(f)});
@@ -83,7 +83,7 @@
         return c.alive && c.core && (!c.leader_lease || c.leader_lease->valid(now * c.rate));
     }
 
-    // A new leader: everything it knows is what the store holds.
+    // Starts a new term on the first controller, which knows only what the store holds.
     void acquire_leadership() {
         ++term;
         start_core(controllers[0]);
@@ -95,7 +95,7 @@
         c.term = term;
         Snapshot s;
         for (const auto& [k, v] : store) {
-            // It takes a record without a spec for no job, and knows nothing of some keys.
+            // The old version ignores job records without a spec, and does not know the keys q/ and x/.
             if (c.old && (k.starts_with("q/") || (k.starts_with("j/") && !v.contains("spec"))))
                 continue;
             codec::Item i{k, v, 1, false};
@@ -184,7 +184,7 @@
     void end_store_outage() {
         store_down = false;
         for (auto& [id, until] : store_leases)
-            until = now + ttl_s(); // all have their full time again
+            until = now + ttl_s(); // after an outage every lease gets its full time again
     }
 
     bool in_cascade_record(const std::string& id) const {
@@ -262,7 +262,7 @@
                         if (w.value && w.value->dump().size() > settings.value_kb * 1024)
                             out = TxnOutcome::too_large;
                     if (out == TxnOutcome::too_large && strict) {
-                        broken.push_back("too large a transaction");
+                        broken.push_back("transaction above the store's limits");
                         return tell(Committed{out});
                     }
                     out = TxnOutcome::applied;
@@ -312,7 +312,7 @@
                 cancelled.emplace(id, now);
         } else if (const auto* r = std::get_if<Rent>(&effect)) {
             if (!claims.insert(r->claim).second)
-                broken.push_back("claim reused " + r->claim);
+                broken.push_back("claim used for a second rental: " + r->claim);
             Rented out{r->claim, RentOutcome::no_capacity, {}};
             for (int i = 0; i < r->count && rent_one(r->spot); ++i) {
                 out.outcome = RentOutcome::rented;
@@ -358,7 +358,7 @@
         }
     }
 
-    // What a node does about the leadership, as src/leadership.cpp does it over the wire.
+    // A controller's part in leader election, as src/leadership.cpp does it over the wire.
     void run_leader_lease(std::size_t i) {
         auto& c = controllers[i];
         const double t = now * c.rate;
@@ -395,7 +395,7 @@
         c.leader_lease->record_store_answer(served, t);
         if (!served)
             return;
-        if (leader_record && leader_record->node == i) { // the process before
+        if (leader_record && leader_record->node == i) { // held by its own previous process
             store_leases.erase(leader_record->store_lease);
             leader_record.reset();
             c.leader_lease->previous_process_was_leader();
@@ -414,7 +414,7 @@
             if (c.life != life || !c.acquiring || delay < 1)
                 return;
             c.acquiring = false;
-            c.leader_lease->acquisition_in_doubt(); // it may still be applied
+            c.leader_lease->acquisition_in_doubt(); // the late transaction may still be applied
         });
         send(delay, [this, i, &c, life = c.life, store_lease, sent, read = term] {
             const bool applied =
@@ -455,8 +455,8 @@
         }
     }
 
-    // Whether one of the jobs that it needs, directly or not, was to be cancelled; since when its user
-    // knows that, if that has been told.
+    // Whether the cancellation of a direct or indirect dependency of the job was requested. Lowers `since` to the
+    // earliest time at which a user was told that one of them is cancelled.
     bool doomed(const std::string& id, double& since) {
         bool any = false;
         std::vector<std::string> stack = jobs[id].dependencies;
@@ -481,7 +481,7 @@
         double since = 1e18;
         const bool cancelled_with_dependency = !asked.empty() && !jobs[id].dependencies.empty() && doomed(id, since);
         if (status == codec::status_cancelled && !asked.contains(id) && !cancelled_with_dependency)
-            broken.push_back("went_back " + id + " was cancelled by nobody");
+            broken.push_back("went_back " + id + ": cancelled without a request");
         if (check_orphaned && status != codec::status_cancelled && status != codec::status_done &&
             now > std::max(since, submitted[id]) + settings.cancel_s)
             broken.push_back("orphaned " + id);
@@ -516,11 +516,11 @@
             m.f();
         run_machines();
         const int leaders = run_controllers();
-        // Any node answers from the store.
+        // Every controller can answer status requests from the store.
         if (!store_down && ++steps % 20 == 0)
             read_all();
         if (leaders > 1)
-            broken.push_back("two holders");
+            broken.push_back("two active leaders");
         for (const auto& [id, w] : workers)
             for (const auto& t : w.tasks)
                 if (!w.dead && (t.state == TaskState::running || t.state == TaskState::waiting) &&
@@ -528,7 +528,7 @@
                     broken.push_back("ran_cancelled " + t.job);
     }
 
-    virtual int run_controllers() { // how many may act
+    virtual int run_controllers() { // returns how many controllers may act as the leader
         int leaders = 0;
         for (std::size_t i = 0; i < controllers.size(); ++i) {
             auto& c = controllers[i];
--- a/tests/users.hpp
+++ b/tests/users.hpp
@@ -1,4 +1,4 @@
-// Users of a fleet behind their load balancer, and what they must find at the end of every day.
+// Users who reach a fleet through a load balancer, and the final checks of what they saw.
 #pragma once
 
 #include "answers.hpp"
@@ -21,16 +21,16 @@
         }
     };
 
-    std::map<std::string, User> asks; // by job
+    std::map<std::string, User> asks; // each job's user, by job
     int answers_503 = 0, answers = 0;
-    std::optional<std::size_t> cancels_at; // where users ask for cancellations; none: anywhere
+    std::optional<std::size_t> cancels_at; // the controller that gets the cancellations; none: any
     double next_health = 0;
 
-    Answers history; // of all answers, also those to the close looks
-    // Users look at all controllers within moments after a job was accepted, is over or was cancelled, repeat its
-    // submission, and some cancel it then.
+    Answers history; // all answers, including those to `look_closely`
+    // Whether users ask all controllers for a job's status within 0.4 s after it was accepted, done or cancelled,
+    // repeat its submission, and cancel a share of the jobs (`looks_cancel`) at the same time.
     bool close_looks = false;
-    double looks_cancel = 0; // the share of jobs
+    double looks_cancel = 0; // the share of jobs that `look_closely` cancels
     int looks = 0;
 
     void ask(const JobSpec& spec) {
@@ -108,7 +108,7 @@
                 });
         }
         for (auto& [id, u] : asks) {
-            const bool over = u.seen.done_at >= 0 && over_at < 0; // at the end users ask for those, too
+            const bool over = u.seen.done_at >= 0 && over_at < 0; // the final checks ask for finished jobs, too
             if (u.asking || now < u.next_at || over)
                 continue;
             auto to = balanced();
@@ -165,10 +165,10 @@
             look_closely(id);
     }
 
-    // --- the end of the day ---
-    double over_at = -1; // since when no fault is left; below zero: the day goes on
-    // All faults are over and nothing new is asked for; everybody asks for every job, and each is submitted
-    // once more. After so many seconds: what is wrong.
+    // --- final checks ---
+    double over_at = -1; // when the final checks began; below zero: not yet
+    // Ends all faults, and submits no new jobs. For `seconds`, every user asks for the status of their job and submits
+    // it once more. Returns the failed checks, one a line.
     std::string final_checks(double seconds, double excused_s = 0) {
         heal();
         inbound_unreachable.clear();
--- a/tests/working.hpp
+++ b/tests/working.hpp
@@ -1,4 +1,4 @@
-// A fleet with services that must stay up and short jobs all the time, for scenarios of many seconds.
+// A fleet under steady load, for scenarios that last many seconds.
 #pragma once
 
 #include "users.hpp"
@@ -9,7 +9,7 @@
 namespace heronshift::testing {
 
 #ifdef __SANITIZE_ADDRESS__
-inline constexpr bool sanitized = true; // ten times slower: fewer cases
+inline constexpr bool sanitized = true; // AddressSanitizer runs are ten times slower, so tests run fewer cases
 #else
 inline constexpr bool sanitized = false;
 #endif
@@ -18,13 +18,14 @@
     return w.broken.empty() ? "" : fmt::format("{} at {:.1f}", w.broken.front(), w.now);
 }
 
-// For runs by hand over many more: HERONSHIFT_SEED=1000 tests/heronshift_tests ...
+// An offset for all seeds, for manual runs over more of them: HERONSHIFT_SEED=1000 tests/heronshift_tests ...
 inline unsigned other_seeds() {
     const char* by = std::getenv("HERONSHIFT_SEED");
     return by == nullptr ? 0 : static_cast<unsigned>(std::strtoul(by, nullptr, 10));
 }
 
-// A fleet at work, with the times of a large one: services that must stay up, and short jobs all the time.
+// A fleet with the timing settings of a large one, and a steady load: services that must stay up, and short jobs that
+// are submitted continuously.
 struct Working : Populated {
     Working(unsigned seed, std::size_t count, int max_machines) : Populated(seed, count) {
         spdlog::set_level(spdlog::level::from_str(level == nullptr ? "off" : level));
@@ -43,7 +44,7 @@
     ~Working() override {
         spdlog::set_level(spdlog::level::info);
     }
-    const char* level = std::getenv("LOG_LEVEL"); // to see what the controllers say, by the world's time
+    const char* level = std::getenv("LOG_LEVEL"); // shows the controllers' log lines, with simulated time
     int n = 0;
     double next_job = 0, every_s = 1;
     std::function<void()> before_step;
@@ -63,18 +64,18 @@
     double leases(double k) const {
         return k * settings.lease_s;
     }
-    // Jobs that were asked for longer ago than that and are not over.
+    // Counts the jobs, except services, that were submitted more than `older_s` ago and are not final.
     int unfinished(double older_s) {
         int out = 0;
         for (const auto& [id, u] : asks)
             out += jobs[id].shape != Shape::service && now - u.seen.asked_at > older_s && u.seen.done_at < 0;
         return out;
     }
-    // Taken over without need: two changes within a lease after the first one.
+    // Describes a needless takeover: two changes of the leader, after the first election, within one lease.
     std::string hasty() const {
         for (std::size_t k = 2; k < changes.size(); ++k)
             if (changes[k] - changes[k - 1] < settings.lease_s)
-                return fmt::format("two changes of holder in {:.1f} s", changes[k] - changes[k - 1]);
+                return fmt::format("the leader changed twice in {:.1f} s", changes[k] - changes[k - 1]);
         return {};
     }
     const std::string& name(std::size_t after_leader) const {
