--- a/tests/fleet.hpp
+++ b/tests/fleet.hpp
@@ -24,7 +24,8 @@
         double late_s = 0;                        // how long its event loop is paused after every turn
         int late_turns = 0;                       // how often `late_s` has paused it
         std::vector<std::function<void()>> inbox; // events that arrived while it is frozen
-        int good = 0, bad = 0;                    // consecutive successful and failed health checks (/up)
+        // Consecutive successful and failed health checks (/up).
+        int good = 0, bad = 0;
     };
     explicit Fleet(unsigned seed, std::size_t count = 5) : DirectCommands(seed) {
         settings.zones = {"a", "b", "c"};
@@ -298,7 +299,8 @@
         n.frozen = n.healthy = false;
         n.back_at = now + for_s;
         begun_ = false;
-        ways.clear(); // a new process knows nothing yet: the time from which `bound_s` counts restarts
+        // A new process knows nothing yet: the time from which `bound_s` counts restarts.
+        ways.clear();
     }
     void freeze(std::size_t i, double for_s) { // its clocks keep running
         nodes[i].frozen = true;
--- a/tests/simulated_cluster.hpp
+++ b/tests/simulated_cluster.hpp
@@ -27,7 +27,8 @@
         std::uint64_t life = 0, term = 0, store_lease = 0; // answers to an earlier `life` are dropped
         std::optional<LeaderLease> leader_lease;           // none: the only controller, which may always act
         bool alive = true, acquiring = false, no_store = false, no_workers = false, no_peers = false;
-        bool old = false; // runs the version before job chains: `start_core`, `submit` and `perform` skip what it lacks
+        // Runs the version before job chains: `start_core`, `submit` and `perform` skip what it lacks.
+        bool old = false;
         double rate = 1, back_at = 0, next_look = 0, next_renew = 0;
     };
 
@@ -43,7 +44,8 @@
     }
     Settings old_settings = settings;
     double heartbeat_loss = 0, order_loss = 0, late = 0;
-    bool store_down = false, strict = false; // `strict`: a transaction above the store's limits is a violation
+    // `strict`: a transaction above the store's limits is a violation.
+    bool store_down = false, strict = false;
     bool check_orphaned = true;
     std::map<std::string, codec::Json> store;
     struct LeaderRecord {
@@ -53,7 +55,8 @@
     std::optional<LeaderRecord> leader_record;
     std::map<std::uint64_t, double> store_leases; // expiry time by lease
     std::uint64_t term = 0, store_lease_seq = 0;
-    int acquisitions = 0, carried = 0; // `carried`: steps in which extension votes alone kept the leadership
+    // `carried`: steps in which extension votes alone kept the leadership.
+    int acquisitions = 0, carried = 0;
     std::map<std::string, double> submitted;
     std::set<std::string> asked;             // jobs whose users requested the cancellation
     std::map<std::string, std::string> told; // final states that users were told, by job
@@ -63,8 +66,9 @@
     std::map<std::uint64_t, std::function<void(int, std::uint64_t, std::vector<Order>)>> heartbeats;
     std::map<std::uint64_t, std::string> cancels;
     std::uint64_t handles = 0;
-    int capacity = 6;            // machines that can still be rented
-    std::optional<int> ordinary; // if set: the same for on-demand machines, and `capacity` counts spot machines only
+    int capacity = 6; // machines that can still be rented
+    // If set: the number of on-demand machines that can still be rented; `capacity` counts spot machines only then.
+    std::optional<int> ordinary;
     int machines = 0, steps = 0;
     std::set<std::string> claims;
     std::function<void(const std::vector<codec::Write>&)> on_commit;
--- a/tests/users.hpp
+++ b/tests/users.hpp
@@ -108,7 +108,8 @@
                 });
         }
         for (auto& [id, u] : asks) {
-            const bool over = u.seen.done_at >= 0 && over_at < 0; // the final checks ask for finished jobs, too
+            // The final checks ask for finished jobs, too.
+            const bool over = u.seen.done_at >= 0 && over_at < 0;
             if (u.asking || now < u.next_at || over)
                 continue;
             auto to = balanced();
