--- a/tests/test_cancellation_cascades.cpp
+++ b/tests/test_cancellation_cascades.cpp
@@ -1,10 +1,10 @@
-// The incident. A user was told that the first job of a pipeline is cancelled. 46 s later, within which all jobs after
-// it have to be cancelled too, they were still called pending, and they were so in the term of each of the next three
-// leaders: every one of them logged that it cancels them, none stored it. Users submitted some twelve short jobs a
-// second at that time. The leader wrote the jobs cancelled with their dependency only where a transaction had room left
-// by all other final states, and while jobs end at the rate at which the store takes their final states none has. The
-// leader changes made it worse, and are not the cause: it happens without them. What proved it: no write of such a job
-// is in any transaction, applied or refused, while others are.
+// Cancelling a job also cancels all jobs that depend on it, and this must reach the store within `cancel_s` (46 s).
+// These tests guard against dependents that stay pending for longer. In the original fault they stayed pending through
+// the terms of three more leaders: each leader logged the cancellations, and none stored them. Users submitted about
+// twelve short jobs a second. The leader wrote the final states of cancelled dependents only into the space that all
+// other final states left in a transaction, and there is no such space while jobs end as fast as the store accepts
+// their final states. Leader changes made it worse but did not cause it: it also happens without them. No transaction,
+// applied or refused, contained a write of such a dependent, while the writes of other jobs were there.
 #include "simulated_cluster.hpp"
 
 #include <gtest/gtest.h>
@@ -12,10 +12,10 @@
 namespace heronshift::testing {
 namespace {
 
-// Short jobs and pipelines of which most are cancelled at their first stage, against a store at its lowest limits.
+// Short jobs, and pipelines most of which are cancelled at their first stage. The store has its lowest limits.
 struct ShortJobsAndPipelines : SimulatedCluster {
     static constexpr double warm_up_s = 20;
-    static constexpr double leaderless_s = 3.4; // a store lease and a claim
+    static constexpr double leaderless_s = 3.4; // the store lease plus the time to acquire leadership
     static constexpr int stages = 4;
 
     struct Load {
@@ -49,11 +49,11 @@
         }
     }
 
-    /// The longest that a record of each kind has waited for the store, in seconds.
+    /// For each kind of record, the longest time that one has waited to be stored, in seconds.
     std::map<std::string, double> longest_waits;
-    /// Times that a final state of a job cancelled with its dependency, or of any other job, was sent to the store.
+    /// How many final states were sent to the store: of `dependents`, and of all other jobs.
     int dependents_written = 0, others_written = 0;
-    std::set<std::string> dependents; // of cancelled jobs
+    std::set<std::string> dependents; // the later stages of cancelled pipelines
 
 private:
     void count(const std::vector<codec::Write>& writes) {
@@ -106,7 +106,7 @@
             cancel_at_[root.id] = now + between(0.2, 2);
     }
 
-    // Users repeat it until it is answered.
+    // Users repeat a cancellation until they are told the final state of the job.
     void cancel_due() {
         for (auto it = cancel_at_.begin(); it != cancel_at_.end();) {
             if (told.contains(it->first)) {
@@ -143,7 +143,7 @@
 std::string first_broken(const ShortJobsAndPipelines& cluster) {
     if (cluster.broken.empty())
         return "";
-    return fmt::format("{} at {:.1f}, {} final states of dependents sent and {} others", cluster.broken.front(),
+    return fmt::format("{} at {:.1f} s; final states sent: {} of dependents, {} of other jobs", cluster.broken.front(),
                        cluster.now, cluster.dependents_written, cluster.others_written);
 }
 
@@ -174,7 +174,8 @@
     EXPECT_LT(longest["cancelled_with_dependency"], 2 * report_s);
     EXPECT_LT(longest["ready"], report_s);
     EXPECT_LT(longest["intents"], report_s);
-    EXPECT_GT(longest["done"], cluster.settings.cancel_s) << "the store takes them faster than they come";
+    EXPECT_GT(longest["done"], cluster.settings.cancel_s)
+        << "the store is not overloaded: it stores final states as fast as jobs end";
 }
 
 } // namespace
--- a/tests/test_cascade_soak.cpp
+++ b/tests/test_cascade_soak.cpp
@@ -1,5 +1,5 @@
-// A soak of real controllers: short jobs, pipelines that are cancelled, leaders that end, a store at its lowest limits.
-// By hand for longer: HERONSHIFT_SEED=7 HERONSHIFT_SOAK_S=3600 heronshift_tests --gtest_filter='CascadeSoak.*'
+// Soak test of real controllers: short jobs, cancelled pipelines, leader crashes and a store at its lowest limits.
+// To run it for longer: HERONSHIFT_SEED=7 HERONSHIFT_SOAK_S=3600 heronshift_tests --gtest_filter='CascadeSoak.*'
 #include "fault_scenario.hpp"
 
 #include <gtest/gtest.h>
@@ -28,13 +28,14 @@
         settings.value_kb = 2;
         settings.txn_ops = 5;
         engine = std::make_unique<store::Engine>(store::memory_data(), store::Limits{90, 24, 5, 2});
-        every_s = 1e9; // only the jobs below
+        every_s = 1e9; // no generated load; submit_and_cancel() adds all jobs
         n = 1000;
         takes = [this](std::uint32_t) { return between(4, 8); };
         on_step = [this] { submit_and_cancel(); };
     }
 
-    /// Lets the last cancellations reach all jobs; those that were told so need not have run.
+    /// Stops the load and waits until the last cancellations have reached all dependents. Dependents that were reported
+    /// as cancelled are marked as such, so that the final checks don't expect them to have run.
     void end_load() {
         on_step = {};
         work(settings.cancel_s);
@@ -43,7 +44,7 @@
                 asks[id].cancels = true;
     }
 
-    /// Answers to questions about jobs that a controller read in a cascade record.
+    /// The highest number of answers about jobs that one controller process has given from a cascade record.
     double answers_from_cascades = 0;
 
 private:
@@ -79,12 +80,12 @@
         send(between(1, 3), [this, ids] {
             request_cancellation(ids.front());
             for (const auto& id : ids)
-                history.cancel_asked(id); // cancelled with the first
+                history.cancel_asked(id); // the dependents are cancelled with the first job
             dependents_.insert(dependents_.end(), ids.begin() + 1, ids.end());
         });
     }
 
-    // Of processes that are about to end, too.
+    // Called before each crash too, because the counters of a process end with it.
     void count_answers() {
         for (const auto& node : nodes) {
             if (!node.controller)
@@ -99,12 +100,13 @@
         }
     }
 
-    std::vector<std::string> dependents_; // of cancelled jobs
+    std::vector<std::string> dependents_; // the later stages of cancelled pipelines
     double jobs_per_s_;
     double next_job_at_ = 0, next_pipeline_at_ = 20, next_failover_at_ = 75;
 };
 
-// Rules and answers only: the store takes fewer changes than these jobs need, so they are done late.
+// Checks only invariants and answers, not completion times: these jobs need more changes than the store accepts, so
+// they finish late.
 TEST(CascadeSoak, NoRuleIsBrokenWhileJobsComeFasterThanTheStoreTakesThem) {
     for (unsigned seed = 1; seed <= soak_seeds; ++seed) {
         PipelinesUnderLoad fleet(seed, 3.5);
@@ -112,13 +114,13 @@
         fleet.work(soak_s());
         EXPECT_EQ(fleet.violation(), "") << seed;
         EXPECT_GT(fleet.looks, 1000) << seed;
-        EXPECT_GT(fleet.answers_from_cascades, 0) << seed << ": no controller has answered from a cascade record";
+        EXPECT_GT(fleet.answers_from_cascades, 0) << seed << ": no controller answered from a cascade record";
     }
 }
 
-// A job was done and run again in each of ten terms, so the one that needs it began after five minutes: final states
-// were stored in the order in which jobs were done, and in each term this one was done after those that the leader had
-// time to store (by hand with other seeds; the log of such a job shows it).
+// Guards against a job that finishes and is run again in each of ten terms, so that its dependent starts only after
+// five minutes. Final states were stored in the order in which jobs finished, and in each term this job finished after
+// the last one that the leader had time to store. It occurs with other seeds; the job's log shows it.
 TEST(CascadeSoak, EveryJobIsServedWhereTheStoreTakesThem) {
     for (unsigned seed = 1; seed <= soak_seeds; ++seed) {
         PipelinesUnderLoad fleet(210 + seed, 1.5);
--- a/tests/test_chains.cpp
+++ b/tests/test_chains.cpp
@@ -1,4 +1,4 @@
-// Scenarios of jobs that wait for others, and of two versions that take turns on one store.
+// Jobs that depend on other jobs, and controllers of the old and the new version that lead in turn on one store.
 #include "simulated_cluster.hpp"
 
 #include "persistence/intents.hpp"
@@ -24,7 +24,7 @@
     return codec::to_record({s, at, -1, true, {}});
 }
 
-// --- what users send, what records hold ---
+// --- submissions and stored records ---
 
 TEST(Chains, ASubmissionNamesJobsOrSaysWhichFieldIsWrong) {
     auto body = codec::to_json(after(5, {}));
@@ -44,7 +44,7 @@
     }
 }
 
-// Records as the version before writes them, word for word.
+// The records are exactly as the previous version writes them.
 TEST(Chains, RecordsOfTheVersionBeforeAreRead) {
     Snapshot s;
     auto put = [](std::vector<codec::Item>& to, const char* key, const char* value) {
@@ -68,7 +68,7 @@
     EXPECT_EQ(codec::stored_final(codec::parse(R"({"s":"done"})"))->status, codec::status_done);
 }
 
-// What it takes for a job to start: a record with a spec that it can read.
+// The previous version starts a job only if its record has a `spec` that it can read.
 TEST(Chains, TheVersionBeforeStartsNothingOfAJobThatWaits) {
     const auto record = waiting(after(2, {1}), 5);
     EXPECT_FALSE(record.contains("spec"));
@@ -79,7 +79,7 @@
     ASSERT_TRUE(back);
     const auto c = job_stored(codec::StoredJob(*back), 20);
     EXPECT_DOUBLE_EQ(c.age_s, 15);
-    EXPECT_DOUBLE_EQ(c.ready_age_s, 12); // the moment of readiness survives a failover
+    EXPECT_DOUBLE_EQ(c.ready_age_s, 12); // the time at which the job became ready survives a failover
     EXPECT_FALSE(c.waits);
 }
 
@@ -109,7 +109,7 @@
     EXPECT_EQ(first(w), "");
 }
 
-// --- whole scenarios ---
+// --- dependencies in a running cluster ---
 
 TEST(Chains, ADiamondRunsInItsOrder) {
     SimulatedCluster w(2);
@@ -126,7 +126,7 @@
     w.run(200);
     for (int i = 1; i <= 5; ++i)
         EXPECT_EQ(w.told[name(i)], codec::status_done) << i;
-    w.submit(after(6, {5, 3})); // the last one comes when the others are over
+    w.submit(after(6, {5, 3})); // submitted after its dependencies are done
     w.run(40);
     EXPECT_EQ(w.told[name(6)], codec::status_done);
     EXPECT_EQ(first(w), "");
@@ -149,7 +149,7 @@
     EXPECT_EQ(first(w), "");
 }
 
-// Hundreds are written over many small transactions; leaders end between any two of them.
+// The final states of 200 jobs take many small transactions, and the leader changes between them.
 TEST(Chains, ACancellationCancelsAllDependentsWhoeverIsLeader) {
     for (unsigned seed = 1; seed <= 4; ++seed) {
         SimulatedCluster w(seed);
@@ -158,14 +158,14 @@
         w.settings.state_write_rps = 24;
         w.strict = true;
         w.acquire_leadership();
-        auto root = after(1, {}, 300); // more than its team may run for a while
+        auto root = after(1, {}, 300); // more tasks than its team's limit allows at once
         w.submit(root);
         for (int i = 2; i <= 200; ++i)
             w.submit(after(i, {i % 7 == 0 ? 1 : i - 1}));
         w.run(10);
         for (int i = 0; i < 6; ++i) {
             if (!w.cancelled.contains(name(1)))
-                w.cancel(name(1)); // as its user repeats it
+                w.cancel(name(1)); // the user repeats the request
             w.run(w.between(0.2, 5));
             w.acquire_leadership();
         }
@@ -173,14 +173,15 @@
         EXPECT_EQ(first(w), "");
         for (int i = 1; i <= 200; ++i)
             ASSERT_EQ(w.told[name(i)], codec::status_cancelled) << i << " seed " << seed;
-        w.submit(after(201, {150})); // named after the fact: accepted, then taken along
+        w.submit(after(201, {150})); // depends on a cancelled job: accepted, then cancelled with it
         w.run(3);
         EXPECT_EQ(w.told[name(201)], codec::status_cancelled);
         EXPECT_EQ(first(w), "");
     }
 }
 
-// Whichever the store holds first: either all that need it go on, or none does.
+// Whether the store first holds the job as done or as cancelled decides for all its dependents: either all of them run
+// or none does.
 TEST(Chains, ACancellationRacesWithTheLastTask) {
     int done = 0, cancelled = 0;
     for (unsigned seed = 1; seed <= 40; ++seed) {
@@ -206,14 +207,15 @@
     EXPECT_GT(cancelled, 3);
 }
 
-// The final state is in the store, that its successor is ready is not; nor is the record of the job.
+// The store holds the final state of job 1, but no longer its record, and job 2, its dependent, is not yet stored as
+// ready. The new leader must look job 1 up before it makes job 2 ready.
 TEST(Chains, ANewLeaderFindsWhatIsDoneInTheStore) {
     Snapshot s;
     s.jobs.push_back({"j/wk-000002", waiting(after(2, {1})), 1, false});
     const auto settings = small_settings();
     Core core(settings, 2, s, 0, 0);
     std::vector<Command> q{MachineTypesKnown{small_types()}};
-    bool asked = false, open = false; // a transaction of something else
+    bool asked = false, open = false; // `open`: an unrelated transaction is not answered yet
     for (const auto& e : core.step(q, 0.1, 0.1)) {
         asked = asked || std::holds_alternative<FindJob>(e);
         open = open || std::holds_alternative<Commit>(e);
@@ -234,7 +236,8 @@
     EXPECT_TRUE(wrote_ready(std::move(found), 0.3));
 }
 
-// What only the leader's memory knows to be done, the next leader may run again.
+// A job that is done only in the leader's memory may be run again by the next leader, so its dependents have to wait
+// until its final state is stored.
 TEST(Chains, NothingIsReadyBeforeTheStoreHasTheFinalState) {
     const auto settings = small_settings();
     Snapshot s;
@@ -260,7 +263,7 @@
     EXPECT_FALSE(ready_sent);
     final_sent = false;
     go(2, 2.5, {Committed{TxnOutcome::refused}});
-    EXPECT_TRUE(final_sent); // once more
+    EXPECT_TRUE(final_sent); // sent again after the refusal
     EXPECT_FALSE(ready_sent);
     go(2.5, 3, {Committed{TxnOutcome::applied}});
     EXPECT_TRUE(ready_sent);
@@ -270,7 +273,7 @@
     SimulatedCluster w(4);
     w.acquire_leadership();
     w.submit(after(1, {}, 1));
-    auto large = job(2, Shape::service, 9, 4); // the team's whole limit, nearly
+    auto large = job(2, Shape::service, 9, 4); // nearly the team's whole limit
     large.dependencies = {name(1)};
     w.submit(large);
     w.submit(job(3, Shape::service, 4, 4));
@@ -280,7 +283,8 @@
     EXPECT_EQ(first(w), "");
 }
 
-// A job is as urgent as the one that needs it; the deadline at the end counts for all before it.
+// A job has at least the priority of its dependents, and the deadline of the last job of a chain applies to all jobs
+// before it.
 TEST(Chains, TheLastJobsPriorityIsThatOfAllItDependsOn) {
     SimulatedCluster w(5);
     w.capacity = 2;
@@ -307,10 +311,10 @@
     EXPECT_EQ(first(w), "");
 }
 
-// --- the store's later limits ---
+// --- lowered limits of the store ---
 
-// A record of 12 KiB from before can't be rewritten: what is live of it moves to others, and is
-// named by the store at every moment.
+// A record of 12 KiB, written before the limit was lowered, is too large to be rewritten. Its live intents move to
+// other records, and the store must name every live task at any time.
 TEST(Chains, LongRecordsAreCarriedOnWithoutAGap) {
     auto settings = small_settings();
     settings.teams[0].cpus_max = 5000;
@@ -347,7 +351,7 @@
             if (c == nullptr)
                 continue;
             EXPECT_LT(c->writes.size(), 5U);
-            const bool refused = rng() % 4 == 0; // without any effect
+            const bool refused = rng() % 4 == 0; // a refused transaction has no effect
             for (const auto& w : c->writes) {
                 if (!w.key.starts_with("i/"))
                     continue;
@@ -389,15 +393,16 @@
     EXPECT_GE(gone, 40U);
 }
 
-// --- both versions at once ---
+// --- both versions on one store ---
 
 struct Turn {
     unsigned seed;
-    bool back; // an old process may come back when jobs wait already
+    bool back; // whether nodes may return to the old version after jobs with dependencies were submitted
 };
 class BothVersions : public ::testing::TestWithParam<Turn> {};
 
-// Nodes are replaced one after the other under load and faults; chains come once all are new.
+// Controllers are upgraded one after the other under load and faults. Jobs with dependencies are submitted once all run
+// the new version.
 TEST_P(BothVersions, TakeTurnsAndBreakNoRule) {
     const auto p = GetParam();
     SimulatedCluster w(p.seed, 5);
@@ -406,7 +411,7 @@
     w.old_settings = w.settings;
     w.settings.txn_ops = 8;
     w.settings.value_kb = 2;
-    w.check_orphaned = !p.back; // an old leader takes nothing along: see docs/operations.md
+    w.check_orphaned = !p.back; // an old leader does not cancel dependents: see docs/operations.md
     w.capacity = 60;
     w.heartbeat_loss = w.order_loss = w.late = 0.02;
     for (auto& c : w.controllers)
--- a/tests/test_cli.cpp
+++ b/tests/test_cli.cpp
@@ -1,4 +1,4 @@
-// The shipped schema says what the service says, and names the field.
+// The shipped JSON schemas accept and refuse what the service does, and name the wrong field. Also tests the metrics.
 #include "cli/schema.hpp"
 #include "heronshift/codec.hpp"
 #include "heronshift/config.hpp"
@@ -81,7 +81,7 @@
     }
     for (const auto* field : {"yard", "flavors", "together", "dueS", "waitsOn", "accelerators"}) {
         auto j = good;
-        j[field] = nullptr; // may be left out, so it may be null
+        j[field] = nullptr; // optional fields may be null
         EXPECT_EQ(violation(submission_schema, j.dump()), "");
         EXPECT_TRUE(accepted(j)) << field;
     }
@@ -95,7 +95,7 @@
     EXPECT_EQ(violation(submission_schema, "[]").substr(0, 13), "the document:");
 }
 
-// A settings file with one thing wrong: the field is named, not just the file.
+// For a settings file with one wrong field, the error must name this field and not just the file.
 TEST(Schema, OfTheSettingsNamesTheField) {
     const Json address = "127.0.0.1:7000";
     const Json team = {{"name", "red"}, {"cpus", 4}, {"cpus_max", 8}, {"gpus", 0}, {"gpus_max", 0}};
@@ -142,7 +142,7 @@
     }
 }
 
-// The schema of the operators' settings and the file's reader know the same names and limits.
+// The schema of the operators' settings and the code that reads the file have the same names and limits.
 TEST(Schema, OfTheOperatorsAgreesWithTheReader) {
     const auto path = ::testing::TempDir() + "operators.sx";
     const auto rules = Json::parse(operators_schema)["properties"];
@@ -163,7 +163,7 @@
     for (const auto& [name, rule] : rules.items()) {
         const auto some = "(heronshift (" + name + (name == "begin-s" ? " 100))" : " 1))");
         EXPECT_TRUE(takes(some) || name == "alpha" || name == "beta" || name == "gamma")
-            << name; // these three are held against each other
+            << name; // these three must fit each other, so one alone may be refused
         EXPECT_TRUE(good(some)) << name;
         for (const auto* bad : {"-1", "many", "(1)"}) {
             const auto text = "(heronshift (" + name + " " + bad + "))";
@@ -186,12 +186,12 @@
     metrics::Latency l;
     for (const double s : {0.0, 0.0005, 0.0015, 0.0015, 0.3, 100.0, -1.0})
         l.add(s);
-    l.add(std::numeric_limits<double>::quiet_NaN()); // none
+    l.add(std::numeric_limits<double>::quiet_NaN()); // not counted
     EXPECT_EQ(l.count(), 7U);
     EXPECT_NEAR(l.sum(), 100.3035, 1e-9);
     const auto b = l.buckets();
     EXPECT_NEAR(b.front().upto, 0.001, 1e-9);
-    EXPECT_EQ(b.front().count, 3U); // 0, 0.0005 and the one below zero
+    EXPECT_EQ(b.front().count, 3U); // 0, 0.0005 and -1
     EXPECT_NEAR(b[1].upto, 0.002, 1e-9);
     EXPECT_EQ(b[1].count, 5U);
     EXPECT_EQ(b[b.size() - 2].count, 6U);
@@ -202,7 +202,7 @@
     metrics::Latency l;
     metrics::FirstLaunches f;
     f.known("wk-1", 10);
-    f.known("wk-1", 11); // told again, by a follower
+    f.known("wk-1", 11); // reported a second time, by a follower
     f.launched("wk-1", 12.5, l);
     f.launched("wk-1", 20, l);
     f.launched("wk-2", 20, l); // accepted before this term
@@ -211,7 +211,7 @@
     f.limit(4999);
     for (int i = 0; i < 5000; ++i)
         f.known(std::to_string(i), 30);
-    f.launched("0", 40, l); // forgotten: there is a bound
+    f.launched("0", 40, l); // evicted: the number of known jobs is limited
     EXPECT_EQ(l.count(), 1U);
     f.launched("4999", 40, l);
     EXPECT_EQ(l.count(), 2U);
@@ -224,7 +224,7 @@
     for (const auto* line :
          {"# HELP a_total things\n# TYPE a_total counter\na_total 3\n", "# TYPE b gauge\nb 0.5\n",
           "# TYPE c_seconds histogram\n", "c_seconds_count 1\n", "c_seconds_bucket{le=\"+Inf\"} 1\n"})
-        EXPECT_NE(t.find(line), std::string::npos) << line << "in\n" << t;
+        EXPECT_NE(t.find(line), std::string::npos) << line << " not found in\n" << t;
 }
 
 } // namespace
