--- a/tests/test_cluster.cpp
+++ b/tests/test_cluster.cpp
@@ -1,4 +1,4 @@
-// Several controllers: who may act, and whole days of several hundred machines under fault.
+// Several controllers: which of them may act as leader, and runs with up to several hundred machines under faults.
 #include "simulated_cluster.hpp"
 
 #include <gtest/gtest.h>
@@ -29,7 +29,7 @@
     EXPECT_EQ(first(w), "");
 }
 
-// The store serves all but the leader: that is no outage, and another must take over.
+// The store answers everyone but the leader. This is not an outage of the store, so another controller must take over.
 TEST(Cluster, ALeaderThatAloneIsCutFromTheStoreIsReplaced) {
     SimulatedCluster w(6, 5);
     w.capacity = 20;
@@ -49,8 +49,8 @@
     unsigned seed;
 };
 
-// Crashes of some and of all, outages, controllers cut from one side only, machines that hang, are
-// cut, die, fail or are silent, messages lost and late.
+// Controllers crash, some or all at once, or lose their links to the store, the workers or the other controllers. The
+// store has outages. Machines hang, lose their links, die, fail or fall silent. Messages are lost or late.
 class ManyFaults : public ::testing::TestWithParam<Size> {};
 
 TEST_P(ManyFaults, BreakNoRule) {
--- a/tests/test_cluster_state.cpp
+++ b/tests/test_cluster_state.cpp
@@ -1,4 +1,5 @@
-// The one function that every placement passes: whatever a policy proposes, no rule is broken.
+// `ClusterState::place`, through which every placement goes, refuses each proposal that breaks a rule, whichever policy
+// makes it.
 #include "cluster/cluster_state.hpp"
 #include "no_persistence.hpp"
 #include "simulated_cluster.hpp"
@@ -10,7 +11,7 @@
 
 using cluster::ClusterState;
 
-// Machines of both zones and kinds, and a policy that proposes whatever it is told to.
+// Machines in both zones, ordinary and spot, and direct calls of `place` in the role of a policy.
 struct ClusterFixture {
     Settings settings = small_settings();
     std::vector<Effect> out;
@@ -38,7 +39,7 @@
     }
     std::string refusal(const cluster::Job& j, const std::string& on) {
         const auto* why = cluster.view().refusal(j, machine(on));
-        // The answer and the deed must not differ.
+        // `refusal` must predict what `place` does.
         EXPECT_EQ(cluster.place(j, machine(on)), why == nullptr);
         return why == nullptr ? "" : why;
     }
@@ -47,7 +48,7 @@
 TEST(ClusterState, RefusesAPlaceThatTheJobDoesNotAllow) {
     ClusterFixture d;
     auto s = job(1, Shape::service, 4, 1);
-    EXPECT_EQ(d.refusal(d.add(s), "s1"), "a type, zone or kind that the job does not allow"); // no spot
+    EXPECT_EQ(d.refusal(d.add(s), "s1"), "a type, zone or kind that the job does not allow"); // a spot machine
     s = job(2, Shape::array, 4, 1);
     s.zone = "b";
     const auto& only_b = d.add(s);
@@ -68,7 +69,7 @@
     EXPECT_EQ(d.refusal(together, "a2"), "");
     s = job(2, Shape::service, 3, 1);
     s.spread = true;
-    const auto& apart = d.add(s); // two of three may be in one zone
+    const auto& apart = d.add(s); // at most two of its three tasks may be in one zone
     EXPECT_EQ(d.refusal(apart, "a1"), "");
     EXPECT_EQ(d.refusal(apart, "a2"), "");
     EXPECT_NE(d.refusal(apart, "a1"), "");
@@ -80,7 +81,7 @@
     const auto& big = d.add(job(1, Shape::array, 9, 5)); // machines of 8 CPUs
     EXPECT_EQ(d.refusal(big, "a1"), "");
     EXPECT_EQ(d.refusal(big, "a1"), "no room");
-    // The team's limit is 40 CPUs; what may be on a machine counts, reported or not.
+    // The team's limit is 40 CPUs. Every task that may be on a machine counts towards it, reported or not.
     d.settings.teams[0].cpus_max = 40;
     for (int i = 0; i < 8; ++i)
         d.up(fmt::format("a{}", 10 + i));
@@ -105,7 +106,7 @@
     EXPECT_EQ(d.refusal(other, "a1"), "the machine takes no work");
 }
 
-// A refused proposal changes nothing and is said in the log.
+// A refused proposal changes nothing and is logged as a warning.
 TEST(ClusterState, ARefusedProposalLeavesTheStateAsItWas) {
     ClusterFixture d;
     const auto& j = d.add(job(1, Shape::service, 2, 1));
--- a/tests/test_combined_faults.cpp
+++ b/tests/test_combined_faults.cpp
@@ -1,4 +1,4 @@
-// Where two faults meet, one scenario each (docs/combined-faults.md names them), over several seeds.
+// Combinations of two faults: one scenario for each that docs/combined-faults.md lists, each run with several seeds.
 #include "fault_scenario.hpp"
 
 #include <gtest/gtest.h>
@@ -6,7 +6,7 @@
 namespace heronshift::testing {
 namespace {
 
-// --- the checker ---
+// --- the checker of answers ---
 
 TEST(AnswersOfAll, OlderOnesAreCaught) {
     const auto one = [](std::initializer_list<std::tuple<double, double, int, std::string_view>> list) {
@@ -22,7 +22,8 @@
     EXPECT_EQ(one({{0, 1, 200, "done"}, {2, 3, 200, "running"}}), "went_back j: x says running");
     EXPECT_EQ(one({{0, 1, 200, "done"}, {2, 3, 404, ""}}), "forgotten j: x says 404");
     EXPECT_EQ(one({{0, 1, 200, "withdrawn"}}), "went_back j: x says cancelled by nobody");
-    // What was asked before the newer answer came may be older; but over is over, however.
+    // A request sent before the newer answer arrived may get an older one, but two answers must not give two different
+    // final states.
     EXPECT_EQ(one({{0, 3, 200, "done"}, {2, 4, 200, "running"}, {2, 4, 503, ""}}), "");
     Answers h;
     h.submitted("j");
@@ -36,7 +37,8 @@
 
 constexpr unsigned seeds = sanitized ? 1 : 4;
 
-// Other nodes read what a transaction wrote whose answer was lost; the leader then said something older.
+// Guards against a leader that answers with an older state than other controllers: they had read from the store what
+// a transaction wrote, while the store's reply to the leader was lost.
 TEST(CombinedFaults, CloseLooksWhileTheAnswersOfTransactionsAreLost) {
     for (unsigned seed = 1; seed <= seeds; ++seed) {
         FaultyFleet f(500 + seed);
@@ -44,7 +46,7 @@
         f.looks_cancel = 0.15;
         ASSERT_TRUE(f.settle(40)) << seed;
         f.lost_answers = 0.4;
-        f.on_step = [&f] { // repeated submissions are answered from the store, at every controller
+        f.on_step = [&f] { // every controller answers a repeated submission from the store
             for (auto& [id, u] : f.asks)
                 if (u.accepted() && u.seen.done_at < 0 && f.chance() < 0.05)
                     u.repeat_at = u.next_at = f.now;
@@ -56,7 +58,8 @@
     }
 }
 
-// At every controller: a known id gets its state whatever else is wrong, an unknown one the error of the protocol.
+// Every controller answers a submission with a known id with the state of that job, even if other fields are invalid.
+// With an unknown id, it answers with the error that the protocol defines.
 TEST(CombinedFaults, OddRequestsGetTheSameAnswerEverywhere) {
     FaultyFleet f(510);
     ASSERT_TRUE(f.settle(40));
@@ -77,7 +80,7 @@
         return j.dump();
     };
     auto huge = job(1, Shape::array, 1, 99);
-    auto crowd = job(1, Shape::gang, 500, 4); // beyond its team's limit, all of it
+    auto crowd = job(1, Shape::gang, 500, 4); // the whole gang exceeds its team's limit
     auto stranger = job(1, Shape::array, 1, 1, "nobody");
     const auto plain = job(1, Shape::array, 1, 1);
     struct OddRequest {
@@ -169,7 +172,7 @@
          [](FaultyFleet& f) {
              f.takes = [&f](std::uint32_t) { return f.between(20, 60); };
              f.on_step = [&f, n = 0, last_job = f.now + 65]() mutable {
-                 if (f.now > last_job) // what waits at the limit by then is through at the end of the day
+                 if (f.now > last_job) // jobs that wait at the limit by then finish before the run ends
                      f.next_job = 1e9;
                  if (f.every(4) && f.now < last_job)
                      add(f, job(0, Shape::array, 8, 2, n % 2 == 0 ? "red" : "blue"), n);
@@ -255,7 +258,7 @@
          [](FaultyFleet& f) {
              f.close_looks = true;
              f.looks_cancel = 0.1;
-             f.on_step = [&f] { // a job of which one task is left, and that one nearly through
+             f.on_step = [&f] { // act on jobs with at most one unfinished task
                  for (auto& [id, u] : f.asks) {
                      if (!u.accepted() || u.cancels || u.seen.done_at >= 0 || f.jobs[id].shape == Shape::service)
                          continue;
@@ -298,7 +301,7 @@
              f.on_step = [&f] {
                  if (f.every(12, 0.5))
                      some_cancel(f, 0.2);
-                 if (f.every(12)) { // by its end, a handover, or a cut
+                 if (f.every(12)) { // by a crash, a handover or a network cut
                      const auto h = f.leader().value_or(0);
                      const auto k = f.pick(3);
                      if (k == 0)
@@ -357,8 +360,8 @@
          [](FaultyFleet& f) {
              f.takes = [&f](std::uint32_t) { return f.between(20, 90); };
              f.on_step = [&f] {
-                 // Not slow ones: renewals that take 8 s to arrive keep the leadership from others for so long that
-                 // leases run out, whoever gives way when.
+                 // `Mode::slow` is left out: renewals that take 8 s to arrive keep the other controllers from taking
+                 // over for so long that worker leases expire, whenever the leader resigns.
                  const auto mode = std::array{Mode::drop, Mode::hold, Mode::refuse}[f.pick(3)];
                  if (f.every(30))
                      f.isolate(f.leader().value_or(0), mode, f.between(8, 26));
@@ -438,8 +441,8 @@
 INSTANTIATE_TEST_SUITE_P(All, FaultScenarios, ::testing::ValuesIn(scenarios()),
                          [](const auto& p) { return std::string(p.param.name); });
 
-// Any two of them at once, drawn by seed. Two faults at once may leave nobody who can answer a machine in time, so
-// leases are not judged here; rules, answers and what must be known are.
+// Two scenarios at once, drawn by seed. They may leave no controller that can answer a machine in time, so expired
+// leases are not checked here. The rules, the answers and the knowledge of accepted jobs are.
 TEST(CombinedFaults, TwoAtOnceBreakNoRule) {
     std::mt19937 rng(90 + other_seeds());
     const auto all = scenarios();
--- a/tests/test_cuts.cpp
+++ b/tests/test_cuts.cpp
@@ -1,4 +1,5 @@
-// Cuts that leave some links up: real controllers, several hundred machines, directed links.
+// Partial network cuts, in which some links stay up: real controllers, up to several hundred machines, links that can
+// be cut in one direction only.
 #include "fault_injection.hpp"
 
 #include <gtest/gtest.h>
@@ -6,10 +7,10 @@
 namespace heronshift::testing {
 namespace {
 
-// What a controller has left: 0 store and workers, 1 the store only, 2 the workers only, 3 neither.
+// What each controller still reaches: 0 store and workers, 1 the store only, 2 the workers only, 3 neither.
 using Left = std::vector<int>;
 
-// All ways to cut n controllers: the leader's own, then those of the others, whose order does not matter.
+// All ways to cut n controllers with the given cut for the leader. The order of the others does not matter.
 std::vector<Left> all_cuts(std::size_t n, int leader) {
     std::vector<Left> out;
     std::function<void(Left)> add = [&](Left l) {
@@ -25,7 +26,8 @@
     return out;
 }
 
-// How long a worker may need to find a node that it reaches, with 5 s for each that does not answer.
+// The longest time in seconds that a worker may need to find a controller that it reaches. Each one that does not
+// answer costs it 5 s.
 double tries_s(const Left& left, const Settings& s) {
     int run = 0, most = 0;
     for (std::size_t k = 0; k < 2 * left.size(); ++k) {
@@ -36,12 +38,13 @@
     return 1.25 * s.report_s + 5 * most;
 }
 
-// The rules hold under every cut, and where there is a way for everything, everything goes on: no lease runs
-// out, what users ask is answered, jobs are done. Once healed, all that was accepted is.
+// Returns what went wrong, or an empty text. The rules must hold under every cut. If the remaining links still allow
+// normal operation, no worker lease may expire, users must be answered and jobs must finish. After the links are
+// restored, all accepted jobs must finish.
 std::string after_cut(const Left& left, Mode m, unsigned seed) {
     Working f(seed, left.size(), 24);
     if (!f.settle())
-        return "no holder before the cut";
+        return "no leader before the cut";
     for (std::size_t k = 0; k < left.size(); ++k) {
         if (left[k] == 1 || left[k] == 3)
             f.all_zones(f.name(k), m);
@@ -52,13 +55,13 @@
     const bool path = f.path_since >= 0;
     const bool in_time = m == Mode::refuse || tries_s(left, f.settings) < f.settings.lease_s;
     const int expirations = f.expirations;
-    f.bound_s = 1e9; // said below
+    f.bound_s = 1e9; // disables the fleet's check of expired leases; they are checked below
     f.work(f.leases(4));
     if (!f.broken.empty())
         return first(f);
     if (path && in_time && f.expirations > expirations)
-        return fmt::format("{} leases ran out", f.expirations - expirations);
-    // The first that takes over may have had no time yet to see that it is cut off, too.
+        return fmt::format("{} worker leases expired", f.expirations - expirations);
+    // The first controller that takes over may not have had the time to notice that it is cut off, too.
     if (path && !f.hasty().empty())
         return f.hasty();
     const double late_s = f.leases(in_time ? 2 : 3);
@@ -67,9 +70,9 @@
     f.heal();
     f.work(f.leases(4.5));
     if (!f.broken.empty())
-        return first(f) + ", healed";
+        return first(f) + ", after the links were restored";
     if (const int left_over = f.unfinished(f.leases(3)); left_over > 0)
-        return fmt::format("{} jobs not done, healed", left_over);
+        return fmt::format("{} jobs not done after the links were restored", left_over);
     return {};
 }
 
@@ -114,9 +117,9 @@
     EXPECT_EQ(wrong, "");
 }
 
-// The layout that `OfSevenDrawnBySeed` draws with HERONSHIFT_SEED=5000: five controllers are cut from the store, two of
-// these also from the workers, and two reach the store but no workers; packets are dropped. The lease of one machine of
-// 24 runs out though a controller could have answered in time. The cause is not known.
+// A cut that `OfSevenDrawnBySeed` draws with HERONSHIFT_SEED=5000: five controllers are cut from the store, two of
+// these also from the workers, and the other two reach the store but no workers. Packets are dropped. The lease of one
+// of 24 machines expires although a controller could have answered in time. The cause is not known.
 TEST(Cuts, OfFiveFromTheStoreAndFourFromTheWorkers) {
     EXPECT_EQ(after_cut({3, 2, 3, 2, 2, 1, 1}, Mode::drop, 5083), "");
 }
@@ -130,8 +133,9 @@
     EXPECT_GT(f.started, 1000);
 }
 
-// From a day on which the leader resigned in an outage, because of a view 0.6 s old that said a
-// peer reached the store: nobody could take it for 18 s, longer than a lease, and 2,187 tasks were killed.
+// Guards against a leader that resigns during an outage of the store because a view that is 0.6 s old says that a peer
+// still reaches the store. Nobody could acquire the leadership for 18 s, longer than a lease, and 2,187 tasks were
+// killed.
 TEST(Cuts, AnOutageOfTheStoreLeavesTheLeaderInPlace) {
     for (unsigned seed = 1; seed <= 24; ++seed) {
         Working f(seed, 5, 24);
@@ -146,8 +150,8 @@
     }
 }
 
-// From a day on which the leader handed the leadership to one that had reached the cloud at its start, and knew of
-// none of the machines that were booting.
+// Guards against a leader that loses the cloud and hands over to a controller that reached the cloud only at its own
+// start. That controller knew none of the machines that were booting.
 TEST(Cuts, ACloudThatNobodyReachesMovesNoLeadership) {
     for (unsigned seed = 1; seed <= 12; ++seed) {
         Working f(seed, 5, 24);
@@ -160,7 +164,7 @@
     }
 }
 
-// One that reaches it does take over.
+// If one controller still reaches the cloud, it becomes the leader.
 TEST(Cuts, ACloudThatAnotherReachesMovesTheLeadershipThere) {
     Working f(3, 5, 24);
     ASSERT_TRUE(f.settle(40));
@@ -179,8 +183,8 @@
     unsigned seed;
 };
 
-// Links between any two that are cut at random and stay so for a while, in one direction or both, together with
-// crashes, processes that stand still, outages, and machines that are cut, hang or die.
+// Links between any two nodes are cut at random for a while, in one direction or both. At the same time controllers
+// crash or are paused, the store has outages, and machines are cut off, hang or die.
 class Matrices : public ::testing::TestWithParam<Matrix> {};
 
 TEST_P(Matrices, BreakNoRuleAndHealWhole) {
@@ -192,7 +196,7 @@
     f.before_step = [&] {
         if (f.n > 0 && f.chance() < 0.01)
             f.request_cancellation(fmt::format("wk-{:06}", 1 + f.pick(static_cast<std::size_t>(f.n))));
-        // Faults, then time in which those that last a while longer must have become harmless.
+        // Each period of 120 s has faults from 25 s to 65 s. The rest is time to recover from those that last longer.
         const double in_round = std::fmod(f.now, 120);
         if (f.now < next_fault || in_round < 25 || in_round > 65 || f.now > 240)
             return;
