--- a/tests/test_connections.cpp
+++ b/tests/test_connections.cpp
@@ -1,4 +1,5 @@
-// More clients than connections: nobody has all of them, idle ones make room, workers are served in turns.
+// More clients than the server allows connections: neither workers nor users get all of them, idle connections are
+// closed to make room, and all workers are served in turn.
 #include "heronshift/codec.hpp"
 #include "http.hpp"
 #include "loop_timer.hpp"
@@ -47,12 +48,12 @@
     EXPECT_EQ(shares.count(ClientKind::worker), 3U);
 }
 
-// Clients that keep their connections, each with one of its own, and a server with far fewer: as many to one as 6,000
-// workers are to the 650 connections that a controller with 1,000 sockets gives to workers and users.
+// Clients that each keep a connection open, and a server that allows far fewer connections. The ratio is that of 6,000
+// workers to the 650 connections that a controller with 1,000 sockets leaves for workers and users.
 struct Crowd {
     static constexpr std::size_t workers = 400, users = 60, connections = 43;
     static constexpr double report_s = 0.3, lease_s = 2,
-                            held_s = 0.4; // the last: until a user is answered
+                            held_s = 0.4; // how long the server takes to answer a user
 
     struct Client {
         explicit Client(uv_loop_t* l) : http(l, 1, 1) {}
@@ -140,11 +141,11 @@
     }
     EXPECT_EQ(expired, 0U) << "of " << Crowd::workers << ", the longest wait " << longest;
     EXPECT_LE(crowd.max_connections, Crowd::connections);
-    EXPECT_GT(crowd.told_users[200], 0); // nor do workers have all of them
+    EXPECT_GT(crowd.told_users[200], 0); // workers do not take all connections
     EXPECT_GT(crowd.told_users[503], 0);
 }
 
-// What a user is told that finds all connections of users in use.
+// If all connections for users are in use, a further user gets 503 with a Retry-After header.
 TEST(Connections, AUserBeyondTheShareIsToldWhenToAskAgain) {
     Loop l;
     std::vector<Responder> open;
@@ -174,7 +175,7 @@
     EXPECT_NE(std::string_view(text).find("Retry-After:"), std::string_view::npos) << text;
     EXPECT_EQ(open.size(), 1U);
     EXPECT_EQ(server.connections(), 1U);
-    open[0].send(200, "{}"); // now the first is idle and makes room
+    open[0].send(200, "{}"); // now the first connection is idle and can be closed for the third
     const int third = connect_and_ask();
     EXPECT_EQ(open.size(), 2U);
     EXPECT_EQ(server.connections(), 1U);
--- a/tests/test_core.cpp
+++ b/tests/test_core.cpp
@@ -1,4 +1,4 @@
-// Scenarios of single guards: each fails when its guard is taken out.
+// Each test covers one safety check of the core and fails if that check is removed.
 #include "simulated_cluster.hpp"
 
 #include <gtest/gtest.h>
@@ -32,7 +32,7 @@
             out.push_back(e);
             if (store_answers && std::holds_alternative<Commit>(e))
                 take({Committed{}}, out);
-            if (const auto* o = std::get_if<SendOrders>(&e); o != nullptr && o->orders.empty()) // asked in vain
+            if (const auto* o = std::get_if<SendOrders>(&e); o != nullptr && o->orders.empty()) // an unanswered probe
                 take({OrdersAnswered{o->machine, o->batch, 0, false, std::nullopt}}, out);
         }
     }
@@ -72,7 +72,7 @@
                           OneTask::heartbeat(2, s.fencing_token,
                                              {{"wk-000001", 0, s.launch.orders[0].attempt, TaskState::running,
                                                ExitCause::none, false}})});
-    s.store_answers = false; // the answer of the store is still out
+    s.store_answers = false; // the store has not answered yet
     auto effects = s.give(JobStored{job(2, Shape::service, 1, 1), 0});
     for (auto& e : s.idle(1))
         effects.push_back(e);
@@ -83,11 +83,11 @@
 
 TEST(Core, AnOldHeartbeatProvesNothing) {
     OneTask s;
-    // Answer lost; then a heartbeat from before the launch arrives late.
+    // The answer to the launch is lost. Then a heartbeat that was sent before the launch arrives late.
     s.give(OrdersAnswered{"n-1", s.launch.batch, 0, true, std::nullopt});
     s.give(HeartbeatReceived{OneTask::heartbeat(2, 0), 2});
     EXPECT_EQ(s.core.live_tasks("wk-000001"), 1U);
-    // So does one that has seen only the fencing token of the launch itself.
+    // A heartbeat that shows only the fencing token of the launch itself proves nothing either.
     s.give(HeartbeatReceived{OneTask::heartbeat(3, s.fencing_token), 3});
     EXPECT_EQ(s.core.live_tasks("wk-000001"), 1U);
 }
@@ -103,7 +103,7 @@
         std::vector<Command> q{HeartbeatReceived{OneTask::heartbeat(counter, fencing_token), counter}};
         core.step(q, 0.1, 0.1);
     };
-    // Found by a seed of the world: held since before the launch, it carries the old term's fencing token.
+    // The heartbeat was delayed since before the launch, so it carries a fencing token of the old term.
     heartbeat(2, (std::uint64_t{6} << token_counter_bits) + 3);
     EXPECT_EQ(core.live_tasks("wk-000001"), 1U);
     heartbeat(9, std::uint64_t{7} << token_counter_bits);
@@ -116,7 +116,7 @@
     const auto answers = all<AnswerHeartbeat>(s.give(HeartbeatReceived{OneTask::heartbeat(2, s.fencing_token), 2}));
     ASSERT_EQ(answers.size(), 1U);
     EXPECT_EQ(answers[0].fencing_token, s.fencing_token + 1);
-    // Started again under a new attempt: a launch is never sent twice.
+    // The task is started again as a new attempt, because the same launch is never sent twice.
     const auto first = s.launch.orders.at(0).attempt;
     s.launch = {};
     s.find_launch(s.give(HeartbeatReceived{OneTask::heartbeat(3, s.fencing_token + 1), 3}));
@@ -150,8 +150,8 @@
     EXPECT_EQ(s.core.live_tasks("wk-000001"), 0U);
 }
 
-// From the incident in docs/incidents/2026-12-01-kotaferry-f4f7.md: the record of a machine long
-// gone made each new leader wait a whole lease for the tasks it named.
+// Guards against the fault in docs/incidents/2026-12-01-kotaferry-f4f7.md: the intents record of a machine that had
+// long been lost made each new leader wait a whole lease for the tasks that it names.
 TEST(Core, TheRecordOfAnExpiredMachineNamesNoTasks) {
     OneTask s;
     std::map<std::string, std::string> records;
@@ -161,7 +161,7 @@
                 if (w.key.starts_with("i/"))
                     records[w.key] = (*w.value)["t"].get<std::string>();
     };
-    // A second job, so that a record is seen before and after.
+    // The second job has intents records written before and after the lease of the machine expires.
     read(s.give(JobStored{job(2, Shape::service, 1, 1), 0}));
     read(s.idle(s.settings.lease_s + 4));
     ASSERT_FALSE(records.empty());
@@ -169,8 +169,8 @@
         EXPECT_EQ(text, "") << key;
 }
 
-// From the zone cut of kotaferry-tiket-grown: the leader inside the cut took all machines outside
-// for lost, and when the cut ended it gave them back with what ran there under its successor.
+// Guards against the fault seen when a zone of kotaferry-tiket-grown was cut off: the leader inside the zone declared
+// all machines outside it lost, and when the cut ended it released them together with the tasks of its successor.
 TEST(Core, ALeaderThatMayNotActCommandsNobody) {
     OneTask s;
     std::vector<Command> q;
@@ -183,7 +183,7 @@
             EXPECT_EQ(a.status, 503);
     }
     EXPECT_EQ(s.core.live_tasks("wk-000001"), 1U);
-    EXPECT_FALSE(q.empty()); // kept for when it may act again
+    EXPECT_FALSE(q.empty()); // the commands are kept until the leader may act again
 }
 
 TEST(Core, AHigherTermInAHeartbeatEndsTheTerm) {
@@ -232,7 +232,7 @@
     EXPECT_EQ(s.core.machine_count(), before - 1);
 }
 
-// The first heartbeat that a new leader sees of a machine may be a copy from long ago, of one that is gone.
+// The first heartbeat of a machine that a new leader receives may be an old copy, sent by a machine that is gone.
 TEST(Core, AMachineIsUsedOnceItHasShownThisTermsFencingToken) {
     const auto settings = small_settings();
     Core core(settings, 7, {}, 0, 0);
@@ -253,19 +253,20 @@
     give({MachineTypesKnown{small_types()}, JobStored{job(1, Shape::array, 1, 4), 0},
           HeartbeatReceived{OneTask::heartbeat(50, (std::uint64_t{6} << token_counter_bits) + 3), 1}});
     EXPECT_EQ(launches, 0U);
-    EXPECT_EQ(questions, 1U); // its answer proves it sooner than its next heartbeat
+    EXPECT_EQ(questions, 1U); // the answer to a probe shows the token sooner than the next heartbeat
     give({HeartbeatReceived{OneTask::heartbeat(51, std::uint64_t{7} << token_counter_bits), 2}});
     EXPECT_EQ(launches, 1U);
 }
 
-// A copy would renew what counts as the lease of a machine that is gone, and be told what the live report should be.
+// A copy would renew the lease of a machine that is gone, and would get the answer that is meant for a live heartbeat.
 TEST(Core, ACopyOfAHeartbeatIsNoHeartbeat) {
     OneTask s;
     const auto live = OneTask::heartbeat(
         8, s.fencing_token, {{"wk-000001", 0, s.launch.orders[0].attempt, TaskState::running, ExitCause::none, false}});
     EXPECT_EQ(all<AnswerHeartbeat>(s.give(HeartbeatReceived{live, 2})).at(0).status, 200);
     s.give(OrdersAnswered{"n-1", s.launch.batch, 200, true, OneTask::heartbeat(10, s.fencing_token, live.tasks)});
-    // Sent before the answer that has overtaken it, it is owed an answer; but it renews nothing beyond that.
+    // Heartbeat 9 was sent before heartbeat 10, which overtook it in an answer to orders. It is answered but does not
+    // renew the lease.
     s.idle(5);
     EXPECT_EQ(all<AnswerHeartbeat>(s.give(HeartbeatReceived{OneTask::heartbeat(9, s.fencing_token), 3})).at(0).status,
               200);
@@ -278,7 +279,7 @@
     s.give(HeartbeatReceived{live, 5});
     s.idle(2);
     EXPECT_EQ(s.core.live_tasks("wk-000001"), 0U);
-    // Nor does one bring the machine back, once it has been forgotten.
+    // A copy does not bring the machine back either after the core has forgotten it.
     s.idle(4 * s.settings.list_lag_s + 3 * s.settings.lease_s);
     EXPECT_EQ(all<AnswerHeartbeat>(s.give(HeartbeatReceived{live, 6})).at(0).status, 503);
     EXPECT_EQ(all<AnswerHeartbeat>(s.give(HeartbeatReceived{OneTask::heartbeat(11, s.fencing_token), 7})).at(0).status,
@@ -294,16 +295,16 @@
         return -1.0;
     };
     const auto copies = value("heronshift_reports_dropped_total", "old");
-    t.give(HeartbeatReceived{OneTask::heartbeat(1, t.fencing_token), 9}); // the one that was heard first
+    t.give(HeartbeatReceived{OneTask::heartbeat(1, t.fencing_token), 9}); // a copy of the first heartbeat
     EXPECT_EQ(value("heronshift_reports_dropped_total", "old"), copies + 1);
-    t.give(JobStored{job(7, Shape::array, 1, 500), 3}); // fits no machine, and was ready 3 s ago
+    t.give(JobStored{job(7, Shape::array, 1, 500), 3}); // fits no machine; ready for 3 s already
     t.idle(2);
     EXPECT_NEAR(value("heronshift_oldest_wait_seconds", "red"), 5, 0.2);
     EXPECT_NEAR(value("heronshift_oldest_wait_seconds", "c"), 5, 0.2);
     EXPECT_EQ(value("heronshift_oldest_wait_seconds", "blue"), -1);
 }
 
-// Passes of placement in three intervals while so many jobs wait that no machine can take.
+// The number of placement passes within three heartbeat intervals while `waiting` jobs wait that fit on no machine.
 double passes_with(int waiting) {
     OneTask t;
     std::vector<Command> q;
@@ -319,12 +320,12 @@
     return 0;
 }
 
-// With a hundred thousand jobs waiting, passes that followed each other at once took the whole loop, and
-// the leadership was lost for want of renewals.
+// Guards against back-to-back placement passes: with a hundred thousand waiting jobs they kept the event loop busy, so
+// the leadership was not renewed in time and was lost.
 TEST(Core, ManyWaitingJobsMakePassesRarer) {
     const auto few = passes_with(10), many = passes_with(12'000);
     EXPECT_GT(few, 30);
-    EXPECT_GT(many, 5); // they still come
+    EXPECT_GT(many, 5); // rarer, but not stopped
     EXPECT_LT(many * 1.5, few);
 }
 
--- a/tests/test_crowded.cpp
+++ b/tests/test_crowded.cpp
@@ -1,4 +1,4 @@
-// A fleet that is too small for what is asked of it: who goes first, who waits, and for how long.
+// A cluster with less capacity than the jobs ask for: which jobs start first, and how long the others wait.
 #include "simulated_cluster.hpp"
 
 #include <gtest/gtest.h>
@@ -22,7 +22,7 @@
         submit(j);
         return j.id;
     }
-    // Small jobs all the time, as many as keep every CPU busy.
+    // Submits a small job every `every_s` seconds, which keeps every CPU busy.
     void keep_busy(double seconds, double every_s, double cpus = 2, const std::function<void(JobSpec&)>& more = {}) {
         double next = now;
         for (const double end = now + seconds; now < end && broken.empty(); step()) {
@@ -32,7 +32,7 @@
             ask(Shape::array, 4, cpus, more);
         }
     }
-    // Seconds from its submission until a task of it ran; below zero: none has.
+    // By job: seconds from its submission until its first task ran. Jobs without such a task are not in it.
     std::map<std::string, double> began;
     int run_controllers() override {
         for (const auto& [id, w] : workers)
@@ -45,7 +45,7 @@
         const auto it = began.find(id);
         return it == began.end() ? -1 : it->second;
     }
-    std::uint64_t stopped() const { // for others
+    std::uint64_t stopped() const { // tasks preempted for other jobs
         return counted("heronshift_preempted_total");
     }
     std::uint64_t counted(const std::string& name) const {
@@ -56,7 +56,7 @@
     }
 };
 
-// Of a large array among small work of its team that comes all the time: when its first task ran.
+// Returns the seconds until the first task of a large array runs while its team keeps submitting small jobs.
 double large_begins(double limit, int machines, double every_s) {
     Crowd c(3, machines, 0);
     c.settings.teams[0].cpus_max = limit;
@@ -65,29 +65,30 @@
     c.keep_busy(20, every_s, 2, single);
     const auto large = c.ask(Shape::array, 3, 8);
     c.keep_busy(40, every_s, 2, single);
-    c.acquire_leadership(); // its age survives: it goes by the submission
+    c.acquire_leadership(); // a new leader counts the array's age from its submission, too
     c.keep_busy(30, every_s, 2, single);
     EXPECT_TRUE(c.broken.empty()) << c.broken.front();
     EXPECT_GT(c.started, 100);
     return c.began_after(large);
 }
 
-// From a day on which the largest array, as big as its team's whole limit, began after 396 s: smaller work of its
-// team came all the time, and a hole in the limit was never large enough for one of its tasks.
+// Guards against starvation of the largest array, which is as big as its team's whole limit and once started only after
+// 396 s: the team kept submitting smaller jobs, so the free part of the limit was never large enough for one of its
+// tasks.
 TEST(Crowded, TheLargestBeginsThoughItsTeamsLimitIsUsedUp) {
     const double s = large_begins(24, 8, 0.45);
     EXPECT_GE(s, 0);
     EXPECT_LT(s, 60);
 }
 
-// The same where a task of it takes a whole machine, of which small tasks always fill a part.
+// The same where each task of the array needs a whole machine and small tasks always occupy a part of each.
 TEST(Crowded, TheLargestBeginsThoughNoMachineIsEverEmpty) {
     const double s = large_begins(400, 3, 0.5);
     EXPECT_GE(s, 0);
     EXPECT_LT(s, 60);
 }
 
-// Spot room to spare, but ordinary machines few and full of what might run elsewhere.
+// There is free spot capacity, but the few ordinary machines are full of tasks that could run on spot machines.
 TEST(Crowded, WorkThatMayNotUseSpotGetsTheOrdinaryMachines) {
     Crowd c(5, 10, 2);
     c.acquire_leadership();
@@ -105,7 +106,8 @@
     }
 }
 
-// Tasks of 4 CPUs and high rank among such of 2: room comes by itself every second.
+// High-priority tasks of 4 CPUs arrive among tasks of 2 CPUs. Tasks end every second, so the scheduler should mostly
+// wait for free capacity instead of preempting.
 TEST(Crowded, RoomIsWaitedForWhereTasksEndAllTheTime) {
     Crowd c(7, 12, 0);
     c.settings.objectives = {{"wait", "urgent", 12, 0.9, 0}};
