--- a/tests/test_cascade_soak.cpp
+++ b/tests/test_cascade_soak.cpp
@@ -34,8 +34,8 @@
         on_step = [this] { submit_and_cancel(); };
     }
 
-    /// Stops the load and waits until the last cancellations have reached all dependents. Dependents that were reported
-    /// as cancelled are marked as such, so that the final checks don't expect them to have run.
+    /// Stops the load and waits until the last cancellations have reached all dependents. Dependents for which a final
+    /// state was reported are marked as cancelled, so that the final checks don't expect them to have run.
     void end_load() {
         on_step = {};
         work(settings.cancel_s);
