--- a/tests/test_embedded_matches_daemon.cpp
+++ b/tests/test_embedded_matches_daemon.cpp
@@ -1,7 +1,8 @@
-// The library and the daemon decide the same: one stream of jobs, once to a Scheduler whose executor and
-// store are objects in its own process, once to three controllers over HTTP on loopback (in this process, and as
-// processes) with a state service and an agent on every machine. Time passes in steps, all that is under way arrives
-// before the next, and every launch is compared.
+// The library and the daemon must make the same decisions. The same stream of jobs is submitted to a `Scheduler` whose
+// executor and store are objects in its own process, and to three controllers over HTTP on loopback, with a state
+// service and an agent on every machine. The controllers run in the process of the test or as processes of their own.
+// Simulated time advances in steps, every message in flight is delivered before the next step, and all launches are
+// compared.
 #include "heronshift/codec.hpp"
 #include "heronshift/embed/scheduler.hpp"
 #include "heronshift/store/direct.hpp"
@@ -26,12 +27,14 @@
 namespace {
 
 constexpr double report_s = 30, lease_s = 180;
-constexpr double step_s = report_s / 20 * 1.001; // the core's own tick is due in each
-constexpr double heartbeats_after = 0.2;         // of a step: sooner than the pass after the one at its beginning
-constexpr int quiet_turns = 8;                   // of the loop: more than any message takes on loopback
+constexpr double step_s = report_s / 20 * 1.001; // the core's periodic tick is due in every step
+// The share of a step between the scheduling pass at its beginning and the heartbeats: short enough that the next pass
+// is not due before them.
+constexpr double heartbeats_after = 0.2;
+constexpr int quiet_turns = 8; // turns of the loop: more than any message needs on loopback
 constexpr int max_steps = 6000;
 #ifdef __SANITIZE_ADDRESS__
-constexpr bool sanitized = true; // twenty times slower
+constexpr bool sanitized = true; // sanitized builds are about twenty times slower
 #else
 constexpr bool sanitized = false;
 #endif
@@ -50,7 +53,7 @@
 
 struct Wanted {
     JobSpec spec;
-    int cancel_after = -1; // steps after its submission
+    int cancel_after = -1; // in steps after the submission; negative: never
 };
 
 std::vector<Wanted> stream(unsigned seed, int n) {
@@ -81,7 +84,7 @@
         s.estimate_s = s.shape == Shape::service ? 0 : 20 + roll(300);
         if (s.shape == Shape::array && roll(3) == 0)
             s.checkpoint_s = 20, s.save_s = 4;
-        if (finite.size() > 5 && roll(5) == 0) // a chain
+        if (finite.size() > 5 && roll(5) == 0) // depends on recent jobs
             for (auto k = 1 + roll(2); k > 0; --k) {
                 const auto& need = finite[finite.size() - 1 - roll(5)];
                 if (std::find(s.dependencies.begin(), s.dependencies.end(), need) == s.dependencies.end())
@@ -98,7 +101,7 @@
     return out;
 }
 
-// All launches in the order of the steps; within one, whose messages pass at once, by task.
+// Launches are ordered by step and, since the messages of one step arrive in no defined order, by text within a step.
 struct Outcome {
     std::vector<std::string> launches;
     std::vector<std::string> refused, unfinished, broken;
@@ -106,7 +109,7 @@
     std::size_t rented = 0;
 };
 
-// The platform and the users; who schedules is for those below.
+// The simulated platform and the users. Derived classes supply the scheduler.
 struct SimulatedCluster {
     explicit SimulatedCluster(const OperatorSettings& ops) {
         uv_loop_init(&loop);
@@ -116,7 +119,7 @@
         s.lease_s = lease_s;
         s.gang_wait_s = 360, s.gang_peer_s = 80, s.cancel_s = 360;
         s.state_rps = s.state_write_rps = 10'000;
-        s.cloud_rps = 0.8; // about one request in a step, so that none overtakes another
+        s.cloud_rps = 0.8; // about one request per step, so that requests can't overtake each other
         s.list_lag_s = 10;
         s.ops = ops;
         plan.types = {{"m8", {8, 0, 32}, 20, 0.5, 1.0, 0.3, 40, {"a", "b"}},
@@ -151,8 +154,8 @@
     virtual void get(const std::string& id, HistoryChecks told) = 0;
     virtual void cancel(const std::string& id, HistoryChecks told) = 0;
 
-    // First the controllers decide, by what had reached them before; then users ask, so soon after that no
-    // pass is due again; then machines report what has become of their tasks.
+    // A step has three parts: the controllers decide from what they received in earlier steps; users send their
+    // requests, before another scheduling pass is due; machines report the state of their tasks.
     void step(const std::function<void()>& ask = {}) {
         clock->at += (1 - heartbeats_after) * step_s;
         settle(false);
@@ -167,7 +170,7 @@
         now_launched.clear();
         ++out.steps;
     }
-    void settle(bool machines) { // until nothing passes between anyone any more
+    void settle(bool machines) { // runs until no message has been exchanged for `quiet_turns` turns
         for (int quiet = 0; quiet < quiet_turns;) {
             const auto before = messages() + platform->messages();
             if (machines)
@@ -189,7 +192,7 @@
     }
     Outcome run(const std::vector<Wanted>& jobs) {
         for (int i = 0; i < 20; ++i)
-            step(); // the leadership is taken, types are learned
+            step(); // a leader is elected and learns the machine types
         std::multimap<int, std::string> cancels;
         for (std::size_t i = 0; i < jobs.size() || (over.size() < jobs.size() && out.steps < max_steps); ++i) {
             step([&] {
@@ -270,7 +273,7 @@
     std::unique_ptr<Scheduler> scheduler;
 };
 
-// Three controllers, asked in turn over HTTP on loopback; who runs them is for those below.
+// Three controllers that receive the requests of the users in turn, over HTTP on loopback. Derived classes run them.
 struct OverHttp : SimulatedCluster {
     static constexpr int count = 3;
     explicit OverHttp(const OperatorSettings& ops) : SimulatedCluster(ops) {
@@ -301,7 +304,8 @@
         end();
     }
     std::uint64_t messages() override {
-        return answered + state->requests() + (asked > heard_of ? ++waiting : 0); // not quiet while a user waits
+        // A request without an answer counts as activity.
+        return answered + state->requests() + (asked > heard_of ? ++waiting : 0);
     }
     void ask(const char* method, const std::string& path, std::string body, HistoryChecks told) {
         const auto& to = plan.workers.nodes[static_cast<std::size_t>(asked++ % count)].second;
@@ -348,8 +352,8 @@
     std::vector<std::unique_ptr<Node>> nodes;
 };
 
-// The same three as processes of their own. What they share with the test is the time, and how often each
-// has turned, so that the test knows when all is quiet.
+// The three controllers as processes of their own. They share two things with the test: the simulated time, and how
+// many turns the loop of each process has made, by which the test knows when no message is in flight.
 struct Processes final : OverHttp {
     struct Shared {
         std::atomic<double> now{0};
@@ -378,20 +382,22 @@
                 serve(i);
             children.push_back(child);
         }
-        turn(); // all have begun before time passes: when they may become leader counts from there
+        // All processes start before time advances, since the wait before they may become leader counts from their
+        // start.
+        turn();
     }
     ~Processes() override {
         for (const auto c : children) {
             kill(c, SIGKILL);
             int status = 0;
             waitpid(c, &status, 0);
-            EXPECT_TRUE(WIFSIGNALED(status)); // none had ended by itself
+            EXPECT_TRUE(WIFSIGNALED(status)); // none had exited by itself
         }
         end_all();
         ::munmap(shared, sizeof(Shared));
     }
     [[noreturn]] void serve(int i) {
-        close_range(3, ~0U, 0); // the parent's sockets
+        close_range(3, ~0U, 0); // sockets inherited from the parent
         prctl(PR_SET_PDEATHSIG, SIGKILL);
         spdlog::set_level(spdlog::level::off);
         uv_loop_t own;
@@ -407,7 +413,7 @@
             usleep(20);
         }
     }
-    void turn() override { // until each has turned once more as a whole
+    void turn() override { // waits until every process has made at least one complete turn
         shared->now = clock->at;
         std::uint64_t before[count];
         for (int i = 0; i < count; ++i)
@@ -424,7 +430,7 @@
 
 std::string first_difference(const Outcome& a, const Outcome& b) {
     const auto [x, y] = std::mismatch(a.launches.begin(), a.launches.end(), b.launches.begin(), b.launches.end());
-    const auto say = [](auto it, const auto& list) { return it == list.end() ? std::string("the end") : *it; };
+    const auto say = [](auto it, const auto& list) { return it == list.end() ? std::string("none") : *it; };
     return x == a.launches.end() && y == b.launches.end()
                ? ""
                : fmt::format("launch {}: {} | {}", x - a.launches.begin(), say(x, a.launches), say(y, b.launches));
@@ -464,7 +470,7 @@
     EXPECT_EQ(first_difference(library, daemons), "");
 }
 
-// So that the comparison above can fail: another weight in the payoff must show in it.
+// Shows that the comparison above can fail: a different weight in the payoff must change the launches.
 TEST_P(Same, AnotherPayoffShows) {
     if (sanitized)
         GTEST_SKIP();
--- a/tests/test_end_of_day.cpp
+++ b/tests/test_end_of_day.cpp
@@ -1,6 +1,6 @@
-// The end of a day: every accepted job is known and runs, every class, team and the largest jobs are served,
-// whatever machines that do not hear, late copies, controllers cut off from all but workers, and processes that are
-// back within a moment have done to it.
+// Checks at the end of a simulated day: every accepted job is known and runs, and every job class, every team and the
+// largest jobs are served. The faults before that are machines that receive no messages, late duplicates of heartbeats,
+// controllers that reach only workers, and processes that restart within moments.
 #include "fault_injection.hpp"
 
 #include "gateway/fair_token_bucket.hpp"
@@ -10,7 +10,7 @@
 namespace heronshift::testing {
 namespace {
 
-// --- the checker itself ---
+// --- `FinalChecks` itself ---
 
 std::vector<Seen> a_good_day() {
     std::vector<Seen> out;
@@ -66,10 +66,10 @@
                           "begins after 464 s; the largest of class wide: 0 of 1 served");
 }
 
-// --- turns ---
+// --- rate limit ---
 
-// Of six times as many as the budget allows, all have their turn; one after the other as they come, those that
-// are unlucky are refused for minutes.
+// Six times as many callers ask as the budget allows, and all of them are served in turn. If requests were served in
+// order of arrival, unlucky callers would be refused for minutes.
 TEST(FairTokenBucket, NobodyWhoAsksAgainAndAgainIsRefusedForLong) {
     std::mt19937 rng(5);
     gateway::FairTokenBucket turns(10, 16, 40);
@@ -92,7 +92,7 @@
 
 // --- scenarios ---
 
-// A day with services, small and wide arrays, and gangs, of two teams.
+// A workload of services, small and wide arrays, and gangs of two teams.
 struct Day : FaultInjection {
     Day(unsigned seed, std::size_t controllers, int machines)
         : FaultInjection(seed + other_seeds(), controllers, machines) {
@@ -118,7 +118,7 @@
     }
     int others = 0;
     std::function<void()> more;
-    // Ends the day: what is wrong with it.
+    // Ends the faults and runs the final checks; returns their violations, empty if there are none.
     std::string end() {
         more = {};
         return final_checks(std::max(leases(5), 90.0));
@@ -140,17 +140,17 @@
     }
 };
 
-// A machine whose reports come while answers do not reach it lost all that was placed there, every lease again;
-// orders, and with them the newest fencing token, may reach it all the same.
+// The heartbeats of a machine arrive, but it receives no answers to them. Such a machine lost all tasks placed on it,
+// once per lease. Commands, and with them the newest fencing token, may still reach it.
 //
-// It was recognised after 66 to 84 s, or given back before, with 48 of 200 seeds. It tries all controllers in turn, and
-// those that had once redirected it to the leader did so again, in vain: the leader saw one heartbeat in 26 s (log of
-// seed 0: "route=taken" at 87.9 and next at 114, "route=redirected to the leader" between), and three of those were
-// needed. One of the later failures had another cause, see ReleasedMachines.
+// With 48 of 200 seeds the leader recognised it only after 66 to 84 s, or released it before that. The machine tries
+// all controllers in turn, and those that had redirected it to the leader once did so again, without effect. The leader
+// therefore saw one heartbeat in 26 s and needed three (log of seed 0: "route=taken" at 87.9 and next at 114,
+// "route=redirected to the leader" between them). One of the later failures had another cause, see `ReleasedMachines`.
 void one_gets_nothing_more(bool orders_reach, double known_after, double gone_after) {
     Day f(11, 5, 40);
     ASSERT_TRUE(f.settle(60));
-    std::string id; // one that stays: with replicas
+    std::string id; // a machine with service replicas, which is not released for being idle
     for (const auto& [name, w] : f.workers)
         for (const auto& t : w.tasks)
             if (f.jobs[t.job].shape == Shape::service)
@@ -190,7 +190,8 @@
     one_gets_nothing_more(true, 3, 6);
 }
 
-// Another controller passes its heartbeats on: it keeps its lease and its work.
+// The leader does not reach some machines, but another controller forwards their heartbeats: they keep their leases and
+// their tasks.
 TEST(InboundUnreachable, AMachineThatOneControllerDoesNotReachIsReachedByAnother) {
     for (unsigned seed = 1; seed <= 6; ++seed) {
         Day f(20 + seed, 5, 40);
@@ -203,7 +204,7 @@
         f.work(f.leases(4));
         EXPECT_EQ(first(f), "") << seed;
         EXPECT_EQ(f.expirations, before) << seed;
-        EXPECT_LE(f.changes.size(), 2U) << seed; // to one that reaches them all
+        EXPECT_LE(f.changes.size(), 2U) << seed; // at most one handover, to a controller that reaches them all
         EXPECT_EQ(f.end(), "") << seed;
     }
 }
@@ -217,7 +218,7 @@
 };
 class InboundUnreachableMachines : public ::testing::TestWithParam<Silence> {};
 
-// With a gang half on such machines, and cancelled jobs on them.
+// Some gangs run partly on machines that receive no messages, and some jobs that run there are cancelled.
 TEST_P(InboundUnreachableMachines, OfManyStartsTheirWorkElsewhereOnlyOnceItIsGone) {
     Day f(31, 5, 60);
     ASSERT_TRUE(f.settle(60));
@@ -227,18 +228,18 @@
             f.request_cancellation(id);
     f.work(f.leases(4));
     EXPECT_EQ(first(f), "");
-    f.work(f.leases(2)); // they hear again, and are used again
+    f.work(f.leases(2)); // the machines receive messages again and get tasks again
     EXPECT_EQ(f.end(), "");
     EXPECT_EQ(f.unfinished(f.leases(3)), 0);
 }
 
 INSTANTIATE_TEST_SUITE_P(Day, InboundUnreachableMachines, ::testing::Values(Silence{0.33, ""}, Silence{1, "b"}));
 
-// A leader asks four machines of each zone whether they answer, and gives the leadership up to a controller that
-// reaches more zones. It went on asking machines that it had itself given back, which of course did not answer: where
-// these were all that it asked, it took their zone for unreachable and resigned, without any fault. The log: "returning
-// 2 machines", for the same machines "probe ... answered=false" twice within six seconds, then "link changed
-// target="workers c" state=unreachable" and "resigned ... reason=better_candidate".
+// A leader probes four machines of each zone, and hands the leadership to a controller that reaches more zones. It kept
+// probing machines that it had released itself, which could not answer. If all probed machines of a zone were such, it
+// took the zone for unreachable and resigned without any fault. The log showed "returning 2 machines", for the same
+// machines "probe ... answered=false" twice within six seconds, then "link changed target="workers c"
+// state=unreachable" and "resigned ... reason=better_candidate".
 TEST(ReleasedMachines, DoNotMakeTheLeaderResign) {
     for (unsigned seed = 1; seed <= (sanitized ? 4 : 24); ++seed) {
         Day f(900 + seed, 5, 40);
@@ -249,8 +250,8 @@
     }
 }
 
-// Late copies of heartbeats count for nothing, before, during and after changes of leadership, also of machines that
-// are gone by then.
+// Late duplicates of heartbeats have no effect before, during and after a change of leader, even if their machine is
+// gone by then.
 TEST(Copies, OfHeartbeatsChangeNothing) {
     for (unsigned seed = 1; seed <= 4; ++seed) {
         Day f(40 + seed, 5, 60);
@@ -259,7 +260,7 @@
         for (int k = 0; k < 3; ++k) {
             for (auto& [id, w] : f.workers)
                 if (f.chance() < 0.2)
-                    w.dead = true; // taken without notice, while copies go on coming
+                    w.dead = true; // reclaimed without notice, while duplicates keep arriving
             f.crash(*f.leader(), k == 0 ? 0.2 : 3);
             f.work(f.leases(1.5));
             ASSERT_TRUE(f.leader()) << seed;
@@ -269,7 +270,7 @@
     }
 }
 
-// For as long as copies of its heartbeats came, a machine that was gone kept its tasks.
+// Guards against a machine that was gone but kept its tasks for as long as duplicates of its heartbeats arrived.
 TEST(Copies, DoNotKeepTheTasksOfAMachineThatIsGone) {
     Day f(51, 3, 24);
     ASSERT_TRUE(f.settle(40));
@@ -279,7 +280,7 @@
     const auto zone = Fleet::zone(w.zone);
     w.dead = true;
     const double since = f.now;
-    f.more = [&] { // several a second, of one moment
+    f.more = [&] { // several duplicates of one heartbeat per second
         f.http(zone, f.pick(3), {"POST", std::string(codec::path_heartbeat), "", body}, false, 4,
                [](const std::optional<HttpReply>&, bool) {});
     };
@@ -295,10 +296,10 @@
     EXPECT_LT(freed_at - since, f.leases(1.2));
 }
 
-// One that reaches neither the store nor other controllers may act for a moment longer, then sends workers and
-// users away at once, and nothing of its term has an effect later.
+// A controller that reaches neither the store nor other controllers may act until its lease expires. After that it
+// answers workers and users at once with a refusal, and no message of its term takes effect later.
 struct CutOff {
-    int who; // 0 the leader, 1 a standby, 2 the leader and a standby
+    int who; // 0: the leader, 1: a standby, 2: the leader and a standby
     Mode mode;
     double leases;
     friend std::ostream& operator<<(std::ostream& o, const CutOff& c) {
@@ -321,7 +322,7 @@
     for (const auto i : cut)
         f.isolate(i, p.mode, for_s);
     const int expirations = f.expirations;
-    f.work(std::min(for_s - 1, 8.0)); // a store lease, and what it takes to know
+    f.work(std::min(for_s - 1, 8.0)); // the length of a store lease and the time to notice its expiry
     if (for_s > 9)
         for (const auto i : cut) {
             EXPECT_FALSE(f.is_active_leader(i));
@@ -340,7 +341,7 @@
                                codec::to_body(f.heartbeat(f.workers.begin()->second))});
             f.work(1);
             for (const auto* what : {"up", "job", "submission", "report"}) {
-                // A standby may still know who was the leader a moment ago.
+                // A standby may still know the leader, and redirect the machine to it.
                 const bool knows = i != h && what == std::string_view("report");
                 EXPECT_EQ((*said)[what].first, knows && (*said)[what].first != 503 ? 421 : 503) << what;
                 EXPECT_LT((*said)[what].second, 0.5) << what;
@@ -359,12 +360,13 @@
                                            CutOff{1, Mode::drop, 2}, CutOff{1, Mode::hold, 0.5},
                                            CutOff{2, Mode::drop, 2}, CutOff{2, Mode::hold, 1}));
 
-// Processes that are back within a moment, at every moment that matters. A name is not an identity.
+// A process restarts at once, at each message where that could matter. Its successor has the same name, which must not
+// be taken for the same process.
 struct Back {
-    std::string when; // what is sent by the one that ends
-    bool other;       // or by the one that it is sent to
+    std::string when; // the message that triggers the restart
+    bool other;       // the receiver of the message restarts, not its sender
     friend std::ostream& operator<<(std::ostream& o, const Back& b) {
-        return o << b.when << (b.other ? " to it" : "");
+        return o << b.when << (b.other ? " restarts the receiver" : " restarts the sender");
     }
 };
 class BackAtOnce : public ::testing::TestWithParam<Back> {};
@@ -384,9 +386,10 @@
             ++times;
             f.send(f.between(0, 0.3), [&f, i] { f.crash(i, f.moment()); });
         };
-        // What makes the controllers say it: changes of leadership, an outage, a zone that its leader does not reach.
+        // Faults that make the controllers send the message: leader changes, store outages, and a zone that the leader
+        // doesn't reach.
         f.more = [&] {
-            const bool handovers = p.when == "/peer/take"; // no other changes within a lease before
+            const bool handovers = p.when == "/peer/take"; // sent only if the leader has not changed within a lease
             if (!handovers && std::fmod(f.now, 20) < 0.1)
                 f.crash(f.leader().value_or(0), f.moment());
             if (std::fmod(f.now + 5, 40) < 0.1) {
@@ -424,7 +427,7 @@
     EXPECT_EQ(f.end(), "");
 }
 
-// All of it, drawn by seed, with everything else.
+// All faults of this file and those of `inject_fault`, drawn by the seed.
 struct Drawn {
     std::size_t controllers;
     int machines;
