--- a/tests/test_golden.cpp
+++ b/tests/test_golden.cpp
@@ -1,4 +1,4 @@
-// Every message that the codecs write, held against its golden file, and read from it.
+// Compares every message that the codecs write with its golden file, and decodes the golden file again.
 #include "golden.hpp"
 
 #include "membership/peer_view.hpp"
@@ -8,7 +8,7 @@
 
 using membership::Reachability;
 
-// --- one of each, with every field set ---
+// --- sample messages with every field set ---
 
 JobSpec full_job() {
     JobSpec s;
@@ -193,7 +193,7 @@
     EXPECT_EQ(codec::rental(read->claim, read->type, read->zone, read->spot, read->count), golden("cloud/rental.json"));
 }
 
-// The answer to a rental and the request of a release have one form.
+// The answer to a rental and the request for a release have the same format.
 TEST_F(Golden, RentedAndReleased) {
     expect_golden("cloud/release.json", codec::release({"n-1", "n-2"}));
     const auto read = codec::rented(golden("cloud/release.json"));
--- a/tests/test_golden_controller.cpp
+++ b/tests/test_golden_controller.cpp
@@ -1,5 +1,5 @@
-// What one controller sends and answers, held against golden files: the answers of its user and worker ports, its
-// leadership records, and what it asks of its peer while the store does not answer.
+// Compares the messages of one controller with golden files: the answers that users and workers get, its leadership
+// records, its answers to peers, and its requests to a peer while the store does not answer.
 #include "golden.hpp"
 #include "machines.hpp"
 
@@ -19,13 +19,13 @@
     double time = 0;
 };
 
-// Answers are called back by deliver(), never before the call returns.
+// Callbacks run in `deliver()`, never before `call()` returns.
 struct EngineStore final : store::StateStore {
     EngineStore(const ManualClock& clock, bool& down) : clock(clock), down(down) {}
 
     void call(store::Call&& c, double, store::Callback done) override {
         if (std::holds_alternative<store::Follow>(c)) {
-            follows.push_back(std::move(done)); // nothing changes but by this controller
+            follows.push_back(std::move(done)); // never answered: only this controller changes the store
             return;
         }
         store::Answer answer;
@@ -68,7 +68,7 @@
         const auto it = replies.find(path);
         done(it == replies.end() ? HttpReply{0, "", true} : it->second);
     }
-    std::map<std::string, std::string> sent; // the first of each kind
+    std::map<std::string, std::string> sent; // the first body per method and path
     std::map<std::string, HttpReply> replies;
 };
 
@@ -94,7 +94,7 @@
     bool types_known = true, passes_on = true;
 };
 
-// One controller of two, alone with its store.
+// One of two controllers with its store. Its peer is a `RecordingPeers`.
 struct LoneController {
     explicit LoneController(bool types_known = true) {
         Settings s = small_settings();
@@ -123,7 +123,8 @@
             }
         }
     }
-    // "POST /v2/runs BODY", or with /peer; the answer as it goes out: status, body and Retry-After.
+    // Sends a request such as "POST /v2/runs BODY" to the port for users and workers, or, if the path begins with
+    // /peer, to the port for peers. Returns the request and the answer as sent: status, body and Retry-After.
     std::string ask(const std::string& method, const std::string& path, const std::string& body = "") {
         auto answer = std::make_shared<std::string>("no answer");
         Responder res([answer](int status, std::string_view text, int retry_after_s) {
@@ -226,7 +227,7 @@
     expect_golden("workers/answers.txt", without_last_line_end(said));
 }
 
-// The store names berth-1, which answers nobody.
+// The store names berth-1 as the leader, which does not answer.
 TEST_F(Golden, AnswersOfAStandby) {
     LoneController c;
     c.state->put("office", golden("records/office_of_peer.json"));
@@ -252,7 +253,8 @@
 
 TEST_F(Golden, AnswersToPeers) {
     LoneController c;
-    std::string said = c.ask("POST", "/peer/take", R"({"node":"berth-1","term":1,"hold":1})"); // a standby: it tries
+    // The controller is still a standby, so it tries to take over.
+    std::string said = c.ask("POST", "/peer/take", R"({"node":"berth-1","term":1,"hold":1})");
     c.run(6);
     said += c.ask("GET", "/peer/office");
     said += c.ask("POST", "/peer/promise", "{}");
@@ -268,7 +270,8 @@
     expect_golden("peers/answers.txt", without_last_line_end(said));
 }
 
-// The store fails and does not come back: first the peer is asked to wait, then, since the store serves it, to lead.
+// The store stops answering this controller for good. It first asks its peer for an extension vote (/peer/promise). The
+// peer answers that the store serves it, so the controller offers it the leadership (/peer/take).
 TEST_F(Golden, RequestsToPeersInAnOutage) {
     LoneController c;
     c.run(6);
--- a/tests/test_golden_records.cpp
+++ b/tests/test_golden_records.cpp
@@ -1,5 +1,5 @@
-// Every kind of record that the state is kept in, held against its golden file, and what a core makes of them:
-// those of this version and those that the version in production wrote.
+// Compares every kind of stored record with its golden file, and checks the state that a core restores from records of
+// this version and from records that the version in production wrote.
 #include "golden.hpp"
 #include "machines.hpp"
 
@@ -97,7 +97,7 @@
 
 using Store = std::map<std::string, codec::Json>;
 
-// As the reader hands it to a new leader.
+// The snapshot that a new leader would read from the store.
 Snapshot snapshot_of(const codec::Json& store) {
     Snapshot s;
     const std::pair<const char*, std::vector<codec::Item>*> prefixes[] = {
@@ -110,7 +110,7 @@
     return s;
 }
 
-// A core on one machine, in a store that takes every transaction.
+// A core with one machine and a store that accepts every transaction.
 struct OneMachine {
     Settings settings = small_settings();
     Store store;
@@ -165,7 +165,7 @@
             if (const auto* a = std::get_if<AnswerHeartbeat>(&e))
                 obey(a->orders);
         }
-        now += 0.125; // a sum of such is exact
+        now += 0.125; // a power of two, so that sums are exact in floating point
     }
     void run(double seconds) {
         for (const double until = now + seconds; now < until;) {
@@ -174,7 +174,7 @@
             step();
         }
     }
-    // What the placement records name runs on the machine.
+    // Runs the tasks that the placement records name on the machine.
     void place(const codec::Json& stored) {
         for (const auto& [key, value] : stored.items()) {
             if (!key.starts_with("i/"))
@@ -185,7 +185,7 @@
     }
 };
 
-// What a leader that ran for a while leaves behind: a record of each kind.
+// The store after a leader has run for a while. It contains a record of each kind.
 Store after_a_while() {
     OneMachine w(Snapshot{});
     w.submit(job(1, Shape::array, 6, 1));
@@ -228,7 +228,7 @@
     EXPECT_EQ(w.core->view("wk-000004")->status, codec::status_pending);
     EXPECT_EQ(w.core->live_tasks("wk-000005"), 1U);
     EXPECT_EQ(w.core->view("wk-000006")->status, codec::status_cancelled);
-    // It writes placements again as it read them.
+    // The leader writes unchanged placements exactly as it read them.
     w.place(store);
     w.run(5);
     EXPECT_FALSE(w.store.empty());
@@ -241,8 +241,8 @@
 
 // --- the version in production ---
 
-// Written by the encoders of the version in production, in a simulated cluster: its store at one moment, and what
-// its own next leader read from it.
+// The golden file was written by the version in production in a simulated cluster. It holds the store at one moment and
+// the state that the next leader of that version read from it.
 TEST_F(Golden, TheStoreOfTheVersionInProductionIsRead) {
     const auto production = golden_json("production/store.json");
     const auto settings = small_settings();
@@ -268,7 +268,7 @@
         const auto read = codec::stored_final(value);
         ASSERT_TRUE(read) << key;
         EXPECT_EQ(read->status, value["s"].get<std::string>());
-        EXPECT_FALSE(read->service) << "it did not say so";
+        EXPECT_FALSE(read->service) << "the version in production does not store the shape of a final job";
         ++finals;
     }
     EXPECT_GE(finals, 1);
--- a/tests/test_gone_proof.cpp
+++ b/tests/test_gone_proof.cpp
@@ -1,5 +1,5 @@
-// What proves that a task is not on a machine, each condition on its own; and the parts of the cluster state that stand
-// alone: dependencies and the queues of orders.
+// Tests each condition that proves that a task is not on a machine, and the parts of the cluster state that depend on
+// no others: the dependency tracker and the queues of orders.
 #include "cluster/cluster_data.hpp"
 #include "cluster/dependency_tracker.hpp"
 #include "cluster/gone_proof.hpp"
@@ -147,7 +147,7 @@
     std::vector<const Machine*> order;
     queue.drain([&](Machine& machine) {
         order.push_back(&machine);
-        queue.add(second); // its turn is still to come the first time, and over the second time
+        queue.add(second); // still in the queue at the first call, already removed at the second
     });
     EXPECT_EQ(order, (std::vector<const Machine*>{&first, &second}));
     queue.drain([&](Machine& machine) { order.push_back(&machine); });
