--- a/tests/test_hung_machines.cpp
+++ b/tests/test_hung_machines.cpp
@@ -1,5 +1,5 @@
-// Cancelled tasks on machines that hang and go on within their lease: they must be gone within cancel_s of the
-// confirmation, whoever leads by then.
+// Tasks are cancelled on machines that hang and resume before their lease expires. The tasks must be gone within
+// `cancel_s` of the confirmation to the user, also if the leader has changed or the store is unavailable.
 #include "fault_scenario.hpp"
 
 namespace heronshift::testing {
@@ -7,7 +7,8 @@
 
 constexpr double longest_task_s = 120;
 
-// Some machines hang, with tasks that would run on for longer than cancel_s, and are back before their lease ends.
+// Makes some machines hang, with tasks that would run for longer than `cancel_s`. They resume before their leases
+// expire.
 void hang_with_long_tasks(FaultyFleet& f) {
     std::vector<std::string> list;
     for (auto& [id, machine] : f.workers) {
@@ -28,7 +29,7 @@
                    f.takes = [&f](std::uint32_t) { return f.between(90, longest_task_s); };
                    f.every_s = 8;
                    f.on_step = [&f, besides, last_job = f.now + 90] {
-                       if (f.now > last_job) // what is placed by then is through at the end of the day
+                       if (f.now > last_job) // so that all placed tasks have ended before the final checks
                            f.next_job = 1e9;
                        if (!f.every(60))
                            return;
--- a/tests/test_known_faults.cpp
+++ b/tests/test_known_faults.cpp
@@ -1,4 +1,4 @@
-// Faults that are known and not mended: each is listed in KNOWN-RED.txt, with its command, until it is.
+// Tests of known faults that are not fixed yet. Each is listed in KNOWN-RED.txt with its command until it is fixed.
 #include "working.hpp"
 
 #include <gtest/gtest.h>
@@ -6,9 +6,10 @@
 namespace heronshift::testing {
 namespace {
 
-// Jobs that wait for others which the store knows as cancelled, when a leader begins: it has to cancel them too within
-// cancel_s, counted from the answer that the user got, so within cancel_s of its beginning at the latest. It looks
-// their dependencies up eight at a time, within a quarter of the read budget; with so many that takes longer.
+// When a leader begins its term, the store holds waiting jobs whose dependencies are already cancelled. The leader must
+// cancel the waiting jobs within `cancel_s` of the answer that the user got, thus at the latest within `cancel_s` of
+// the beginning of its term. It looks up dependencies eight at a time and within a quarter of the read budget, which
+// takes longer than `cancel_s` for 2000 pairs of jobs.
 TEST(FailoverLookups, CancelAllDependentsInTime) {
     constexpr int pairs = 2000;
     Working fleet(600 + other_seeds(), 3, 24);
@@ -46,8 +47,9 @@
     EXPECT_EQ(waiting(), 0);
 }
 
-// The store is out from the moment in which a new leader reads the records, while the old one has ended: nobody may
-// act, so nobody renews leases, though all controllers and machines reach each other.
+// The store becomes unavailable while a new leader reads the records and the process of the old leader has ended. No
+// controller may act as leader, so none renews the leases of the machines, although all controllers and machines reach
+// each other.
 TEST(FailoverOutage, NoLeaseRunsOutIfTheStoreIsOutMeanwhile) {
     Working fleet(620 + other_seeds(), 5, 24);
     ASSERT_TRUE(fleet.settle());
--- a/tests/test_large_fleet.cpp
+++ b/tests/test_large_fleet.cpp
@@ -1,5 +1,5 @@
-// The rules at 6,000 machines: what a leader knows of machines that are gone must outlast every message
-// about them, however many go at once.
+// Safety rules in a fleet of 6,000 machines: a leader must remember departed machines for longer than any message about
+// them can be in flight, however many machines depart at once.
 #include "cluster/cluster_state.hpp"
 #include "core/core.hpp"
 #include "machines.hpp"
@@ -13,10 +13,11 @@
 using cluster::ClusterState;
 using cluster::MachineStatus;
 
-constexpr int fleet_size = 6300;          // 4,000 and half as many more, and some
-constexpr int lost_size = fleet_size / 3; // lost within a lease
+constexpr int fleet_size = 6300;          // 4,000 machines, half as many more, and a margin
+constexpr int lost_size = fleet_size / 3; // machines that are lost within one lease
 
-// One leader of a fleet in which every machine runs one task of one job. Machines of the first third are to be lost.
+// The cluster state of a leader. Every machine of its fleet runs one task of the same job. The tests remove the first
+// third of the machines.
 struct LargeFleet {
     Settings settings = small_settings();
     std::vector<Effect> out;
@@ -40,7 +41,7 @@
             "wk-000001", static_cast<std::uint32_t>(machine), 7, TaskState::running, ExitCause::none, false};
         return {id, id, "m8", "a", false, 1, counter, 0, -1, {task}};
     }
-    // The status of the answer.
+    // Returns the status of the answer, 0 without an answer.
     int hear(int machine, std::uint64_t counter) {
         out.clear();
         cluster.receive_heartbeat(HeartbeatReceived{report_of(machine, counter), counter});
@@ -81,7 +82,8 @@
     }
 };
 
-// Within a lease a third of the fleet is given back; its heartbeats and the list are late.
+// A third of the fleet is released within one lease. Heartbeats of those machines and the list of the cloud arrive
+// late.
 TEST(LargeFleet, AThirdGivenBackWithinALeaseStaysGoneWhateverLateHeartbeatsAndListsSay) {
     LargeFleet fleet;
     fleet.hear_all(0, 10);
@@ -94,7 +96,7 @@
     fleet.pass(fleet.settings.lease_s);
     int refused = 0;
     for (int i = 0; i < lost_size; ++i)
-        refused += fleet.hear(i, 11) == 503; // newer than what was heard, sent before the machine went
+        refused += fleet.hear(i, 11) == 503; // newer than the last one received, sent before the release
     fleet.list(0, fleet_size);
     EXPECT_EQ(refused, lost_size);
     EXPECT_EQ(fleet.cluster.counters().heartbeats_of_gone_machines, lost_size);
@@ -102,8 +104,8 @@
     EXPECT_EQ(fleet.whole_job().live, fleet_size - lost_size);
 }
 
-// Within a lease a third of the fleet falls silent, and is forgotten as the list no longer names it; then
-// copies of what it said come.
+// A third of the fleet stops sending heartbeats within one lease, and is forgotten once the list of the cloud no longer
+// names it. After that, duplicates of its earlier heartbeats arrive.
 TEST(LargeFleet, AThirdLostAndForgottenIsNotBroughtBackByCopiesOfItsOldHeartbeats) {
     LargeFleet fleet;
     const auto& s = fleet.settings;
@@ -112,7 +114,7 @@
         fleet.pass(s.report_s);
         fleet.hear_all(lost_size, 11 + static_cast<std::uint64_t>(silent));
     }
-    ASSERT_EQ(fleet.known(), fleet_size - lost_size); // they expired and were forgotten
+    ASSERT_EQ(fleet.known(), fleet_size - lost_size); // the leases expired and the machines were forgotten
     ASSERT_EQ(fleet.cluster.counters().lost, lost_size);
     ASSERT_EQ(fleet.whole_job().live, fleet_size - lost_size);
 
@@ -124,11 +126,12 @@
     EXPECT_EQ(fleet.cluster.counters().stale_heartbeats, lost_size);
     EXPECT_EQ(fleet.up(), fleet_size - lost_size);
     EXPECT_EQ(fleet.whole_job().live, fleet_size - lost_size);
-    // One of them is back: its next heartbeat is news.
+    // A machine that is back is accepted again with its next new heartbeat.
     EXPECT_EQ(fleet.hear(5, 11), 200);
 }
 
-// The next leader knows of none of it: what an old heartbeat names is occupied until its lease has surely expired.
+// The next leader does not know which machines were lost. A task that an old heartbeat names counts as live until the
+// lease of its machine has surely expired.
 TEST(LargeFleet, AfterAFailoverAThirdKnownByOldHeartbeatsOnlyIsOccupiedUntilItsLeaseHasSurelyExpired) {
     LargeFleet next(2);
     next.hear_all(lost_size, 12);
@@ -138,7 +141,7 @@
     for (int i = 0; i < lost_size; ++i)
         EXPECT_EQ(next.hear(i, 10), 200);
     EXPECT_EQ(next.whole_job().live, fleet_size);
-    // Copies of the same or older ones count as no sign of life.
+    // Duplicates of that heartbeat and older ones don't extend the lease.
     next.pass(next.settings.lease_s * 0.9);
     next.hear_all(lost_size, 13);
     for (int i = 0; i < lost_size; ++i)
@@ -149,8 +152,8 @@
     EXPECT_EQ(next.up(), fleet_size - lost_size);
 }
 
-// The table of departed machines is full of records that late messages may still need: one more machine stays
-// rented and one more lost machine stays known, until the oldest records are older than any message.
+// The table of departed machines is full of records that are still needed to refuse late messages. One more machine
+// stays rented and one more lost machine stays known until the oldest records are older than any message can be.
 TEST(LargeFleet, WithoutRoomForDepartedMachinesNoneIsGivenBackOrForgottenUntilTheOldestRecordsHaveExpired) {
     auto small = small_settings();
     small.memory_mb = 16;
@@ -175,33 +178,33 @@
     for (int i = 0; i < room; ++i)
         first.push_back(LargeFleet::name(i));
     ASSERT_EQ(release(first).size(), first.size());
-    EXPECT_TRUE(release({last}).empty()); // the room is taken by those on their way
+    EXPECT_TRUE(release({last}).empty()); // the releases in progress have reserved the whole table
     fleet.cluster.released(Released{first, true});
     ASSERT_EQ(fleet.known(), 2U);
 
-    // The condition: full, and the oldest record is young.
+    // The situation under test: the table is full and its oldest record has not expired.
     fleet.pass(5 * small.list_lag_s + 3 * small.lease_s);
     ASSERT_EQ(fleet.cluster.view().machines.at(lost)->status, MachineStatus::lost);
     EXPECT_TRUE(release({last}).empty());
     EXPECT_TRUE(fleet.cluster.view().machines.contains(last));
-    EXPECT_FALSE(fleet.cluster.view().machines.at(last)->release_requested); // so it is asked for again
+    EXPECT_FALSE(fleet.cluster.view().machines.at(last)->release_requested); // so that the release is requested again
     EXPECT_TRUE(fleet.cluster.view().machines.at(last)->releasing);
-    EXPECT_EQ(fleet.hear(room, 10), 503); // a copy, still known as one
+    EXPECT_EQ(fleet.hear(room, 10), 503); // a duplicate that is still recognised
     EXPECT_EQ(fleet.hear(0, 11), 503);
     EXPECT_EQ(fleet.hear(room - 1, 11), 503);
     EXPECT_EQ(fleet.up(), 0U);
 
     fleet.pass(cluster::max_message_age_s(small));
-    EXPECT_EQ(fleet.known(), 0U); // both were lost by then
+    EXPECT_EQ(fleet.known(), 0U); // both leases had expired before
     EXPECT_EQ(fleet.hear(room, 10), 503);
     EXPECT_EQ(fleet.hear(room - 1, 11), 503);
-    // What was forgotten is unknown, and what is unknown is occupied.
+    // A machine whose record has expired counts as new, and the task that its heartbeat names counts as live.
     ASSERT_EQ(fleet.whole_job().live, 0U);
     EXPECT_EQ(fleet.hear(0, 11), 200);
     EXPECT_EQ(fleet.whole_job().live, 1U);
 }
 
-// What is learned and erased all the time must not push out what is neither old nor too much.
+// Entries that are added and erased repeatedly must not evict others while the cache is below its capacity.
 TEST(LargeFleet, WhatIsRememberedOutlastsOthersThatComeAndGo) {
     BoundedCache<int> names(4);
     names.add("stays", 1);
@@ -212,17 +215,17 @@
     EXPECT_TRUE(names.contains("stays"));
     for (const auto* name : {"b", "c", "d", "e"})
         names.add(name, 0);
-    EXPECT_FALSE(names.contains("stays")); // now it is the oldest of five
+    EXPECT_FALSE(names.contains("stays")); // the oldest of five entries in a cache for four
     EXPECT_EQ(names.size(), 4U);
 }
 
-// The store takes values of 1 KiB: the placements of the whole fleet need hundreds of records.
+// The store accepts values of at most 1 KiB, so the placements of the whole fleet need hundreds of records.
 TEST(LargeFleet, WithTheShortestRecordsEveryPlacementIsLaunchedAndFoundByTheNextLeader) {
     constexpr int machines = 6000;
     auto s = small_settings();
     s.value_kb = 1;
     s.teams[0].cpus_max = 0;
-    auto whole = job(1, Shape::array, machines, 8); // as much as a machine has
+    auto whole = job(1, Shape::array, machines, 8); // each task needs a whole machine
     whole.estimate_s = 1000;
     const codec::Item stored_job{"j/wk-000001", codec::Json{{"spec", codec::to_json(whole)}, {"at", 0.0}}, 1, false};
     Snapshot empty;
@@ -235,7 +238,7 @@
         reports[id] = {id, id, "m8", i % 2 == 0 ? "a" : "b", false, 1, 0, std::uint64_t{1} << token_counter_bits,
                        -1, {}};
     }
-    std::map<std::string, codec::Json> records; // of placements, as stored
+    std::map<std::string, codec::Json> records; // the stored placement records
     std::size_t launched = 0, longest = 0;
     double now = 0, next_heartbeat = 0;
     for (; now < 60 && launched < machines; now += 0.05) {
@@ -270,7 +273,7 @@
     }
     EXPECT_EQ(launched, machines) << "after " << now << " s";
     EXPECT_LE(longest, 1024U);
-    ASSERT_GT(records.size(), 200U); // the condition: far more than the ring begins with
+    ASSERT_GT(records.size(), 200U); // the situation under test: many more records than at the start
 
     Snapshot left = empty;
     for (const auto& [key, value] : records)
--- a/tests/test_late_commands.cpp
+++ b/tests/test_late_commands.cpp
@@ -1,5 +1,5 @@
-// Direct commands that arrive seconds to minutes late: after a stop or a newer launch of the same leader, after a
-// successor's commands, at a machine that hung meanwhile or is in a new session.
+// Commands to machines that arrive seconds to minutes late: after a stop or a newer launch by the same leader, after
+// commands of its successor, at a machine that hung in between, or at an agent that has started a new session.
 #include "fault_scenario.hpp"
 
 namespace heronshift::testing {
@@ -41,7 +41,7 @@
                                 some_cancel(f, 0.1);
                         };
                     }});
-    list.back().for_s = 240; // in 90 s not every draw has both
+    list.back().for_s = 240; // in 90 s not every seed has both outcomes
     list.back().took_place = [](const FaultyFleet& f) {
         return f.late_commands.executed_for_former_leader > 0 && f.late_commands.refused_by_token > 0;
     };
--- a/tests/test_late_loop.cpp
+++ b/tests/test_late_loop.cpp
@@ -1,5 +1,5 @@
-// A controller whose event loop turns late: what it has not read yet is not taken for missing, so a slow leader is not
-// mistaken for one that the store refuses, and a refusal is still seen.
+// The event loop of a controller is late. Answers that have arrived but are still unread must not count as timed out,
+// or a slow leader would believe that the store refuses it. A real refusal must still be detected in time.
 #include "heronshift/embed/scheduler.hpp"
 #include "http.hpp"
 #include "local/port.hpp"
@@ -23,10 +23,11 @@
     usleep(static_cast<useconds_t>(for_s * 1e6));
 }
 
-// A server on a loop and thread of its own, so that it answers while the loop of the test stands still.
+// Runs a server on its own event loop and thread, so that it answers while the event loop of the test is blocked.
 class OnAThread {
 public:
-    using Begin = std::function<std::function<int()>(uv_loop_t*)>; // starts the server, which lives in the result
+    // Starts the server. The returned function owns the server and returns its port.
+    using Begin = std::function<std::function<int()>(uv_loop_t*)>;
     explicit OnAThread(const Begin& begin)
         : thread_([this, begin] {
               Loop l;
@@ -74,7 +75,8 @@
     };
 }
 
-// One request on a loop that stands still for so long after each turn; the client is swept before each.
+// Sends one request on an event loop that blocks for `still_s` after each turn. `HttpClient::sweep()` runs before the
+// next turn.
 struct LateRequest {
     HttpReply reply;
     double took_s = -1;
@@ -91,7 +93,7 @@
     while (out.took_s < 0 && seconds() < began + 20) {
         l.turn();
         stand_still(still_s);
-        uv_update_time(&l.loop); // as at the beginning of its next turn
+        uv_update_time(&l.loop); // as libuv does at the beginning of a turn
         client.sweep();
     }
     return out;
@@ -101,15 +103,15 @@
     OnAThread server(http_server([](HttpRequest&&, const Responder& res) { res.send(200, "{}"); }));
     const auto r = ask_on_late_loop(server.port(), 0.2, 0.35);
     EXPECT_EQ(r.reply.status, 200);
-    EXPECT_GT(r.took_s, 0.2); // later than its time-out: the loop was late
+    EXPECT_GT(r.took_s, 0.2); // longer than the time-out, because the loop was late
 }
 
-// The time-out begins when the request is made, not with the turn of the loop in which that happens.
+// The time-out counts from the moment of the request, not from the beginning of the loop's current turn.
 TEST(LateLoop, ATimeOutBeginsWithTheRequest) {
     OnAThread server(http_server([](HttpRequest&&, const Responder& res) { res.send(200, "{}"); }));
     Loop l;
     l.turn();
-    stand_still(0.5); // the loop's time is that of its last turn
+    stand_still(0.5); // `uv_now` still returns the time of the last turn
     HttpClient client(&l.loop, 1, 4);
     int status = -1;
     client.request(fmt::format("127.0.0.1:{}", server.port()), "GET", "/", "", 0.4,
@@ -126,7 +128,7 @@
 TEST(LateLoop, ASilentServerIsFoundOut) {
     std::vector<Responder> open;
     OnAThread server(http_server([&](HttpRequest&&, const Responder& res) { open.push_back(res); }));
-    constexpr double timeout_s = 0.4, still_s = 0.6, ample = 0.3; // for a busy machine
+    constexpr double timeout_s = 0.4, still_s = 0.6, ample = 0.3; // `ample` allows for a busy machine
     const auto punctual = ask_on_late_loop(server.port(), timeout_s, 0.01);
     EXPECT_EQ(punctual.reply.status, 0);
     EXPECT_TRUE(punctual.reply.sent);
@@ -138,8 +140,8 @@
     EXPECT_LT(late.took_s, 2 * timeout_s + still_s + ample);
 }
 
-// Three copies on a state service; the loop of the one that acts stands still for a third of its lease on the
-// leadership after every turn.
+// Three schedulers share a state service. The event loop of the leader blocks for a third of the leader lease after
+// every turn.
 TEST(LateLoop, ALeaderLateByAThirdOfItsLeaseStays) {
     spdlog::set_level(spdlog::level::off);
     constexpr double lease_s = 1.5, still_s = lease_s / 3;
@@ -157,9 +159,9 @@
         for (std::size_t k = 0; k < names.size(); ++k)
             if (k != i)
                 s.peers.push_back({names[k], "a", {"127.0.0.1", ports[k].number()}});
-        s.cloud = {"127.0.0.1", 1}; // refuses all of them alike
+        s.cloud = {"127.0.0.1", 1}; // refuses the connections of all three
         s.state = {"127.0.0.1", service.port()};
-        s.report_s = lease_s; // the lease on the leadership is as long
+        s.report_s = lease_s; // the leader lease has the same length
         s.lease_s = 10;
         return o;
     };
@@ -172,7 +174,7 @@
     run(30, [&] { return leader.is_active_leader(); });
     ASSERT_TRUE(leader.is_active_leader());
     Scheduler two(options(1)), three(options(2));
-    run(2 * lease_s, [] { return false; }); // they have told each other how they are
+    run(2 * lease_s, [] { return false; }); // time to exchange their peer views
     ASSERT_TRUE(leader.is_active_leader());
 
     int late_turns = 0, not_acting = 0, others = 0;
@@ -197,11 +199,11 @@
 
 struct LateFleet : FaultInjection {
     explicit LateFleet(unsigned seed) : FaultInjection(seed + other_seeds(), 5, 24) {}
-    // The lease on the leadership.
+    // The length of the leader lease.
     [[nodiscard]] double hold_s() const {
         return std::min(settings.report_s, settings.lease_s / 5);
     }
-    // How long the leader goes on acting from now, at most.
+    // Runs until the node stops acting as leader, for at most `at_most_s`; returns the time that passed.
     double acts_on(std::size_t leader, double at_most_s) {
         const double began = now;
         while (now < began + at_most_s && is_active_leader(leader))
@@ -229,15 +231,15 @@
     }
 }
 
-// Its last renewal is old since its loop stood still; the answer to the next one takes a moment, and the others say at
-// once that the store serves them.
+// The last renewal of the leader is old because its event loop was blocked. The store answers the next renewal late,
+// while the peers report at once that the store serves them. That alone must not make the leader step down.
 TEST(LateFleets, AnOldRenewalAloneIsNoRefusal) {
     for (unsigned k = 0; k < (sanitized ? 2 : 8); ++k) {
         LateFleet f(820 + k);
         ASSERT_TRUE(f.settle(45)) << k;
         const auto leader = *f.leader();
         const auto& name = f.nodes[leader].name;
-        std::size_t asked = 0; // extension votes, since it goes on
+        std::size_t asked = 0; // requests for extension votes since the loop runs again
         f.on_sent = [&](std::size_t from, std::size_t, const std::string& what) {
             asked += from == leader && what == "/peer/promise";
         };
@@ -254,8 +256,8 @@
     }
 }
 
-// A refusal is seen within three quarters of the lease on the leadership, by a leader that is late as by one that is
-// not.
+// A leader detects that the store refuses it within three quarters of the leader lease, whether its event loop is late
+// or not.
 TEST(LateFleets, ARefusalIsSeenAsSoon) {
     for (unsigned k = 0; k < (sanitized ? 2 : 8); ++k)
         for (const bool late : {false, true}) {
--- a/tests/test_leader_cut_off.cpp
+++ b/tests/test_leader_cut_off.cpp
@@ -1,5 +1,6 @@
-// The gap: the state service refuses the leader alone, another controller confirms cancellations, then the
-// service is down for all for longer than cancel_s, while workers go on reporting to the old leader.
+// The state service refuses only the leader, another controller confirms cancellations, and then the service is down
+// for all controllers for longer than `cancel_s`, while workers still send heartbeats to the old leader. Cancelled
+// tasks must not keep running there.
 #include "fault_injection.hpp"
 
 #include <gtest/gtest.h>
@@ -10,15 +11,15 @@
 struct LeaderCutOff : FaultInjection {
     LeaderCutOff(unsigned seed, std::size_t controllers) : FaultInjection(seed + other_seeds(), controllers, 24) {
         every_s = 6;
-        takes = [this](std::uint32_t) { return between(60, 110); }; // they would go on past cancel_s
+        takes = [this](std::uint32_t) { return between(60, 110); }; // longer than `cancel_s`
         before_step = [this] { every_step(); };
     }
     double cancel_until = -1, next_cancel = 0;
     std::size_t cancels = 0;
     int expirations_before = 0;
-    bool in_handover = false; // the outage began while the leadership passed from one to another
+    bool in_handover = false; // the outage began during a change of leader, when no node was leader
 
-    // Users cancel what runs, ten a second.
+    // Users cancel running jobs, ten per second.
     void every_step() {
         if (now > cancel_until || now < next_cancel)
             return;
@@ -46,7 +47,7 @@
 
 struct Scenario {
     std::size_t controllers;
-    double after_s; // from the refusal to the outage
+    double after_s; // time between the refusal and the outage
     Besides besides;
     friend std::ostream& operator<<(std::ostream& o, const Scenario& s) {
         return o << s.controllers << " outage after " << s.after_s << " besides " << static_cast<int>(s.besides);
@@ -64,11 +65,12 @@
     return out;
 }
 
-// Once: the refusal, the cancellations, the outage; then all is well again.
+// Plays the sequence once: the refusal, the cancellations, the outage, and the end of all faults.
 void pass(LeaderCutOff& f, const Scenario& s, std::size_t asked_at) {
     const auto leader = *f.leader();
     const auto n = f.nodes.size();
-    // At the old leader, at the others in turn, or wherever the balancer sends them.
+    // Users send cancellations to the old leader, or to the node that stands `asked_at` places behind it. If `asked_at`
+    // is not below the number of nodes, the load balancer chooses.
     if (asked_at < n)
         f.cancels_at = (leader + asked_at) % n;
     f.cancel_until = f.now + s.after_s;
@@ -109,21 +111,22 @@
     const auto where = static_cast<std::size_t>(s.after_s * 10 + static_cast<int>(s.besides)) % 3;
     LeaderCutOff f(400, s.controllers);
     ASSERT_TRUE(f.settle(45));
-    pass(f, s, where); // asked at the old leader, the next, the one after it
+    pass(f, s, where); // cancellations go to the old leader or to one of the next two nodes
     EXPECT_EQ(f.what_is_wrong(), "");
     EXPECT_GT(f.cancels, 0U);
-    // Once the successor acts, users hear that their jobs are cancelled; and somebody answers the workers.
+    // Cancellations are confirmed to users once the successor acts as leader. Workers get answers all the time, so no
+    // lease expires.
     if (s.besides == Besides::nothing) {
-        if (s.after_s != 5) { // then it depends on when users ask again
+        if (s.after_s != 5) { // at 5 s it depends on when users ask again
             EXPECT_EQ(f.cancelled.empty(), s.after_s < 5);
         }
-        EXPECT_FALSE(f.in_handover); // too early for it, or over
+        EXPECT_FALSE(f.in_handover); // the outage began before or after the change of leader
         EXPECT_EQ(f.expirations, f.expirations_before);
     }
     f.work(f.leases(2));
     ASSERT_TRUE(f.leader());
     if (s.after_s >= 2)
-        pass(f, s, 99); // once more on the same day, asked anywhere
+        pass(f, s, 99); // a second time in the same run; the load balancer chooses the node
     EXPECT_EQ(f.what_is_wrong(), "");
     f.takes = {};
     EXPECT_EQ(f.final_checks(f.leases(5), f.settings.cancel_s * 2), "");
@@ -132,7 +135,7 @@
 
 INSTANTIATE_TEST_SUITE_P(LeaderCutOff, LeaderCutOffScenarios, ::testing::ValuesIn(scenarios()));
 
-// A view of the others that is older than the outage made the leader give its leadership up, to nobody.
+// Guards against a leader that resigned without a successor, because its view of its peers was older than the outage.
 TEST(LeaderCutOff, ALeaderWithAllExtensionVotesStays) {
     for (unsigned k = 0; k < (sanitized ? 4 : 24); ++k) {
         LeaderCutOff f(450 + k, 5);
--- a/tests/test_leader_election.cpp
+++ b/tests/test_leader_election.cpp
@@ -1,4 +1,4 @@
-// Leadership without I/O: the leader's lease, the policy for candidates, the messages and the election's state machine.
+// Leader election without I/O: the leader lease, the candidate policy, the peer messages and the state machine.
 #include "leadership/candidate_policy.hpp"
 #include "leadership/election_state_machine.hpp"
 #include "leadership/leader_lease.hpp"
@@ -23,15 +23,16 @@
 TEST_F(ExtensionVotes, OfAllOthersExtendTheLeadersLease) {
     ASSERT_TRUE(leader.valid(101));
     EXPECT_FALSE(leader.extension_granted("b", 101, 101.1));
-    EXPECT_FALSE(leader.valid(102)); // one of two is not enough
+    EXPECT_FALSE(leader.valid(102)); // one vote of two peers is not enough
     SetUp();
     leader.extension_granted("b", 101.5, 101.6);
     leader.extension_granted("c", 101.4, 101.7);
     EXPECT_TRUE(leader.valid(102.2));
-    EXPECT_FALSE(leader.valid(102.4)); // counted from when the earlier of the two was asked
+    EXPECT_FALSE(leader.valid(102.4)); // the extension counts from the earlier of the two vote requests
 }
 
-// Whoever became leader in between may have lost it again and told users what we do not know.
+// Another node may have become leader in between, confirmed requests of users that this node doesn't know of, and lost
+// the leadership again.
 TEST_F(ExtensionVotes, DoNotMendAnExpiry) {
     leader.extension_granted("b", 101.9, 102.5);
     leader.extension_granted("c", 101.9, 102.5);
@@ -43,14 +44,15 @@
     for (double t = 0; t < 10; t += 0.5)
         peer.record_store_answer(true, t);
     EXPECT_FALSE(peer.grant_extension(1, 10, true, false));
-    EXPECT_FALSE(peer.grant_extension(1, 10, false, true)); // nor by one that becomes leader itself
+    EXPECT_FALSE(peer.grant_extension(1, 10, false, true)); // nor by a node that is not a follower
     EXPECT_TRUE(peer.may_acquire(10));
     EXPECT_TRUE(peer.grant_extension(1, 10, true, true));
     EXPECT_FALSE(peer.may_acquire(11));
     EXPECT_TRUE(peer.may_acquire(11.2));
 }
 
-// A new process keeps no longer one than leaders ask for: none is given for longer.
+// A new process honours a vote that its predecessor may have granted, for as long as leaders ask for at most. So no
+// vote is granted for longer.
 TEST_F(ExtensionVotes, AreGivenForNoLongerThanANewProcessKeepsThem) {
     LeaderLease peer(ttl, 2, 0);
     for (double t = 0; t < 10; t += 0.5)
@@ -64,21 +66,22 @@
     EXPECT_FALSE(fresh.may_acquire(51));
     EXPECT_TRUE(fresh.may_acquire(51.2));
     LeaderLease leader_before(ttl, 2, 50);
-    leader_before.previous_process_was_leader(); // whom it had promised was itself
+    leader_before.previous_process_was_leader(); // its predecessor was the leader and granted no vote to others
     EXPECT_TRUE(leader_before.may_acquire(50));
 }
 
-// An attempt of our own that is still under way would break the extension vote without our doing.
+// A claim for the leadership that this node sent earlier may still be applied in the store, and would break a vote that
+// the node grants meanwhile.
 TEST_F(ExtensionVotes, AreNotGivenWhileAnAttemptMayStillBeApplied) {
     LeaderLease peer(ttl, 2, 0);
-    EXPECT_FALSE(peer.grant_extension(1, 1, true, true)); // the process before may have left one
+    EXPECT_FALSE(peer.grant_extension(1, 1, true, true)); // the previous process may have left a claim in flight
     for (double t = 0; t < 10; t += 0.5)
         peer.record_store_answer(true, t);
     ASSERT_TRUE(peer.grant_extension(1, 10, true, true));
     peer.acquisition_in_doubt();
     EXPECT_FALSE(peer.grant_extension(1, 20, true, true));
     peer.record_store_answer(true, 20);
-    peer.record_store_answer(false, 24); // an outage: leases live on
+    peer.record_store_answer(false, 24); // in an outage of the store its leases don't expire
     peer.record_store_answer(true, 25);
     peer.record_store_answer(true, 30);
     EXPECT_FALSE(peer.grant_extension(1, 30, true, true));
@@ -153,10 +156,10 @@
     EXPECT_TRUE(may_be_applied(StoreOutcome::unreadable));
     EXPECT_FALSE(may_be_applied(StoreOutcome::not_sent));
     EXPECT_FALSE(may_be_applied(StoreOutcome::unavailable));
-    EXPECT_FALSE(is_store_failure(StoreOutcome::rate_limited)); // that is an answer
+    EXPECT_FALSE(is_store_failure(StoreOutcome::rate_limited)); // the store did answer
 }
 
-// The policy for candidates.
+// The candidate policy.
 
 struct CandidatePolicyTest : ::testing::Test {
     Settings settings;
@@ -229,7 +232,8 @@
     EXPECT_TRUE(policy.workers_silent({14.1, 10, 11, true}));
 }
 
-// An old renewal alone may mean that this node's own event loop was late.
+// If the last renewal is old, the event loop of this node may just have been late; only a renewal that failed since
+// then shows a refusal.
 TEST(StoreRefusals, NeedAnOldRenewalAndAFailedOneSince) {
     EXPECT_TRUE(CandidatePolicy::store_refuses_renewals({11.5, 10, 10.5, 2}));
     EXPECT_FALSE(CandidatePolicy::store_refuses_renewals({11.3, 10, 10.5, 2}));
@@ -285,7 +289,7 @@
 };
 
 struct Election : ::testing::Test {
-    static constexpr double start_at = 100; // no vote of an earlier process stands against it
+    static constexpr double start_at = 100; // late enough that a vote of an earlier process has expired
     Settings settings = make_settings();
     FixedHints hints;
     ElectionStateMachine machine{settings, hints, 0};
@@ -307,7 +311,7 @@
                 return found;
         return nullptr;
     }
-    // Up to the claim; returns its epoch.
+    // Runs the election up to the claim of the leadership; returns the epoch of the claim.
     std::uint64_t acquire() {
         auto actions = machine.start();
         actions = machine.leader_read(actions.at(0).epoch, start_at, StoreOutcome::not_found, {}, 0);
@@ -332,7 +336,7 @@
     EXPECT_EQ(machine.term(), 4U);
     EXPECT_EQ(machine.leader(), "berth-0");
     EXPECT_TRUE(machine.valid(start_at + 1.8));
-    EXPECT_FALSE(machine.valid(start_at + 1.95)); // counted from when the store lease was asked for
+    EXPECT_FALSE(machine.valid(start_at + 1.95)); // the lease counts from the request for the store lease
 }
 
 TEST_F(Election, AFollowerFollowsTheLeaderThatTheStoreNames) {
@@ -360,10 +364,11 @@
     EXPECT_EQ(machine.role(), ElectionStateMachine::Role::follower);
 }
 
-// It may still be applied, which would break the vote.
+// A claim without an answer may still be applied in the store, which would break a vote granted meanwhile.
 TEST_F(Election, ANodeWithAClaimInDoubtVotesForNobody) {
     const ExtensionVoteRequest request{"berth-1", 9, 1};
-    for (double now = start_at - 10; now < start_at; now += 0.5) // nothing is left of an earlier process
+    // Until no claim of an earlier process can be in flight.
+    for (double now = start_at - 10; now < start_at; now += 0.5)
         (void)machine.vote(request, now, StoreOutcome::ok);
     const auto epoch = acquire();
     (void)machine.claim_answered(epoch, start_at, StoreOutcome::no_answer, 0);
