--- a/tests/test_leader_cut_off.cpp
+++ b/tests/test_leader_cut_off.cpp
@@ -50,7 +50,7 @@
     double after_s; // time between the refusal and the outage
     Besides besides;
     friend std::ostream& operator<<(std::ostream& o, const Scenario& s) {
-        return o << s.controllers << " outage after " << s.after_s << " besides " << static_cast<int>(s.besides);
+        return o << s.controllers << " outage after " << s.after_s << " additional fault " << static_cast<int>(s.besides);
     }
 };
 
