--- a/tests/test_local.cpp
+++ b/tests/test_local.cpp
@@ -1,4 +1,5 @@
-// The emulator platform: its checks can fail, and its worker keeps the protocol's side of the bargain.
+// The emulator platform: every check of `History` reports its violation, and the emulated cloud and workers follow the
+// protocol.
 #include "heronshift/codec.hpp"
 #include "local/cloud.hpp"
 #include "local/emulator.hpp"
@@ -56,11 +57,11 @@
     h.on_machine("wk-1", 0, here, 1);
     h.on_machine("wk-1", 1, here, 1);
     EXPECT_EQ(first(), "");
-    h.on_machine("wk-1", 2, here, 1); // two of three may be in one zone
+    h.on_machine("wk-1", 2, here, 1); // at most two of the three tasks may run in one zone
     EXPECT_EQ(first(), "wrong_place");
     History other{{}, 10};
     other.submitted(array("wk-2"));
-    other.on_machine("wk-2", 0, spot, 1); // it may not use spot machines
+    other.on_machine("wk-2", 0, spot, 1); // the job does not allow spot machines
     EXPECT_EQ(other.broken().size(), 1U);
 }
 
@@ -102,13 +103,13 @@
     EXPECT_TRUE(two.broken().empty());
     two.told("wk-1", 404, "", 2);
     ASSERT_EQ(two.broken().size(), 1U);
-    two.told("wk-1", 200, "done", 3); // no task is
+    two.told("wk-1", 200, "done", 3); // no task is done
     EXPECT_EQ(two.broken().size(), 2U);
     two.told("wk-1", 200, "running", 4);
     EXPECT_EQ(two.broken().size(), 3U);
     History three{{}, 10};
     three.submitted(array("wk-1", 1));
-    three.told("wk-1", 200, "withdrawn", 1); // nobody asked for it
+    three.told("wk-1", 200, "withdrawn", 1); // no cancellation was requested
     EXPECT_EQ(three.broken().size(), 1U);
 }
 
@@ -122,7 +123,8 @@
     EXPECT_TRUE(h.unfinished().empty());
 }
 
-// A platform with one machine and nobody to report to, asked over the wire.
+// A platform whose machines have no controller to send heartbeats to. Requests reach the cloud and the machine over
+// HTTP.
 struct Wire : ::testing::Test {
     uv_loop_t loop{};
     History history{{}, 10};
@@ -204,7 +206,8 @@
     EXPECT_EQ(command(6, 1, {{Verb::launch, "wk-1", 1, 1, 0}}, 409).tasks.size(), 1U);
     EXPECT_EQ(command(7, 2, {{Verb::launch, "wk-1", 1, 1, 0}}, 409).tasks.size(), 1U);
     EXPECT_EQ(ask(machine, "POST", "/commands", "{}").status, 400);
-    // The same attempt again has no effect; another is refused while this one is here.
+    // Repeating the launch of the same attempt has no effect; another attempt is refused while the first one is on the
+    // machine.
     EXPECT_EQ(command(7, 1, {{Verb::launch, "wk-1", 0, 1, 0}}).tasks.size(), 1U);
     r = command(7, 1, {{Verb::launch, "wk-1", 0, 2, 0}, {Verb::launch, "wk-404", 0, 1, 0}});
     ASSERT_EQ(r.tasks.size(), 3U);
@@ -215,8 +218,8 @@
     EXPECT_EQ(r.tasks[0].state, TaskState::ended);
 }
 
-// What is held up arrives when nobody waits for the answer any more, and is judged then: by the fencing token and
-// the agent epoch of that moment.
+// A delayed command arrives after its sender has timed out. The worker checks it on arrival, against the fencing token
+// and the agent epoch that it has then.
 TEST_F(Wire, AHeldCommandIsJudgedWhenItArrives) {
     rent();
     platform->any()->late_until = platform->now() + 0.6;
@@ -227,13 +230,13 @@
                         [&](HttpReply&& r) { ++(r.status == 0 && r.sent ? given_up : answered); });
     };
     send(7, 0);
-    send(6, 1); // of an earlier leader
+    send(6, 1); // from an earlier leader
     while (given_up + answered < 2) {
         uv_run(&loop, UV_RUN_ONCE);
         client->sweep();
     }
     EXPECT_EQ(given_up, 2);
-    EXPECT_EQ(platform->sum().fencing_token, 0U); // nothing has arrived
+    EXPECT_EQ(platform->sum().fencing_token, 0U); // no command has arrived yet
     while (platform->sum().fencing_token == 0)
         uv_run(&loop, UV_RUN_ONCE);
     const auto r = command(7, 1, {});
--- a/tests/test_loops.cpp
+++ b/tests/test_loops.cpp
@@ -1,4 +1,4 @@
-// Event loops on several threads of one process.
+// Event loops on several threads of one process are independent of each other.
 #include "http.hpp"
 
 #include <atomic>
@@ -9,8 +9,8 @@
 namespace heronshift {
 namespace {
 
-// Two schedulers on threads of their own in one program once read from the network into the same buffer: a
-// store called a good transaction malformed, and with less luck it would have taken what was another's.
+// Guards against a read buffer that event loops on different threads share: with one, a store rejected a valid
+// transaction as malformed, and it could also have executed the request of another scheduler.
 TEST(Loops, OnTwoThreadsDoNotShareWhatTheyRead) {
     constexpr int threads = 4, requests = 400;
     constexpr std::size_t length = 40'000;
--- a/tests/test_membership.cpp
+++ b/tests/test_membership.cpp
@@ -1,4 +1,4 @@
-// The parts of the membership, each on its own: link health, views and their freshness, eligibility, relays, zones.
+// Unit tests of the membership: link health, peer views and their freshness, eligibility, relays, zone health.
 #include "membership/eligibility.hpp"
 #include "membership/observed_clients.hpp"
 #include "membership/peer_views.hpp"
@@ -14,7 +14,7 @@
 constexpr auto unreachable = Reachability::unreachable;
 constexpr auto unknown = Reachability::unknown;
 
-// Heartbeats every 4 s and a lease of 40 s: all thresholds are round numbers.
+// With heartbeats every 4 s and a lease of 40 s all derived thresholds are round numbers.
 Settings test_settings() {
     Settings settings;
     settings.name = "c1";
@@ -47,11 +47,11 @@
     EXPECT_EQ(link.reach(), unknown);
     link.record_success(10);
     EXPECT_EQ(link.reach(), reachable);
-    EXPECT_FALSE(link.record_failure(13)); // long enough, but the only one
+    EXPECT_FALSE(link.record_failure(13)); // the outage is long enough, but has only one failure
     EXPECT_TRUE(link.record_failure(13.5));
     EXPECT_EQ(link.reach(), unreachable);
     EXPECT_EQ(link.failing_since(), 13);
-    EXPECT_FALSE(link.record_failure(14)); // nothing new
+    EXPECT_FALSE(link.record_failure(14)); // the link is lost already
 }
 
 TEST(LinkHealth, ThatHasNeverWorkedIsLostByTheTimeSinceTheFirstFailure) {
@@ -66,7 +66,7 @@
     LinkHealth link({.min_outage_s = 0, .min_failures = 1, .min_recovery_s = 1});
     EXPECT_TRUE(link.record_failure(10));
     EXPECT_FALSE(link.record_success(11));
-    EXPECT_FALSE(link.record_failure(11.5)); // begins anew
+    EXPECT_FALSE(link.record_failure(11.5)); // restarts the recovery time
     EXPECT_FALSE(link.record_success(12));
     EXPECT_FALSE(link.record_success(12.9));
     EXPECT_TRUE(link.lost());
@@ -84,9 +84,9 @@
 }
 
 TEST(PeerViewFreshness, CountsADelayBeyondTheErrorsOfTheClocks) {
-    EXPECT_EQ(view_made_at(1000, 1002, 50, 1), 50); // explained by the clocks
-    EXPECT_EQ(view_made_at(1000, 1005, 50, 1), 47); // 3 s late for sure
-    EXPECT_EQ(view_made_at(1005, 1000, 50, 1), 50); // a sender whose clock is ahead is not younger than now
+    EXPECT_EQ(view_made_at(1000, 1002, 50, 1), 50); // the difference is within the clock error
+    EXPECT_EQ(view_made_at(1000, 1005, 50, 1), 47); // at least 3 s of delay
+    EXPECT_EQ(view_made_at(1005, 1000, 50, 1), 50); // a sender's clock that is ahead never puts a view into the future
 }
 
 TEST(PeerViewsTest, ReportTheLeaderOfTheGreatestTermAmongFreshViews) {
@@ -104,10 +104,10 @@
     give_view(peers, first, 10);
     give_view(peers, second, 8);
     EXPECT_EQ(peers.reported_leader(11)->term, 5U);
-    EXPECT_EQ(peers.reported_leader(12)->term, 4U) << "the second view is not fresh any more";
+    EXPECT_EQ(peers.reported_leader(12)->term, 4U) << "the second view is stale";
     first.sees_leader = false;
     give_view(peers, first, 10);
-    EXPECT_FALSE(peers.reported_leader(12)) << "hearsay does not count";
+    EXPECT_FALSE(peers.reported_leader(12)) << "c0 does not see the leader itself";
 }
 
 TEST(PeerViewJson, LeavesOutWhatIsOutOfBounds) {
@@ -135,7 +135,7 @@
 }
 
 TEST(Evaluate, CountsUnknownLinksAsTold) {
-    const auto view = view_of("c0", unknown, {{"a", unknown}}); // and nothing about b
+    const auto view = view_of("c0", unknown, {{"a", unknown}}); // zone b is not reported at all
     const std::vector<std::string> zones{"a", "b"};
     EXPECT_EQ(evaluate(view, {}, zones, UnknownLinks::as_unreachable), (Eligibility{0, 0, 0, 1}));
     EXPECT_EQ(evaluate(view, {}, zones, UnknownLinks::as_reachable), (Eligibility{1, 2, 0, 1}));
@@ -146,7 +146,7 @@
     const auto relay = view_of("c2", unreachable, {{"b", reachable}});
     const std::vector<std::string> zones{"a", "b"};
     const auto evaluated = [&] { return evaluate(candidate, {&candidate, &relay}, zones, UnknownLinks::as_reachable); };
-    EXPECT_EQ(evaluated(), (Eligibility{1, 1, 0, 1})) << "nothing is known of the link to c2";
+    EXPECT_EQ(evaluated(), (Eligibility{1, 1, 0, 1})) << "the link to c2 is unknown";
     candidate.peers["c2"] = unreachable;
     EXPECT_EQ(evaluated(), (Eligibility{1, 1, 0, 1}));
     candidate.peers["c2"] = reachable;
@@ -174,7 +174,7 @@
     link.record_failure(10);
     link.record_failure(11);
     EXPECT_FALSE(answered_since_lost({}, link, 4));
-    EXPECT_FALSE(answered_since_lost(10.4, link, 4)) << "it may have been under way when the outage began";
+    EXPECT_FALSE(answered_since_lost(10.4, link, 4)) << "the answer may have been sent before the outage began";
     EXPECT_TRUE(answered_since_lost(10.5, link, 4));
 }
 
@@ -189,7 +189,8 @@
     const Eligibility own{1, 1, 0, 1}, better{1, 2, 0, 1};
     const double stagger_s = settings.report_s / 40, yield_s = settings.lease_s / 4;
     EXPECT_EQ(candidacy_delay_s(settings, own, {}, true), 0);
-    EXPECT_EQ(candidacy_delay_s(settings, own, {{"c0", own}, {"c2", own}}, true), stagger_s) << "only c0 comes before";
+    EXPECT_EQ(candidacy_delay_s(settings, own, {{"c0", own}, {"c2", own}}, true), stagger_s)
+        << "only c0 precedes this node";
     EXPECT_EQ(candidacy_delay_s(settings, own, {{"c0", own}, {"c2", better}}, true), yield_s);
 }
 
@@ -213,11 +214,11 @@
     EXPECT_EQ(relays.to_zone("a", 12), "c0");
     EXPECT_EQ(relays.to_zone("a", 12), "c2");
     EXPECT_EQ(relays.to_zone("a", 12), "c0");
-    EXPECT_EQ(relays.to_zone("a", 15), "c2") << "the view of c0 is not fresh any more";
+    EXPECT_EQ(relays.to_zone("a", 15), "c2") << "the view of c0 is stale";
     auto& link = peers.find("c2")->link;
     link.record_failure(10);
     link.record_failure(15);
-    EXPECT_EQ(relays.to_zone("a", 15), std::nullopt) << "c2 is not reached from here";
+    EXPECT_EQ(relays.to_zone("a", 15), std::nullopt) << "the link to c2 is lost";
 }
 
 TEST(RelayChoiceTest, PrefersTheNamedPeerForTheStore) {
@@ -240,7 +241,7 @@
     give_view(peers, view_of("c0", unknown, {{"a", unreachable}, {"b", unknown}}), 10);
     EXPECT_FALSE(relays.leader_reaches("c0", "a", 10));
     EXPECT_TRUE(relays.leader_reaches("c0", "b", 10));
-    EXPECT_TRUE(relays.leader_reaches("c0", "a", 14)) << "the view is not fresh any more";
+    EXPECT_TRUE(relays.leader_reaches("c0", "a", 14)) << "the view is stale";
 }
 
 // --- zones ---
@@ -253,7 +254,7 @@
     EXPECT_EQ(samples.addresses_within_lease(10), (std::vector<std::string>{"m1", "m2", "m3", "m4"}));
     for (const char* address : {"m1", "m3", "m4"})
         samples.record_heartbeat(address, 16);
-    samples.record_heartbeat("m5", 16); // m2 was silent for 1.5 heartbeat intervals, not for longer
+    samples.record_heartbeat("m5", 16); // m2 has been silent for exactly 1.5 heartbeat intervals: not yet too long
     EXPECT_EQ(samples.addresses_within_lease(16), (std::vector<std::string>{"m1", "m2", "m3", "m4"}));
     samples.record_heartbeat("m5", 16.1);
     EXPECT_EQ(samples.addresses_within_lease(16.1), (std::vector<std::string>{"m1", "m5", "m3", "m4"}));
@@ -265,12 +266,12 @@
     samples.replace({"m1", "m2"}, 10);
     samples.drop_stale(20);
     EXPECT_EQ(samples.next_in_rotation(3), (std::vector<std::string>{"m1", "m2"}))
-        << "all are silent: the zone may be cut off";
+        << "all machines are silent: the zone may be unreachable";
     samples.record_heartbeat("m2", 20);
     samples.drop_stale(20);
     EXPECT_EQ(samples.next_in_rotation(3), std::vector<std::string>{"m2"});
     samples.drop_stale(100);
-    EXPECT_FALSE(samples.empty()) << "two leases old";
+    EXPECT_FALSE(samples.empty()) << "kept for up to two leases";
     samples.drop_stale(100.1);
     EXPECT_TRUE(samples.empty());
 }
@@ -283,8 +284,10 @@
     EXPECT_EQ(zone.reach(true), reachable);
     EXPECT_EQ(zone.reach(false), unknown);
     EXPECT_EQ(zone.check_silence(4, 5, 15.9), Check::unchanged);
-    EXPECT_EQ(zone.check_silence(3, 5, 16), Check::unchanged) << "a small fleet has 2.5 heartbeat intervals";
-    EXPECT_EQ(zone.check_silence(4, 11, 16), Check::unchanged) << "it counts from when this node became active";
+    EXPECT_EQ(zone.check_silence(3, 5, 16), Check::unchanged)
+        << "a small fleet is lost only after 2.5 heartbeat intervals";
+    EXPECT_EQ(zone.check_silence(4, 11, 16), Check::unchanged)
+        << "silence counts from when this node became the active leader";
     EXPECT_EQ(zone.check_silence(4, 5, 16), Check::lost);
     EXPECT_EQ(zone.reach(true), unreachable);
     EXPECT_EQ(zone.reach(false), unknown);
@@ -295,7 +298,7 @@
     ZoneHealth zone(settings);
     using Check = ZoneHealth::SilenceCheck;
     EXPECT_EQ(zone.check_silence(4, 4, 10), Check::lost);
-    zone.record_relayed_heartbeat("m1", 49); // no evidence for the link, but the machine is not silent
+    zone.record_relayed_heartbeat("m1", 49); // proves that the machine is alive, but nothing about the link
     EXPECT_EQ(zone.check_silence(4, 4, 50), Check::unchanged);
     EXPECT_EQ(zone.reach(true), unreachable);
     EXPECT_EQ(zone.check_silence(4, 4, 50.1), Check::inbound_reset);
@@ -307,13 +310,13 @@
     ZoneHealth zone(settings);
     zone.adopt_machines({"m1", "m2", "m3"}, true, 10);
     EXPECT_EQ(zone.start_probe_round(10), (std::vector<std::string>{"m1", "m2"}));
-    EXPECT_TRUE(zone.start_probe_round(11).empty()) << "a round is under way";
+    EXPECT_TRUE(zone.start_probe_round(11).empty()) << "a probe round is in progress";
     EXPECT_FALSE(zone.finish_probe(true, 11));
     EXPECT_FALSE(zone.finish_probe(false, 11));
     EXPECT_EQ(zone.reach(false), reachable);
     EXPECT_EQ(zone.start_probe_round(14), (std::vector<std::string>{"m3", "m1"}));
     EXPECT_FALSE(zone.finish_probe(false, 14));
-    EXPECT_FALSE(zone.finish_probe(false, 14)) << "one round is not enough";
+    EXPECT_FALSE(zone.finish_probe(false, 14)) << "one failed round is not enough";
     EXPECT_EQ(zone.start_probe_round(15).size(), 2U);
     EXPECT_FALSE(zone.finish_probe(false, 15));
     EXPECT_TRUE(zone.finish_probe(false, 15));
@@ -342,7 +345,7 @@
     }
     EXPECT_EQ(zone.reach(false), unreachable);
     ASSERT_EQ(zone.start_probe_round(16).size(), 1U);
-    EXPECT_FALSE(zone.finish_probe(true, 16)) << "it has to work for a while";
+    EXPECT_FALSE(zone.finish_probe(true, 16)) << "probes have to succeed for the recovery time first";
     ASSERT_EQ(zone.start_probe_round(20).size(), 1U);
     EXPECT_TRUE(zone.finish_probe(true, 20));
     EXPECT_EQ(zone.reach(true), reachable);
@@ -353,16 +356,17 @@
     ZoneHealth zone(settings);
     zone.adopt_machines({"m1"}, false, 50);
     EXPECT_TRUE(zone.machines_to_share(50).empty());
-    EXPECT_EQ(zone.start_probe_round(50), std::vector<std::string>{"m1"}) << "but they are probed";
+    EXPECT_EQ(zone.start_probe_round(50), std::vector<std::string>{"m1"})
+        << "machines that are not shared are still probed";
     zone.adopt_machines({"m2"}, false, 50);
-    EXPECT_TRUE(zone.machines_to_share(50).empty()) << "something is known here already";
+    EXPECT_TRUE(zone.machines_to_share(50).empty()) << "machines of this zone are known already";
     zone.adopt_machines({"m3"}, true, 50);
     EXPECT_EQ(zone.machines_to_share(50), std::vector<std::string>{"m3"});
     zone.adopt_machines({}, true, 50);
     EXPECT_EQ(zone.machines_to_share(50), std::vector<std::string>{"m3"});
 }
 
-// --- evidence from the store ---
+// --- answers of the store ---
 
 TEST(ObservedStoreAnswers, CountARefusalAsAnAnswer) {
     const auto counts = [](int status) {
--- a/tests/test_missed_answers.cpp
+++ b/tests/test_missed_answers.cpp
@@ -1,10 +1,11 @@
-// Machines whose heartbeats come while no answer reaches them. All that is placed on one is lost with its lease, each
-// lease again, so the leader has to recognise them within three leases and to give them back within six, in whatever
-// order messages come; and it must not take for one of them a machine that hears.
+// Machines whose heartbeats arrive while no answer reaches them (inbound unreachable). Tasks placed on such a machine
+// are lost whenever its lease expires, so the leader has to detect the machine within three leases and release it
+// within six, whatever the order of messages. It must not misjudge a machine that receives answers.
 //
-// Before the mend a machine that heard nothing was seen by the leader once in a turn through all controllers, since the
-// others redirected it in vain; two more visits then had to show that it lacked a token (log: "route=redirected to the
-// leader" four times between two "route=taken"). That took 66 to 84 s where 66 are allowed.
+// Guards against slow detection: if only the leader looks at heartbeats, such a machine is seen once per rotation
+// through all controllers, because the redirects of the others do not reach it, and two further heartbeats have to show
+// that it lacks a token (log: "route=redirected to the leader" four times between two "route=taken"). That took 66 to
+// 84 s where 66 s are allowed.
 #include "fault_injection.hpp"
 
 #include <gtest/gtest.h>
@@ -24,10 +25,10 @@
 struct Unheard {
     std::string name;
     std::size_t controllers;
-    double share;      // of the machines; 0: one of them
-    std::string zone;  // of the machines; empty: any
-    bool orders_reach; // only answers to heartbeats are lost
-    bool leader_ends;  // a lease after it began
+    double share;      // fraction of the machines that is affected; 0: a single machine
+    std::string zone;  // only machines of this zone; empty: of any zone
+    bool orders_reach; // commands arrive; only answers to heartbeats are lost
+    bool leader_ends;  // the leader crashes one lease after the fault began
     friend std::ostream& operator<<(std::ostream& out, const Unheard& unheard) {
         return out << unheard.name;
     }
@@ -83,9 +84,10 @@
                                            Unheard{"a_third_and_the_leader_ends", 7, 0.33, "", false, true}),
                          [](const auto& parameter) { return parameter.param.name; });
 
-// Lost and late messages, cuts that hold or drop, leaders that change or stand still, outages: none of the machines is
-// cut off from all controllers for long. A misjudgement is a machine that is taken for unreachable although it has
-// heard an answer since the last one that it missed; it costs a task if the machine is given back with one.
+// Lost and late messages, partitions that delay or drop, leaders that change or freeze, outages: no machine is cut off
+// from all controllers for long. A misjudgement is a machine that the leader considers inbound unreachable although it
+// has received an answer since the last one that it missed. It costs a task if the machine is released while it has a
+// live one.
 TEST(MissedAnswers, OfMachinesThatHearCostNoTask) {
     int misjudged = 0, cost = 0;
     for (unsigned seed = 1; seed <= (sanitized ? 2 : 12); ++seed) {
@@ -95,7 +97,7 @@
         fleet.copies = 0.1;
         fleet.late_commands.share = 0.05;
         double next_fault = fleet.now;
-        std::map<std::string, bool> judged; // by the leader, and whether it has live tasks
+        std::map<std::string, bool> judged; // misjudged machines, and whether they have live tasks
         fleet.before_step = [&] {
             for (auto& [id, live_tasks] : judged)
                 cost += live_tasks && !fleet.workers.contains(id);
--- a/tests/test_placement.cpp
+++ b/tests/test_placement.cpp
@@ -1,4 +1,4 @@
-// The payoff, fragmentation and the assignment of batches.
+// The payoff function, fragmentation and the assignment of a batch of tasks to machines.
 #include "scheduling/batch_assignment.hpp"
 
 #include <algorithm>
@@ -15,7 +15,7 @@
     EXPECT_DOUBLE_EQ(f(-0.5), -0.5);
     EXPECT_DOUBLE_EQ(f(0), 10);
     EXPECT_DOUBLE_EQ(f(1), 10.1);
-    // The last task that reaches the target is worth far more than one before it.
+    // The task that reaches the target is worth far more than any task before it.
     EXPECT_GT(pool_gain(f, 3, 4, 1), 10);
     EXPECT_LT(pool_gain(f, 1, 4, 1), 1);
 }
@@ -28,7 +28,7 @@
     EXPECT_EQ(fit_count({4, 0, 4}, {32, 0, 100}), 8);
     EXPECT_EQ(fit_count({4, 0, 4}, {32, 0, 11}), 2);
     EXPECT_EQ(fit_count({4, 1, 4}, {32, 1, 100}), 1);
-    EXPECT_EQ(fit_count({0.1, 0, 0}, {0.3, 0, 0}), 3); // though the quotient is 2.9999...
+    EXPECT_EQ(fit_count({0.1, 0, 0}, {0.3, 0, 0}), 3); // although the floating-point quotient is 2.9999...
     EXPECT_LT(fit_count({4, 0, 4}, {-1, 0, 100}), 0);
 }
 
@@ -39,7 +39,7 @@
 }
 
 TEST(Batch, PlacesTheMostEvenIfThatCostsMore) {
-    // The cheap bin holds one large or two small tasks.
+    // The cheap bin has room for one large or two small tasks.
     const std::vector<Bin> bins{{{4, 0, 8}, {4, 0, 8}}, {{2, 0, 8}, {4, 0, 8}}};
     const std::vector<Group> groups{{{4, 0, 1}, 1, {0, 0}}, {{2, 0, 1}, 2, {0, 9}}};
     const auto plan = match_batch(groups, bins, {2, 0, 1});
@@ -50,10 +50,10 @@
     const std::vector<Bin> bins{{{8, 0, 64}, {8, 0, 64}}, {{3, 0, 64}, {8, 0, 64}}};
     const std::vector<Group> groups{{{3, 0, 1}, 1, {0, 0}}};
     const auto plan = match_batch(groups, bins, {4, 0, 1});
-    EXPECT_EQ(plan[0][1], 1); // the whole machine stays whole
+    EXPECT_EQ(plan[0][1], 1); // the empty machine stays empty
 }
 
-// All ways to place few tasks, counted by hand, against the dynamic program.
+// The largest number of tasks that can be placed, by exhaustive search, as a reference for the dynamic program.
 int max_by_trying(const std::vector<Group>& g, std::vector<Bin> bins, std::size_t group, int left) {
     if (group == g.size())
         return 0;
@@ -101,8 +101,9 @@
     }
 }
 
-// The dynamic program over every bin, without what match_batch() passes over: alike bins that change nothing. A state
-// says in mixed radix how many tasks of each group are placed, a code how many of them go to one bin.
+// Reference for match_batch(): the dynamic program over every bin, without skipping identical bins that cannot change
+// the result. A state encodes in mixed radix how many tasks of each group are placed; a code encodes in the same way
+// how many tasks of each group go to one bin.
 class EveryBinMatcher {
 public:
     EveryBinMatcher(const std::vector<Group>& groups, const std::vector<Bin>& bins, const Resources& shape)
@@ -182,10 +183,10 @@
     const std::vector<Group>& groups_;
     const std::vector<Bin>& bins_;
     const Resources& shape_;
-    std::vector<std::size_t> steps_; // of each group's digit
+    std::vector<std::size_t> steps_; // place value of each group's digit
     std::size_t states_ = 1;
     std::vector<double> best_;
-    std::vector<std::vector<std::size_t>> taken_; // by bin and state
+    std::vector<std::vector<std::size_t>> taken_; // the code chosen, by bin and state
 };
 
 TEST(Batch, PassesOverAlikeBinsWithoutAnotherResult) {
@@ -198,7 +199,7 @@
             kinds.push_back({whole * (0.1 * pick(1, 10)), whole});
         }
         std::vector<Group> groups(static_cast<std::size_t>(pick(1, 3)));
-        std::vector<std::vector<double>> costs; // by group and kind
+        std::vector<std::vector<double>> costs; // by group and kind of bin
         for (auto& g : groups) {
             g.each = {0.7 * pick(1, 4), 0, 0.9 * pick(1, 4)};
             g.count = pick(1, groups.size() == 1 ? 8 : 2);
--- a/tests/test_records.cpp
+++ b/tests/test_records.cpp
@@ -1,4 +1,5 @@
-// Scenarios of what the store holds: the ring of placements, the progress, and what came before them.
+// What a leader stores and the next one restores: the ring of placement intents, the progress, cached images, learned
+// rates, and the earlier layout of records.
 #include "simulated_cluster.hpp"
 
 #include "persistence/intents.hpp"
@@ -23,8 +24,8 @@
     EXPECT_TRUE(r.unproven.empty());
 }
 
-// Every prefix of a record, and every single wrong byte, is read without a crash; what is lost of
-// it leaves its machine in doubt.
+// Every prefix of a record, and every single wrong byte, is read without a crash. A machine whose part of the record
+// cannot be read is reported as `unproven`.
 TEST(ClusterRecords, DamagedTextIsReadAsFarAsItCanBeProven) {
     const std::string text = "n-1 a 1 wk-000001/3-4:70\nn-2 b 1 wk-000002/0:71";
     for (std::size_t n = 0; n < text.size(); ++n) {
@@ -59,7 +60,7 @@
     return {id, "10.1.0.1:9000", "m8", "a", false, 1, counter, fencing_token, -1, {}};
 }
 
-// A core whose store always answers; counts the launches it sends.
+// Drives a core whose transactions are always committed, and counts the launches that it sends.
 struct Launches {
     Core& core;
     double now = 0.1;
@@ -87,8 +88,8 @@
     }
 };
 
-// What a damaged record named may run anywhere on its machine: until that machine has spoken to us
-// or its lease has surely expired, nothing is placed at all.
+// Any task may run on the machine that a damaged record names: nothing is placed anywhere until that machine has sent a
+// heartbeat with the current token or its lease has certainly expired.
 TEST(ClusterRecords, ADamagedRecordKeepsItsMachineOccupiedUntilItIsProven) {
     const auto settings = small_settings();
     auto stored = one_job(job(1, Shape::array, 2, 1));
@@ -98,15 +99,15 @@
     l.give({MachineTypesKnown{small_types()},
             HeartbeatReceived{heartbeat("n-1", 1, std::uint64_t{7} << token_counter_bits), 1}});
     EXPECT_EQ(l.within(2), 0);
-    l.give({HeartbeatReceived{heartbeat("n-9", 1, 0), 2}}); // has not seen our term: proves nothing
+    l.give({HeartbeatReceived{heartbeat("n-9", 1, 0), 2}}); // its token is not of the current term: proves nothing
     EXPECT_EQ(l.within(0.5), 0);
     l.give({HeartbeatReceived{heartbeat("n-9", 2, std::uint64_t{7} << token_counter_bits), 3},
             HeartbeatReceived{heartbeat("n-1", 2, std::uint64_t{7} << token_counter_bits), 4}});
     EXPECT_EQ(l.within(2), 2);
 }
 
-// A record that cannot be read keeps machines occupied, and nobody was told why: what the core said while it read the
-// records was dropped as its first step began, which cleared the list of effects.
+// A record that cannot be read keeps machines occupied, so the log has to say so. Guards against losing the log lines
+// that the core emits while it restores its records: its first step used to clear the list of effects.
 TEST(ClusterRecords, ADamagedRecordIsNamedInTheLog) {
     Snapshot stored;
     stored.intents.push_back({"i/0", {{"t", "n-9 a 1 wk-00"}}, 1, false});
@@ -121,7 +122,7 @@
         EXPECT_FALSE(std::holds_alternative<LogLine>(effect));
 }
 
-// Else each new leader would have images of 15 GB fetched again that lie ready.
+// Otherwise each new leader would have images of 15 GB fetched again although machines have them cached.
 TEST(ClusterRecords, ANewLeaderKnowsWhereImagesLie) {
     const auto settings = small_settings();
     auto stored = one_job(job(1, Shape::array, 1, 1));
@@ -147,7 +148,8 @@
     EXPECT_EQ(where, "n-2");
 }
 
-// From vagonplan-ops-grown faults: after each failover machines were rented for tasks that ran.
+// Guards against renting machines after a failover for tasks that run already (seen in the faults of
+// vagonplan-ops-grown).
 TEST(ClusterRecords, NothingIsRentedForWhatRunsAlready) {
     const auto settings = small_settings();
     auto stored = one_job(job(1, Shape::gang, 4, 8));
@@ -191,8 +193,8 @@
     EXPECT_EQ(deleted, (std::set<std::string>{"m/n-1", "d/wk-000001"}));
 }
 
-// Two thousand launches: each record stays below the longest value, a transaction below its limits,
-// and what a later leader reads names all of them.
+// Two thousand launches: each record stays below the maximum size of a value, each transaction below its limits, and
+// the next leader restores all of the tasks.
 TEST(ClusterRecords, ABurstOfPlacementsCostsAFewWrites) {
     SimulatedCluster w(11);
     w.settings.teams = {{"red", 1e5, 1e6, 0, 0}};
@@ -229,8 +231,8 @@
     EXPECT_EQ(known, 2000U);
 }
 
-// After each change of leadership machines were given back that were needed a moment later, or none for a
-// minute: the new leader knew neither their age nor how much work the day brings.
+// A new leader that knows neither the age of the machines nor the usual load releases machines that are needed a moment
+// later, or releases none for a minute.
 TEST(ClusterRecords, WhatALeaderLearnedGoesToTheNext) {
     const auto settings = small_settings();
     auto returned = [&](const codec::Json& learned) {
--- a/tests/test_replay.cpp
+++ b/tests/test_replay.cpp
@@ -1,4 +1,4 @@
-// A day of the in-memory cluster is recorded and run again: every effect must come out the same.
+// A run of the simulated cluster is recorded as a command log and replayed: every effect must be the same.
 #include "simulated_cluster.hpp"
 
 #include <csignal>
@@ -14,7 +14,7 @@
 using replay::CommandLog;
 using replay::LogError;
 
-// A file of the test's own, gone at its end.
+// A temporary file of the current test, removed by the destructor.
 struct File {
     explicit File(const std::string& ending)
         : path(fmt::format("{}replay-{}{}", ::testing::TempDir(),
@@ -39,7 +39,7 @@
     std::string path;
 };
 
-// All shapes, a chain, a cancellation, lost messages, a new leader in the middle.
+// Runs jobs of all shapes, a dependency, a cancellation, lost messages and a change of leader.
 void play(SimulatedCluster& w, const std::string& path, std::uint64_t max_bytes = 1 << 30) {
     CommandLog log(path, max_bytes);
     w.log = &log;
@@ -83,7 +83,7 @@
     }
 }
 
-// The check can fail: one changed constant, and the first decision that it changes is named.
+// The replay detects a difference: after one setting is changed, it reports the first decision that differs.
 TEST(Replay, AChangedPayoffIsFoundAndPlaced) {
     File f(".log");
     SimulatedCluster w(11);
@@ -125,7 +125,7 @@
     EXPECT_NE(error_of(f.path).find("version"), std::string::npos);
 }
 
-// A killed writer leaves half a line. It is refused unless the reader says that he knows.
+// A writer that is killed leaves half a line. Such a log is refused unless the caller allows it.
 TEST(Replay, ALogThatIsCutOffIsUsedOnlyWhenAskedFor) {
     for (const std::string ending : {".log", ".log.zst"}) {
         File f(ending);
@@ -146,12 +146,12 @@
     SimulatedCluster w(14);
     play(w, f.path, 100'000);
     EXPECT_LE(f.text().size(), 100'000U);
-    EXPECT_EQ(error_of(f.path), "none"); // whole lines only
+    EXPECT_EQ(error_of(f.path), "none"); // no line is cut off
     EXPECT_THROW(CommandLog(f.path, 1000), LogError);
     EXPECT_THROW(CommandLog("/nowhere/at/all", 1000), LogError);
 }
 
-// A disk that takes no more ends the log, not the scheduler.
+// A full disk closes the log and leaves the scheduler running.
 TEST(Replay, AFullDiskEndsTheLog) {
     File f(".log");
     rlimit before{};
@@ -166,7 +166,7 @@
             log.begin(w.settings, 1, {}, 0, 0);
         EXPECT_FALSE(log.open());
         EXPECT_EQ(log.why(), "File too large");
-        log.begin(w.settings, 1, {}, 0, 0); // and after that, nothing
+        log.begin(w.settings, 1, {}, 0, 0); // has no effect once the log is closed
     }
     setrlimit(RLIMIT_FSIZE, &before);
     std::signal(SIGXFSZ, handler);
--- a/tests/test_room_index.cpp
+++ b/tests/test_room_index.cpp
@@ -1,4 +1,4 @@
-// The index of free room against a look at every machine, on random fleets.
+// Compares the index of free capacity with a scan of every machine, on random fleets.
 #include "scheduling/room_index.hpp"
 
 #include <fmt/format.h>
@@ -125,7 +125,7 @@
         for (int n = 0; n < 25; ++n)
             fleet.add_job();
         for (int n = 0; n < machines / 3; ++n)
-            fleet.change(fleet.any_machine()); // reservations from earlier passes
+            fleet.change(fleet.any_machine()); // reservations and usage left by earlier passes
         RoomIndex index(fleet.view());
         for (int pass = 0; pass < 2; ++pass) {
             index.rebuild();
--- a/tests/test_scheduler.cpp
+++ b/tests/test_scheduler.cpp
@@ -1,5 +1,5 @@
-// The embedding interface: on the program's loop and on a thread, on a file store, with emulators of
-// cloud and machines on loopback.
+// The embedding interface: on the program's event loop and on a thread of its own, with a file store or a state
+// service, against emulators of the cloud and the machines on loopback.
 #include "heronshift/embed/scheduler.hpp"
 
 #include "cluster/cluster_data.hpp"
@@ -45,7 +45,7 @@
 
     Embedded() {
         uv_loop_init(&loop);
-        // With the process, since several runs may share a machine.
+        // The process id keeps runs on the same host apart.
         file = fmt::format("{}{}.{}.state", ::testing::TempDir(),
                            ::testing::UnitTest::GetInstance()->current_test_info()->name(), getpid());
         remove();
@@ -90,7 +90,7 @@
         platform->know(s);
         history.submitted(s);
     }
-    // Turns the loop until it is so; no scenario takes this long.
+    // Runs the loop until the condition holds, for at most 60 s, which no scenario needs.
     bool until(const std::function<bool()>& over) {
         const auto end = uv_hrtime() + 60'000'000'000ULL;
         bool so = false;
@@ -100,7 +100,7 @@
         }
         return so;
     }
-    // Submits as a user does: again while the answer is "not now".
+    // Submits as a client does: retries while the answer is 503 or 429 ("not now").
     void submit(Scheduler& s, const JobSpec& j, Reply* into) {
         s.submit(j, [this, &s, j, into](const Reply& r) {
             *into = r;
@@ -121,7 +121,7 @@
         return o;
     }
     void two_copies(const SchedulerOptions& first);
-    // A program that embeds the scheduler, as a process of its own.
+    // Starts a program that embeds the scheduler, as a child process.
     static pid_t program(const SchedulerOptions& o) {
         const pid_t child = fork();
         if (child != 0)
@@ -140,7 +140,7 @@
         kill(child, SIGKILL);
         int status = 0;
         waitpid(child, &status, 0);
-        EXPECT_TRUE(WIFSIGNALED(status)); // it had not ended by itself
+        EXPECT_TRUE(WIFSIGNALED(status)); // the program did not exit on its own
     }
     Reply ask(const std::function<void(Scheduler::Done)>& call) {
         std::atomic<bool> got = false;
@@ -154,8 +154,7 @@
     }
 };
 
-// Users who submit one job after the other over the network, each again until it is accepted, and ask until
-// it is done.
+// Clients that submit one job after the other over HTTP, retry each until it is accepted, and poll it until it is done.
 class Users {
 public:
     Users(Embedded& e, std::vector<std::string> addresses, int jobs)
@@ -173,7 +172,7 @@
             list_.push_back(std::move(u));
         }
     }
-    bool serve() { // true: all are done
+    bool serve() { // returns whether all jobs are done
         const double t = e_.platform->now();
         for (std::size_t i = 0; i < list_.size(); ++i) {
             auto& u = list_[i];
@@ -234,12 +233,12 @@
     EXPECT_EQ(changes[1].id, "wk-000002");
     EXPECT_EQ(changes[1].state, "done");
     EXPECT_EQ(ask([&](auto d) { s->get("wk-000002", d); }).state, "done");
-    EXPECT_EQ(ask([&](auto d) { s->submit(job(1), d); }).status, 200); // known already
+    EXPECT_EQ(ask([&](auto d) { s->submit(job(1), d); }).status, 200); // already submitted
     EXPECT_EQ(ask([&](auto d) { s->cancel("wk-000001", d); }).state, "done");
     EXPECT_TRUE(s->is_active_leader());
 #pragma GCC diagnostic push
 #pragma GCC diagnostic ignored "-Wdeprecated-declarations"
-    EXPECT_TRUE(s->acts()); // the former name
+    EXPECT_TRUE(s->acts()); // the deprecated name
 #pragma GCC diagnostic pop
     EXPECT_TRUE(history.broken().empty());
 }
@@ -265,7 +264,7 @@
     auto o = options();
     o.state_file = "/no/such/folder/state";
     EXPECT_THROW(Scheduler(&loop, o), std::runtime_error);
-    EXPECT_THROW(Scheduler{o}, std::runtime_error); // and on a thread
+    EXPECT_THROW(Scheduler{o}, std::runtime_error); // on a thread of its own as well
     o = options();
     o.settings.listen = {"127.0.0.1", platform->port()};
     EXPECT_THROW(Scheduler{o}, std::system_error);
@@ -325,7 +324,8 @@
     EXPECT_FALSE(s.is_active_leader());
 }
 
-// Two copies share a store: one acts, the other answers reads truthfully and takes over.
+// Two schedulers share a store: one is the active leader; the other answers reads correctly and takes over when the
+// first one ends.
 void Embedded::two_copies(const SchedulerOptions& first) {
     auto second = first;
     second.settings.name = "other";
@@ -347,7 +347,7 @@
     Reply b;
     submit(two, job(2), &b);
     EXPECT_TRUE(until([&] { return ask([&](auto d) { two.get("wk-000002", d); }).state == "done"; }));
-    EXPECT_EQ(ask([&](auto d) { two.get("wk-000001", d); }).state, "done"); // no answer is taken back
+    EXPECT_EQ(ask([&](auto d) { two.get("wk-000001", d); }).state, "done"); // an answer given earlier still holds
     EXPECT_TRUE(history.broken().empty());
 }
 
@@ -360,23 +360,23 @@
     two_copies(on(*service));
 }
 
-// Frozen, or busy with something else, for longer than the store lease: another copy acts by then, so it must
-// not go on where it was.
+// A leader whose event loop is blocked for longer than the store lease must not continue as the leader when it resumes,
+// because another copy leads by then.
 TEST_F(Embedded, ABlockedLoopLosesTheLeadershipAndKnowsIt) {
-    auto service = state_service(); // on this loop too: while that stands still, holds do not end
+    auto service = state_service(); // on this loop too: store leases do not expire while it is blocked
     const auto o = options();
     auto two_o = o;
     two_o.settings.name = "other";
     Scheduler one(&loop, o);
     ASSERT_TRUE(until([&] { return one.is_active_leader(); }));
-    auto two = std::make_unique<Scheduler>(two_o); // on a thread
+    auto two = std::make_unique<Scheduler>(two_o); // on a thread of its own
     platform->heartbeat_to(
         {{"copy", fmt::format("127.0.0.1:{}", one.port())}, {"other", fmt::format("127.0.0.1:{}", two->port())}});
     Users users(*this, {fmt::format("127.0.0.1:{}", one.port()), fmt::format("127.0.0.1:{}", two->port())}, 6);
     ASSERT_TRUE(until([&] { return users.serve(), history.starts() > 0; }));
     const auto end = uv_hrtime() + 30'000'000'000ULL;
     while (!two->is_active_leader() && uv_hrtime() < end)
-        usleep(1000); // the loop stands still
+        usleep(1000); // the loop does not run
     EXPECT_TRUE(two->is_active_leader());
     EXPECT_FALSE(one.is_active_leader());
     ASSERT_TRUE(until([&] { return users.serve(); }));
@@ -387,7 +387,7 @@
     EXPECT_EQ(history.broken(), std::vector<std::string>{});
 }
 
-// The way to the state service, which can be cut for one copy alone.
+// A connection to the state service that can be cut for a single copy.
 class Cut final : public store::StateStore {
 public:
     Cut(uv_loop_t* loop, const Endpoint& at, const bool& cut)
@@ -405,8 +405,8 @@
     const bool& cut_;
 };
 
-// Of two copies the acting one alone loses the store: it ends acting by its own clock, before the other can
-// begin, and does not come back between.
+// Only the active leader of two copies loses the store: it steps down by its own clock, before the other can become
+// leader, and does not resume in between.
 TEST_F(Embedded, ACopyCutFromTheStoreMakesWayForTheOther) {
     auto service = state_service();
     bool cut = false;
@@ -430,7 +430,7 @@
     cut = true;
     ASSERT_TRUE(until([&] { return watch(), two.is_active_leader(); }));
     EXPECT_FALSE(one.is_active_leader());
-    // A heartbeat that it took would renew a lease which the other counts as running out.
+    // If the former leader accepted a heartbeat, it would renew a machine lease that the new leader expects to expire.
     HttpClient worker(&loop, 1, 4);
     int status = 0;
     const Heartbeat heartbeat{"n-000001", "127.0.0.1:1", "m8", "a", false, 1, 1000, 0, -1, {}};
@@ -447,8 +447,8 @@
     EXPECT_TRUE(history.unfinished().empty());
 }
 
-// The state service is out, then silent, for longer than the store lease: nothing is told that is not stored, the
-// caller is sent away, and all goes on when it is back.
+// The state service refuses requests (`out`), then does not answer (`silent`), for longer than the store lease: nothing
+// is reported that is not stored, callers get 503, and the scheduler continues once the service is back.
 TEST_F(Embedded, ACopyThatLosesItsStoreStopsActingAndGoesOnLater) {
     auto service = state_service();
     Scheduler s(&loop, on(*service));
@@ -466,16 +466,15 @@
         service->set_fault_mode(store::StoreServer::FaultMode::well);
     }
     EXPECT_TRUE(until([&] { return users.serve(); }));
-    EXPECT_EQ(ask([&](auto d) { s.get(job(101).id, d); }).status, 404); // what was refused is not there
+    EXPECT_EQ(ask([&](auto d) { s.get(job(101).id, d); }).status, 404); // the refused job was not stored
     EXPECT_EQ(history.broken(), std::vector<std::string>{});
     EXPECT_TRUE(history.unfinished().empty());
 }
 
-// The embedding program is killed at any moment: before a job is stored, between a placement and its
-// launch, between a heartbeat and the final state. What it had answered stays true, nothing runs twice,
-// nothing is lost.
+// The embedding program is killed at random moments: before a job is stored, between a placement and its launch,
+// between a heartbeat and the final state. Its earlier answers stay valid, no task runs twice and no job is lost.
 TEST_F(Embedded, TheProgramIsKilledAgainAndAgain) {
-    // A long run, out of CI: HERONSHIFT_KILLS=300.
+    // `HERONSHIFT_KILLS=300` gives a long run, outside CI.
     const char* many = std::getenv("HERONSHIFT_KILLS");
     const int kills = many != nullptr ? std::atoi(many) : 16, jobs = 40 + 2 * (kills - 16);
     std::mt19937 rng(20261201);
@@ -502,8 +501,8 @@
     EXPECT_TRUE(history.unfinished().empty());
 }
 
-// The program is stopped in its tracks and goes on later (a debugger, a paused virtual machine), at any
-// moment, while another copy takes its place.
+// The program is frozen at random moments and resumed later (as by a debugger or a paused virtual machine), while
+// another copy takes over.
 TEST_F(Embedded, FrozenCopiesTakeTurns) {
     std::mt19937 rng(20261201);
     const local::Port ports[2];
@@ -520,8 +519,8 @@
     }
     platform->heartbeat_to(names);
     Users users(*this, addresses, 40);
-    // Both are there before the first is frozen: one that is frozen while it makes the file keeps the other from
-    // starting, which then says so and ends.
+    // Both copies have to be up before the first one is frozen: a copy that is frozen while it creates the file keeps
+    // the other from starting, which then reports the error and exits.
     std::size_t up = 0;
     HttpClient probe(&loop, 1, 4);
     std::vector<bool> answers(2), asked(2);
@@ -548,7 +547,7 @@
     EXPECT_TRUE(until([&] { return users.serve(); }));
     for (const auto pid : copies)
         kill_program(pid);
-    EXPECT_GE(platform->sum().fencing_token >> cluster::token_counter_bits, 2U) << "nobody ever took over";
+    EXPECT_GE(platform->sum().fencing_token >> cluster::token_counter_bits, 2U) << "no copy ever took over";
     EXPECT_EQ(history.broken(), std::vector<std::string>{});
     EXPECT_TRUE(history.unfinished().empty());
 }
@@ -563,7 +562,7 @@
     EXPECT_EQ(s, nullptr);
     EXPECT_STREQ(why, "/no/such.toml: cannot be read");
     EXPECT_EQ(hs_start("/no/such.toml", nullptr, &s, why, 4), HS_SETTINGS);
-    EXPECT_STREQ(why, "/no"); // cut, and ended
+    EXPECT_STREQ(why, "/no"); // truncated and null-terminated
     int elsewhere = 0;
     auto* wrong = reinterpret_cast<hs_scheduler*>(&elsewhere);
     for (auto* x : {static_cast<hs_scheduler*>(nullptr), wrong}) {
@@ -573,7 +572,7 @@
         EXPECT_EQ(hs_is_active_leader(x), 0);
 #pragma GCC diagnostic push
 #pragma GCC diagnostic ignored "-Wdeprecated-declarations"
-        EXPECT_EQ(hs_acts(x), 0); // the former name
+        EXPECT_EQ(hs_acts(x), 0); // the deprecated name
 #pragma GCC diagnostic pop
         EXPECT_EQ(hs_end(x), HS_INVALID);
     }
--- a/tests/test_simulated_cluster.cpp
+++ b/tests/test_simulated_cluster.cpp
@@ -1,4 +1,4 @@
-// Whole days in small, with fixed seeds: every rule is checked after every step.
+// Runs of the simulated cluster with fixed seeds; every invariant is checked after every step.
 #include "simulated_cluster.hpp"
 
 #include <gtest/gtest.h>
@@ -23,7 +23,7 @@
     EXPECT_EQ(w.told["wk-000001"], codec::status_done);
     EXPECT_EQ(w.told["wk-000002"], codec::status_done);
     EXPECT_EQ(w.core->view("wk-000003")->running, 3U);
-    // Nothing waits any more: what is empty has been returned.
+    // No task is pending any more, so empty machines have been released.
     EXPECT_LE(w.workers.size(), 3U);
 }
 
@@ -49,11 +49,11 @@
     w.submit(job(1, Shape::service, 4, 4));
     w.run(30);
     ASSERT_EQ(w.core->live_tasks("wk-000001"), 4U);
-    w.workers.begin()->second.cut = true; // still runs what it has
+    w.workers.begin()->second.cut = true; // unreachable, but its tasks keep running
     const int before = w.started;
     w.acquire_leadership();
     w.step();
-    // The intent counts until the machine says otherwise or its lease has surely run out.
+    // A stored intent counts as a live task until the machine reports otherwise or its lease has certainly expired.
     EXPECT_EQ(w.core->live_tasks("wk-000001"), 4U);
     w.run(5);
     EXPECT_EQ(w.started, before);
@@ -77,15 +77,15 @@
         EXPECT_EQ(w.told[fmt::format("wk-{:06}", i)], codec::status_done) << i;
 }
 
-// Restarted elsewhere for ever, the last task of a job never ended, nor did what waited for the job.
-// How many of ten tasks were begun again, of which the first takes so long and the others 5 s.
+// Returns how many of ten tasks were restarted, where the first takes `first_s` and the others take 5 s. Guards against
+// restarting a long task on other machines forever: neither its job nor the jobs that depend on it would ever end.
 int begun_again(double first_s) {
     SimulatedCluster w(5);
     w.takes = [first_s](std::uint32_t index) { return index == 0 ? first_s : 5.0; };
     w.settings.teams[0].cpus_max = 400;
     w.capacity = 30;
     w.acquire_leadership();
-    w.submit(job(2, Shape::service, 30, 6)); // that many machines: a few may be slow
+    w.submit(job(2, Shape::service, 30, 6)); // keeps enough machines that a few may be considered slow
     w.run(40);
     const int before = w.started;
     w.submit(job(1, Shape::array, 10, 2));
@@ -95,14 +95,14 @@
     return w.started - before - 10;
 }
 TEST(SimulatedCluster, ATaskThatIsLongEverywhereEnds) {
-    EXPECT_EQ(begun_again(15), 1); // once it was worth a try elsewhere
+    EXPECT_EQ(begun_again(15), 1); // one restart on another machine is justified
 }
-// Nearly through, the longest of its siblings began anew, and its job was late by that.
+// Guards against restarting the slowest of similar tasks when it is almost done, which delays its job.
 TEST(SimulatedCluster, ATaskThatIsALittleLongerIsLeftToRun) {
     EXPECT_EQ(begun_again(13), 0);
 }
 
-// Crashes of the leader, cuts, hangs, lost and late messages, refused transactions.
+// Leader crashes, unreachable, hung, dead and faulty machines, lost and late messages, and store outages.
 class Fault : public ::testing::TestWithParam<unsigned> {};
 
 TEST_P(Fault, BreaksNoRule) {
--- a/tests/test_store.cpp
+++ b/tests/test_store.cpp
@@ -1,4 +1,5 @@
-// One contract, three stores: in memory, in a file, and over HTTP. Then what only a file can suffer.
+// The contract that every state store fulfils (in memory, in a file, over HTTP, called directly), then faults that only
+// a file store has.
 #include "heronshift/store/direct.hpp"
 #include "store/file_data.hpp"
 #include "store/local.hpp"
@@ -27,7 +28,8 @@
 using codec::Json;
 using codec::Write;
 
-constexpr double patience_s = 30; // no scenario takes it; a store that hangs fails here
+// Longer than any scenario takes: only a store that hangs times out.
+constexpr double patience_s = 30;
 
 std::string file_name() {
     const auto* test = ::testing::UnitTest::GetInstance()->current_test_info();
@@ -47,7 +49,7 @@
         uv_loop_init(&loop);
     }
     ~Loop() {
-        uv_run(&loop, UV_RUN_DEFAULT); // handles close
+        uv_run(&loop, UV_RUN_DEFAULT); // lets handles close
         uv_loop_close(&loop);
     }
     Loop(const Loop&) = delete;
@@ -71,7 +73,8 @@
     }
 };
 
-struct Easy { // a store, asked one thing at a time
+// Blocking calls to a store.
+struct Easy {
     Loop& l;
     StateStore& s;
     Answer get(const std::string& k) {
@@ -145,7 +148,7 @@
     ASSERT_TRUE(b.item && c.item);
     EXPECT_EQ(b.item->value, (Json{{"n", 1}}));
     EXPECT_EQ(b.item->mod_revision, first.revision);
-    EXPECT_EQ(c.item->mod_revision, first.revision); // every change of a transaction has the same
+    EXPECT_EQ(c.item->mod_revision, first.revision); // all changes of a transaction have the same revision
     const auto second = s.txn({}, {{"a/c", std::nullopt, 0}});
     EXPECT_GT(second.revision, first.revision);
     EXPECT_EQ(s.get("a/c").status, 404);
@@ -161,8 +164,8 @@
     EXPECT_EQ(refused.failed, std::vector<std::string>{"b"});
     EXPECT_EQ(s.get("a").item->value, Json(1));
     EXPECT_EQ(s.get("c").status, 404);
-    EXPECT_EQ(s.txn({{"a", a.revision}}, {}).status, 200); // only compares
-    EXPECT_EQ(s.txn({{"a", 0}}, {}).status, 409);          // it exists
+    EXPECT_EQ(s.txn({{"a", a.revision}}, {}).status, 200); // a transaction without writes only checks its guards
+    EXPECT_EQ(s.txn({{"a", 0}}, {}).status, 409);          // the key exists
 }
 
 TEST_P(Contract, AListComesInPagesInTheOrderOfKeys) {
@@ -192,20 +195,20 @@
     ASSERT_EQ(h.status, 200);
     ASSERT_EQ(s.txn({}, {{"on", Json(1), h.lease}, {"off", Json(1), h.lease}}).status, 200);
     EXPECT_EQ(s.get("on").item->lease, h.lease);
-    ASSERT_EQ(s.txn({}, {{"off", Json(2), 0}}).status, 200); // without the store lease it is detached
+    ASSERT_EQ(s.txn({}, {{"off", Json(2), 0}}).status, 200); // a write without a lease detaches the key from its lease
     EXPECT_EQ(s.renew_lease(h.lease).status, 200);
     const auto before = s.list("").revision;
     EXPECT_EQ(s.revoke_lease(h.lease).status, 200);
     EXPECT_EQ(s.get("on").status, 404);
     EXPECT_EQ(s.get("off").status, 200);
     EXPECT_EQ(s.renew_lease(h.lease).status, 404);
-    const auto refused = s.txn({{"off", 99}}, {{"x", Json(1), h.lease}}); // whatever the guards
+    const auto refused = s.txn({{"off", 99}}, {{"x", Json(1), h.lease}}); // takes precedence over a failed guard
     EXPECT_EQ(refused.status, 400);
     EXPECT_EQ(refused.error, "no such lease");
     const auto gone = s.follow("on", before, 0);
     ASSERT_EQ(gone.items.size(), 1U);
     EXPECT_TRUE(gone.items[0].deleted);
-    // One that nobody renews ends by itself.
+    // A lease that is not renewed expires.
     const auto brief = s.create_lease(0.1);
     s.txn({}, {{"brief", Json(1), brief.lease}});
     r.loop.wait([&] { return s.get("brief").status == 404; }, *r.store);
@@ -218,7 +221,7 @@
     const auto at = s.txn({}, {{"c/1", Json(1), 0}}).revision;
     std::optional<Answer> got;
     r.store->follow("c/", at, patience_s, [&](Answer&& a) { got = std::move(a); });
-    s.txn({}, {{"d/1", Json(1), 0}}); // not below the prefix
+    s.txn({}, {{"d/1", Json(1), 0}}); // not under the followed prefix
     EXPECT_FALSE(got);
     s.txn({}, {{"c/2", Json("x"), 0}, {"c/1", std::nullopt, 0}});
     r.loop.wait([&] { return got.has_value(); }, *r.store);
@@ -226,8 +229,9 @@
     EXPECT_EQ(got->items[0].key, "c/2");
     EXPECT_EQ(got->items[0].value, Json("x"));
     EXPECT_TRUE(got->items[1].deleted);
-    EXPECT_EQ(s.follow("c/", at, 0).items.size(), 2U);               // what was missed comes at once
-    EXPECT_EQ(s.follow("c/", got->revision, 0.05).items.size(), 0U); // and nothing after a while
+    EXPECT_EQ(s.follow("c/", at, 0).items.size(), 2U); // earlier changes are returned at once
+    EXPECT_EQ(s.follow("c/", got->revision, 0.05).items.size(),
+              0U); // without a change it returns an empty list after the timeout
 }
 
 TEST_P(Contract, WhatWasForgottenMustBeReadAgain) {
@@ -283,20 +287,20 @@
     EXPECT_EQ(s.get("a").status, 503);
     usleep(400'000); // longer than the store lease
     r.server->set_fault_mode(StoreServer::FaultMode::well);
-    EXPECT_EQ(s.get("a").status, 200); // it has its full time again
+    EXPECT_EQ(s.get("a").status, 200); // an outage restarts the lease
     r.server->set_fault_mode(StoreServer::FaultMode::busy);
     EXPECT_EQ(s.get("a").status, 429);
     EXPECT_EQ(s.renew_lease(h.lease).status, 429);
     r.server->set_fault_mode(StoreServer::FaultMode::silent);
     const auto silent = r.loop.ask(*r.store, [](auto& x, auto d) { x.get("a", 0.1, d); });
     EXPECT_EQ(silent.status, 0);
-    EXPECT_TRUE(silent.sent); // it may have been executed
+    EXPECT_TRUE(silent.sent); // the request may have been executed
     r.server->set_fault_mode(StoreServer::FaultMode::well);
     EXPECT_NE(s.get("a").status, 0);
 }
 
-// A leader acts until its store lease's time is over by its own clock, so a store lease must not end a moment sooner,
-// whoever looks. (Shortened leases were caught by no other scenario.)
+// A leader stays active until its store lease has expired by its own clock, so the store must not expire the lease any
+// sooner for any reader. No other scenario detects shortened leases.
 TEST(StoreLeases, LiveTheirWholeTimeAndNoLonger) {
     const auto path = file_name();
     for (const bool in_file : {false, true}) {
@@ -315,7 +319,7 @@
         e.data().commit();
         EXPECT_TRUE(held(5999));
         e.data().begin();
-        EXPECT_EQ(e.renew_lease(lease, 5999).status, 200); // counted from here
+        EXPECT_EQ(e.renew_lease(lease, 5999).status, 200); // the lease time restarts at 5999
         e.data().commit();
         EXPECT_TRUE(held(6998));
         EXPECT_FALSE(held(7001));
@@ -357,8 +361,8 @@
     FileStore& operator=(const FileStore&) = delete;
 };
 
-// Several programs are started at once on a file that is yet to be made. (One of them was told now and then
-// that the file was locked, or another program's, and ended.)
+// Several programs start at once on a file that does not exist yet. Guards against a race in which one of them
+// sometimes exits because the file seems to be locked or to belong to another program.
 TEST_F(FileStore, ManyMayCreateItAtOnce) {
     constexpr int rounds = 40, openers = 8;
     std::atomic<int> opened = 0;
@@ -401,7 +405,7 @@
     l.wait([&] { return got.has_value(); }, *two);
     ASSERT_EQ(got->items.size(), 1U);
     EXPECT_EQ(got->items[0].value, Json("again"));
-    // A store lease that the one does not renew is ended by the other.
+    // A store lease that one process no longer renews is expired by the other.
     const auto h = a.create_lease(0.1);
     a.txn({}, {{"held", Json(1), h.lease}});
     one.reset();
@@ -500,7 +504,7 @@
     std::ofstream(path) << "not the file";
     EXPECT_EQ(s.get("a").status, 503);
     std::rename(aside.c_str(), path.c_str());
-    EXPECT_EQ(s.get("a").item->value, Json(1)); // back, and as it was
+    EXPECT_EQ(s.get("a").item->value, Json(1)); // the file is back with its old content
     EXPECT_EQ(s.txn({}, {{"a", Json(3), 0}}).status, 200);
 }
 
@@ -519,8 +523,8 @@
     EXPECT_THROW(back_up(path + ".none", copy), StoreError);
 }
 
-// A child stores one number after the other and says each that was answered; it is killed at any
-// moment. What was said is there, and nothing was skipped.
+// A child process stores increasing numbers and writes each committed one to a pipe; it is killed at random moments.
+// Every number that it wrote to the pipe is stored, and none was skipped.
 TEST_F(FileStore, WhatWasAnsweredSurvivesAKill) {
     std::mt19937 rng(20261201);
     std::uint32_t last = 0;
@@ -553,7 +557,7 @@
             break;
         }
         while (read(out[0], &n, sizeof n) == sizeof n)
-            said = n; // said before it died
+            said = n; // written to the pipe before the child died
         close(out[0]);
         int status = 0;
         waitpid(child, &status, 0);
@@ -562,7 +566,7 @@
         ASSERT_TRUE(row);
         last = static_cast<std::uint32_t>(std::stoul(row->data));
         EXPECT_GE(last, said);
-        EXPECT_LE(last, said + 1); // stored, and killed before it was said
+        EXPECT_LE(last, said + 1); // killed between the commit and the write to the pipe
     }
 }
 
--- a/tests/test_stored_records.cpp
+++ b/tests/test_stored_records.cpp
@@ -1,4 +1,4 @@
-// Encoders and decoders of stored records: what comes back, and what malformed values give.
+// Encoders and decoders of stored records: round trips, and the results for malformed values.
 #include "persistence/stored_records.hpp"
 
 #include "persistence/layout.hpp"
@@ -96,7 +96,7 @@
 TEST(StoredRecords, TheEarliestLayoutIsReadAsFarAsItCanBe) {
     const auto record = decode_legacy_machine(
         "n-1", json(R"({"yard":"a","tenure":2,"tasks":["wk-000001/3:70",7,"wk-000001/4-5:70"]})"));
-    EXPECT_TRUE(record.damaged); // a number, and a range where one task is expected
+    EXPECT_TRUE(record.damaged); // 7 is no task, and `4-5` is a range where a single task is expected
     ASSERT_EQ(record.intents.size(), 3U);
     EXPECT_EQ(record.intents[0], (intents::Intent{"n-1", "a", 2, "wk-000001", 3, 70}));
     EXPECT_FALSE(decode_legacy_machine("n-1", json(R"({"yard":"a","tenure":2,"tasks":[]})")).damaged);
