--- a/tests/test_missed_answers.cpp
+++ b/tests/test_missed_answers.cpp
@@ -2,10 +2,9 @@
 // are lost whenever its lease expires, so the leader has to detect the machine within three leases and release it
 // within six, whatever the order of messages. It must not misjudge a machine that receives answers.
 //
-// Guards against slow detection: if only the leader looks at heartbeats, such a machine is seen once per rotation
-// through all controllers, because the redirects of the others do not reach it, and two further heartbeats have to show
-// that it lacks a token (log: "route=redirected to the leader" four times between two "route=taken"). That took 66 to
-// 84 s where 66 s are allowed.
+// Guards against slow detection: when the other controllers only redirect such a machine, in vain, the leader sees it
+// once per rotation through all controllers, and two further heartbeats have to show that it lacks a token (log:
+// "route=redirected to the leader" four times between two "route=taken"). That took 66 to 84 s where 66 s are allowed.
 #include "fault_injection.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/test_simulated_cluster.cpp
+++ b/tests/test_simulated_cluster.cpp
@@ -102,7 +102,8 @@
     EXPECT_EQ(begun_again(13), 0);
 }
 
-// Leader crashes, unreachable, hung, dead and faulty machines, lost and late messages, and store outages.
+// Leader crashes, unreachable, hung, dead and faulty machines, lost and late messages, and store
+// outages, during which transactions are refused.
 class Fault : public ::testing::TestWithParam<unsigned> {};
 
 TEST_P(Fault, BreaksNoRule) {
--- a/tests/test_store.cpp
+++ b/tests/test_store.cpp
@@ -287,7 +287,7 @@
     EXPECT_EQ(s.get("a").status, 503);
     usleep(400'000); // longer than the store lease
     r.server->set_fault_mode(StoreServer::FaultMode::well);
-    EXPECT_EQ(s.get("a").status, 200); // an outage restarts the lease
+    EXPECT_EQ(s.get("a").status, 200); // the end of the outage renewed the lease
     r.server->set_fault_mode(StoreServer::FaultMode::busy);
     EXPECT_EQ(s.get("a").status, 429);
     EXPECT_EQ(s.renew_lease(h.lease).status, 429);
