--- a/tests/test_missed_answers.cpp
+++ b/tests/test_missed_answers.cpp
@@ -96,7 +96,7 @@
         fleet.copies = 0.1;
         fleet.late_commands.share = 0.05;
         double next_fault = fleet.now;
-        std::map<std::string, bool> judged; // misjudged machines, and whether they have live tasks
+        std::map<std::string, bool> judged; // by machine: whether it has live tasks
         fleet.before_step = [&] {
             for (auto& [id, live_tasks] : judged)
                 cost += live_tasks && !fleet.workers.contains(id);
