--- a/apps/heronshift/main.cpp
+++ b/apps/heronshift/main.cpp
@@ -34,8 +34,8 @@
 namespace store = heronshift::store;
 
 constexpr int exit_ok = 0, exit_failed = 1, exit_usage = 2;
-constexpr double bytes_of_mb = 1e6;
-constexpr std::uint64_t shutdown_ms = 200;
+constexpr double bytes_per_mb = 1e6;
+constexpr std::uint64_t shutdown_grace_ms = 200;
 
 int usage_error(const std::string& what) {
     std::cerr << "heronshift: " << what << "\n";
@@ -44,9 +44,9 @@
 
 // Formats each log record as a JSON object on a line of its own, with `time` (RFC 3339, UTC), `level`, `node` (left out
 // if there is no node name) and `message`.
-class JsonLines final : public spdlog::formatter {
+class JsonFormatter final : public spdlog::formatter {
 public:
-    explicit JsonLines(std::string node) : node_(std::move(node)) {}
+    explicit JsonFormatter(std::string node) : node_(std::move(node)) {}
     void format(const spdlog::details::log_msg& line, spdlog::memory_buf_t& out) override {
         const auto since = line.time.time_since_epoch();
         const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(since).count();
@@ -61,7 +61,7 @@
         out.append(text.data(), text.data() + text.size());
     }
     [[nodiscard]] std::unique_ptr<spdlog::formatter> clone() const override {
-        return std::make_unique<JsonLines>(node_);
+        return std::make_unique<JsonFormatter>(node_);
     }
 
 private:
@@ -71,7 +71,7 @@
 void set_up_log(bool json, const std::string& node) {
     auto log = spdlog::stderr_logger_st("heronshift");
     if (json)
-        log->set_formatter(std::make_unique<JsonLines>(node));
+        log->set_formatter(std::make_unique<JsonFormatter>(node));
     else
         log->set_pattern("%L %v");
     const char* level = std::getenv("LOG_LEVEL");
@@ -86,7 +86,7 @@
     std::string config, operators;
     std::string log_format = "text";
     std::string command_log;
-    double command_log_mb = static_cast<double>(heronshift::replay::usual_size) / bytes_of_mb;
+    double command_log_mb = static_cast<double>(heronshift::replay::default_max_bytes) / bytes_per_mb;
     std::string state_file;
 };
 
@@ -108,15 +108,15 @@
         check_against_schema(options.operators, cli::operators_schema, heronshift::operators_as_json);
 }
 
-// Handles SIGTERM: stops the node at once and the loop after `shutdown_ms`, so that the last requests to the store,
-// such as the revocation of the leader lease, have time to be sent.
+// Handles SIGTERM: stops the node at once and the loop after `shutdown_grace_ms`, so that the last requests to the
+// store, such as the revocation of the leader lease, have time to be sent.
 void shut_down(uv_signal_t* signal, int /*number*/) {
     spdlog::info("shutting down signal=SIGTERM");
     static_cast<heronshift::Node*>(signal->data)->stop();
     static uv_timer_t end;
     uv_timer_init(signal->loop, &end);
     uv_timer_start(
-        &end, [](uv_timer_t* timer) { uv_stop(timer->loop); }, shutdown_ms, 0);
+        &end, [](uv_timer_t* timer) { uv_stop(timer->loop); }, shutdown_grace_ms, 0);
 }
 
 int run_node(const heronshift::Settings& settings, std::unique_ptr<heronshift::replay::CommandLog> log,
@@ -156,7 +156,7 @@
         std::unique_ptr<heronshift::replay::CommandLog> log;
         if (!options.command_log.empty())
             log = std::make_unique<heronshift::replay::CommandLog>(
-                options.command_log, static_cast<std::uint64_t>(options.command_log_mb * bytes_of_mb));
+                options.command_log, static_cast<std::uint64_t>(options.command_log_mb * bytes_per_mb));
         return run_node(settings, std::move(log), options.state_file);
     } catch (const store::StoreError& error) {
         return usage_error(std::string("--state-file: ") + error.what());
@@ -246,7 +246,7 @@
 
 int run_emulator(const EmulatorVerbs& verbs, EmulatorOptions& options) {
     try {
-        const auto at = local::address(options.listen);
+        const auto at = local::parse_address(options.listen);
         if (verbs.state->parsed())
             return local::run_state(at, options.limits);
         for (const auto& node : options.nodes) {
@@ -254,7 +254,7 @@
             if (equals == std::string::npos || equals == 0)
                 throw heronshift::SettingsError("--node: " + node + ": must be NAME=ADDRESS:PORT");
             options.cloud.workers.nodes.emplace_back(node.substr(0, equals),
-                                                     local::address(node.substr(equals + 1)).str());
+                                                     local::parse_address(node.substr(equals + 1)).str());
         }
         return local::run_cloud(at, std::move(options.cloud));
     } catch (const heronshift::SettingsError& error) {
@@ -309,7 +309,7 @@
     return cli::submit(options.nodes, job);
 }
 
-int run_for_job(const UserVerbs& verbs, const UserOptions& options) {
+int run_job_verb(const UserVerbs& verbs, const UserOptions& options) {
     if (!heronshift::codec::valid_job_id(options.job_id))
         return usage_error("ID: must have the form wk-000412");
     if (verbs.get->parsed())
@@ -358,13 +358,13 @@
 
 struct ReplayOptions {
     std::string file;
-    bool allow_cut = false;
+    bool allow_truncated = false;
 };
 
 CLI::App* add_replay(CLI::App& app, ReplayOptions& options) {
     auto* verb = app.add_subcommand("replay", "execute a command log again and report the first difference");
     verb->add_option("FILE", options.file, "command log to execute")->required();
-    verb->add_flag("--allow-cut", options.allow_cut,
+    verb->add_flag("--allow-cut", options.allow_truncated,
                    "accept a log that ends in the middle of a line, because its writer was killed");
     return verb;
 }
@@ -373,7 +373,7 @@
 // difference is printed), and `exit_usage` if the log cannot be read.
 int run_replay(const ReplayOptions& options) {
     try {
-        const auto result = heronshift::replay::replay(options.file, options.allow_cut);
+        const auto result = heronshift::replay::replay(options.file, options.allow_truncated);
         if (result.first) {
             const auto& first = *result.first;
             std::cout << fmt::format("{}:{}: term {}, at {:.3f} s: {}\n  this build: {}\n", options.file, first.line,
@@ -382,7 +382,7 @@
         }
         std::cout << fmt::format("no difference: {} terms, {} batches, {} commands, {} effects{}\n", result.terms,
                                  result.batches, result.commands, result.effects,
-                                 result.cut ? "; the log is truncated after these" : "");
+                                 result.truncated ? "; the log is truncated after these" : "");
         return exit_ok;
     } catch (const heronshift::replay::LogError& error) {
         return usage_error(error.what());
@@ -450,7 +450,7 @@
     if (verbs.user.submit->parsed())
         return run_submit(options.user);
     if (verbs.user.get->parsed() || verbs.user.cancel->parsed() || verbs.user.watch->parsed())
-        return run_for_job(verbs.user, options.user);
+        return run_job_verb(verbs.user, options.user);
     if (verbs.emulator.emulator->parsed())
         return run_emulator(verbs.emulator, options.emulator);
     if (verbs.local->parsed())
--- a/examples/embed_c.c
+++ b/examples/embed_c.c
@@ -13,7 +13,7 @@
     char state[16], error[200];
 };
 
-static void keep(const hs_reply* r, void* context) {
+static void keep_reply(const hs_reply* r, void* context) {
     struct answer* a = context;
     a->status = r->status;
     snprintf(a->state, sizeof a->state, "%s", r->state);
@@ -32,18 +32,18 @@
                               "\"rank\":\"normal\",\"shards\":2,\"cpus\":1.0,\"memGb\":1.0,\"bundle\":\"img-1\","
                               "\"imageGb\":0.1}";
     hs_scheduler* s = NULL;
-    char why[300];
+    char error_message[300];
     struct answer a = {0};
     if (argc != 3) {
         fprintf(stderr, "usage: embed_c SETTINGS.toml STATE.db\n");
         return 2;
     }
-    if (hs_start(argv[1], argv[2], &s, why, sizeof why) != HS_OK) {
-        fprintf(stderr, "embed_c: %s\n", why);
+    if (hs_start(argv[1], argv[2], &s, error_message, sizeof error_message) != HS_OK) {
+        fprintf(stderr, "embed_c: %s\n", error_message);
         return 2;
     }
     do {
-        if (hs_submit(s, job, keep, &a) != HS_OK)
+        if (hs_submit(s, job, keep_reply, &a) != HS_OK)
             return 1;
         wait_for(&a);
         if (a.status == 400 || a.status == 422) {
@@ -54,7 +54,7 @@
     } while (a.status != 200 && a.status != 201);
     do {
         usleep(200000);
-        if (hs_get(s, "wk-000888", keep, &a) != HS_OK)
+        if (hs_get(s, "wk-000888", keep_reply, &a) != HS_OK)
             return 1;
         wait_for(&a);
     } while (a.status != 200 || strcmp(a.state, "done") != 0);
--- a/include/heronshift/store/direct.hpp
+++ b/include/heronshift/store/direct.hpp
@@ -30,8 +30,8 @@
     std::unique_ptr<Engine> engine_;
     std::shared_ptr<const Clock> clock_;
     LoopQueue answers_;
-    std::vector<std::pair<Engine::Waiting, Callback>> follows_;
-    std::uint64_t seen_ = 0; // the revision up to which the waiting follow calls have been checked
+    std::vector<std::pair<Engine::Waiting, Callback>> pending_follows_;
+    std::uint64_t checked_revision_ = 0; // the revision up to which the waiting follow calls have been checked
 };
 
 } // namespace heronshift::store
--- a/include/heronshift/store/engine.hpp
+++ b/include/heronshift/store/engine.hpp
@@ -124,13 +124,13 @@
 private:
     // Counts requests and changes against the limits per second. Returns false, and counts nothing, if one of the
     // limits is exceeded.
-    bool take(double n_requests, double n_writes, std::int64_t now_ms);
+    bool consume_quota(double n_requests, double n_writes, std::int64_t now_ms);
     // Ends a lease and deletes its keys.
-    void drop_lease(std::uint64_t id);
+    void delete_lease(std::uint64_t id);
     std::unique_ptr<Data> data_;
     Limits limits_;
     double requests_left_ = 0, writes_left_ = 0;
-    std::int64_t at_ms_ = -1;
+    std::int64_t refilled_at_ms_ = -1;
 };
 
 // Creates an empty store of keys in memory.
--- a/include/heronshift/types.hpp
+++ b/include/heronshift/types.hpp
@@ -50,8 +50,9 @@
     /// Whether each amount is at most that of `room`. Amounts are often decimal fractions, whose sums have rounding
     /// errors, so a small excess is tolerated.
     [[nodiscard]] bool fits(const Resources& room) const {
-        constexpr double dust = 1e-6;
-        return cpus <= room.cpus + dust && gpus <= room.gpus + dust && memory_gb <= room.memory_gb + dust;
+        constexpr double tolerance = 1e-6;
+        return cpus <= room.cpus + tolerance && gpus <= room.gpus + tolerance &&
+               memory_gb <= room.memory_gb + tolerance;
     }
 };
 
@@ -95,7 +96,7 @@
     double deadline_s = -1;
     /// Ids of the jobs that must be done before any task of this job starts.
     std::vector<std::string> dependencies;
-    /// The list of dependencies in the store is malformed, so `dependencies` is not valid.
+    /// The stored list of dependencies (`needs` in command logs) is malformed, so `dependencies` is not valid.
     bool dependencies_damaged = false;
 };
 
--- a/src/bounded_cache.hpp
+++ b/src/bounded_cache.hpp
@@ -17,52 +17,52 @@
 
     /// Null if there is no entry with this name. The pointer is valid until the next modification.
     [[nodiscard]] const V* find(const std::string& name) const {
-        const auto it = known_.find(name);
-        return it == known_.end() ? nullptr : &it->second.value;
+        const auto it = entries_.find(name);
+        return it == entries_.end() ? nullptr : &it->second.value;
     }
     [[nodiscard]] V* find(const std::string& name) {
-        const auto it = known_.find(name);
-        return it == known_.end() ? nullptr : &it->second.value;
+        const auto it = entries_.find(name);
+        return it == entries_.end() ? nullptr : &it->second.value;
     }
     [[nodiscard]] bool contains(const std::string& name) const {
-        return known_.contains(name);
+        return entries_.contains(name);
     }
     /// Adds an entry as the newest. Returns false, and leaves the existing entry unchanged, if there is one already.
     bool add(const std::string& name, V value) {
-        if (known_.contains(name))
+        if (entries_.contains(name))
             return false;
-        const auto place = order_.insert(order_.end(), name);
-        known_.emplace(name, Known{std::move(value), place});
-        limit(max_size_);
+        const auto order_position = insertion_order_.insert(insertion_order_.end(), name);
+        entries_.emplace(name, Entry{std::move(value), order_position});
+        set_max_size(max_size_);
         return true;
     }
     void erase(const std::string& name) {
-        const auto it = known_.find(name);
-        if (it == known_.end())
+        const auto it = entries_.find(name);
+        if (it == entries_.end())
             return;
-        order_.erase(it->second.place);
-        known_.erase(it);
+        insertion_order_.erase(it->second.order_position);
+        entries_.erase(it);
     }
     /// Changes the maximum size and evicts the oldest entries beyond it.
-    void limit(std::size_t max_size) {
+    void set_max_size(std::size_t max_size) {
         max_size_ = max_size;
-        while (known_.size() > max_size_) {
-            known_.erase(order_.front());
-            order_.pop_front();
+        while (entries_.size() > max_size_) {
+            entries_.erase(insertion_order_.front());
+            insertion_order_.pop_front();
         }
     }
     [[nodiscard]] std::size_t size() const {
-        return known_.size();
+        return entries_.size();
     }
 
 private:
-    struct Known {
+    struct Entry {
         V value;
-        std::list<std::string>::iterator place;
+        std::list<std::string>::iterator order_position;
     };
     std::size_t max_size_;
-    std::unordered_map<std::string, Known> known_;
-    std::list<std::string> order_; // oldest first
+    std::unordered_map<std::string, Entry> entries_;
+    std::list<std::string> insertion_order_; // oldest first
 };
 
 } // namespace heronshift
--- a/src/cloud/cloud_client.hpp
+++ b/src/cloud/cloud_client.hpp
@@ -39,7 +39,7 @@
 
     /// Begins to load the machine types.
     void start() {
-        learn_types();
+        load_types();
     }
     /// Sends the requests that are due. To be called about thirty times per report_s.
     void tick();
@@ -55,38 +55,38 @@
     }
 
     /// Rents machines for the core, which receives the result as a `Rented` command.
-    void rent(const Rent& wanted);
+    void rent(const Rent& effect);
     /// Releases machines for the core, which receives the result as a `Released` command.
-    void release(const Release& wanted);
+    void release(const Release& effect);
 
 private:
     // A queued request. Called once: with true when the rate limit allows it to be sent, with false when it must not be
     // sent any more.
-    using Ask = std::function<void(bool allowed)>;
-    void request(Ask ask);
-    void pump();
-    void list_machines(const std::string& since);
+    using QueuedRequest = std::function<void(bool allowed)>;
+    void enqueue(QueuedRequest queued_request);
+    void send_queued();
+    void list_machines(const std::string& after_id);
     void add_page(codec::MachinePage&& page);
-    void learn_types();
-    void learn_types_from_cloud();
-    void learned(std::vector<MachineType>&& types);
+    void load_types();
+    void load_types_from_cloud();
+    void set_types(std::vector<MachineType>&& types);
 
     const Settings& settings_;
     TimerQueue& timers_;
     store::StateStore& store_;
     Executor& executor_;
     Host& host_;
-    TokenBucket budget_;
+    TokenBucket rate_limit_;
     std::uint64_t generation_ =
         0; // incremented when the leadership is lost, so that answers for an earlier term are recognised
-    std::deque<Ask> queue_;
-    std::vector<ListedMachine> listing_; // the machines of the pages received so far
+    std::deque<QueuedRequest> queue_;
+    std::vector<ListedMachine> listed_machines_; // the machines of the pages received so far
     // Times are in seconds of the steady clock.
-    double listing_at_ = 0; // when the first page was requested
-    double next_list_ = 0, next_types_ = 0;
-    double types_at_ = 0; // when `types_` was received; meaningless while it is empty
+    double listing_requested_at_ = 0; // when the first page was requested
+    double next_listing_at_ = 0, next_types_check_at_ = 0;
+    double types_received_at_ = 0; // when `types_` was received; meaningless while it is empty
     std::vector<MachineType> types_;
-    bool learning_types_ = false;
+    bool types_request_in_flight_ = false;
 };
 
 } // namespace heronshift::cloud
--- a/src/cluster/heartbeats.cpp
+++ b/src/cluster/heartbeats.cpp
@@ -297,7 +297,7 @@
 // Heartbeats may arrive while the answers to them do not reach the machine. Its lease then expires again and again, it
 // begins a new agent epoch each time, and all tasks placed there are lost. Only a token that was not sent with any
 // order proves that answers reach the machine. Neither further heartbeats nor any other token resets the count of
-// missed answers (docs/safety.md, 30; `InboundUnreachable.OneMachineGetsNothingMoreAndIsGivenBack`).
+// missed answers (docs/safety.md, 30; `InboundUnreachable.OneMachineGetsNoMoreTasksAndIsReleased`).
 void ClusterState::update_inbound_reachability(Machine& machine, const Heartbeat& heartbeat) {
     if (answer_was_missed(machine, heartbeat)) {
         ++machine.missed_answers;
--- a/src/codec/words.hpp
+++ b/src/codec/words.hpp
@@ -11,7 +11,7 @@
 #include <optional>
 #include <string_view>
 
-namespace heronshift::codec::words {
+namespace heronshift::codec::wire {
 
 // Fields of several kinds of messages.
 inline constexpr const char* id = "id";
@@ -97,54 +97,55 @@
 inline constexpr const char* changes = "events";
 
 // Values of enumerations.
-template <class Enum> struct Word {
+template <class Enum> struct WireName {
     Enum value;
-    std::string_view word;
+    std::string_view wire_name;
 };
-inline constexpr Word<Shape> shapes[] = {
+inline constexpr WireName<Shape> shapes[] = {
     {Shape::array, "array"},
     {Shape::gang, "gang"},
     {Shape::service, "daemon"},
 };
-inline constexpr Word<Priority> priorities[] = {
+inline constexpr WireName<Priority> priorities[] = {
     {Priority::critical, "critical"},
     {Priority::high, "high"},
     {Priority::normal, "normal"},
     {Priority::low, "low"},
 };
-inline constexpr Word<TaskState> task_states[] = {
+inline constexpr WireName<TaskState> task_states[] = {
     {TaskState::fetching, "fetching"},                                // the image is being fetched
     {TaskState::waiting, "gathering"},                                // for the other tasks of its gang
     {TaskState::running, "running"},   {TaskState::saving, "saving"}, // saving a checkpoint
     {TaskState::ended, "ended"},
 };
-inline constexpr Word<ExitCause> exit_causes[] = {
+inline constexpr WireName<ExitCause> exit_causes[] = {
     {ExitCause::done, "done"},        {ExitCause::stopped, "stopped"},
     {ExitCause::peers, "mates_gone"}, // another task of its gang has ended
     {ExitCause::alone, "incomplete"}, // its gang did not become complete in time
     {ExitCause::error, "error"},      {ExitCause::no_room, "no_room"},
     {ExitCause::busy, "in_use"},      {ExitCause::unknown, "unknown"},
 };
-inline constexpr Word<Verb> verbs[] = {
+inline constexpr WireName<Verb> verbs[] = {
     {Verb::launch, "launch"}, {Verb::stop, "stop"}, {Verb::reap, "reap"}, // discard an ended task
 };
 
 /// Returns the name on the wire of an enumerator. An enumerator that is not in the table (ExitCause::none) gets the
 /// last name of the table.
-template <class Enum, std::size_t count_of_words>
-[[nodiscard]] constexpr std::string_view word_of(const Word<Enum> (&table)[count_of_words], Enum value) {
+template <class Enum, std::size_t entry_count>
+[[nodiscard]] constexpr std::string_view wire_name_of(const WireName<Enum> (&table)[entry_count], Enum value) {
     for (const auto& entry : table)
         if (entry.value == value)
-            return entry.word;
-    return table[count_of_words - 1].word;
+            return entry.wire_name;
+    return table[entry_count - 1].wire_name;
 }
-/// Returns the enumerator with the name `word` on the wire, or nothing if there is none.
-template <class Enum, std::size_t count_of_words>
-[[nodiscard]] constexpr std::optional<Enum> value_of(const Word<Enum> (&table)[count_of_words], std::string_view word) {
+/// Returns the enumerator with the name `wire_name` on the wire, or nothing if there is none.
+template <class Enum, std::size_t entry_count>
+[[nodiscard]] constexpr std::optional<Enum> enumerator_of(const WireName<Enum> (&table)[entry_count],
+                                                          std::string_view wire_name) {
     for (const auto& entry : table)
-        if (entry.word == word)
+        if (entry.wire_name == wire_name)
             return entry.value;
     return {};
 }
 
-} // namespace heronshift::codec::words
+} // namespace heronshift::codec::wire
--- a/src/codec/workers.cpp
+++ b/src/codec/workers.cpp
@@ -24,20 +24,20 @@
 
 namespace {
 
-constexpr std::size_t max_machine_id = 100; // bytes
+constexpr std::size_t max_machine_id_bytes = 100; // bytes
 
 std::optional<ReportedTask> read_task(const Json& json) {
     if (!json.is_object())
         return {};
     ReportedTask task;
-    const auto state = words::value_of(words::task_states, text(json, words::status));
-    if (!split_task(text(json, words::task), task.job, task.index) || !count(json, words::attempt, task.attempt) ||
+    const auto state = wire::enumerator_of(wire::task_states, text(json, wire::status));
+    if (!split_task(text(json, wire::task), task.job, task.index) || !count(json, wire::attempt, task.attempt) ||
         !state)
         return {};
     task.state = *state;
     if (task.state == TaskState::ended)
-        task.cause = words::value_of(words::exit_causes, text(json, words::exit_cause)).value_or(ExitCause::unknown);
-    task.saved = flag(json, words::saved);
+        task.cause = wire::enumerator_of(wire::exit_causes, text(json, wire::exit_cause)).value_or(ExitCause::unknown);
+    task.saved = flag(json, wire::saved);
     return task;
 }
 
@@ -48,17 +48,17 @@
     if (!json.is_object())
         return {};
     Heartbeat heartbeat;
-    heartbeat.machine = text(json, words::machine);
-    heartbeat.addr = text(json, words::address);
-    heartbeat.type = text(json, words::machine_type);
-    heartbeat.zone = text(json, words::zone);
-    heartbeat.spot = flag(json, words::spot);
-    if (heartbeat.machine.empty() || heartbeat.machine.size() > max_machine_id ||
-        !count(json, words::agent_epoch, heartbeat.agent_epoch) || !count(json, words::counter, heartbeat.counter))
+    heartbeat.machine = text(json, wire::machine);
+    heartbeat.addr = text(json, wire::address);
+    heartbeat.type = text(json, wire::machine_type);
+    heartbeat.zone = text(json, wire::zone);
+    heartbeat.spot = flag(json, wire::spot);
+    if (heartbeat.machine.empty() || heartbeat.machine.size() > max_machine_id_bytes ||
+        !count(json, wire::agent_epoch, heartbeat.agent_epoch) || !count(json, wire::counter, heartbeat.counter))
         return {};
-    count(json, words::fencing_token, heartbeat.fencing_token);
-    heartbeat.notice_s = number(json, words::notice_s, -1);
-    if (!read_list(json, words::tasks, read_task, heartbeat.tasks))
+    count(json, wire::fencing_token, heartbeat.fencing_token);
+    heartbeat.notice_s = number(json, wire::notice_s, -1);
+    if (!read_list(json, wire::tasks, read_task, heartbeat.tasks))
         return {};
     return heartbeat;
 }
@@ -71,7 +71,7 @@
         if (!first)
             out += ',';
         first = false;
-        const auto verb = words::word_of(words::verbs, order.verb);
+        const auto verb = wire::wire_name_of(wire::verbs, order.verb);
         out += fmt::format(R"({{"verb":"{}","shard":"{}/{}","try":{})", verb, order.job, order.index, order.attempt);
         if (order.verb == Verb::stop)
             out += fmt::format(R"(,"drainS":{})", order.drain_s);
@@ -94,35 +94,35 @@
 }
 
 std::string error_answer(const std::string& what) {
-    return Json{{words::error, what}}.dump(-1, ' ', false, Json::error_handler_t::replace);
+    return Json{{wire::error, what}}.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
 std::string redirect(const std::string& node) {
-    return Json{{words::redirected_to, node}}.dump();
+    return Json{{wire::redirected_to, node}}.dump();
 }
 
 std::string to_body(const Heartbeat& heartbeat) {
-    Json json{{words::machine, heartbeat.machine},
-              {words::address, heartbeat.addr},
-              {words::machine_type, heartbeat.type},
-              {words::zone, heartbeat.zone},
-              {words::spot, heartbeat.spot},
-              {words::agent_epoch, heartbeat.agent_epoch},
-              {words::counter, heartbeat.counter},
-              {words::fencing_token, heartbeat.fencing_token},
-              {words::notice_s, nullptr},
-              {words::tasks, Json::array()}};
+    Json json{{wire::machine, heartbeat.machine},
+              {wire::address, heartbeat.addr},
+              {wire::machine_type, heartbeat.type},
+              {wire::zone, heartbeat.zone},
+              {wire::spot, heartbeat.spot},
+              {wire::agent_epoch, heartbeat.agent_epoch},
+              {wire::counter, heartbeat.counter},
+              {wire::fencing_token, heartbeat.fencing_token},
+              {wire::notice_s, nullptr},
+              {wire::tasks, Json::array()}};
     if (heartbeat.notice_s >= 0)
-        json[words::notice_s] = heartbeat.notice_s;
+        json[wire::notice_s] = heartbeat.notice_s;
     for (const auto& task : heartbeat.tasks) {
-        Json entry{{words::task, task_name(task.job, task.index)},
-                   {words::attempt, task.attempt},
-                   {words::status, words::word_of(words::task_states, task.state)}};
+        Json entry{{wire::task, task_name(task.job, task.index)},
+                   {wire::attempt, task.attempt},
+                   {wire::status, wire::wire_name_of(wire::task_states, task.state)}};
         if (task.state == TaskState::ended)
-            entry[words::exit_cause] = words::word_of(words::exit_causes, task.cause);
+            entry[wire::exit_cause] = wire::wire_name_of(wire::exit_causes, task.cause);
         if (task.saved)
-            entry[words::saved] = true;
-        json[words::tasks].push_back(std::move(entry));
+            entry[wire::saved] = true;
+        json[wire::tasks].push_back(std::move(entry));
     }
     return json.dump();
 }
@@ -132,14 +132,14 @@
 std::optional<Order> read_order(const Json& json) {
     if (!json.is_object())
         return {};
-    const auto verb = words::value_of(words::verbs, text(json, words::verb));
+    const auto verb = wire::enumerator_of(wire::verbs, text(json, wire::verb));
     if (!verb)
         return {};
     Order order;
     order.verb = *verb;
-    if (!split_task(text(json, words::task), order.job, order.index) || !count(json, words::attempt, order.attempt))
+    if (!split_task(text(json, wire::task), order.job, order.index) || !count(json, wire::attempt, order.attempt))
         return {};
-    order.drain_s = number(json, words::drain_s);
+    order.drain_s = number(json, wire::drain_s);
     return order;
 }
 
@@ -150,18 +150,18 @@
     if (!json.is_object())
         return {};
     Orders orders;
-    if (std::uint64_t value = 0; count(json, words::fencing_token, value))
+    if (std::uint64_t value = 0; count(json, wire::fencing_token, value))
         orders.fencing_token = value;
-    if (std::uint64_t value = 0; count(json, words::agent_epoch, value))
+    if (std::uint64_t value = 0; count(json, wire::agent_epoch, value))
         orders.agent_epoch = value;
-    if (!read_list(json, words::orders, read_order, orders.list))
+    if (!read_list(json, wire::orders, read_order, orders.list))
         return {};
     return orders;
 }
 
 std::string redirected_to(std::string_view body) {
     const auto json = parse(body);
-    return json.is_object() ? text(json, words::redirected_to) : std::string();
+    return json.is_object() ? text(json, wire::redirected_to) : std::string();
 }
 
 } // namespace heronshift::codec
--- a/src/config.cpp
+++ b/src/config.cpp
@@ -21,102 +21,103 @@
 constexpr int max_port = 65535;
 constexpr int max_batch = 8;
 constexpr double max_count = 1e6;
-constexpr double min_gamma_of_alpha = 5; // the smallest ratio that counts as "far above alpha"
-constexpr double min_begin_reports = 10; // lower bound of begin-s, in heartbeat intervals
+constexpr double min_gamma_alpha_ratio = 5; // the smallest ratio that counts as "far above alpha"
+constexpr double min_begin_heartbeats = 10; // lower bound of begin-s, in heartbeat intervals
 constexpr double max_begin_s = 86'400;
 constexpr double min_memory_mb = 16, min_fd_limit = 64, min_txn_ops = 4;
 
-// Reads the fields of a TOML file. Throws SettingsError, with the path of the field, if one is missing or invalid. `at`
-// is the path of the parent table with a trailing dot, for these messages.
-class Reader {
+// Reads the fields of a TOML file. Throws SettingsError, with the path of the field, if one is missing or invalid.
+// `prefix` is the path of the parent table with a trailing dot, for these messages.
+class SettingsReader {
 public:
-    explicit Reader(std::string path) : path_(std::move(path)) {}
+    explicit SettingsReader(std::string path) : path_(std::move(path)) {}
 
     [[noreturn]] void fail(const std::string& field, const std::string& what) const {
         throw SettingsError(fmt::format("{}: {}: {}", path_, field, what));
     }
 
-    std::string text(const toml::table& parent, const std::string& at, const char* key) const {
-        auto value = required(parent, at, key).value_exact<std::string>();
+    std::string text(const toml::table& parent, const std::string& prefix, const char* key) const {
+        auto value = required(parent, prefix, key).value_exact<std::string>();
         if (!value || value->empty())
-            fail(at + key, "must be a non-empty string");
+            fail(prefix + key, "must be a non-empty string");
         return *value;
     }
 
-    // `open`: the lower bound is exclusive, so the value must be above `min`.
-    double number(const toml::table& parent, const std::string& at, const char* key, double min,
-                  bool open = false) const {
-        const auto& node = required(parent, at, key);
+    // `exclusive`: the lower bound is exclusive, so the value must be above `min`.
+    double number(const toml::table& parent, const std::string& prefix, const char* key, double min,
+                  bool exclusive = false) const {
+        const auto& node = required(parent, prefix, key);
         if (!node.is_number())
-            fail(at + key, "must be a number");
+            fail(prefix + key, "must be a number");
         const double value = node.value<double>().value_or(NAN);
         if (!std::isfinite(value))
-            fail(at + key, "must be finite");
-        if (value < min || (open && value <= min))
-            fail(at + key, fmt::format("must be {} {}", open ? "above" : "at least", min));
+            fail(prefix + key, "must be finite");
+        if (value < min || (exclusive && value <= min))
+            fail(prefix + key, fmt::format("must be {} {}", exclusive ? "above" : "at least", min));
         return value;
     }
 
-    const toml::table& table(const toml::table& parent, const std::string& at, const char* key) const {
-        const auto& node = required(parent, at, key);
+    const toml::table& table(const toml::table& parent, const std::string& prefix, const char* key) const {
+        const auto& node = required(parent, prefix, key);
         if (!node.is_table())
-            fail(at + key, "must be a table");
+            fail(prefix + key, "must be a table");
         return *node.as_table();
     }
 
     // Calls `callback` with each table of an array and the table's path. A missing array counts as empty.
-    template <class F> void each(const toml::table& parent, const std::string& at, const char* key, F callback) const {
+    template <class F>
+    void for_each_table(const toml::table& parent, const std::string& prefix, const char* key, F callback) const {
         const auto* node = parent.get(key);
         if (node == nullptr)
             return;
         if (!node->is_array())
-            fail(at + key, "must be an array of tables");
+            fail(prefix + key, "must be an array of tables");
         std::size_t i = 0;
         for (const auto& element : *node->as_array()) {
-            const auto where = fmt::format("{}{}[{}].", at, key, i++);
+            const auto element_prefix = fmt::format("{}{}[{}].", prefix, key, i++);
             if (!element.is_table())
-                fail(where, "must be a table");
-            callback(*element.as_table(), where);
+                fail(element_prefix, "must be a table");
+            callback(*element.as_table(), element_prefix);
         }
     }
 
     // The strings of an array. A missing array counts as empty.
-    std::vector<std::string> texts(const toml::table& parent, const std::string& at, const char* key) const {
+    std::vector<std::string> strings(const toml::table& parent, const std::string& prefix, const char* key) const {
         std::vector<std::string> out;
         const auto* node = parent.get(key);
         if (node == nullptr)
             return out;
         if (!node->is_array())
-            fail(at + key, "must be an array");
+            fail(prefix + key, "must be an array");
         for (const auto& element : *node->as_array()) {
             if (!element.is_string())
-                fail(at + key, "must hold strings");
+                fail(prefix + key, "must hold strings");
             out.push_back(**element.as_string());
         }
         return out;
     }
 
-    Endpoint endpoint(const toml::table& parent, const std::string& at, const char* key) const {
-        const auto address = text(parent, at, key);
+    Endpoint endpoint(const toml::table& parent, const std::string& prefix, const char* key) const {
+        const auto address = text(parent, prefix, key);
         const auto colon = address.rfind(':');
         if (colon == std::string::npos || colon == 0)
-            fail(at + key, "must be ADDRESS:PORT");
+            fail(prefix + key, "must be ADDRESS:PORT");
         int port = 0;
         for (const char digit : address.substr(colon + 1)) {
             if (digit < '0' || digit > '9' || port > max_port)
-                fail(at + key, "has a bad port");
+                fail(prefix + key, "has a bad port");
             port = port * 10 + (digit - '0');
         }
         if (port < 1 || port > max_port)
-            fail(at + key, "has a bad port");
+            fail(prefix + key, "has a bad port");
         return {address.substr(0, colon), port};
     }
 
 private:
-    const toml::node& required(const toml::table& parent, const std::string& at, const char* key) const {
+    const toml::node& required(const toml::table& parent, const std::string& prefix, const char* key) const {
         const auto* node = parent.get(key);
         if (node == nullptr)
-            fail(at + key, "is missing");
+            fail(prefix + key, "is missing");
         return *node;
     }
 
@@ -156,7 +157,7 @@
     return s.str();
 }
 
-std::string atom(const sexp_t* e) {
+std::string atom_text(const sexp_t* e) {
     return (e != nullptr && e->ty == SEXP_VALUE && e->val != nullptr) ? e->val : "";
 }
 
@@ -176,7 +177,8 @@
     return number;
 }
 
-void apply(OperatorSettings& operators, const std::string& path, const std::string& name, const std::string& value) {
+void apply_setting(OperatorSettings& operators, const std::string& path, const std::string& name,
+                   const std::string& value) {
     const auto* field = std::find_if(std::begin(operator_fields), std::end(operator_fields),
                                      [&](const OperatorField& known) { return name == known.name; });
     if (field == std::end(operator_fields))
@@ -230,7 +232,7 @@
 };
 
 // Parses an operators' file. Returns its settings in the order of the file.
-std::vector<NamedValue> operator_file(const std::string& path) {
+std::vector<NamedValue> parse_operator_file(const std::string& path) {
     auto text = read_file(path);
     blank_comments(text);
     if (!parentheses_match(text))
@@ -238,25 +240,25 @@
     const Expression expression(text);
     if (expression.root == nullptr || expression.root->ty != SEXP_LIST)
         throw SettingsError(path + ": not an S-expression");
-    if (atom(expression.root->list) != "heronshift")
+    if (atom_text(expression.root->list) != "heronshift")
         throw SettingsError(path + ": must start with (heronshift");
     std::vector<NamedValue> out;
     std::set<std::string> seen;
     for (auto* e = expression.root->list->next; e != nullptr; e = e->next) {
         if (e->ty != SEXP_LIST)
-            fail_field(path, atom(e), "must be (name value)");
-        const auto name = atom(e->list);
+            fail_field(path, atom_text(e), "must be (name value)");
+        const auto name = atom_text(e->list);
         const auto* value = e->list != nullptr ? e->list->next : nullptr;
         if (value == nullptr || value->next != nullptr)
             fail_field(path, name, "must be (name value)");
         if (!seen.insert(name).second)
             fail_field(path, name, "is given twice");
-        out.push_back({name, atom(value)});
+        out.push_back({name, atom_text(value)});
     }
     return out;
 }
 
-toml::table toml_file(const std::string& path) {
+toml::table parse_toml_file(const std::string& path) {
     read_file(path); // throws SettingsError if the file cannot be read, before toml++ reports it in its own form
     try {
         return toml::parse_file(path);
@@ -267,46 +269,46 @@
 
 // The functions below read one section of the platform's settings file each.
 
-void read_peers(const Reader& reader, const toml::table& file, Settings& settings) {
+void read_peers(const SettingsReader& reader, const toml::table& file, Settings& settings) {
     std::set<std::string> names{settings.name};
-    reader.each(file, "", "others", [&](const toml::table& entry, const std::string& at) {
-        settings.peers.push_back({reader.text(entry, at, "host_name"), reader.text(entry, at, "zone"),
-                                  reader.endpoint(entry, at, "peer_addr")});
+    reader.for_each_table(file, "", "others", [&](const toml::table& entry, const std::string& prefix) {
+        settings.peers.push_back({reader.text(entry, prefix, "host_name"), reader.text(entry, prefix, "zone"),
+                                  reader.endpoint(entry, prefix, "peer_addr")});
         if (!names.insert(settings.peers.back().name).second)
-            reader.fail(at + "host_name", "is given twice");
+            reader.fail(prefix + "host_name", "is given twice");
     });
 }
 
-void read_external(const Reader& reader, const toml::table& file, Settings& settings) {
-    const std::string at = "external.";
+void read_external(const SettingsReader& reader, const toml::table& file, Settings& settings) {
+    const std::string prefix = "external.";
     const auto& external = reader.table(file, "", "external");
-    settings.cloud = reader.endpoint(external, at, "cloud");
-    settings.state = reader.endpoint(external, at, "state");
+    settings.cloud = reader.endpoint(external, prefix, "cloud");
+    settings.state = reader.endpoint(external, prefix, "state");
 }
 
-void read_teams(const Reader& reader, const toml::table& facts, Settings& settings) {
+void read_teams(const SettingsReader& reader, const toml::table& facts, Settings& settings) {
     std::set<std::string> names;
-    reader.each(facts, "facts.", "teams", [&](const toml::table& entry, const std::string& at) {
+    reader.for_each_table(facts, "facts.", "teams", [&](const toml::table& entry, const std::string& prefix) {
         TeamLimits limits;
-        limits.name = reader.text(entry, at, "name");
-        limits.cpus = reader.number(entry, at, "cpus", 0);
-        limits.cpus_max = reader.number(entry, at, "cpus_max", 0);
-        limits.gpus = reader.number(entry, at, "gpus", 0);
-        limits.gpus_max = reader.number(entry, at, "gpus_max", 0);
+        limits.name = reader.text(entry, prefix, "name");
+        limits.cpus = reader.number(entry, prefix, "cpus", 0);
+        limits.cpus_max = reader.number(entry, prefix, "cpus_max", 0);
+        limits.gpus = reader.number(entry, prefix, "gpus", 0);
+        limits.gpus_max = reader.number(entry, prefix, "gpus_max", 0);
         if (!names.insert(limits.name).second)
-            reader.fail(at + "name", "is given twice");
+            reader.fail(prefix + "name", "is given twice");
         if (limits.cpus_max > 0 && limits.cpus > limits.cpus_max)
-            reader.fail(at + "cpus", "is above cpus_max");
+            reader.fail(prefix + "cpus", "is above cpus_max");
         if (limits.gpus_max > 0 && limits.gpus > limits.gpus_max)
-            reader.fail(at + "gpus", "is above gpus_max");
+            reader.fail(prefix + "gpus", "is above gpus_max");
         settings.teams.push_back(limits);
     });
 }
 
-void read_objectives(const Reader& reader, const toml::table& facts, Settings& settings) {
-    reader.each(facts, "facts.", "objectives", [&](const toml::table& entry, const std::string& at) {
+void read_objectives(const SettingsReader& reader, const toml::table& facts, Settings& settings) {
+    reader.for_each_table(facts, "facts.", "objectives", [&](const toml::table& entry, const std::string& prefix) {
         Objective objective;
-        objective.kind = reader.text(entry, at, "kind");
+        objective.kind = reader.text(entry, prefix, "kind");
         objective.job_class = entry["class"].value_or(std::string());
         objective.within_s = entry["within_s"].value_or(0.0);
         objective.share = entry["share"].value_or(0.0);
@@ -315,40 +317,40 @@
     });
 }
 
-void read_workers(const Reader& reader, const toml::table& facts, Settings& settings) {
-    const std::string at = "facts.workers.";
+void read_workers(const SettingsReader& reader, const toml::table& facts, Settings& settings) {
+    const std::string prefix = "facts.workers.";
     const auto& workers = reader.table(facts, "facts.", "workers");
-    settings.report_s = reader.number(workers, at, "report_s", 0, true);
-    settings.lease_s = reader.number(workers, at, "lease_s", 0, true);
-    settings.gang_wait_s = reader.number(workers, at, "gang_wait_s", 0, true);
-    settings.gang_peer_s = reader.number(workers, at, "gang_peer_s", 0, true);
-    settings.cancel_s = reader.number(workers, at, "cancel_s", 0, true);
+    settings.report_s = reader.number(workers, prefix, "report_s", 0, true);
+    settings.lease_s = reader.number(workers, prefix, "lease_s", 0, true);
+    settings.gang_wait_s = reader.number(workers, prefix, "gang_wait_s", 0, true);
+    settings.gang_peer_s = reader.number(workers, prefix, "gang_peer_s", 0, true);
+    settings.cancel_s = reader.number(workers, prefix, "cancel_s", 0, true);
     if (settings.lease_s < 2 * settings.report_s)
-        reader.fail(at + "lease_s", "must be at least twice report_s");
+        reader.fail(prefix + "lease_s", "must be at least twice report_s");
     // A machine that does not receive the stop request goes on with a cancelled task until its lease expires by its
     // own clock.
     if (settings.cancel_s < settings.lease_s * (1 + lease_clock_drift))
-        reader.fail(at + "cancel_s",
+        reader.fail(prefix + "cancel_s",
                     "must be longer than lease_s, which is how long a machine that cannot be reached goes on");
 }
 
-int read_txn_ops(const Reader& reader, const toml::table& table, const std::string& at) {
-    return static_cast<int>(reader.number(table, at, "txn_ops", min_txn_ops));
+int read_txn_ops(const SettingsReader& reader, const toml::table& table, const std::string& prefix) {
+    return static_cast<int>(reader.number(table, prefix, "txn_ops", min_txn_ops));
 }
 
-void read_state(const Reader& reader, const toml::table& facts, Settings& settings) {
-    const std::string at = "facts.state.";
+void read_state(const SettingsReader& reader, const toml::table& facts, Settings& settings) {
+    const std::string prefix = "facts.state.";
     const auto& state = reader.table(facts, "facts.", "state");
-    settings.state_rps = reader.number(state, at, "rps", 0, true);
-    settings.state_write_rps = reader.number(state, at, "write_rps", 0, true);
-    settings.value_kb = reader.number(state, at, "value_kb", 1);
-    settings.txn_ops = read_txn_ops(reader, state, at);
+    settings.state_rps = reader.number(state, prefix, "rps", 0, true);
+    settings.state_write_rps = reader.number(state, prefix, "write_rps", 0, true);
+    settings.value_kb = reader.number(state, prefix, "value_kb", 1);
+    settings.txn_ops = read_txn_ops(reader, state, prefix);
     // The state service switches to the limits of facts.state.next some time after an upgrade, without notice. Requests
     // therefore keep to the smaller of both limits from the start.
     if (!state.contains("next"))
         return;
     const std::string in = "facts.state.next.";
-    const auto& next = reader.table(state, at, "next");
+    const auto& next = reader.table(state, prefix, "next");
     if (next.contains("write_rps"))
         settings.state_write_rps = std::min(settings.state_write_rps, reader.number(next, in, "write_rps", 0, true));
     if (next.contains("value_kb"))
@@ -357,45 +359,45 @@
         settings.txn_ops = std::min(settings.txn_ops, read_txn_ops(reader, next, in));
 }
 
-void read_cloud(const Reader& reader, const toml::table& facts, Settings& settings) {
-    const std::string at = "facts.cloud.";
+void read_cloud(const SettingsReader& reader, const toml::table& facts, Settings& settings) {
+    const std::string prefix = "facts.cloud.";
     const auto& cloud = reader.table(facts, "facts.", "cloud");
-    settings.cloud_rps = reader.number(cloud, at, "rps", 0, true);
-    settings.list_lag_s = reader.number(cloud, at, "list_lag_s", 0);
+    settings.cloud_rps = reader.number(cloud, prefix, "rps", 0, true);
+    settings.list_lag_s = reader.number(cloud, prefix, "list_lag_s", 0);
 }
 
-void read_resources(const Reader& reader, const toml::table& facts, Settings& settings) {
-    const std::string at = "facts.resources.";
+void read_resources(const SettingsReader& reader, const toml::table& facts, Settings& settings) {
+    const std::string prefix = "facts.resources.";
     const auto& resources = reader.table(facts, "facts.", "resources");
-    settings.cores = reader.number(resources, at, "cores", 0, true);
-    settings.memory_mb = reader.number(resources, at, "mem_mb", min_memory_mb);
-    settings.fd_limit = static_cast<int>(reader.number(resources, at, "fd_limit", min_fd_limit));
+    settings.cores = reader.number(resources, prefix, "cores", 0, true);
+    settings.memory_mb = reader.number(resources, prefix, "mem_mb", min_memory_mb);
+    settings.fd_limit = static_cast<int>(reader.number(resources, prefix, "fd_limit", min_fd_limit));
 }
 
 } // namespace
 
 OperatorSettings load_operator_settings(const std::string& path, double report_s) {
     OperatorSettings operators;
-    for (const auto& [name, value] : operator_file(path))
-        apply(operators, path, name, value);
-    const auto need = [&](bool ok, const char* name, const char* what) {
+    for (const auto& [name, value] : parse_operator_file(path))
+        apply_setting(operators, path, name, value);
+    const auto require = [&](bool ok, const char* name, const char* what) {
         if (!ok)
             fail_field(path, name, what);
     };
-    need(operators.beta < operators.alpha, "beta", "must be below alpha");
-    need(operators.gamma >= min_gamma_of_alpha * operators.alpha, "gamma",
-         "must be far above alpha (five times at least)");
-    need(operators.target_share <= 1, "target-share", "must be at most 1");
-    need(operators.round_s >= report_s, "round-s", "must be at least report_s");
-    need(operators.batch <= max_batch, "batch", "must be at most 8");
-    need(operators.begin_s >= min_begin_reports * report_s && operators.begin_s <= max_begin_s, "begin-s",
-         "must be from ten times report_s to a day");
+    require(operators.beta < operators.alpha, "beta", "must be below alpha");
+    require(operators.gamma >= min_gamma_alpha_ratio * operators.alpha, "gamma",
+            "must be far above alpha (five times at least)");
+    require(operators.target_share <= 1, "target-share", "must be at most 1");
+    require(operators.round_s >= report_s, "round-s", "must be at least report_s");
+    require(operators.batch <= max_batch, "batch", "must be at most 8");
+    require(operators.begin_s >= min_begin_heartbeats * report_s && operators.begin_s <= max_begin_s, "begin-s",
+            "must be from ten times report_s to a day");
     return operators;
 }
 
 Settings load_settings(const std::string& path) {
-    const auto file = toml_file(path);
-    const Reader reader(path);
+    const auto file = parse_toml_file(path);
+    const SettingsReader reader(path);
     Settings settings;
     settings.name = reader.text(file, "", "host_name");
     settings.zone = reader.text(file, "", "zone");
@@ -404,7 +406,7 @@
     read_peers(reader, file, settings);
     read_external(reader, file, settings);
     const auto& facts = reader.table(file, "", "facts");
-    settings.zones = reader.texts(facts, "facts.", "zones");
+    settings.zones = reader.strings(facts, "facts.", "zones");
     settings.time_bound_s = reader.number(facts, "facts.", "time_bound_ms", 0) / 1000;
     read_teams(reader, facts, settings);
     read_objectives(reader, facts, settings);
@@ -417,13 +419,13 @@
 
 std::string settings_as_json(const std::string& path) {
     std::ostringstream out;
-    out << toml::json_formatter{toml_file(path)};
+    out << toml::json_formatter{parse_toml_file(path)};
     return out.str();
 }
 
 std::string operators_as_json(const std::string& path) {
     auto out = nlohmann::json::object();
-    for (const auto& [name, value] : operator_file(path)) {
+    for (const auto& [name, value] : parse_operator_file(path)) {
         const auto parsed = nlohmann::json::parse(value, nullptr, false);
         out[name] = parsed.is_number() ? parsed : nlohmann::json(value);
     }
--- a/src/connection_shares.hpp
+++ b/src/connection_shares.hpp
@@ -26,7 +26,8 @@
 // Counts connections by kind and lists the idle ones in the order in which they became idle. Every operation takes
 // constant time. Pointers to connections are stored but never dereferenced.
 template <class Connection> class ConnectionShares {
-    using Idle = std::list<std::pair<Connection*, std::uint64_t>>; // with the value of turns_ when it became idle
+    using Idle =
+        std::list<std::pair<Connection*, std::uint64_t>>; // with the value of idle_sequence_ when it became idle
 
 public:
     // What is stored for each connection, as a member of the connection.
@@ -34,7 +35,7 @@
         friend class ConnectionShares;
         ClientKind kind_ = ClientKind::unknown;
         bool idle_ = false;
-        typename Idle::iterator at_;
+        typename Idle::iterator idle_position_;
 
     public:
         [[nodiscard]] ClientKind kind() const {
@@ -48,24 +49,24 @@
         ++counts_[index(ClientKind::unknown)];
     }
     void closed(Entry& entry) {
-        busy(entry);
+        mark_busy(entry);
         --counts_[index(entry.kind_)];
     }
-    void idle(Entry& entry, Connection* connection) {
-        busy(entry);
+    void mark_idle(Entry& entry, Connection* connection) {
+        mark_busy(entry);
         auto& list = idle_[index(entry.kind_)];
-        list.emplace_back(connection, ++turns_);
-        entry.at_ = std::prev(list.end());
+        list.emplace_back(connection, ++idle_sequence_);
+        entry.idle_position_ = std::prev(list.end());
         entry.idle_ = true;
     }
-    void busy(Entry& entry) {
+    void mark_busy(Entry& entry) {
         if (entry.idle_)
-            idle_[index(entry.kind_)].erase(entry.at_);
+            idle_[index(entry.kind_)].erase(entry.idle_position_);
         entry.idle_ = false;
     }
     // Sets the kind of a connection, as determined from its latest request.
     void classify(Entry& entry, ClientKind kind) {
-        busy(entry);
+        mark_busy(entry);
         --counts_[index(entry.kind_)];
         entry.kind_ = kind;
         ++counts_[index(kind)];
@@ -102,7 +103,7 @@
     ConnectionLimits limits_;
     std::array<std::size_t, client_kinds> counts_{};
     std::array<Idle, client_kinds> idle_;
-    std::uint64_t turns_ = 0;
+    std::uint64_t idle_sequence_ = 0;
 };
 
 } // namespace heronshift
--- a/src/embed/scheduler.cpp
+++ b/src/embed/scheduler.cpp
@@ -37,13 +37,13 @@
         parts.clock = options_.clock;
         node_ = std::make_unique<Node>(loop_, options_.settings, std::move(parts));
         if (!options_.command_log.empty())
-            node_->record(std::make_unique<replay::CommandLog>(options_.command_log, replay::usual_size));
+            node_->record(std::make_unique<replay::CommandLog>(options_.command_log, replay::default_max_bytes));
         if (const int e = node_->start(); e != 0) {
             node_.reset();
             throw std::system_error(-e, std::generic_category(), "the scheduler cannot listen");
         }
         port_ = node_->port();
-        node_->each_tick([this] { active_until_ = node_->active_until(); });
+        node_->set_tick_callback([this] { active_until_ = node_->active_until(); });
         async_ = new uv_async_t;
         uv_async_init(loop_, async_, [](uv_async_t* a) {
             if (a->data != nullptr)
@@ -63,21 +63,21 @@
     }
 
     void call(const char* method, std::string path, std::string body, Done done) {
-        post([method, path = std::move(path), body = std::move(body), done = std::move(done)](Inner& in) mutable {
-            if (!in.node_)
-                return in.answer(done, 0, {}, 0);
-            in.node_->call({method, std::move(path), {}, std::move(body)},
-                           Responder([&in, done = std::move(done)](int status, std::string_view text, int after) {
-                               in.answer(done, status, text, after);
-                           }));
+        post([method, path = std::move(path), body = std::move(body), done = std::move(done)](Inner& inner) mutable {
+            if (!inner.node_)
+                return inner.answer(done, 0, {}, 0);
+            inner.node_->call({method, std::move(path), {}, std::move(body)},
+                              Responder([&inner, done = std::move(done)](int status, std::string_view text, int after) {
+                                  inner.answer(done, status, text, after);
+                              }));
         });
     }
 
     void subscribe(Watch callback) {
-        post([callback = std::move(callback)](Inner& in) mutable {
-            in.watches_.push_back(std::move(callback));
-            if (in.watches_.size() == 1)
-                in.watch_from_now();
+        post([callback = std::move(callback)](Inner& inner) mutable {
+            inner.watches_.push_back(std::move(callback));
+            if (inner.watches_.size() == 1)
+                inner.watch_from_now();
         });
     }
 
@@ -90,12 +90,12 @@
     // loop.
     void finish(bool end) {
         if (end)
-            silent_ = true;
-        post([end](Inner& in) {
-            if (in.node_)
-                in.node_->stop();
-            in.stopping_ = true;
-            in.end_now_ = in.end_now_ || end;
+            callbacks_suppressed_ = true;
+        post([end](Inner& inner) {
+            if (inner.node_)
+                inner.node_->stop();
+            inner.stopping_ = true;
+            inner.teardown_requested_ = inner.teardown_requested_ || end;
         });
     }
 
@@ -113,7 +113,7 @@
 
 private:
     void answer(const Done& done, int status, std::string_view body, int after) {
-        if (silent_ || !done)
+        if (callbacks_suppressed_ || !done)
             return;
         Reply reply;
         reply.status = status;
@@ -138,12 +138,12 @@
         }
         for (auto& callback : list)
             callback(*this);
-        if (!stopping_ || (!node_ && !end_now_))
+        if (!stopping_ || (!node_ && !teardown_requested_))
             return;
         // The node may be destroyed here, since none of its functions is on the stack.
         node_.reset();
         active_until_ = 0;
-        if (!end_now_)
+        if (!teardown_requested_)
             return;
         {
             const std::lock_guard l(lock_);
@@ -164,18 +164,18 @@
         node_->state().list(std::string(persistence::final_prefix), "", 1, options_.settings.report_s,
                             [this](store::Answer&& answer) {
                                 if (answer.status != 200)
-                                    return again();
+                                    return resume_watch_later();
                                 follow(answer.revision);
                             });
     }
 
     // Resumes watching after `report_s`, a pause long enough to keep the load on the store low.
-    void again() {
+    void resume_watch_later() {
         if (!node_)
             return;
         node_->after(options_.settings.report_s, [this] {
             for (const auto& callback : watches_)
-                if (!silent_)
+                if (!callbacks_suppressed_)
                     callback({{}, {}, true});
             watch_from_now();
         });
@@ -187,13 +187,13 @@
         node_->state().follow(std::string(persistence::final_prefix), since, options_.settings.lease_s,
                               [this, since](store::Answer&& answer) {
                                   if (answer.status != 200)
-                                      return again();
+                                      return resume_watch_later();
                                   for (const auto& i : answer.items) {
                                       const auto final = i.deleted ? std::nullopt : codec::stored_final(i.value);
                                       if (!final)
                                           continue;
                                       for (const auto& callback : watches_)
-                                          if (!silent_)
+                                          if (!callbacks_suppressed_)
                                               callback({i.key.substr(2), final->status, false});
                                   }
                                   follow(std::max(since, answer.revision));
@@ -208,8 +208,8 @@
     std::mutex lock_;
     std::deque<std::function<void(Inner&)>> queue_;
     std::vector<Watch> watches_;
-    std::atomic<bool> silent_{false};
-    bool ended_ = false, stopping_ = false, end_now_ = false;
+    std::atomic<bool> callbacks_suppressed_{false};
+    bool ended_ = false, stopping_ = false, teardown_requested_ = false;
     int port_ = 0;
     std::atomic<double> active_until_{0};
 };
@@ -248,13 +248,13 @@
 }
 
 Scheduler::~Scheduler() {
-    const bool own = inner_->on_loop();
+    const bool on_loop_thread = inner_->on_loop();
     auto thread = std::move(inner_->thread);
     inner_->finish(true);
     inner_.reset();
     if (!thread.joinable())
         return;
-    if (own)
+    if (on_loop_thread)
         thread.detach(); // The loop ends by itself once its handles are closed.
     else
         thread.join();
--- a/src/executor/http_executor.cpp
+++ b/src/executor/http_executor.cpp
@@ -9,16 +9,16 @@
 namespace {
 
 constexpr std::string_view no_capacity = "no capacity"; // in a 503 of the cloud that is not an outage
-constexpr int max_listed = 500;
+constexpr int max_machines_per_page = 500;
 
 // Limits for each address: connections, and requests that wait for a connection.
-constexpr std::size_t cloud_connections = 2, cloud_waiting = 16;
-constexpr std::size_t agent_connections = 1, agent_waiting = 4;
-constexpr std::size_t probe_connections = 1, probe_waiting = 1;
+constexpr std::size_t max_connections_to_cloud = 2, max_waiting_for_cloud = 16;
+constexpr std::size_t max_connections_per_agent = 1, max_waiting_per_agent = 4;
+constexpr std::size_t max_probe_connections_per_agent = 1, max_waiting_probes_per_agent = 1;
 
 // The outcome of a rental request that the cloud did not answer with 200: `no_capacity` or `failed` if the request was
 // certainly not executed, `unknown` if it may have been.
-RentOutcome refused_outcome(const HttpReply& reply) {
+RentOutcome outcome_of_failure(const HttpReply& reply) {
     switch (reply.status) {
     case http_status::service_unavailable:
         return reply.body.find(no_capacity) != std::string::npos ? RentOutcome::no_capacity : RentOutcome::failed;
@@ -32,9 +32,9 @@
     }
 }
 
-Rented rented_of(const std::string& claim, const HttpReply& reply) {
+Rented to_rented(const std::string& claim, const HttpReply& reply) {
     if (reply.status != http_status::ok)
-        return {claim, refused_outcome(reply), {}};
+        return {claim, outcome_of_failure(reply), {}};
     auto machines = codec::rented(reply.body);
     if (!machines)
         return {claim, RentOutcome::unknown, {}};
@@ -44,9 +44,9 @@
 } // namespace
 
 HttpExecutor::HttpExecutor(uv_loop_t* loop, const Endpoint& cloud, std::size_t max_agent_connections)
-    : cloud_addr_(cloud.str()), cloud_(loop, cloud_connections, cloud_waiting),
-      agents_(loop, agent_connections, agent_waiting, max_agent_connections),
-      probes_(loop, probe_connections, probe_waiting) {}
+    : cloud_addr_(cloud.str()), cloud_(loop, max_connections_to_cloud, max_waiting_for_cloud),
+      agents_(loop, max_connections_per_agent, max_waiting_per_agent, max_agent_connections),
+      probes_(loop, max_probe_connections_per_agent, max_waiting_probes_per_agent) {}
 
 void HttpExecutor::command(const SendOrders& effect, double timeout_s, std::function<void(OrdersAnswered&&)> done) {
     agents_.request(effect.addr, "POST", std::string(codec::path_commands),
@@ -69,22 +69,23 @@
     agents_.request(addr, "POST", std::string(codec::path_commands), std::move(body), timeout_s, std::move(done));
 }
 
-void HttpExecutor::rent(const Rent& ask, double timeout_s, std::function<void(Rented&&)> done) {
-    cloud_.request(cloud_addr_, "POST", std::string(codec::path_rentals),
-                   codec::rental(ask.claim, ask.type, ask.zone, ask.spot, ask.count), timeout_s,
-                   [done = std::move(done), claim = ask.claim](HttpReply&& reply) { done(rented_of(claim, reply)); });
+void HttpExecutor::rent(const Rent& effect, double timeout_s, std::function<void(Rented&&)> done) {
+    cloud_.request(
+        cloud_addr_, "POST", std::string(codec::path_rentals),
+        codec::rental(effect.claim, effect.type, effect.zone, effect.spot, effect.count), timeout_s,
+        [done = std::move(done), claim = effect.claim](HttpReply&& reply) { done(to_rented(claim, reply)); });
 }
 
-void HttpExecutor::release(const Release& ask, double timeout_s, std::function<void(Released&&)> done) {
-    cloud_.request(cloud_addr_, "POST", std::string(codec::path_release), codec::release(ask.machines), timeout_s,
-                   [done = std::move(done), list = ask.machines](HttpReply&& reply) {
+void HttpExecutor::release(const Release& effect, double timeout_s, std::function<void(Released&&)> done) {
+    cloud_.request(cloud_addr_, "POST", std::string(codec::path_release), codec::release(effect.machines), timeout_s,
+                   [done = std::move(done), list = effect.machines](HttpReply&& reply) {
                        done({list, reply.status == http_status::ok});
                    });
 }
 
 void HttpExecutor::list(const std::string& since, double timeout_s,
                         std::function<void(std::optional<codec::MachinePage>&&)> done) {
-    auto path = std::string(codec::path_rentals) + "?most=" + std::to_string(max_listed);
+    auto path = std::string(codec::path_rentals) + "?most=" + std::to_string(max_machines_per_page);
     if (!since.empty())
         path += "&since=" + since;
     cloud_.request(cloud_addr_, "GET", path, "", timeout_s, [done = std::move(done)](HttpReply&& reply) {
--- a/src/executor/http_executor.hpp
+++ b/src/executor/http_executor.hpp
@@ -14,8 +14,8 @@
     HttpExecutor(uv_loop_t* loop, const Endpoint& cloud, std::size_t max_agent_connections);
 
     void command(const SendOrders& orders, double timeout_s, std::function<void(OrdersAnswered&&)> done) override;
-    void rent(const Rent& ask, double timeout_s, std::function<void(Rented&&)> done) override;
-    void release(const Release& ask, double timeout_s, std::function<void(Released&&)> done) override;
+    void rent(const Rent& effect, double timeout_s, std::function<void(Rented&&)> done) override;
+    void release(const Release& effect, double timeout_s, std::function<void(Released&&)> done) override;
     void list(const std::string& since, double timeout_s,
               std::function<void(std::optional<codec::MachinePage>&&)> done) override;
     void types(double timeout_s, std::function<void(std::optional<std::vector<MachineType>>&&)> done) override;
--- a/src/gateway/fair_token_bucket.hpp
+++ b/src/gateway/fair_token_bucket.hpp
@@ -18,11 +18,13 @@
 class FairTokenBucket {
 public:
     /// `per_s`, `burst`: rate and capacity of the bucket, in tokens.
-    /// `patience_s`: a client that has been refused for this long may use the whole reserve.
-    /// `max_refused`: number of refused clients that are remembered. Beyond it the client that was added first is
-    /// removed, and counts as new at its next request.
-    FairTokenBucket(double per_s, double burst, double patience_s, std::size_t max_refused = min_table_entries)
-        : budget_(per_s, burst), burst_(burst), patience_s_(patience_s), refused_since_(max_refused) {}
+    /// `full_reserve_after_s`: a client that has been refused for this long may use the whole reserve.
+    /// `max_refused_clients`: number of refused clients that are remembered. Beyond it the client that was added first
+    /// is removed, and counts as new at its next request.
+    FairTokenBucket(double per_s, double burst, double full_reserve_after_s,
+                    std::size_t max_refused_clients = min_table_entries)
+        : budget_(per_s, burst), burst_(burst), full_reserve_after_s_(full_reserve_after_s),
+          refused_since_(max_refused_clients) {}
 
     /// Takes the n tokens that the client's request needs in any case; tokens that it turns out to need beyond these
     /// are taken by spend(). Returns false if the request is refused.
@@ -37,13 +39,15 @@
     }
     /// Whether take() would succeed. Takes no tokens and does not record a refusal.
     [[nodiscard]] bool would_take(const std::string& client, double now, double n) {
-        const auto* since = refused_since_.find(client);
-        const double waited = since == nullptr ? 0 : std::min(1.0, (now - *since) / patience_s_);
-        return budget_.would_take(now, n + (burst_ - n) * kept * (1 - waited));
+        const auto* refused_at = refused_since_.find(client);
+        const double unlocked_fraction =
+            refused_at == nullptr ? 0 : std::min(1.0, (now - *refused_at) / full_reserve_after_s_);
+        return budget_.would_take(now, n + (burst_ - n) * reserved_burst_share * (1 - unlocked_fraction));
     }
     /// Records that the client was refused, also if that was for another reason than this bucket.
     void refused(const std::string& client, double now) {
-        if (const auto* since = refused_since_.find(client); since != nullptr && now - *since > forgotten * patience_s_)
+        if (const auto* refused_at = refused_since_.find(client);
+            refused_at != nullptr && now - *refused_at > series_timeout_factor * full_reserve_after_s_)
             refused_since_.erase(client); // an old series of refusals: a new one starts now
         refused_since_.add(client, now);
     }
@@ -54,11 +58,11 @@
 
 private:
     // The share of the burst that is reserved for clients that were refused before.
-    static constexpr double kept = 0.5;
-    // A series of refusals ends this many times `patience_s` after its first refusal.
-    static constexpr double forgotten = 4;
+    static constexpr double reserved_burst_share = 0.5;
+    // A series of refusals ends this many times `full_reserve_after_s` after its first refusal.
+    static constexpr double series_timeout_factor = 4;
     TokenBucket budget_;
-    double burst_, patience_s_;
+    double burst_, full_reserve_after_s_;
     BoundedCache<double> refused_since_;
 };
 
--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -18,7 +18,7 @@
 namespace heronshift::gateway {
 
 /// The time after which a refused user should retry, in seconds (the header Retry-After).
-inline constexpr int retry_soon_s = 1;
+inline constexpr int default_retry_after_s = 1;
 
 /// Answers users: from memory if this node is the active leader, else from the store, or by forwarding the request to
 /// another controller if only that one can answer. Its state: the cancellations whose answer is outstanding, caches of
@@ -57,7 +57,7 @@
     void on_leadership_lost();
 
     /// Handles the core's answer to a `CancellationRequested` command.
-    void answered(const AnswerCancellation& effect);
+    void answer_cancellation(const AnswerCancellation& effect);
     /// Looks a job up in the store for the core.
     void find(const std::string& id, std::function<void(JobFound&&)> done);
 
@@ -66,11 +66,11 @@
     // What the store says about a job, read after the request came.
     struct LookupResult {
         Acceptance acceptance = Acceptance::unanswered;
-        std::string status;             // if accepted: the status in answers to users
-        bool service = false;           // whether the final state says that the job is a service
-        bool cascaded = false;          // whether a cascade record says that it is cancelled
-        std::optional<codec::Item> job; // its record, if that was read and exists
-        void accepted_as(std::string_view known_status);
+        std::string status;                // if accepted: the status in answers to users
+        bool service = false;              // whether the final state says that the job is a service
+        bool cancelled_by_cascade = false; // whether a cascade record says that it is cancelled
+        std::optional<codec::Item> job;    // its record, if that was read and exists
+        void set_accepted(std::string_view known_status);
     };
     using LookupDone = std::function<void(const LookupResult&)>;
     struct Lookup {
@@ -78,8 +78,8 @@
         LookupDone done;
         LookupResult result;
     };
-    using OpenLookup = std::shared_ptr<Lookup>;
-    enum class FinalState : std::uint8_t { unanswered, none, damaged, read };
+    using LookupPtr = std::shared_ptr<Lookup>;
+    enum class FinalStateRead : std::uint8_t { unanswered, none, damaged, read };
 
     // A submission that is being checked or stored.
     struct Submission {
@@ -87,57 +87,57 @@
         std::shared_ptr<const HttpRequest> request;
         Responder res;
         bool forwarded = false;
-        double since = 0;                // when it was received, in seconds of the steady clock
+        double received_at = 0;          // when it was received, in seconds of the steady clock
         std::size_t next_dependency = 0; // the dependencies before this index have been checked
-        int tries = 0;                   // attempts that the store refused because its rate limit was exceeded
+        int store_retries = 0;           // attempts that the store refused because its rate limit was exceeded
     };
-    using OpenSubmission = std::shared_ptr<Submission>;
+    using SubmissionPtr = std::shared_ptr<Submission>;
 
     // A cancellation that waits for the core's answer.
     struct Cancellation {
         Responder res;
         std::string id;
-        double since = 0; // when it was handed to the core, in seconds of the steady clock
+        double received_at = 0; // when it was handed to the core, in seconds of the steady clock
     };
 
-    using Otherwise = std::function<void(const Responder&)>;
+    using Fallback = std::function<void(const Responder&)>;
     using SharedRequest = std::shared_ptr<const HttpRequest>;
 
     void get(const std::string& id, HttpRequest&& request, const Responder& res, bool forwarded);
-    void poll(const std::string& id, const Responder& res);
-    [[nodiscard]] std::optional<JobView> known_here(const std::string& id) const;
+    void answer_status(const std::string& id, const Responder& res);
+    [[nodiscard]] std::optional<JobView> view_from_memory(const std::string& id) const;
     void cancel(const std::string& id, HttpRequest&& request, const Responder& res, bool forwarded);
-    void ask_core_to_cancel(const std::string& id, const Responder& res);
-    void cancel_stored(const Cancellation& cancellation, const LookupResult& found);
+    void request_cancellation(const std::string& id, const Responder& res);
+    void cancel_stored_job(const Cancellation& cancellation, const LookupResult& found);
 
-    [[nodiscard]] std::vector<std::string> alternatives(bool to_leader, bool to_store) const;
-    void forward(SharedRequest request, const Responder& res, std::vector<std::string> to, double wait_s,
-                 Otherwise otherwise);
+    [[nodiscard]] std::vector<std::string> forwarding_targets(bool to_leader, bool to_store) const;
+    void forward(SharedRequest request, const Responder& res, std::vector<std::string> targets, double time_left_s,
+                 Fallback fallback);
 
     void look_up(const std::string& id, LookupDone done);
-    [[nodiscard]] bool may_look_up(const std::string& id);
-    [[nodiscard]] static FinalState read_final(const store::Answer& answer, LookupResult& result);
-    void read_first(const OpenLookup& lookup);
-    void read_record(const OpenLookup& lookup);
-    void read_cascades(const OpenLookup& lookup);
-    void read_last(const OpenLookup& lookup);
-    void end_lookup(const OpenLookup& lookup);
+    [[nodiscard]] bool begin_lookup(const std::string& id);
+    [[nodiscard]] static FinalStateRead parse_final_state(const store::Answer& answer, LookupResult& result);
+    void read_final_state(const LookupPtr& lookup);
+    void read_job_record(const LookupPtr& lookup);
+    void read_cascade_records(const LookupPtr& lookup);
+    void reread_final_state(const LookupPtr& lookup);
+    void end_lookup(const LookupPtr& lookup);
 
     void submit(HttpRequest&& request, const Responder& res, bool forwarded);
     void refuse_invalid(const std::string& body, const std::string& why, const Responder& res);
-    void check_dependencies(const OpenSubmission& submission);
-    void look_up_dependency(const OpenSubmission& submission, const std::string& id);
-    void refuse_dependency(const OpenSubmission& submission, const std::string& why);
-    void accept(const OpenSubmission& submission);
-    void store_job(const OpenSubmission& submission);
-    void stored(const OpenSubmission& submission, const store::Answer& answer, double at, double began);
+    void check_dependencies(const SubmissionPtr& submission);
+    void look_up_dependency(const SubmissionPtr& submission, const std::string& id);
+    void refuse_dependency(const SubmissionPtr& submission, const std::string& why);
+    void accept(const SubmissionPtr& submission);
+    void store_job(const SubmissionPtr& submission);
+    void stored(const SubmissionPtr& submission, const store::Answer& answer, double sent_at_wall, double sent_at);
     void refuse_unless_known(const std::string& id, int status, const std::string& why, const Responder& res);
-    void remember_final(const std::string& id, const std::string& status);
-    [[nodiscard]] bool tell_final(const std::string& id, const Responder& res) const; // false: none cached
-    [[nodiscard]] bool tell_known(const std::string& id, const Responder& res) const; // false: job not known
-    [[nodiscard]] std::string impossible(const JobSpec& spec) const; // why it can never run; empty: it can
-    [[nodiscard]] std::string beyond_team_limits(const JobSpec& spec) const;
-    [[nodiscard]] bool fits_a_type(const JobSpec& spec) const;
+    void cache_final_state(const std::string& id, const std::string& status);
+    [[nodiscard]] bool send_cached_final_state(const std::string& id, const Responder& res) const; // false: none cached
+    [[nodiscard]] bool send_status_if_known(const std::string& id, const Responder& res) const; // false: job not known
+    [[nodiscard]] std::string infeasibility_reason(const JobSpec& spec) const; // why it can never run; empty: it can
+    [[nodiscard]] std::string exceeded_team_limit(const JobSpec& spec) const;
+    [[nodiscard]] bool fits_any_type(const JobSpec& spec) const;
 
     const Settings& settings_;
     TimerQueue& timers_;
@@ -146,13 +146,13 @@
     const membership::Membership& membership_;
     metrics::Timings& timings_;
     Host& host_;
-    FairTokenBucket reads_, submissions_;
-    std::size_t max_lookups_, lookups_ = 0; // limit and number of look-ups in flight
+    FairTokenBucket read_budget_, submission_budget_;
+    std::size_t max_lookups_, lookups_in_flight_ = 0; // limit and number of look-ups in flight
     std::uint64_t handle_seq_ = 0;
     std::uint64_t generation_ = 0; // incremented when the leadership is lost
     std::map<std::uint64_t, Cancellation> cancellations_;
-    BoundedCache<bool> accepted_;
-    BoundedCache<std::string> finals_; // status by job; never outdated, since a final state never changes
+    BoundedCache<bool> accepted_jobs_;
+    BoundedCache<std::string> final_states_; // status by job; never outdated, since a final state never changes
 };
 
 } // namespace heronshift::gateway
--- a/src/http.hpp
+++ b/src/http.hpp
@@ -41,30 +41,31 @@
 class Responder {
 public:
     Responder() = default;
-    explicit Responder(std::shared_ptr<ServerConnection> c) : conn_(std::move(c)) {}
+    explicit Responder(std::shared_ptr<ServerConnection> connection) : connection_(std::move(connection)) {}
     /// Receives the answer to a request made from within this process. Called exactly once: with http_status::no_answer
     /// if the last copy of the Responder is destroyed without an answer.
-    using Direct = std::function<void(int status, std::string_view body, int retry_after_s)>;
-    explicit Responder(Direct callback) : direct_(std::make_shared<Once>(std::move(callback))) {}
+    using DirectCallback = std::function<void(int status, std::string_view body, int retry_after_s)>;
+    explicit Responder(DirectCallback callback)
+        : direct_callback_(std::make_shared<SingleUseCallback>(std::move(callback))) {}
     /// `retry_after_s`: the value of the Retry-After header, in seconds; 0 omits the header.
     void send(int status, std::string_view body, int retry_after_s = 0) const;
 
 private:
-    struct Once {
-        explicit Once(Direct callback) : f(std::move(callback)) {}
-        ~Once() {
+    struct SingleUseCallback {
+        explicit SingleUseCallback(DirectCallback callback) : f(std::move(callback)) {}
+        ~SingleUseCallback() {
             send(0, {}, 0);
         }
-        Once(const Once&) = delete;
-        Once& operator=(const Once&) = delete;
+        SingleUseCallback(const SingleUseCallback&) = delete;
+        SingleUseCallback& operator=(const SingleUseCallback&) = delete;
         void send(int status, std::string_view body, int retry_after_s) {
             if (const auto once = std::exchange(f, nullptr); once)
                 once(status, body, retry_after_s);
         }
-        Direct f;
+        DirectCallback f;
     };
-    std::shared_ptr<ServerConnection> conn_;
-    std::shared_ptr<Once> direct_;
+    std::shared_ptr<ServerConnection> connection_;
+    std::shared_ptr<SingleUseCallback> direct_callback_;
 };
 
 /// Listens at one address and passes each request to a handler.
@@ -102,7 +103,7 @@
 private:
     friend class ServerConnection;
     void accept();
-    bool admit(ServerConnection& c, const HttpRequest& request);
+    bool admit(ServerConnection& connection, const HttpRequest& request);
     uv_loop_t* loop_;
     LoopHandle<uv_tcp_t> tcp_;
     ConnectionShares<ServerConnection> shares_;
@@ -154,13 +155,13 @@
         std::vector<Connection*> connections;
         std::deque<PendingRequest> waiting;
     };
-    void pump(const std::string& addr);
-    void pump_starved();
+    void send_waiting(const std::string& addr);
+    void send_blocked();
     [[nodiscard]] static Connection* idle_connection(const Pool& pool);
     [[nodiscard]] bool is_open(const Connection* connection) const;
     void send_on(Connection* idle, PendingRequest&& request);
     bool connect(const std::string& addr, PendingRequest&& request);
-    bool make_room();
+    bool close_longest_idle();
     void remove(Connection* connection);
     void finish(Connection* connection, HttpReply reply, bool keep);
 
@@ -168,8 +169,8 @@
     std::size_t max_per_address_, max_waiting_, max_connections_;
     std::size_t connections_ = 0;
     std::unordered_map<std::string, Pool> pools_;
-    std::list<Connection*> idle_;     // of all pools, longest idle first
-    std::deque<std::string> starved_; // addresses whose requests wait because of max_connections_
+    std::list<Connection*> idle_;               // of all pools, longest idle first
+    std::deque<std::string> blocked_addresses_; // addresses whose requests wait because of max_connections_
 };
 
 } // namespace heronshift
--- a/src/http/client.cpp
+++ b/src/http/client.cpp
@@ -9,10 +9,10 @@
 namespace heronshift {
 namespace {
 
-constexpr std::size_t max_reply = 8UL * 1024 * 1024;
+constexpr std::size_t max_reply_bytes = 8UL * 1024 * 1024;
 // A request that is found overdue by more than this share of its time-out was delayed because the event loop of this
 // process was blocked.
-constexpr double punctual = 0.25;
+constexpr double loop_delay_share = 0.25;
 // Idle connections are closed after this time.
 constexpr double idle_connection_s = 30;
 
@@ -40,15 +40,16 @@
     bool complete = false; // the whole answer has been read
     bool used = false;     // at least one request was written
     PendingRequest request;
-    std::string body;                         // of the answer, as far as received
-    double idle_since = 0;                    // on the clock of steady_now(); valid while not busy
-    std::list<Connection*>::iterator idle_at; // position in the client's idle_; valid while not busy
+    std::string body;                               // of the answer, as far as received
+    double idle_since = 0;                          // on the clock of steady_now(); valid while not busy
+    std::list<Connection*>::iterator idle_position; // position in the client's idle_; valid while not busy
 
     void start() {
-        uv_read_start(as_stream(tcp.get()), http::give_buffer, [](uv_stream_t* s, ssize_t n, const uv_buf_t* buf) {
-            if (auto* connection = static_cast<Connection*>(s->data); connection != nullptr)
-                connection->on_read(n, buf);
-        });
+        uv_read_start(as_stream(tcp.get()), http::provide_read_buffer,
+                      [](uv_stream_t* s, ssize_t n, const uv_buf_t* buf) {
+                          if (auto* connection = static_cast<Connection*>(s->data); connection != nullptr)
+                              connection->on_read(n, buf);
+                      });
         send();
     }
 
@@ -89,7 +90,7 @@
         s.on_body = [](http_parser* p, const char* at, std::size_t n) {
             auto* connection = static_cast<Connection*>(p->data);
             connection->body.append(at, n);
-            return connection->body.size() > max_reply ? 1 : 0;
+            return connection->body.size() > max_reply_bytes ? 1 : 0;
         };
         s.on_message_complete = [](http_parser* p) {
             static_cast<Connection*>(p->data)->complete = true;
@@ -118,7 +119,7 @@
     }
     pool.waiting.push_back(
         {method, path, std::move(body), timeout_s, http::precise_now() + timeout_s, false, std::move(done)});
-    pump(addr);
+    send_waiting(addr);
 }
 
 HttpClient::Connection* HttpClient::idle_connection(const Pool& pool) {
@@ -130,14 +131,14 @@
 }
 
 // Sends the requests that wait for this address on idle connections, or on new ones as far as the limits allow.
-void HttpClient::pump(const std::string& addr) {
+void HttpClient::send_waiting(const std::string& addr) {
     auto& pool = pools_[addr];
     while (!pool.waiting.empty()) {
         auto* idle = idle_connection(pool);
         if (idle == nullptr && pool.connections.size() >= max_per_address_)
             return;
-        if (idle == nullptr && connections_ >= max_connections_ && !make_room())
-            return starved_.push_back(addr);
+        if (idle == nullptr && connections_ >= max_connections_ && !close_longest_idle())
+            return blocked_addresses_.push_back(addr);
         auto request = std::move(pool.waiting.front());
         pool.waiting.pop_front();
         if (idle != nullptr)
@@ -148,19 +149,19 @@
 }
 
 void HttpClient::send_on(Connection* idle, PendingRequest&& request) {
-    idle_.erase(idle->idle_at);
+    idle_.erase(idle->idle_position);
     idle->busy = true;
     idle->request = std::move(request);
     idle->send();
 }
 
 // Opens a connection for a request. Returns false if libuv could not start to connect: then the request has failed, and
-// finish() has already called pump() for the address, so the caller must not go on with its queue.
+// finish() has already called send_waiting() for the address, so the caller must not go on with its queue.
 bool HttpClient::connect(const std::string& addr, PendingRequest&& request) {
     const auto colon = addr.rfind(':');
     sockaddr_in to{};
     if (colon == std::string::npos ||
-        !http::read_address(addr.substr(0, colon), std::atoi(addr.c_str() + colon + 1), to)) {
+        !http::parse_ipv4_address(addr.substr(0, colon), std::atoi(addr.c_str() + colon + 1), to)) {
         request.done({});
         return true;
     }
@@ -170,13 +171,13 @@
     auto operation = std::make_unique<uv_connect_t>();
     const int error = uv_tcp_connect(operation.get(), connection->tcp.get(), reinterpret_cast<const sockaddr*>(&to),
                                      [](uv_connect_t* done, int status) {
-                                         auto* opened = static_cast<Connection*>(done->handle->data);
+                                         auto* connected = static_cast<Connection*>(done->handle->data);
                                          delete done;
-                                         if (opened == nullptr)
+                                         if (connected == nullptr)
                                              return; // the connection was closed before it was established
                                          if (status != 0)
-                                             return opened->client->finish(opened, {}, false);
-                                         opened->start();
+                                             return connected->client->finish(connected, {}, false);
+                                         connected->start();
                                      });
     if (error != 0) {
         finish(connection, {}, false);
@@ -186,18 +187,18 @@
     return true;
 }
 
-// Resumes addresses whose requests were blocked by max_connections_, for as long as connections are available. pump()
-// adds an address again each time that its requests are blocked.
-void HttpClient::pump_starved() {
-    while (!starved_.empty() && (connections_ < max_connections_ || !idle_.empty())) {
-        const auto addr = std::move(starved_.front());
-        starved_.pop_front();
-        pump(addr);
+// Resumes addresses whose requests were blocked by max_connections_, for as long as connections are available.
+// send_waiting() adds an address again each time that its requests are blocked.
+void HttpClient::send_blocked() {
+    while (!blocked_addresses_.empty() && (connections_ < max_connections_ || !idle_.empty())) {
+        const auto addr = std::move(blocked_addresses_.front());
+        blocked_addresses_.pop_front();
+        send_waiting(addr);
     }
 }
 
 // Closes the connection that has been idle for longest. Returns false if none is idle.
-bool HttpClient::make_room() {
+bool HttpClient::close_longest_idle() {
     if (idle_.empty())
         return false;
     auto* longest = idle_.front();
@@ -220,18 +221,18 @@
     const bool was_busy = connection->busy;
     auto done = std::move(connection->request.done);
     if (!was_busy)
-        idle_.erase(connection->idle_at);
+        idle_.erase(connection->idle_position);
     if (keep) {
         connection->busy = false;
         connection->idle_since = steady_now(loop_);
-        connection->idle_at = idle_.insert(idle_.end(), connection);
+        connection->idle_position = idle_.insert(idle_.end(), connection);
     } else {
         remove(connection);
     }
     if (was_busy && done)
         done(std::move(reply));
-    pump(addr);
-    pump_starved();
+    send_waiting(addr);
+    send_blocked();
 }
 
 // If the request is found overdue long after its deadline, the event loop was blocked: the answer may have arrived
@@ -242,7 +243,7 @@
     const double late = now - deadline;
     if (late <= 0)
         return false;
-    if (extended || late <= punctual * timeout_s)
+    if (extended || late <= loop_delay_share * timeout_s)
         return true;
     extended = true;
     deadline = now + std::min(late, timeout_s);
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -8,13 +8,13 @@
 namespace heronshift {
 namespace {
 
-constexpr std::size_t max_body = 64UL * 1024;
-constexpr std::size_t max_url = 16UL * 1024;
+constexpr std::size_t max_body_bytes = 64UL * 1024;
+constexpr std::size_t max_url_bytes = 16UL * 1024;
 constexpr int listen_backlog = 512;
 // Retry-After for requests that are refused because there are too many connections.
-constexpr int refused_retry_s = 2;
+constexpr int too_many_connections_retry_s = 2;
 
-const char* reason(int status) {
+const char* reason_phrase(int status) {
     switch (status) {
     case http_status::ok:
         return "OK";
@@ -61,10 +61,11 @@
 
     void start() {
         uv_tcp_nodelay(tcp_.get(), 1);
-        uv_read_start(as_stream(tcp_.get()), http::give_buffer, [](uv_stream_t* s, ssize_t n, const uv_buf_t* buf) {
-            if (auto* c = static_cast<ServerConnection*>(s->data); c != nullptr)
-                c->on_read(n, buf);
-        });
+        uv_read_start(as_stream(tcp_.get()), http::provide_read_buffer,
+                      [](uv_stream_t* s, ssize_t n, const uv_buf_t* buf) {
+                          if (auto* connection = static_cast<ServerConnection*>(s->data); connection != nullptr)
+                              connection->on_read(n, buf);
+                      });
     }
 
     void close() {
@@ -89,7 +90,7 @@
         busy_ = false;
         last_active_ = steady_now(tcp_.get()->loop);
         auto head = fmt::format("HTTP/1.1 {} {}\r\nContent-Type: application/json\r\nContent-Length: {}\r\n", status,
-                                reason(status), body.size());
+                                reason_phrase(status), body.size());
         if (retry_after_s > 0)
             head += fmt::format("Retry-After: {}\r\n", retry_after_s);
         if (!keep_)
@@ -99,13 +100,13 @@
         if (http::write_all(tcp_.get(), std::move(head)) != 0 || !keep_)
             return close();
         if (server_ != nullptr)
-            server_->shares_.idle(share_, this);
+            server_->shares_.mark_idle(share_, this);
     }
 
     // Answers the request in progress, if any, with 503 and closes the connection.
     void refuse() {
         keep_ = false;
-        respond(http_status::service_unavailable, R"({"error":"too many connections"})", refused_retry_s);
+        respond(http_status::service_unavailable, R"({"error":"too many connections"})", too_many_connections_retry_s);
     }
 
     // Whether the connection should be closed: its idle time is over, or its request takes too long to arrive.
@@ -125,7 +126,7 @@
         if (n < 0)
             return close();
         if (busy_)
-            return bad(); // the protocol does not allow pipelining
+            return reject_malformed(); // the protocol does not allow pipelining
         static const http_parser_settings callbacks = make_callbacks();
         const auto used = http_parser_execute(&parser_, &callbacks, buf->base, static_cast<std::size_t>(n));
         if (!tcp_)
@@ -136,10 +137,10 @@
             return;
         }
         if (HTTP_PARSER_ERRNO(&parser_) != HPE_OK || parser_.upgrade != 0 || used != static_cast<std::size_t>(n))
-            return bad();
+            return reject_malformed();
     }
 
-    void bad() {
+    void reject_malformed() {
         busy_ = true;
         keep_ = false;
         respond(http_status::bad_request, R"({"error":"malformed request"})", 0);
@@ -167,24 +168,24 @@
         http_parser_settings s;
         http_parser_settings_init(&s);
         s.on_message_begin = [](http_parser* p) {
-            auto* c = static_cast<ServerConnection*>(p->data);
-            c->receiving_ = true;
-            if (c->server_ != nullptr)
-                c->server_->shares_.busy(c->share_);
-            c->last_active_ = steady_now(c->tcp_.get()->loop);
-            c->url_.clear();
-            c->request_ = {};
+            auto* connection = static_cast<ServerConnection*>(p->data);
+            connection->receiving_ = true;
+            if (connection->server_ != nullptr)
+                connection->server_->shares_.mark_busy(connection->share_);
+            connection->last_active_ = steady_now(connection->tcp_.get()->loop);
+            connection->url_.clear();
+            connection->request_ = {};
             return 0;
         };
         s.on_url = [](http_parser* p, const char* at, std::size_t n) {
-            auto* c = static_cast<ServerConnection*>(p->data);
-            c->url_.append(at, n);
-            return c->url_.size() > max_url ? 1 : 0;
+            auto* connection = static_cast<ServerConnection*>(p->data);
+            connection->url_.append(at, n);
+            return connection->url_.size() > max_url_bytes ? 1 : 0;
         };
         s.on_body = [](http_parser* p, const char* at, std::size_t n) {
-            auto* c = static_cast<ServerConnection*>(p->data);
-            c->request_.body.append(at, n);
-            return c->request_.body.size() > max_body ? 1 : 0;
+            auto* connection = static_cast<ServerConnection*>(p->data);
+            connection->request_.body.append(at, n);
+            return connection->request_.body.size() > max_body_bytes ? 1 : 0;
         };
         s.on_message_complete = [](http_parser* p) {
             http_parser_pause(p, 1);
@@ -203,10 +204,10 @@
 };
 
 void Responder::send(int status, std::string_view body, int retry_after_s) const {
-    if (conn_)
-        conn_->respond(status, body, retry_after_s);
-    if (direct_)
-        direct_->send(status, body, retry_after_s);
+    if (connection_)
+        connection_->respond(status, body, retry_after_s);
+    if (direct_callback_)
+        direct_callback_->send(status, body, retry_after_s);
 }
 
 HttpServer::HttpServer(uv_loop_t* loop, std::size_t max_connections, double idle_s, Handler handler)
@@ -219,15 +220,15 @@
 HttpServer::~HttpServer() {
     auto all = std::move(connections_);
     connections_.clear();
-    for (const auto& c : all) {
-        c->detach();
-        c->close();
+    for (const auto& connection : all) {
+        connection->detach();
+        connection->close();
     }
 }
 
 int HttpServer::listen(const Endpoint& at) {
     sockaddr_in addr{};
-    if (!http::read_address(at.host, at.port, addr))
+    if (!http::parse_ipv4_address(at.host, at.port, addr))
         return UV_EINVAL;
     auto* tcp = tcp_.create();
     uv_tcp_init(loop_, tcp);
@@ -249,29 +250,29 @@
 }
 
 void HttpServer::accept() {
-    auto c = std::make_shared<ServerConnection>(this);
-    connections_.insert(c);
+    auto connection = std::make_shared<ServerConnection>(this);
+    connections_.insert(connection);
     shares_.opened();
-    if (uv_accept(as_stream(tcp_.get()), as_stream(c->tcp())) != 0)
-        return c->close();
+    if (uv_accept(as_stream(tcp_.get()), as_stream(connection->tcp())) != 0)
+        return connection->close();
     if (shares_.over_total()) {
         auto* longest = shares_.longest_idle();
-        (longest != nullptr ? longest : c.get())->close();
+        (longest != nullptr ? longest : connection.get())->close();
         if (longest == nullptr)
             return;
     }
-    shares_.idle(c->share_, c.get()); // until its first request arrives
-    c->start();
+    shares_.mark_idle(connection->share_, connection.get()); // until its first request arrives
+    connection->start();
 }
 
 // Returns whether a request may be served. If its client kind exceeds its limit, the longest idle connection of that
 // kind is closed; if there is none, the request may not be served.
-bool HttpServer::admit(ServerConnection& c, const HttpRequest& request) {
+bool HttpServer::admit(ServerConnection& connection, const HttpRequest& request) {
     if (!classifier_)
         return true;
     const auto kind = classifier_(request);
-    if (kind != c.share_.kind())
-        shares_.classify(c.share_, kind);
+    if (kind != connection.share_.kind())
+        shares_.classify(connection.share_, kind);
     if (!shares_.over_share(kind))
         return true;
     auto* longest = shares_.longest_idle(kind);
@@ -284,11 +285,11 @@
 void HttpServer::sweep() {
     const double now = steady_now(loop_);
     std::vector<std::shared_ptr<ServerConnection>> old;
-    for (const auto& c : connections_)
-        if (c->stale(now, idle_s_))
-            old.push_back(c);
-    for (const auto& c : old)
-        c->close();
+    for (const auto& connection : connections_)
+        if (connection->stale(now, idle_s_))
+            old.push_back(connection);
+    for (const auto& connection : old)
+        connection->close();
 }
 
 } // namespace heronshift
--- a/src/http/socket.cpp
+++ b/src/http/socket.cpp
@@ -21,7 +21,7 @@
     return static_cast<double>(uv_hrtime()) * 1e-9;
 }
 
-void give_buffer(uv_handle_t* /*handle*/, std::size_t /*hint*/, uv_buf_t* buf) {
+void provide_read_buffer(uv_handle_t* /*handle*/, std::size_t /*hint*/, uv_buf_t* buf) {
     *buf = uv_buf_init(read_buffer, sizeof read_buffer);
 }
 
@@ -43,7 +43,7 @@
     return error;
 }
 
-bool read_address(const std::string& host, int port, sockaddr_in& out) {
+bool parse_ipv4_address(const std::string& host, int port, sockaddr_in& out) {
     return uv_ip4_addr(host.c_str(), port, &out) == 0;
 }
 
--- a/src/http/socket.hpp
+++ b/src/http/socket.hpp
@@ -13,13 +13,13 @@
 /// The allocation callback for uv_read_start. All connections of a thread share one buffer, because a loop reads from
 /// one connection at a time and passes the data on before it reads from the next. The buffer is thread-local because a
 /// program may run several loops, each on its own thread.
-void give_buffer(uv_handle_t* handle, std::size_t hint, uv_buf_t* buf);
+void provide_read_buffer(uv_handle_t* handle, std::size_t hint, uv_buf_t* buf);
 
 /// Writes all of `data`: as much as the socket accepts at once, and the remainder when the socket becomes writable.
 /// Returns 0 or a libuv error.
 int write_all(uv_tcp_t* tcp, std::string data);
 
 /// Parses an IPv4 address. Returns false if `host` is not one.
-[[nodiscard]] bool read_address(const std::string& host, int port, sockaddr_in& out);
+[[nodiscard]] bool parse_ipv4_address(const std::string& host, int port, sockaddr_in& out);
 
 } // namespace heronshift::http
--- a/src/leadership/leader_election.cpp
+++ b/src/leadership/leader_election.cpp
@@ -227,7 +227,7 @@
 void LeaderElection::perform(std::uint64_t epoch, const RequestExtensionVotes& action) {
     const auto body = encode(action.request);
     for (const auto& peer : settings_.peers)
-        peers_.request(Lane::control, peer.name, http_post, extension_vote_path, body, action.timeout_s,
+        peers_.request(PeerRequestClass::control, peer.name, http_post, extension_vote_path, body, action.timeout_s,
                        [this, epoch, sent_at = action.sent_at, name = peer.name](HttpReply&& reply) {
                            perform(state_machine_.extension_vote_received(epoch, timers_.now(), sent_at, name,
                                                                           decode_extension_vote_answer(reply)));
@@ -247,7 +247,7 @@
         return;
     const auto peer = successors.front();
     successors.erase(successors.begin());
-    peers_.request(Lane::control, peer, http_post, takeover_path, body, timeout_s,
+    peers_.request(PeerRequestClass::control, peer, http_post, takeover_path, body, timeout_s,
                    [this, body, successors = std::move(successors), timeout_s](HttpReply&& reply) mutable {
                        if (!takeover_accepted(reply))
                            offer_takeover(body, std::move(successors), timeout_s);
--- a/src/local/cloud.cpp
+++ b/src/local/cloud.cpp
@@ -9,8 +9,8 @@
 namespace heronshift::local {
 namespace {
 
-constexpr std::uint64_t tick_ms = 20, ticks_a_sweep = 5, ticks_a_second = 50;
-constexpr double answer_s = 4, next_node_s = 1, min_pause_s = 0.5;
+constexpr std::uint64_t tick_ms = 20, ticks_per_sweep = 5, ticks_per_second = 50;
+constexpr double heartbeat_timeout_s = 4, next_node_delay_s = 1, min_heartbeat_interval_s = 0.5;
 
 std::string error_body(const std::string& what) {
     return codec::Json{{"error", what}}.dump();
@@ -21,12 +21,12 @@
 EmulatedWorker::EmulatedWorker(Platform& p, std::string id, const MachineType& type, std::string zone, bool spot,
                                double up_at)
     : platform_(p), id_(std::move(id)), zone_(std::move(zone)), type_(type), spot_(spot), rented_at_(p.now()),
-      up_at_(up_at), lease_from_(up_at), next_heartbeat_(up_at), speed_(p.between(0.95, 1.05)),
+      up_at_(up_at), lease_start_(up_at), next_heartbeat_(up_at), speed_(p.random_between(0.95, 1.05)),
       server_(p.loop_, 64, 600,
               [this](HttpRequest&& request, const Responder& res) { handle(std::move(request), res); }) {}
 
 int EmulatedWorker::start() {
-    if (platform_.direct_) {
+    if (platform_.in_process_) {
         addr_ = id_;
         return 0;
     }
@@ -38,7 +38,7 @@
     return 0;
 }
 
-ListedMachine EmulatedWorker::listed(double now) const {
+ListedMachine EmulatedWorker::list_entry(double now) const {
     return {id_, addr_, type_.name, zone_, up(now) ? "running" : "booting", spot_, now - rented_at_};
 }
 
@@ -50,28 +50,28 @@
 }
 
 void EmulatedWorker::end(Run& r, ExitCause cause, bool saved) {
-    if (r.counted)
-        platform_.history_.off_machine(r.t.job, r.t.index, id_);
+    if (r.recorded)
+        platform_.history_.task_ended(r.t.job, r.t.index, id_);
     if (cause == ExitCause::done)
         platform_.history_.task_done(r.t.job, r.t.index);
-    r.counted = false;
+    r.recorded = false;
     r.t.state = TaskState::ended;
     r.t.cause = cause;
     r.t.saved = saved;
     changed_ = true;
 }
 
-void EmulatedWorker::lose_all() {
+void EmulatedWorker::drop_all_tasks() {
     for (auto& r : runs_)
-        if (r.counted)
-            platform_.history_.off_machine(r.t.job, r.t.index, id_);
+        if (r.recorded)
+            platform_.history_.task_ended(r.t.job, r.t.index, id_);
     runs_.clear();
 }
 
 void EmulatedWorker::launch(const Order& order, double now) {
     if (!platform_.jobs_.contains(order.job) && platform_.ask)
         if (const auto s = platform_.ask(order.job); s) {
-            platform_.know(*s);
+            platform_.register_job(*s);
             platform_.history_.submitted(*s);
         }
     const auto& specs = platform_.jobs_;
@@ -81,19 +81,19 @@
         platform_.on_launch(order, type_, zone_, spot_);
     const auto spec = specs.find(order.job);
     Resources used;
-    bool here = false;
+    bool other_attempt_active = false;
     for (const auto& x : runs_) {
         if (x.t.job == order.job && x.t.index == order.index) {
             if (x.t.attempt == order.attempt)
                 return;
-            here = here || x.t.state != TaskState::ended;
+            other_attempt_active = other_attempt_active || x.t.state != TaskState::ended;
         }
         if (const auto s = specs.find(x.t.job); s != specs.end() && x.t.state != TaskState::ended)
             used += s->second.each;
     }
     if (spec == specs.end() || order.index >= spec->second.tasks)
         end(r, ExitCause::unknown);
-    else if (here)
+    else if (other_attempt_active)
         end(r, ExitCause::busy);
     else if (!(used + spec->second.each).fits(type_.room))
         end(r, ExitCause::no_room);
@@ -132,11 +132,11 @@
     }
 }
 
-std::pair<int, std::optional<Heartbeat>> EmulatedWorker::obey(std::uint64_t fencing_token, std::uint64_t agent_epoch,
-                                                              const std::vector<Order>& list) {
+std::pair<int, std::optional<Heartbeat>>
+EmulatedWorker::take_orders(std::uint64_t fencing_token, std::uint64_t agent_epoch, const std::vector<Order>& list) {
     const double now = platform_.now();
-    ++platform_.messages_;
-    if (now < hung_until || now < cut_until || !up(now))
+    ++platform_.message_count_;
+    if (now < hung_until || now < cut_off_until || !up(now))
         return {0, {}};
     if (fencing_token < fencing_token_ || agent_epoch != agent_epoch_)
         return {409, heartbeat()};
@@ -148,7 +148,7 @@
 
 void EmulatedWorker::handle(HttpRequest&& request, const Responder& res) {
     const double now = platform_.now();
-    if (now < hung_until || now < cut_until || !up(now))
+    if (now < hung_until || now < cut_off_until || !up(now))
         return; // No answer: the caller times out.
     if (request.method == "GET" && request.path == codec::path_status)
         return res.send(200, codec::to_body(heartbeat()));
@@ -158,12 +158,12 @@
     if (!o || !o->fencing_token || !o->agent_epoch)
         return res.send(400, error_body("fence and tenure are needed"));
     const auto take = [this, o = *o, res] {
-        const auto [status, answer] = obey(*o.fencing_token, *o.agent_epoch, o.list);
+        const auto [status, answer] = take_orders(*o.fencing_token, *o.agent_epoch, o.list);
         if (answer)
             res.send(status, codec::to_body(*answer));
     };
-    if (now < late_until)
-        return held_.push_back(take);
+    if (now < delayed_until)
+        return delayed_messages_.push_back(take);
     take();
 }
 
@@ -171,20 +171,20 @@
     const auto n = platform_.plan_.workers.nodes.size();
     if (n > 0)
         node_ = (node_ + 1) % n;
-    next_heartbeat_ = now + next_node_s;
+    next_heartbeat_ = now + next_node_delay_s;
 }
 
-void EmulatedWorker::answered(const HeartbeatResponse& a, double sent, std::uint64_t agent_epoch) {
+void EmulatedWorker::handle_response(const HeartbeatResponse& a, double sent, std::uint64_t agent_epoch) {
     in_flight_ = false;
     const double now = platform_.now();
-    if (now < cut_until || now < hung_until)
+    if (now < cut_off_until || now < hung_until)
         return;
     const auto& nodes = platform_.plan_.workers.nodes;
     if (a.status == 421) {
         for (std::size_t i = 0; i < nodes.size(); ++i)
             if (nodes[i].first == a.leader && i != node_) {
                 node_ = i;
-                next_heartbeat_ = now + (platform_.plan_.lockstep ? 0 : platform_.between(0, 0.5));
+                next_heartbeat_ = now + (platform_.plan_.lockstep ? 0 : platform_.random_between(0, 0.5));
                 return;
             }
         return next_node(now);
@@ -195,7 +195,7 @@
         return; // The response is outdated. The next heartbeat goes to the same controller.
     changed_ = changed_ || a.fencing_token > fencing_token_;
     fencing_token_ = a.fencing_token;
-    lease_from_ = std::max(lease_from_, sent);
+    lease_start_ = std::max(lease_start_, sent);
     execute(a.orders, now);
 }
 
@@ -203,35 +203,36 @@
     const auto& w = platform_.plan_.workers;
     if (in_flight_ || w.nodes.empty())
         return;
-    const bool due = now >= next_heartbeat_ ||
-                     (changed_ && now >= last_heartbeat_at_ + min_pause_s && next_heartbeat_ - now < w.report_s);
+    const bool due = now >= next_heartbeat_ || (changed_ && now >= last_heartbeat_at_ + min_heartbeat_interval_s &&
+                                                next_heartbeat_ - now < w.report_s);
     if (!due)
         return;
-    next_heartbeat_ = now + w.report_s * (platform_.plan_.lockstep ? 1 : platform_.between(0.75, 1.25));
+    next_heartbeat_ = now + w.report_s * (platform_.plan_.lockstep ? 1 : platform_.random_between(0.75, 1.25));
     last_heartbeat_at_ = now;
     changed_ = false;
-    if (now < cut_until)
+    if (now < cut_off_until)
         return;
-    if (now < late_until) { // Sent later, when this worker no longer waits for the response.
-        held_.emplace_back([this, r = heartbeat()] { platform_.send(*this, r, [](const HeartbeatResponse&) {}); });
+    if (now < delayed_until) { // Sent later, when this worker no longer waits for the response.
+        delayed_messages_.emplace_back(
+            [this, r = heartbeat()] { platform_.send(*this, r, [](const HeartbeatResponse&) {}); });
         return;
     }
     in_flight_ = true;
     platform_.send(*this, heartbeat(),
                    [&p = platform_, id = id_, now, agent_epoch = agent_epoch_](const HeartbeatResponse& a) {
-                       ++p.messages_;
+                       ++p.message_count_;
                        const auto it = p.machines_.find(id);
                        if (it != p.machines_.end())
-                           it->second->answered(a, now, agent_epoch);
+                           it->second->handle_response(a, now, agent_epoch);
                    });
 }
 
 void Platform::send(EmulatedWorker& w, Heartbeat heartbeat, std::function<void(const HeartbeatResponse&)> done) {
-    ++messages_;
-    if (direct_)
-        return reports_ ? reports_(std::move(heartbeat), std::move(done)) : done({});
+    ++message_count_;
+    if (in_process_)
+        return heartbeat_handler_ ? heartbeat_handler_(std::move(heartbeat), std::move(done)) : done({});
     client_.request(plan_.workers.nodes[w.node_].second, "POST", std::string(codec::path_heartbeat),
-                    codec::to_body(heartbeat), answer_s, [done = std::move(done)](HttpReply&& reply) {
+                    codec::to_body(heartbeat), heartbeat_timeout_s, [done = std::move(done)](HttpReply&& reply) {
                         HeartbeatResponse a;
                         auto o = reply.status == 200 ? codec::read_orders(reply.body) : std::nullopt;
                         if (reply.status == 421) {
@@ -251,33 +252,33 @@
         return;
     const auto& w = platform_.plan_.workers;
     // Applies to hung machines too: once the lease has expired, the tasks must not continue.
-    if (now > lease_from_ + w.lease_s) {
-        lose_all();
+    if (now > lease_start_ + w.lease_s) {
+        drop_all_tasks();
         ++agent_epoch_;
-        lease_from_ = now;
+        lease_start_ = now;
         changed_ = true;
     }
     if (now < hung_until)
         return;
-    if (now >= late_until && now >= cut_until)
-        for (const auto& callback : std::exchange(held_, {}))
+    if (now >= delayed_until && now >= cut_off_until)
+        for (const auto& callback : std::exchange(delayed_messages_, {}))
             callback();
     for (auto& r : runs_) {
         const auto& spec = platform_.jobs_[r.t.job];
         if (r.t.state == TaskState::fetching && now >= r.until) {
             images_.insert(spec.image);
-            if (sick) {
+            if (fails_all_tasks) {
                 end(r, ExitCause::error);
                 continue;
             }
-            platform_.history_.on_machine(r.t.job, r.t.index, {id_, type_.name, zone_, spot_}, now);
-            r.counted = true;
+            platform_.history_.task_started(r.t.job, r.t.index, {id_, type_.name, zone_, spot_}, now);
+            r.recorded = true;
             r.t.state = spec.shape == Shape::gang && spec.tasks > 1 ? TaskState::waiting : TaskState::running;
             const double run = platform_.run_s(spec, r.t) / speed_;
             r.until = now + (r.t.state == TaskState::waiting ? w.gang_wait_s : run);
             changed_ = true;
         } else if (r.t.state == TaskState::waiting) {
-            const auto all = platform_.mates(r.t.job, r.t.attempt);
+            const auto all = platform_.gang_tasks(r.t.job, r.t.attempt);
             const bool ready = all.size() == spec.tasks && std::all_of(all.begin(), all.end(), [](const auto& x) {
                                    return x.run->t.state == TaskState::waiting;
                                });
@@ -287,22 +288,22 @@
                     break;
                 x.run->t.state = TaskState::running;
                 x.run->until = now + run;
-                x.on->changed_ = true;
+                x.worker->changed_ = true;
             }
             changed_ = changed_ || ready;
             if (!ready && now >= r.until)
                 end(r, ExitCause::alone);
         } else if (r.t.state == TaskState::running && spec.shape == Shape::gang && spec.tasks > 1) {
-            const auto all = platform_.mates(r.t.job, r.t.attempt);
+            const auto all = platform_.gang_tasks(r.t.job, r.t.attempt);
             if (all.size() < spec.tasks) {
-                if (r.mate_lost < 0)
-                    r.mate_lost = now;
-                if (now > r.mate_lost + w.gang_peer_s)
+                if (r.peer_missing_since < 0)
+                    r.peer_missing_since = now;
+                if (now > r.peer_missing_since + w.gang_peer_s)
                     end(r, ExitCause::peers);
             } else if (now >= r.until) {
                 for (const auto& x : all) // The tasks of a gang complete together.
                     if (x.run->t.state == TaskState::running)
-                        x.on->end(*x.run, ExitCause::done);
+                        x.worker->end(*x.run, ExitCause::done);
             }
         } else if (r.t.state == TaskState::running && spec.shape != Shape::service && now >= r.until) {
             end(r, ExitCause::done);
@@ -329,40 +330,41 @@
 
 // Connects a scheduler in this process to the platform by function calls instead of HTTP. As with HTTP, answers arrive
 // in a later turn of the loop.
-class Platform::Direct final : public Executor {
+class Platform::InProcessExecutor final : public Executor {
 public:
-    explicit Direct(Platform& p) : platform_(p), answers_(p.loop_) {}
-    ~Direct() override {
-        platform_.reports_ = nullptr;
+    explicit InProcessExecutor(Platform& p) : platform_(p), answers_(p.loop_) {}
+    ~InProcessExecutor() override {
+        platform_.heartbeat_handler_ = nullptr;
     }
     void set_heartbeat_handler(Heartbeats callback) override {
-        platform_.reports_ = std::move(callback);
+        platform_.heartbeat_handler_ = std::move(callback);
     }
     void command(const SendOrders& effect, double, std::function<void(OrdersAnswered&&)> done) override {
         const auto it = platform_.machines_.find(effect.machine);
         OrdersAnswered a{effect.machine, effect.batch, 0, it != platform_.machines_.end(), std::nullopt};
         if (it != platform_.machines_.end())
-            std::tie(a.status, a.heartbeat) = it->second->obey(effect.fencing_token, effect.agent_epoch, effect.orders);
-        timers(std::move(done), std::move(a));
+            std::tie(a.status, a.heartbeat) =
+                it->second->take_orders(effect.fencing_token, effect.agent_epoch, effect.orders);
+        post_answer(std::move(done), std::move(a));
     }
     void rent(const Rent& ask, double, std::function<void(Rented&&)> done) override {
-        timers(std::move(done), platform_.out ? Rented{ask.claim, RentOutcome::failed, {}} : platform_.rent(ask));
+        post_answer(std::move(done), platform_.out ? Rented{ask.claim, RentOutcome::failed, {}} : platform_.rent(ask));
     }
     void release(const Release& ask, double, std::function<void(Released&&)> done) override {
         if (!platform_.out)
             platform_.release(ask.machines);
-        timers(std::move(done), Released{ask.machines, !platform_.out});
+        post_answer(std::move(done), Released{ask.machines, !platform_.out});
     }
     void list(const std::string& since, double,
               std::function<void(std::optional<codec::MachinePage>&&)> done) override {
-        timers(std::move(done), platform_.out ? std::nullopt : std::optional(platform_.page(since)));
+        post_answer(std::move(done), platform_.out ? std::nullopt : std::optional(platform_.page(since)));
     }
     void types(double, std::function<void(std::optional<std::vector<MachineType>>&&)> done) override {
-        timers(std::move(done), platform_.out ? std::nullopt : std::optional(platform_.plan_.types));
+        post_answer(std::move(done), platform_.out ? std::nullopt : std::optional(platform_.plan_.types));
     }
 
 private:
-    template <class F, class A> void timers(F done, A answer) {
+    template <class F, class A> void post_answer(F done, A answer) {
         answers_.post([done = std::move(done), answer = std::move(answer)]() mutable { done(std::move(answer)); });
     }
     Platform& platform_;
@@ -370,28 +372,28 @@
 };
 
 std::unique_ptr<Executor> Platform::executor() {
-    direct_ = true;
+    in_process_ = true;
     if (plan_.workers.nodes.empty())
         plan_.workers.nodes.emplace_back("direct", "");
     if (!plan_.lockstep)
         timer_.start(loop_, tick_ms, [this] { turn(); });
-    return std::make_unique<Direct>(*this);
+    return std::make_unique<InProcessExecutor>(*this);
 }
 
 void Platform::turn() {
     const double t = now();
-    gone_.clear();
+    removed_machines_.clear();
     for (auto& [id, m] : machines_)
         m->tick(t);
-    if (++ticks_ % ticks_a_sweep == 0)
+    if (++ticks_ % ticks_per_sweep == 0)
         client_.sweep();
-    if (ticks_ % ticks_a_second == 0)
+    if (ticks_ % ticks_per_second == 0)
         server_.sweep();
     history_.check(t);
 }
 
-std::vector<Platform::Mate> Platform::mates(const std::string& job, std::uint64_t attempt) {
-    std::vector<Mate> out;
+std::vector<Platform::GangTask> Platform::gang_tasks(const std::string& job, std::uint64_t attempt) {
+    std::vector<GangTask> out;
     for (auto& [id, m] : machines_)
         for (auto& r : m->runs_)
             if (r.t.job == job && r.t.attempt == attempt &&
@@ -407,7 +409,7 @@
     return std::max(0.05, spec.estimate_s * plan_.run_share * std::uniform_real_distribution<double>(0.67, 1.33)(rng));
 }
 
-EmulatedWorker* Platform::any() {
+EmulatedWorker* Platform::random_worker() {
     std::vector<EmulatedWorker*> list;
     for (auto& [id, m] : machines_)
         if (m->up(now()))
@@ -416,17 +418,17 @@
 }
 
 void Platform::kill(EmulatedWorker& w) {
-    w.lose_all();
+    w.drop_all_tasks();
     const auto it = machines_.find(w.id_);
-    gone_.push_back(std::move(it->second));
+    removed_machines_.push_back(std::move(it->second));
     machines_.erase(it);
 }
 
-Platform::Sum Platform::sum() const {
-    Sum s;
+Platform::Totals Platform::totals() const {
+    Totals s;
     s.machines = machines_.size();
-    s.rented = named_;
-    s.returned = returned_;
+    s.rented = rented_count_;
+    s.returned = returned_count_;
     for (const auto& [id, m] : machines_) {
         s.up += m->up(now());
         s.fencing_token = std::max(s.fencing_token, m->fencing_token_);
@@ -470,29 +472,29 @@
 }
 
 codec::MachinePage Platform::page(const std::string& since) {
-    ++messages_;
+    ++message_count_;
     codec::MachinePage page;
     for (auto it = machines_.upper_bound(since); it != machines_.end(); ++it) {
         if (page.machines.size() >= 500) {
             page.more = true;
             break;
         }
-        page.machines.push_back(it->second->listed(now()));
+        page.machines.push_back(it->second->list_entry(now()));
     }
     return page;
 }
 
 void Platform::release(const std::vector<std::string>& machines) {
-    ++messages_;
+    ++message_count_;
     for (const auto& id : machines)
         if (const auto it = machines_.find(id); it != machines_.end()) {
-            ++returned_;
+            ++returned_count_;
             kill(*it->second);
         }
 }
 
 Rented Platform::rent(const Rent& ask) {
-    ++messages_;
+    ++message_count_;
     const MachineType* type = nullptr;
     for (const auto& x : plan_.types)
         if (x.name == ask.type && std::find(x.zones.begin(), x.zones.end(), ask.zone) != x.zones.end())
@@ -510,9 +512,9 @@
         return {ask.claim, RentOutcome::no_capacity, {}};
     auto& names = claims_[ask.claim];
     for (int i = 0; i < n; ++i) {
-        auto id = fmt::format("n-{:06}", ++named_);
+        auto id = fmt::format("n-{:06}", ++rented_count_);
         auto w = std::make_unique<EmulatedWorker>(*this, id, *type, ask.zone, ask.spot,
-                                                  now() + type->boot_s * between(0.6, 1.5));
+                                                  now() + type->boot_s * random_between(0.6, 1.5));
         if (w->start() != 0)
             break;
         machines_[id] = std::move(w);
--- a/src/local/cloud.hpp
+++ b/src/local/cloud.hpp
@@ -54,23 +54,23 @@
     /// Advances the tasks to the time `now` and sends a heartbeat if one is due.
     void tick(double now);
     /// Drops all tasks, because the machine is gone or its lease has expired.
-    void lose_all();
+    void drop_all_tasks();
     /// Executes orders. Returns status 200, or 409 if the fencing token is outdated or the agent epoch is not the
     /// current one, each with a heartbeat; 0 without a heartbeat if the machine does not answer.
-    std::pair<int, std::optional<Heartbeat>> obey(std::uint64_t fencing_token, std::uint64_t agent_epoch,
-                                                  const std::vector<Order>& list);
+    std::pair<int, std::optional<Heartbeat>> take_orders(std::uint64_t fencing_token, std::uint64_t agent_epoch,
+                                                         const std::vector<Order>& list);
 
-    [[nodiscard]] ListedMachine listed(double now) const;
+    [[nodiscard]] ListedMachine list_entry(double now) const;
     [[nodiscard]] bool up(double now) const {
         return now >= up_at_;
     }
-    /// Faults. Until `hung_until` the machine does nothing; until `cut_until` it is cut off from the network, but its
-    /// tasks continue to run.
-    double hung_until = -1, cut_until = -1;
-    bool sick = false; ///< A fault: every task fails once it has its image.
+    /// Faults. Until `hung_until` the machine does nothing; until `cut_off_until` it is cut off from the network, but
+    /// its tasks continue to run.
+    double hung_until = -1, cut_off_until = -1;
+    bool fails_all_tasks = false; ///< A fault: every task fails once it has its image.
     /// Until then messages in both directions are delayed. They arrive in order afterwards, when their senders have
     /// given up waiting for an answer.
-    double late_until = -1;
+    double delayed_until = -1;
 
 private:
     friend class Platform;
@@ -78,15 +78,15 @@
         ReportedTask t;
         // When the current state ends: fetching the image, waiting for the rest of the gang, running, or saving.
         double until = 0;
-        bool counted = false;  // The history has recorded the task as being on this machine.
-        double mate_lost = -1; // Since when a task of the same gang is missing; -1: none is.
+        bool recorded = false;          // The history has recorded the task as being on this machine.
+        double peer_missing_since = -1; // Since when a task of the same gang is missing; -1: none is.
     };
     void handle(HttpRequest&& request, const Responder& res);
     void execute(const std::vector<Order>& list, double now);
     void launch(const Order& order, double now);
     void end(Run& r, ExitCause cause, bool saved = false);
     void heartbeat(double now);
-    void answered(const HeartbeatResponse& a, double sent, std::uint64_t agent_epoch);
+    void handle_response(const HeartbeatResponse& a, double sent, std::uint64_t agent_epoch);
     void next_node(double now);
     Heartbeat heartbeat();
 
@@ -94,14 +94,14 @@
     std::string id_, zone_, addr_;
     const MachineType& type_;
     bool spot_;
-    double rented_at_, up_at_, lease_from_, next_heartbeat_ = 0, speed_ = 1;
+    double rented_at_, up_at_, lease_start_, next_heartbeat_ = 0, speed_ = 1;
     std::uint64_t agent_epoch_ = 1, counter_ = 0, fencing_token_ = 0;
     std::size_t node_ = 0;
     bool in_flight_ = false, changed_ = false;
     double last_heartbeat_at_ = -1;
     std::set<std::string> images_;
     std::vector<Run> runs_;
-    std::vector<std::function<void()>> held_; // Messages that are delayed until `late_until`.
+    std::vector<std::function<void()>> delayed_messages_; // Messages that are delayed until `delayed_until`.
     HttpServer server_;
 };
 
@@ -124,7 +124,7 @@
         plan_.workers.nodes = std::move(nodes);
     }
     /// Tells the machines the description of a job, without which they cannot run its tasks.
-    void know(const JobSpec& spec) {
+    void register_job(const JobSpec& spec) {
         jobs_[spec.id] = spec;
     }
     /// Called for a job that is not known yet, because it was submitted by another program. Returns its description, if
@@ -132,48 +132,48 @@
     std::function<std::optional<JobSpec>(const std::string& id)> ask;
     bool out = false; ///< A fault: the cloud refuses all requests.
     /// Returns a random machine that is up, or null if there is none.
-    EmulatedWorker* any();
+    EmulatedWorker* random_worker();
     /// Removes a machine together with its tasks.
     void kill(EmulatedWorker& w);
 
-    struct Sum {
+    struct Totals {
         std::size_t machines = 0, up = 0, running = 0; ///< Machines, machines that are up, and running tasks.
         /// Machines rented and returned so far, and the highest fencing token that a machine has seen.
         std::uint64_t rented = 0, returned = 0, fencing_token = 0;
     };
-    [[nodiscard]] Sum sum() const;
+    [[nodiscard]] Totals totals() const;
     [[nodiscard]] double now() const {
         return plan_.clock->now();
     }
     /// The number of messages between machines, cloud and controllers so far. It does not change while there is no
     /// traffic.
     [[nodiscard]] std::uint64_t messages() const {
-        return messages_;
+        return message_count_;
     }
     /// Called when a machine receives a launch order.
     std::function<void(const Order&, const MachineType&, const std::string& zone, bool spot)> on_launch;
 
 private:
     friend class EmulatedWorker;
-    class Direct;
+    class InProcessExecutor;
     void handle(HttpRequest&& request, const Responder& res);
     Rented rent(const Rent& ask);
     void release(const std::vector<std::string>& machines);
     codec::MachinePage page(const std::string& since);
     void send(EmulatedWorker& w, Heartbeat heartbeat, std::function<void(const HeartbeatResponse&)> done);
-    double between(double a, double b) {
+    double random_between(double a, double b) {
         return std::uniform_real_distribution<double>(a, b)(rng_);
     }
     // How long a task runs, in seconds. It is drawn from a generator seeded with the names of the job, the task and the
     // attempt, so that it does not depend on how many random numbers were drawn before.
     [[nodiscard]] double run_s(const JobSpec& spec, const ReportedTask& task) const;
     // A task of a gang, on its machine.
-    struct Mate {
-        EmulatedWorker* on;
+    struct GangTask {
+        EmulatedWorker* worker;
         EmulatedWorker::Run* run;
     };
     // The tasks of one attempt of a gang that are on machines, without those that ended before they were done.
-    std::vector<Mate> mates(const std::string& job, std::uint64_t attempt);
+    std::vector<GangTask> gang_tasks(const std::string& job, std::uint64_t attempt);
 
     uv_loop_t* loop_;
     PlatformPlan plan_;
@@ -183,12 +183,12 @@
     HttpClient client_;
     std::map<std::string, std::unique_ptr<EmulatedWorker>> machines_;
     // Removed machines. They are destroyed in the next `turn`, since one of their callbacks may be running now.
-    std::vector<std::unique_ptr<EmulatedWorker>> gone_;
+    std::vector<std::unique_ptr<EmulatedWorker>> removed_machines_;
     std::map<std::string, std::vector<std::string>> claims_;
     std::map<std::string, JobSpec> jobs_;
-    std::uint64_t ticks_ = 0, named_ = 0, returned_ = 0, messages_ = 0;
-    Executor::Heartbeats reports_; // Takes heartbeats, if the scheduler is in this process.
-    bool direct_ = false;
+    std::uint64_t ticks_ = 0, rented_count_ = 0, returned_count_ = 0, message_count_ = 0;
+    Executor::Heartbeats heartbeat_handler_; // Takes heartbeats, if the scheduler is in this process.
+    bool in_process_ = false;
     LoopTimer timer_;
 };
 
--- a/src/local/emulator.hpp
+++ b/src/local/emulator.hpp
@@ -11,13 +11,13 @@
 namespace heronshift::local {
 
 /// The machine types that the emulated cloud offers by default.
-std::vector<MachineType> usual_types();
+std::vector<MachineType> default_machine_types();
 /// Returns a substitute for the description of a job that cannot be read here. Its tasks need no resources and run for
 /// about one second.
-JobSpec any_job(const std::string& id);
+JobSpec substitute_job(const std::string& id);
 
 /// Parses an address such as "127.0.0.1:7001". Throws SettingsError.
-Endpoint address(const std::string& text);
+Endpoint parse_address(const std::string& text);
 
 /// Each of these serves until SIGINT or SIGTERM and returns the exit code: 0, or 2 if it cannot listen.
 int run_state(const Endpoint& listen, const store::Limits& limits);
--- a/src/local/local.cpp
+++ b/src/local/local.cpp
@@ -24,10 +24,10 @@
 
 constexpr int nodes = 3;
 constexpr double report_s = 1, lease_s = 6, cancel_s = 15;
-constexpr double patience_s = 90; // Time after the last submission in which all jobs must end.
-constexpr double user_timeout_s = 5, poll_timeout_s = 2, poll_every_s = 1, give_up_s = 60;
-constexpr double back_after_s = 2; // Delay before a controller that has ended is started again.
-constexpr double fault_every_s = 2.5;
+constexpr double completion_timeout_s = 90; // Time after the last submission in which all jobs must end.
+constexpr double user_timeout_s = 5, poll_timeout_s = 2, poll_interval_s = 1, submission_timeout_s = 60;
+constexpr double restart_delay_s = 2; // Delay before a controller that has ended is started again.
+constexpr double fault_interval_s = 2.5;
 
 std::vector<TeamLimits> teams() {
     return {{"red", 40, 64, 0, 0}, {"blue", 24, 48, 0, 0}};
@@ -51,17 +51,17 @@
     return spec;
 }
 
-class Local {
+class LocalPlatform {
 public:
-    explicit Local(const LocalOptions& o) : options_(o), rng_(o.seed), history_(teams(), cancel_s) {
+    explicit LocalPlatform(const LocalOptions& o) : options_(o), rng_(o.seed), history_(teams(), cancel_s) {
         uv_loop_init(&loop_);
-        users_ = std::make_unique<HttpClient>(&loop_, 64, 1024);
+        http_client_ = std::make_unique<HttpClient>(&loop_, 64, 1024);
     }
-    ~Local() {
-        stop_nodes();
+    ~LocalPlatform() {
+        kill_controllers();
         platform_.reset();
         store_.reset();
-        users_.reset();
+        http_client_.reset();
         tick_.reset();
         if (interrupt_ != nullptr)
             uv_close(reinterpret_cast<uv_handle_t*>(interrupt_),
@@ -69,8 +69,8 @@
         uv_run(&loop_, UV_RUN_DEFAULT); // Returns once the controllers have ended and all handles are closed.
         uv_loop_close(&loop_);
     }
-    Local(const Local&) = delete;
-    Local& operator=(const Local&) = delete;
+    LocalPlatform(const LocalPlatform&) = delete;
+    LocalPlatform& operator=(const LocalPlatform&) = delete;
 
     int run() {
         if (const auto why = start(); !why.empty()) {
@@ -86,30 +86,30 @@
         std::string name, config, log;
         Port user, peer;
         uv_process_t* process = nullptr;
-        double back_at = -1;
+        double restart_at = -1;
         int starts = 0;
     };
     // A simulated user, who submits one job and polls it until it has ended.
     struct User {
         JobSpec spec;
-        double at = 0, next = 0, cancel_at = -1, first_try = -1;
-        enum class State { waits, submits, polls, cancels, over } state = State::waits;
-        bool asking = false;
+        double submit_at = 0, next_request_at = 0, cancel_at = -1, first_attempt_at = -1;
+        enum class State { waiting, submitting, polling, cancelling, ended } state = State::waiting;
+        bool request_pending = false;
         std::string last = "not submitted"; // The state of the job that the user was last told.
     };
 
-    double between(double a, double b) {
+    double random_between(double a, double b) {
         return std::uniform_real_distribution<double>(a, b)(rng_);
     }
     [[nodiscard]] double now() const {
-        return static_cast<double>(uv_hrtime()) * 1e-9 - began_;
+        return static_cast<double>(uv_hrtime()) * 1e-9 - start_time_;
     }
-    void say(const std::string& line) const {
+    void print_line(const std::string& line) const {
         std::cerr << fmt::format("{:6.1f} s  {}\n", now(), line);
     }
 
     std::string start() {
-        began_ = static_cast<double>(uv_hrtime()) * 1e-9;
+        start_time_ = static_cast<double>(uv_hrtime()) * 1e-9;
         folder_ = options_.folder;
         if (folder_.empty()) {
             const char* tmp = std::getenv("TMPDIR");
@@ -126,7 +126,7 @@
         PlatformPlan plan;
         plan.workers.report_s = report_s;
         plan.workers.lease_s = lease_s;
-        plan.types = usual_types();
+        plan.types = default_machine_types();
         plan.seed = options_.seed;
         for (int i = 0; i < (options_.serve_port > 0 ? 0 : nodes); ++i) {
             Controller c;
@@ -134,7 +134,7 @@
             c.config = fmt::format("{}/{}.toml", folder_, c.name);
             c.log = fmt::format("{}/{}.log", folder_, c.name);
             plan.workers.nodes.emplace_back(c.name, fmt::format("127.0.0.1:{}", c.user.number()));
-            nodes_.push_back(std::move(c));
+            controllers_.push_back(std::move(c));
         }
         if (options_.serve_port > 0)
             plan.workers.nodes.emplace_back("alone", fmt::format("127.0.0.1:{}", options_.serve_port));
@@ -149,20 +149,20 @@
             if (options_.serve_port == 0)
                 return {};
             // The job may be in the other program's own store, which cannot be read from here.
-            return any_job(id);
+            return substitute_job(id);
         };
-        for (std::size_t i = 0; i < nodes_.size(); ++i) {
-            const auto& c = nodes_[i];
+        for (std::size_t i = 0; i < controllers_.size(); ++i) {
+            const auto& c = controllers_[i];
             if (!write_settings(c.config, c.name, c.user.number(), c.peer.number()))
-                return nodes_[i].config + ": cannot write the settings";
-            if (!spawn(nodes_[i]))
+                return controllers_[i].config + ": cannot write the settings";
+            if (!spawn(controllers_[i]))
                 return "cannot start a controller";
         }
         if (options_.serve_port > 0) {
             const auto path = folder_ + "/settings.toml";
-            if (!write_settings(path, "alone", options_.serve_port, spare_.number()))
+            if (!write_settings(path, "alone", options_.serve_port, unused_peer_port_.number()))
                 return path + ": cannot write the settings";
-            say("settings for the program that runs the scheduler: " + path);
+            print_line("settings for the program that runs the scheduler: " + path);
             options_.stay = true;
         } else {
             plan_load();
@@ -173,11 +173,12 @@
         uv_signal_init(&loop_, interrupt_);
         interrupt_->data = this;
         uv_signal_start(
-            interrupt_, [](uv_signal_t* s, int) { static_cast<Local*>(s->data)->finish("interrupted"); }, SIGINT);
-        say(fmt::format("state service on 127.0.0.1:{}, cloud on 127.0.0.1:{}, logs in {}", store_->port(),
-                        platform_->port(), folder_));
-        for (const auto& c : nodes_)
-            say(fmt::format("{} on http://127.0.0.1:{}", c.name, c.user.number()));
+            interrupt_, [](uv_signal_t* s, int) { static_cast<LocalPlatform*>(s->data)->finish("interrupted"); },
+            SIGINT);
+        print_line(fmt::format("state service on 127.0.0.1:{}, cloud on 127.0.0.1:{}, logs in {}", store_->port(),
+                               platform_->port(), folder_));
+        for (const auto& c : controllers_)
+            print_line(fmt::format("{} on http://127.0.0.1:{}", c.name, c.user.number()));
         return {};
     }
 
@@ -185,7 +186,7 @@
         std::ofstream f(path);
         f << fmt::format("host_name = \"{}\"\nzone = \"a\"\nbind = \"127.0.0.1:{}\"\nback = \"127.0.0.1:{}\"\n", name,
                          user, peer);
-        for (const auto& c : nodes_)
+        for (const auto& c : controllers_)
             if (c.name != name)
                 f << fmt::format("\n[[others]]\nhost_name = \"{}\"\nzone = \"a\"\npeer_addr = \"127.0.0.1:{}\"\n",
                                  c.name, c.peer.number());
@@ -210,10 +211,10 @@
         const int log = ::open(c.log.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0644);
         if (log < 0)
             return false;
-        std::vector<std::string> words{program, "--config", c.config};
+        std::vector<std::string> arguments{program, "--config", c.config};
         std::vector<char*> args;
-        args.reserve(words.size() + 1);
-        for (auto& w : words)
+        args.reserve(arguments.size() + 1);
+        for (auto& w : arguments)
             args.push_back(w.data());
         args.push_back(nullptr);
         uv_stdio_container_t io[3];
@@ -239,37 +240,37 @@
         return e == 0;
     }
 
-    void stop_nodes() {
-        for (auto& c : nodes_)
+    void kill_controllers() {
+        for (auto& c : controllers_)
             if (c.process != nullptr)
                 uv_process_kill(c.process, SIGKILL);
     }
 
     void plan_load() {
         int n = 0;
-        auto add = [&](JobSpec spec, double at, double cancel_at = -1) {
+        auto add = [&](JobSpec spec, double submit_at, double cancel_at = -1) {
             User u;
-            u.at = at;
+            u.submit_at = submit_at;
             u.cancel_at = cancel_at;
             u.spec = std::move(spec);
-            users_wanted_.push_back(std::move(u));
+            users_.push_back(std::move(u));
         };
         const double last = options_.seconds;
         for (int i = 0; i < options_.jobs; ++i) {
-            const double at = 2 + (last - 2) * i / std::max(1, options_.jobs);
+            const double submit_at = 2 + (last - 2) * i / std::max(1, options_.jobs);
             const auto team = i % 3 == 0 ? "blue" : "red";
             if (i % 4 == 1) {
                 auto spec = job(++n, Shape::gang, 2 + static_cast<std::uint32_t>(rng_() % 3), 4, team, 2);
                 spec.one_zone = i % 8 == 1;
-                add(std::move(spec), at);
+                add(std::move(spec), submit_at);
             } else if (i % 4 == 2) {
                 auto spec = job(++n, Shape::service, 2 + static_cast<std::uint32_t>(rng_() % 2), 1, team, 0);
                 spec.spread = true;
                 // Services never end by themselves, so their users cancel them after the last submission.
-                add(std::move(spec), at, last + 2);
+                add(std::move(spec), submit_at, last + 2);
             } else {
                 auto spec = job(++n, Shape::array, 3 + static_cast<std::uint32_t>(rng_() % 12), 2, team, 1.5);
-                add(std::move(spec), at, i % 8 == 7 ? at + between(0, 3) : -1);
+                add(std::move(spec), submit_at, i % 8 == 7 ? submit_at + random_between(0, 3) : -1);
             }
         }
         // A pipeline: each step depends on the previous one.
@@ -283,183 +284,183 @@
         }
     }
 
-    std::string some_node() {
-        return fmt::format("127.0.0.1:{}", nodes_[rng_() % nodes_.size()].user.number());
+    std::string random_controller() {
+        return fmt::format("127.0.0.1:{}", controllers_[rng_() % controllers_.size()].user.number());
     }
 
     // Sends the next request of a user, if one is due, as the protocol prescribes for clients.
-    void serve(std::size_t i, double t) {
-        auto& u = users_wanted_[i];
+    void send_next_request(std::size_t i, double t) {
+        auto& u = users_[i];
         using S = User::State;
-        if (u.asking || u.state == S::over || t < u.next)
+        if (u.request_pending || u.state == S::ended || t < u.next_request_at)
             return;
-        if (u.state == S::waits) {
+        if (u.state == S::waiting) {
             const bool ready =
                 std::all_of(u.spec.dependencies.begin(), u.spec.dependencies.end(), [this](const auto& id) {
-                    return std::any_of(users_wanted_.begin(), users_wanted_.end(), [&](const User& x) {
-                        return x.spec.id == id && x.state != S::waits && x.state != S::submits;
+                    return std::any_of(users_.begin(), users_.end(), [&](const User& x) {
+                        return x.spec.id == id && x.state != S::waiting && x.state != S::submitting;
                     });
                 });
-            if (t < u.at || !ready)
+            if (t < u.submit_at || !ready)
                 return;
-            u.state = S::submits;
-            u.first_try = t;
-            platform_->know(u.spec);
+            u.state = S::submitting;
+            u.first_attempt_at = t;
+            platform_->register_job(u.spec);
             history_.submitted(u.spec);
         }
-        if (u.state == S::polls && u.cancel_at >= 0 && t >= u.cancel_at) {
-            u.state = S::cancels;
-            history_.cancel_asked(u.spec.id);
+        if (u.state == S::polling && u.cancel_at >= 0 && t >= u.cancel_at) {
+            u.state = S::cancelling;
+            history_.cancellation_requested(u.spec.id);
         }
         const auto path = std::string(codec::path_jobs);
-        const auto one = path + "/" + u.spec.id;
-        u.asking = true;
-        auto done = [this, i](HttpReply&& reply) { answered(i, reply); };
-        if (u.state == S::submits)
-            users_->request(some_node(), "POST", path, codec::to_body(u.spec), user_timeout_s, done);
-        else if (u.state == S::cancels)
-            users_->request(some_node(), "POST", one + "/" + std::string(codec::suffix_cancel), "{}", user_timeout_s,
-                            done);
+        const auto job_path = path + "/" + u.spec.id;
+        u.request_pending = true;
+        auto done = [this, i](HttpReply&& reply) { handle_answer(i, reply); };
+        if (u.state == S::submitting)
+            http_client_->request(random_controller(), "POST", path, codec::to_body(u.spec), user_timeout_s, done);
+        else if (u.state == S::cancelling)
+            http_client_->request(random_controller(), "POST", job_path + "/" + std::string(codec::suffix_cancel), "{}",
+                                  user_timeout_s, done);
         else
-            users_->request(some_node(), "GET", one, "", poll_timeout_s, done);
+            http_client_->request(random_controller(), "GET", job_path, "", poll_timeout_s, done);
     }
 
-    void answered(std::size_t i, const HttpReply& reply) {
-        auto& u = users_wanted_[i];
+    void handle_answer(std::size_t i, const HttpReply& reply) {
+        auto& u = users_[i];
         using S = User::State;
-        u.asking = false;
+        u.request_pending = false;
         const double t = now();
-        u.next = t + (u.state == S::polls ? poll_every_s : 1);
+        u.next_request_at = t + (u.state == S::polling ? poll_interval_s : 1);
         const auto a = reply.status == 200 || reply.status == 201 ? codec::job_answer_of(reply.body) : std::nullopt;
         if (reply.status != 0)
-            history_.told(u.spec.id, reply.status, a ? a->status : "", platform_->now());
+            history_.user_answered(u.spec.id, reply.status, a ? a->status : "", platform_->now());
         if (!a) {
-            const bool never = u.state == S::submits && (reply.status == 400 || reply.status == 422);
-            if (never || (u.state == S::submits && t - u.first_try > give_up_s)) {
-                u.last = never ? fmt::format("rejected with status {}", reply.status) : "not accepted in time";
-                u.state = S::over;
+            const bool is_rejected = u.state == S::submitting && (reply.status == 400 || reply.status == 422);
+            if (is_rejected || (u.state == S::submitting && t - u.first_attempt_at > submission_timeout_s)) {
+                u.last = is_rejected ? fmt::format("rejected with status {}", reply.status) : "not accepted in time";
+                u.state = S::ended;
             }
             return;
         }
         u.last = a->status;
-        if (u.state == S::submits)
-            u.state = S::polls;
+        if (u.state == S::submitting)
+            u.state = S::polling;
         if (a->status == codec::status_done || a->status == codec::status_cancelled)
-            u.state = S::over;
+            u.state = S::ended;
     }
 
     void inject_fault(double t) {
         if (!options_.faults || t < next_fault_ || t > options_.seconds)
             return;
-        next_fault_ = t + fault_every_s * between(0.6, 1.4);
-        auto* w = platform_->any();
+        next_fault_ = t + fault_interval_s * random_between(0.6, 1.4);
+        auto* w = platform_->random_worker();
         using FaultMode = store::StoreServer::FaultMode;
         const auto store = [&](const char* what, FaultMode fault_mode) {
-            say(fmt::format("fault: the state service {}", what));
+            print_line(fmt::format("fault: the state service {}", what));
             store_->set_fault_mode(fault_mode);
-            store_well_at_ = t + between(1, 5);
+            store_fault_end_ = t + random_between(1, 5);
         };
         const auto worker = [&](const char* what, double EmulatedWorker::*until) {
             if (w == nullptr)
                 return;
-            say(fmt::format("fault: {} {}", w->listed(0).id, what));
+            print_line(fmt::format("fault: {} {}", w->list_entry(0).id, what));
             if (until != nullptr)
-                w->*until = platform_->now() + between(1, 2 * lease_s);
+                w->*until = platform_->now() + random_between(1, 2 * lease_s);
             else
                 platform_->kill(*w);
         };
         switch (std::uniform_int_distribution<int>(0, 9)(rng_)) {
         case 0:
-            return store("is unavailable (503)", FaultMode::out);
+            return store("is unavailable (503)", FaultMode::unavailable);
         case 1:
-            return store("is overloaded (429)", FaultMode::busy);
+            return store("is overloaded (429)", FaultMode::rate_limited);
         case 2:
             return store("does not answer", FaultMode::silent);
         case 3:
             return worker("hangs", &EmulatedWorker::hung_until);
         case 4:
-            return worker("is cut off", &EmulatedWorker::cut_until);
+            return worker("is cut off", &EmulatedWorker::cut_off_until);
         case 5:
-            return worker("and its controller receive each other's messages late", &EmulatedWorker::late_until);
+            return worker("and its controller receive each other's messages late", &EmulatedWorker::delayed_until);
         case 6:
             return worker("is lost with its tasks", nullptr);
         case 7:
-            say("fault: the cloud is unavailable");
+            print_line("fault: the cloud is unavailable");
             platform_->out = true;
-            cloud_well_at_ = t + between(1, 5);
+            cloud_fault_end_ = t + random_between(1, 5);
             return;
         default: {
-            auto& c = nodes_[rng_() % nodes_.size()];
+            auto& c = controllers_[rng_() % controllers_.size()];
             if (c.process == nullptr)
                 return;
-            say(fmt::format("fault: {} is killed", c.name));
+            print_line(fmt::format("fault: {} is killed", c.name));
             uv_process_kill(c.process, SIGKILL);
-            c.back_at = t + back_after_s;
+            c.restart_at = t + restart_delay_s;
         }
         }
     }
 
     void tick() {
         const double t = now();
-        users_->sweep();
-        if (store_well_at_ >= 0 && t >= store_well_at_) {
-            store_well_at_ = -1;
-            store_->set_fault_mode(store::StoreServer::FaultMode::well);
+        http_client_->sweep();
+        if (store_fault_end_ >= 0 && t >= store_fault_end_) {
+            store_fault_end_ = -1;
+            store_->set_fault_mode(store::StoreServer::FaultMode::none);
         }
-        if (cloud_well_at_ >= 0 && t >= cloud_well_at_) {
-            cloud_well_at_ = -1;
+        if (cloud_fault_end_ >= 0 && t >= cloud_fault_end_) {
+            cloud_fault_end_ = -1;
             platform_->out = false;
         }
-        for (auto& c : nodes_) {
+        for (auto& c : controllers_) {
             if (c.process != nullptr)
                 continue;
-            if (c.back_at < 0) { // It ended without an injected fault, so the run has failed.
-                ++ended_;
-                say(fmt::format("{} exited unexpectedly, see {}", c.name, c.log));
-                c.back_at = t + back_after_s;
+            if (c.restart_at < 0) { // It ended without an injected fault, so the run has failed.
+                ++unexpected_exits_;
+                print_line(fmt::format("{} exited unexpectedly, see {}", c.name, c.log));
+                c.restart_at = t + restart_delay_s;
             }
-            if (t < c.back_at)
+            if (t < c.restart_at)
                 continue;
-            c.back_at = -1;
+            c.restart_at = -1;
             spawn(c);
         }
         inject_fault(t);
-        bool over = true;
-        for (std::size_t i = 0; i < users_wanted_.size(); ++i) {
-            serve(i, t);
-            over = over && users_wanted_[i].state == User::State::over;
+        bool ended = true;
+        for (std::size_t i = 0; i < users_.size(); ++i) {
+            send_next_request(i, t);
+            ended = ended && users_[i].state == User::State::ended;
         }
-        if (t >= next_line_) {
-            next_line_ = t + 1;
+        if (t >= next_progress_at_) {
+            next_progress_at_ = t + 1;
             progress();
         }
-        if (over && !options_.stay)
+        if (ended && !options_.stay)
             finish("");
-        if (t > options_.seconds + patience_s && !options_.stay)
+        if (t > options_.seconds + completion_timeout_s && !options_.stay)
             finish("time limit reached before all jobs ended");
     }
 
     void progress() const {
         std::map<std::string, int> states;
-        for (const auto& u : users_wanted_)
+        for (const auto& u : users_)
             ++states[u.last];
         std::string jobs;
         for (const auto& [s, n] : states)
             jobs += fmt::format("{}{} {}", jobs.empty() ? "" : ", ", n, s);
-        const auto s = platform_->sum();
-        say(fmt::format("jobs: {} | machines: {} of {} up | tasks running: {} | rules broken: {}", jobs, s.up,
-                        s.machines, s.running, history_.broken().size()));
+        const auto s = platform_->totals();
+        print_line(fmt::format("jobs: {} | machines: {} of {} up | tasks running: {} | rules broken: {}", jobs, s.up,
+                               s.machines, s.running, history_.violations().size()));
     }
 
     void finish(const std::string& why) {
         if (!why.empty())
-            say(why);
+            print_line(why);
         uv_stop(&loop_);
     }
 
     int summary() {
         std::map<std::string, std::map<std::string, int>> shapes;
-        for (const auto& u : users_wanted_) {
+        for (const auto& u : users_) {
             const auto* shape = u.spec.shape == Shape::array  ? "arrays"
                                 : u.spec.shape == Shape::gang ? "gangs"
                                                               : "services";
@@ -471,43 +472,44 @@
                 std::cout << fmt::format("  {} {}", n, s);
             std::cout << "\n";
         }
-        const auto s = platform_->sum();
+        const auto s = platform_->totals();
         std::cout << fmt::format("machines   {} rented, {} returned\ntasks      {} started\nrequests   {} to the state "
                                  "service\nlogs       {}\n",
                                  s.rented, s.returned, history_.starts(), store_->requests(), folder_);
         const auto left = history_.unfinished();
         for (const auto& id : left)
             std::cout << "unfinished " << id << "\n";
-        for (const auto& b : history_.broken())
+        for (const auto& b : history_.violations())
             std::cout << "BROKEN     " << b << "\n";
-        std::cout << fmt::format("rules      {}\n", history_.broken().empty() ? "none broken" : "broken, see above");
+        std::cout << fmt::format("rules      {}\n",
+                                 history_.violations().empty() ? "none broken" : "broken, see above");
         if (options_.faults)
             std::cout << fmt::format("seed       {}\n", options_.seed);
-        return history_.broken().empty() && (left.empty() || options_.stay) && ended_ == 0 ? 0 : 1;
+        return history_.violations().empty() && (left.empty() || options_.stay) && unexpected_exits_ == 0 ? 0 : 1;
     }
 
     LocalOptions options_;
     std::mt19937 rng_;
     uv_loop_t loop_{};
-    double began_ = 0, next_fault_ = 4, store_well_at_ = -1, cloud_well_at_ = -1, next_line_ = 1;
+    double start_time_ = 0, next_fault_ = 4, store_fault_end_ = -1, cloud_fault_end_ = -1, next_progress_at_ = 1;
     std::string folder_;
     History history_;
-    std::unique_ptr<HttpClient> users_;
+    std::unique_ptr<HttpClient> http_client_;
     std::unique_ptr<store::StoreServer> store_;
     std::unique_ptr<Platform> platform_;
-    std::vector<Controller> nodes_;
-    Port spare_; // The peer port in the settings for `serve_port`, to which no peer connects.
-    std::vector<User> users_wanted_;
+    std::vector<Controller> controllers_;
+    Port unused_peer_port_; // The peer port in the settings for `serve_port`, to which no peer connects.
+    std::vector<User> users_;
     std::unique_ptr<LoopTimer> tick_;
     uv_signal_t* interrupt_ = nullptr;
-    int ended_ = 0;
+    int unexpected_exits_ = 0;
 };
 
 } // namespace
 
 int run_local(const LocalOptions& options) {
     std::signal(SIGPIPE, SIG_IGN);
-    Local local(options);
+    LocalPlatform local(options);
     return local.run();
 }
 
--- a/src/loop_timer.hpp
+++ b/src/loop_timer.hpp
@@ -14,7 +14,7 @@
 class LoopTimer {
 public:
     /// To be called once. The first call of `callback` comes after one interval. Returns 0 or a libuv error.
-    int start(uv_loop_t* loop, std::uint64_t every_ms, std::function<void()> callback) {
+    int start(uv_loop_t* loop, std::uint64_t interval_ms, std::function<void()> callback) {
         callback_ = std::move(callback);
         auto* timer = timer_.create();
         uv_timer_init(loop, timer);
@@ -25,7 +25,7 @@
                 if (t->data != nullptr)
                     static_cast<LoopTimer*>(t->data)->callback_();
             },
-            every_ms, every_ms);
+            interval_ms, interval_ms);
     }
 
 private:
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -256,7 +256,7 @@
             continue;
         peer.exchange_pending = true;
         ++exchanges_;
-        peer_clients_.request(Lane::control, name, "POST", path_peer_view, body,
+        peer_clients_.request(PeerRequestClass::control, name, "POST", path_peer_view, body,
                               exchange_timeout_heartbeats * settings_.report_s,
                               [this, name = name, sent_at = timers_.now()](HttpReply&& reply) {
                                   handle_view_reply(name, sent_at, reply);
--- a/src/membership/observed_clients.hpp
+++ b/src/membership/observed_clients.hpp
@@ -54,9 +54,9 @@
     /// Called with the peer's name and the result of each request, before the caller gets the reply.
     std::function<void(const std::string& name, bool ok)> on_answer;
 
-    void request(Lane lane, const std::string& name, const char* method, const std::string& path, std::string body,
-                 double timeout_s, Done done) override {
-        inner_->request(lane, name, method, path, std::move(body), timeout_s,
+    void request(PeerRequestClass request_class, const std::string& name, const char* method, const std::string& path,
+                 std::string body, double timeout_s, Done done) override {
+        inner_->request(request_class, name, method, path, std::move(body), timeout_s,
                         [this, name, done = std::move(done)](HttpReply&& reply) {
                             if (on_answer)
                                 on_answer(name, reply.status != 0);
--- a/src/memory_share.hpp
+++ b/src/memory_share.hpp
@@ -15,10 +15,10 @@
     return static_cast<std::size_t>(memory_mb * 1024 * 1024 * share);
 }
 
-/// How many entries a table may hold within its share of the memory limit. `bytes_each` is the size of an entry,
+/// How many entries a table may hold within its share of the memory limit. `bytes_per_entry` is the size of an entry,
 /// including its keys and the table's overhead.
-[[nodiscard]] inline std::size_t entries_in_share(double memory_mb, double share, std::size_t bytes_each) {
-    return std::max(min_table_entries, bytes_in_share(memory_mb, share) / bytes_each);
+[[nodiscard]] inline std::size_t entries_in_share(double memory_mb, double share, std::size_t bytes_per_entry) {
+    return std::max(min_table_entries, bytes_in_share(memory_mb, share) / bytes_per_entry);
 }
 
 } // namespace heronshift
--- a/src/metrics/metrics.cpp
+++ b/src/metrics/metrics.cpp
@@ -9,13 +9,13 @@
 namespace {
 
 constexpr double min_s = 0.001, max_s = 65.536;
-constexpr unsigned bins = 16; // each is twice as wide as the one before
+constexpr unsigned bin_count = 16; // each is twice as wide as the one before
 
 } // namespace
 
-Latency::Latency() : bins_(boost::histogram::make_histogram(Axis(bins, min_s, max_s))) {}
+LatencyHistogram::LatencyHistogram() : bins_(boost::histogram::make_histogram(Axis(bin_count, min_s, max_s))) {}
 
-void Latency::add(double seconds) {
+void LatencyHistogram::add(double seconds) {
     if (!std::isfinite(seconds))
         return;
     seconds = std::max(0.0, seconds);
@@ -24,7 +24,7 @@
     sum_ += seconds;
 }
 
-std::vector<Latency::Bucket> Latency::buckets() const {
+std::vector<LatencyHistogram::Bucket> LatencyHistogram::buckets() const {
     std::vector<Bucket> out;
     std::uint64_t below = 0;
     for (int i = -1; i < static_cast<int>(bins_.axis().size()); ++i) { // -1: values below the first bin
@@ -35,30 +35,30 @@
     return out;
 }
 
-void FirstLaunches::known(const std::string& job, double now) {
-    if (!since_.emplace(job, now).second)
+void FirstLaunchTracker::record_known(const std::string& job, double now) {
+    if (!known_at_.emplace(job, now).second)
         return;
     order_.push_back(job);
     limit(max_jobs_);
 }
 
-void FirstLaunches::limit(std::size_t max_jobs) {
+void FirstLaunchTracker::limit(std::size_t max_jobs) {
     max_jobs_ = max_jobs;
     while (order_.size() > max_jobs_) {
-        since_.erase(order_.front());
+        known_at_.erase(order_.front());
         order_.pop_front();
     }
 }
 
-void FirstLaunches::launched(const std::string& job, double now, Latency& into) {
-    const auto it = since_.find(job);
-    if (it == since_.end() || it->second < 0)
+void FirstLaunchTracker::record_launch(const std::string& job, double now, LatencyHistogram& latency) {
+    const auto it = known_at_.find(job);
+    if (it == known_at_.end() || it->second < 0)
         return;
-    into.add(now - it->second);
+    latency.add(now - it->second);
     it->second = -1; // the entry stays, so that a second launch is not taken for the first
 }
 
-std::string text(const std::vector<Value>& values, const std::vector<Timed>& timed) {
+std::string text(const std::vector<Value>& values, const std::vector<NamedLatency>& latencies) {
     using prometheus::ClientMetric;
     using prometheus::MetricFamily;
     using prometheus::MetricType;
@@ -74,12 +74,12 @@
         else
             all.push_back({v.name, v.help, counter ? MetricType::Counter : MetricType::Gauge, {m}});
     }
-    for (const auto& t : timed) {
+    for (const auto& t : latencies) {
         ClientMetric m;
         m.histogram.sample_count = t.latency->count();
         m.histogram.sample_sum = t.latency->sum();
         for (const auto& b : t.latency->buckets())
-            m.histogram.bucket.push_back({b.count, b.upto});
+            m.histogram.bucket.push_back({b.count, b.upper_bound});
         all.push_back({t.name, t.help, MetricType::Histogram, {m}});
     }
     return prometheus::TextSerializer().Serialize(all);
--- a/src/metrics/metrics.hpp
+++ b/src/metrics/metrics.hpp
@@ -15,9 +15,9 @@
 
 namespace heronshift::metrics {
 
-class Latency {
+class LatencyHistogram {
 public:
-    Latency();
+    LatencyHistogram();
     void add(double seconds);
     [[nodiscard]] std::uint64_t count() const {
         return count_;
@@ -26,7 +26,7 @@
         return sum_;
     }
     struct Bucket {
-        double upto = 0;         // in seconds; infinite for the last bucket
+        double upper_bound = 0;  // in seconds; infinite for the last bucket
         std::uint64_t count = 0; // cumulative: all values up to this bound
     };
     [[nodiscard]] std::vector<Bucket> buckets() const;
@@ -41,15 +41,15 @@
 
 // Measures the time from when the leader knows a job to the job's first launch. Remembers a limited number of jobs;
 // beyond it, the job that was added first is removed.
-class FirstLaunches {
+class FirstLaunchTracker {
 public:
-    void known(const std::string& job, double now);
-    void launched(const std::string& job, double now, Latency& into);
+    void record_known(const std::string& job, double now);
+    void record_launch(const std::string& job, double now, LatencyHistogram& latency);
     void limit(std::size_t max_jobs);
 
 private:
     std::size_t max_jobs_ = min_table_entries;
-    std::unordered_map<std::string, double> since_;
+    std::unordered_map<std::string, double> known_at_;
     std::deque<std::string> order_;
 };
 
@@ -58,10 +58,10 @@
     double value = 0;
     std::vector<std::pair<std::string, std::string>> labels = {}; // values with the same name have to be adjacent
 };
-struct Timed {
+struct NamedLatency {
     std::string name, help;
-    const Latency* latency = nullptr;
+    const LatencyHistogram* latency = nullptr;
 };
-std::string text(const std::vector<Value>& values, const std::vector<Timed>& timed);
+std::string text(const std::vector<Value>& values, const std::vector<NamedLatency>& latencies);
 
 } // namespace heronshift::metrics
--- a/src/metrics/timings.hpp
+++ b/src/metrics/timings.hpp
@@ -6,8 +6,8 @@
 namespace heronshift::metrics {
 
 struct Timings {
-    Latency submit, heartbeat, commit, step, launch;
-    FirstLaunches first_launches;
+    LatencyHistogram submit, heartbeat, commit, step, launch;
+    FirstLaunchTracker first_launches;
     std::uint64_t requests = 0, refused = 0;
     /// Look-ups of jobs, by the source of the answer: the leader's memory, a cached final state, the record of the
     /// final state, a cascade record, and the job's record.
--- a/src/node/controller.cpp
+++ b/src/node/controller.cpp
@@ -9,7 +9,7 @@
 
 namespace heronshift {
 
-using gateway::retry_soon_s;
+using gateway::default_retry_after_s;
 
 namespace {
 
@@ -121,7 +121,7 @@
 void Controller::stored(JobStored&& command) {
     if (!core_)
         return;
-    timings_.first_launches.known(command.spec.id, timers_.now());
+    timings_.first_launches.record_known(command.spec.id, timers_.now());
     push(std::move(command));
 }
 
@@ -156,10 +156,10 @@
         log_->commands(batch, now, wall_now, may_act);
     auto effects = core_->step(batch, now, wall_now, may_act);
     record_effects(effects);
-    const double took = timers_.now() - now;
-    timings_.step.add(took);
-    if (took > settings_.report_s / 100)
-        spdlog::debug("slow core step duration_ms={:.0f} commands={} effects={}", took * 1000, commands,
+    const double duration_s = timers_.now() - now;
+    timings_.step.add(duration_s);
+    if (duration_s > settings_.report_s / 100)
+        spdlog::debug("slow core step duration_ms={:.0f} commands={} effects={}", duration_s * 1000, commands,
                       effects.size());
     return effects;
 }
@@ -183,7 +183,7 @@
                    [this](Commit& e) { election_.commit(std::move(e)); },
                    [&](SendOrders& e) { heartbeat_handler_.send(e, to_core); },
                    [this](AnswerHeartbeat& e) { heartbeat_handler_.answer(std::move(e)); },
-                   [this](AnswerCancellation& e) { gateway_.answered(e); },
+                   [this](AnswerCancellation& e) { gateway_.answer_cancellation(e); },
                    [&](FindJob& e) { gateway_.find(e.id, to_core); },
                    [this](Rent& e) { cloud_.rent(e); },
                    [this](Release& e) {
@@ -230,13 +230,15 @@
 void Controller::serve(HttpRequest&& request, const Responder& res, bool forwarded) {
     const std::string_view path = request.path;
     const bool get = request.method == "GET", post = request.method == "POST";
-    const auto wrong_method = [&] { res.send(http_status::method_not_allowed, codec::error_answer("wrong method")); };
+    const auto send_wrong_method = [&] {
+        res.send(http_status::method_not_allowed, codec::error_answer("wrong method"));
+    };
     if (path == codec::path_heartbeat)
-        return post ? heartbeat_handler_.handle_heartbeat(std::move(request), res, forwarded) : wrong_method();
+        return post ? heartbeat_handler_.handle_heartbeat(std::move(request), res, forwarded) : send_wrong_method();
     if (path == codec::path_health)
-        return get ? serve_health(res) : wrong_method();
+        return get ? serve_health(res) : send_wrong_method();
     if (path == "/metrics")
-        return get ? res.send(http_status::ok, metrics()) : wrong_method();
+        return get ? res.send(http_status::ok, metrics()) : send_wrong_method();
     if (path.starts_with(codec::path_jobs))
         return gateway_.serve(std::move(request), res, forwarded);
     res.send(http_status::not_found, codec::error_answer("no such path"));
@@ -244,7 +246,7 @@
 
 void Controller::serve_health(const Responder& res) const {
     if (types().empty() || !membership_.can_serve_users())
-        return res.send(http_status::service_unavailable, codec::not_now, retry_soon_s);
+        return res.send(http_status::service_unavailable, codec::not_now, default_retry_after_s);
     res.send(http_status::ok, "{}");
 }
 
--- a/src/node/node.hpp
+++ b/src/node/node.hpp
@@ -44,7 +44,7 @@
         controller_.timers().after(delay_s, std::move(callback));
     }
     /// Sets a function that is called on the loop about thirty times per report_s.
-    void each_tick(std::function<void()> callback) {
+    void set_tick_callback(std::function<void()> callback) {
         on_tick_ = std::move(callback);
     }
     [[nodiscard]] store::StateStore& state() {
@@ -65,8 +65,8 @@
     static Parts with_defaults(uv_loop_t* loop, const Settings& settings, Parts parts);
     [[nodiscard]] int listen();
     void start_timers();
-    void look_at_sockets_first();
-    void after_sockets();
+    void poll_sockets_first();
+    void after_socket_poll();
     void arm_wake_timer();
     void tick();
     void wake();
@@ -78,7 +78,7 @@
     LoopHandle<uv_check_t> check_;
     bool tick_due_ = false, wake_due_ = false;
     std::unique_ptr<HttpServer> users_, peers_;
-    double next_sweep_ = 0; // when the servers are swept next, in seconds of the clock
+    double next_server_sweep_at_ = 0; // when the servers are swept next, in seconds of the clock
     std::function<void()> on_tick_;
 };
 
--- a/src/persistence/intent_records.cpp
+++ b/src/persistence/intent_records.cpp
@@ -213,7 +213,7 @@
 
 // Moves intents from the oversized record into this one. The stored copy of the oversized record keeps them until the
 // transaction is applied, so that none is ever missing from the store (invariant 18;
-// LongRecordsAreCarriedOnWithoutAGap).
+// OversizedIntentRecordsMoveWithoutAGap).
 void ClusterRecords::IntentRecords::take_from_oversized(std::size_t number, std::size_t& size) {
     if (!oversized_)
         return;
--- a/src/persistence/learned_rates.hpp
+++ b/src/persistence/learned_rates.hpp
@@ -8,7 +8,7 @@
 namespace heronshift {
 
 /// The record holds how much work is submitted, how far run time estimates are off and how many spot machines are lost.
-/// Without it, the next leader would release machines that it needs a moment later (WhatALeaderLearnedGoesToTheNext).
+/// Without it, the next leader would release machines that it needs a moment later (LearnedRatesPassToTheNextLeader).
 /// It is written every 2 `report_s`; a write that was refused is not retried.
 class ClusterRecords::LearnedRates {
 public:
--- a/src/persistence/ready_records.hpp
+++ b/src/persistence/ready_records.hpp
@@ -13,7 +13,7 @@
 
 /// When a job becomes ready, its dependencies are removed from its job record: from then on a leader of any version may
 /// run it. The record is written before the job's first intents or in the same transaction (invariant 14;
-/// TheVersionBeforeStartsNothingOfAJobThatWaits).
+/// ThePreviousVersionDoesNotStartAWaitingJob).
 class ClusterRecords::ReadyRecords {
 public:
     explicit ReadyRecords(const cluster::ClusterState& cluster) : cluster_(cluster) {}
--- a/src/replay/command_log.cpp
+++ b/src/replay/command_log.cpp
@@ -26,7 +26,7 @@
 // The open file, and the compressor if the file is compressed.
 struct CommandLog::Out {
     std::FILE* file = nullptr;
-    bool owned = true; // false for standard error, which must not be closed
+    bool owns_file = true; // false for standard error, which must not be closed
     ZSTD_CCtx* zstd = nullptr;
     std::vector<char> buffer;
     std::uint64_t unflushed = 0;
@@ -39,46 +39,46 @@
             write({}, ZSTD_e_end);
             ZSTD_freeCCtx(zstd);
         }
-        if (file != nullptr && owned)
+        if (file != nullptr && owns_file)
             std::fclose(file);
     }
-    bool put(const char* at, std::size_t bytes) {
+    bool write_bytes(const char* at, std::size_t bytes) {
         return std::fwrite(at, 1, bytes, file) == bytes;
     }
     // Returns false on an error, with the reason in errno.
-    bool write(std::string_view text, ZSTD_EndDirective how) {
+    bool write(std::string_view text, ZSTD_EndDirective directive) {
         if (zstd == nullptr)
-            return put(text.data(), text.size());
+            return write_bytes(text.data(), text.size());
         ZSTD_inBuffer in{text.data(), text.size(), 0};
         for (;;) {
             ZSTD_outBuffer out{buffer.data(), buffer.size(), 0};
-            const auto left = ZSTD_compressStream2(zstd, &out, &in, how);
-            if (ZSTD_isError(left) != 0U || !put(buffer.data(), out.pos))
+            const auto left = ZSTD_compressStream2(zstd, &out, &in, directive);
+            if (ZSTD_isError(left) != 0U || !write_bytes(buffer.data(), out.pos))
                 return false;
-            if (how == ZSTD_e_continue ? in.pos == in.size : left == 0)
+            if (directive == ZSTD_e_continue ? in.pos == in.size : left == 0)
                 return true;
         }
     }
-    bool write_line(std::string_view whole) {
-        unflushed += whole.size();
+    bool write_line(std::string_view full_line) {
+        unflushed += full_line.size();
         if (unflushed < flush_bytes)
-            return write(whole, ZSTD_e_continue);
+            return write(full_line, ZSTD_e_continue);
         unflushed = 0;
-        return write(whole, ZSTD_e_flush) && std::fflush(file) == 0;
+        return write(full_line, ZSTD_e_flush) && std::fflush(file) == 0;
     }
 };
 
 CommandLog::CommandLog(const std::string& path, std::uint64_t max_bytes)
-    : out_(std::make_unique<Out>()), left_(max_bytes) {
+    : out_(std::make_unique<Out>()), remaining_bytes_(max_bytes) {
     if (path == "-") {
         out_->file = stderr;
-        out_->owned = false;
+        out_->owns_file = false;
     } else {
         out_->file = std::fopen(path.c_str(), "wbx"); // fails if the file exists: an earlier log is never overwritten
         if (out_->file == nullptr)
             throw LogError(fmt::format("{}: {}", path, std::strerror(errno)));
     }
-    if (compressed(path)) {
+    if (is_compressed(path)) {
         out_->zstd = ZSTD_createCCtx();
         out_->buffer.resize(ZSTD_CStreamOutSize());
     }
@@ -93,7 +93,7 @@
 }
 
 // Writes each part with a separate call.
-void CommandLog::line_in_parts(const std::string& text) {
+void CommandLog::write_line_in_parts(const std::string& text) {
     std::size_t at = 0;
     for (; text.size() - at > part_bytes; at += part_bytes)
         out_->write("@+ " + text.substr(at, part_bytes) + '\n', ZSTD_e_continue);
@@ -103,13 +103,13 @@
 void CommandLog::line(const std::string& text) {
     if (!out_)
         return;
-    if (!out_->owned)
-        return line_in_parts(text);
-    const auto whole = text + '\n';
-    if (whole.size() > left_)
+    if (!out_->owns_file)
+        return write_line_in_parts(text);
+    const auto full_line = text + '\n';
+    if (full_line.size() > remaining_bytes_)
         return end("the limit on the file's size is reached");
-    left_ -= whole.size();
-    if (!out_->write_line(whole))
+    remaining_bytes_ -= full_line.size();
+    if (!out_->write_line(full_line))
         end(std::strerror(errno));
 }
 
@@ -125,15 +125,15 @@
     auto list = Json::array();
     for (const auto& command : batch)
         list.push_back(to_json_of(command));
-    pending_ = dump({{"now", now}, {"wall", wall}, {"entitled", may_act}, {"commands", std::move(list)}});
+    pending_line_ = dump({{"now", now}, {"wall", wall}, {"entitled", may_act}, {"commands", std::move(list)}});
 }
 
 void CommandLog::effects(const std::vector<Effect>& list) {
-    if (!out_ || pending_.empty())
+    if (!out_ || pending_line_.empty())
         return;
-    pending_.back() = ','; // replaces the closing brace, so that the field "effects" can be added
-    line(pending_ + fmt::format(R"("effects":"{}"}})", digest_of(list)));
-    pending_.clear();
+    pending_line_.back() = ','; // replaces the closing brace, so that the field "effects" can be added
+    line(pending_line_ + fmt::format(R"("effects":"{}"}})", digest_of(list)));
+    pending_line_.clear();
 }
 
 } // namespace heronshift::replay
--- a/src/replay/command_log.hpp
+++ b/src/replay/command_log.hpp
@@ -20,7 +20,7 @@
 /// Version of the log's format.
 inline constexpr int log_version = 1;
 /// Default limit on the size of a log before compression.
-inline constexpr std::uint64_t usual_size = 1024'000'000;
+inline constexpr std::uint64_t default_max_bytes = 1024'000'000;
 
 /// A command log cannot be written or read. The message names the file, the line if there is one, and the reason.
 struct LogError : std::runtime_error {
@@ -59,11 +59,11 @@
 private:
     struct Out;
     void line(const std::string& text);
-    void line_in_parts(const std::string& text);
+    void write_line_in_parts(const std::string& text);
     void end(std::string why);
     std::unique_ptr<Out> out_;
-    std::uint64_t left_;        ///< Number of bytes that may still be written.
-    std::string pending_, why_; ///< The line of a batch whose effects are still missing; why the log has ended.
+    std::uint64_t remaining_bytes_;  ///< Number of bytes that may still be written.
+    std::string pending_line_, why_; ///< The line of a batch whose effects are still missing; why the log has ended.
 };
 
 /// Reads the lines of a command log, compressed or not.
@@ -104,15 +104,15 @@
 struct Outcome {
     std::size_t terms = 0, batches = 0, commands = 0, effects = 0; ///< Numbers of those that were replayed.
     std::unique_ptr<Difference> first;                             ///< The first difference; null if there is none.
-    bool cut = false; ///< The log ends in the middle of a line, which the caller had allowed.
+    bool truncated = false; ///< The log ends in the middle of a line, which the caller had allowed.
 };
 /// Replays a log with cores of this build and compares their effects with the recorded digests, up to the first
 /// difference.
-/// @param allow_cut accept a log that ends in the middle of a line, as after a kill of its writer
+/// @param allow_truncated accept a log that ends in the middle of a line, as after a kill of its writer
 /// @throws LogError if the log is malformed; a line is decoded completely before any of it is applied
-[[nodiscard]] Outcome replay(const std::string& path, bool allow_cut = false);
+[[nodiscard]] Outcome replay(const std::string& path, bool allow_truncated = false);
 
 /// The JSON text of an effect from which its digest is computed, for tests and for readers of a log.
-[[nodiscard]] std::string text_of(const Effect& effect);
+[[nodiscard]] std::string json_text_of(const Effect& effect);
 
 } // namespace heronshift::replay
--- a/src/replay/log_fields.hpp
+++ b/src/replay/log_fields.hpp
@@ -19,12 +19,12 @@
 template <class T, class Member> struct LogField {
     const char* key;
     Member T::*member;
-    bool may_be_missing = false; ///< The field may be missing, since logs of earlier builds don't contain it.
+    bool is_optional = false; ///< The field may be missing, since logs of earlier builds don't contain it.
 };
 template <class T, class Member> constexpr LogField<T, Member> field(const char* key, Member T::*member) {
     return {key, member};
 }
-template <class T, class Member> constexpr LogField<T, Member> later_field(const char* key, Member T::*member) {
+template <class T, class Member> constexpr LogField<T, Member> optional_field(const char* key, Member T::*member) {
     return {key, member, true};
 }
 
@@ -151,7 +151,7 @@
                                                         field("images", &Snapshot::images),
                                                         field("learned", &Snapshot::learned),
                                                         field("earlier", &Snapshot::legacy),
-                                                        later_field("cascades", &Snapshot::cascades)};
+                                                        optional_field("cascades", &Snapshot::cascades)};
 template <>
 inline constexpr auto log_fields<JobStored> =
     std::tuple{field("spec", &JobStored::spec), field("age_s", &JobStored::age_s),
@@ -165,7 +165,7 @@
 template <>
 inline constexpr auto log_fields<HeartbeatReceived> =
     std::tuple{field("report", &HeartbeatReceived::heartbeat), field("handle", &HeartbeatReceived::handle),
-               later_field("relayed", &HeartbeatReceived::relayed)};
+               optional_field("relayed", &HeartbeatReceived::relayed)};
 template <>
 inline constexpr auto log_fields<OrdersAnswered> =
     std::tuple{field("machine", &OrdersAnswered::machine), field("batch", &OrdersAnswered::batch),
@@ -219,7 +219,7 @@
     }
     static void from_json(const json& j, T& value) {
         const auto read = [&](const auto& f) {
-            if (!f.may_be_missing || j.contains(f.key))
+            if (!f.is_optional || j.contains(f.key))
                 j.at(f.key).get_to(value.*f.member);
         };
         std::apply([&](const auto&... f) { (read(f), ...); }, heronshift::replay::log_fields<T>);
--- a/src/replay/log_format.hpp
+++ b/src/replay/log_format.hpp
@@ -20,7 +20,7 @@
 inline constexpr std::size_t digest_digits = 8;
 
 /// Whether the log at this path is compressed, according to the file's extension.
-[[nodiscard]] inline bool compressed(std::string_view path) {
+[[nodiscard]] inline bool is_compressed(std::string_view path) {
     return path.ends_with(".zst");
 }
 
--- a/src/replay/log_reader.cpp
+++ b/src/replay/log_reader.cpp
@@ -18,8 +18,8 @@
     std::vector<char> raw = std::vector<char>(1 << 16), plain = std::vector<char>(1 << 17);
     ZSTD_inBuffer in{nullptr, 0, 0};
     std::string text;
-    std::size_t at = 0;
-    bool inside = false; // the end of the current compressed frame has not been read yet
+    std::size_t read_position = 0;
+    bool in_frame = false; // the end of the current compressed frame has not been read yet
 
     In() = default;
     In(const In&) = delete;
@@ -31,27 +31,27 @@
             std::fclose(file);
     }
     // Reads bytes from the file into `raw` and returns their number. Returns 0 at the end of the file and on an error,
-    // which is described in `wrong`.
-    std::size_t read_raw(std::string& wrong) {
+    // which is described in `error`.
+    std::size_t read_raw(std::string& error) {
         const auto bytes = std::fread(raw.data(), 1, raw.size(), file);
         if (bytes == 0 && std::ferror(file) != 0)
-            wrong = std::strerror(errno);
+            error = std::strerror(errno);
         return bytes;
     }
-    // Appends to `text`. Returns false at the end of the file and on an error, which is described in `wrong`.
-    bool more(std::string& wrong) {
-        text.erase(0, at);
-        at = 0;
+    // Appends to `text`. Returns false at the end of the file and on an error, which is described in `error`.
+    bool read_more(std::string& error) {
+        text.erase(0, read_position);
+        read_position = 0;
         if (zstd != nullptr)
-            return more_decompressed(wrong);
-        const auto bytes = read_raw(wrong);
+            return read_more_decompressed(error);
+        const auto bytes = read_raw(error);
         text.append(raw.data(), bytes);
         return bytes > 0;
     }
-    bool more_decompressed(std::string& wrong) {
+    bool read_more_decompressed(std::string& error) {
         for (;;) {
             if (in.pos == in.size) {
-                const auto bytes = read_raw(wrong);
+                const auto bytes = read_raw(error);
                 if (bytes == 0)
                     return false;
                 in = {raw.data(), bytes, 0};
@@ -59,10 +59,10 @@
             ZSTD_outBuffer out{plain.data(), plain.size(), 0};
             const auto hint = ZSTD_decompressStream(zstd, &out, &in);
             if (ZSTD_isError(hint) != 0U) {
-                wrong = fmt::format("cannot be decompressed: {}", ZSTD_getErrorName(hint));
+                error = fmt::format("cannot be decompressed: {}", ZSTD_getErrorName(hint));
                 return false;
             }
-            inside = hint != 0;
+            in_frame = hint != 0;
             text.append(plain.data(), out.pos);
             if (out.pos > 0)
                 return true;
@@ -74,7 +74,7 @@
     in_->file = std::fopen(path.c_str(), "rb");
     if (in_->file == nullptr)
         throw LogError(fmt::format("{}: {}", path, std::strerror(errno)));
-    if (compressed(path))
+    if (is_compressed(path))
         in_->zstd = ZSTD_createDCtx();
 }
 
@@ -86,21 +86,21 @@
 
 bool LogReader::next(std::string& line) {
     ++number_;
-    std::size_t looked = in_->at;
+    std::size_t search_from = in_->read_position;
     for (;;) {
-        const auto end = in_->text.find('\n', looked);
+        const auto end = in_->text.find('\n', search_from);
         if (end != std::string::npos) {
-            line.assign(in_->text, in_->at, end - in_->at);
-            in_->at = end + 1;
+            line.assign(in_->text, in_->read_position, end - in_->read_position);
+            in_->read_position = end + 1;
             return true;
         }
-        looked = in_->text.size() - in_->at;
-        std::string wrong;
-        if (in_->more(wrong))
+        search_from = in_->text.size() - in_->read_position;
+        std::string error;
+        if (in_->read_more(error))
             continue;
-        if (!wrong.empty())
-            fail(wrong);
-        if (in_->text.empty() && !in_->inside)
+        if (!error.empty())
+            fail(error);
+        if (in_->text.empty() && !in_->in_frame)
             return false;
         line.clear();
         fail("the file ends in the middle of a line");
--- a/src/replay/replay.cpp
+++ b/src/replay/replay.cpp
@@ -51,12 +51,12 @@
     if (got == recorded)
         return {};
     auto difference = std::make_unique<Difference>();
-    const auto same = std::mismatch(got.begin(), got.end(), recorded.begin(), recorded.end());
-    difference->effect = static_cast<std::size_t>(same.first - got.begin()) / digest_digits;
+    const auto first_mismatch = std::mismatch(got.begin(), got.end(), recorded.begin(), recorded.end());
+    difference->effect = static_cast<std::size_t>(first_mismatch.first - got.begin()) / digest_digits;
     difference->what = fmt::format("effect {} of {} differs ({} recorded)", difference->effect, list.size(),
                                    recorded.size() / digest_digits);
     if (difference->effect < list.size())
-        difference->got = text_of(list[difference->effect]);
+        difference->got = json_text_of(list[difference->effect]);
     else
         difference->got = "no more effects";
     return difference;
@@ -65,12 +65,12 @@
 // The replay of one log, with a new core for each term.
 class Replay {
 public:
-    Replay(const std::string& path, bool allow_cut) : in_(path), allow_cut_(allow_cut) {}
+    Replay(const std::string& path, bool allow_truncated) : in_(path), allow_truncated_(allow_truncated) {}
 
     Outcome run() {
-        read_head();
+        read_header();
         while (!outcome_.first && next())
-            take_line();
+            process_line();
         return std::move(outcome_);
     }
 
@@ -79,24 +79,24 @@
         try {
             return in_.next(line_);
         } catch (const LogError&) {
-            if (!allow_cut_ || !line_.empty())
+            if (!allow_truncated_ || !line_.empty())
                 throw;
-            outcome_.cut = true;
+            outcome_.truncated = true;
             return false;
         }
     }
 
-    void read_head() {
+    void read_header() {
         if (!next())
             in_.fail("the file is empty");
-        const auto head = Json::parse(line_, nullptr, false);
-        if (!head.is_object() || head.value("heronshift", Json()) != log_kind)
+        const auto header = Json::parse(line_, nullptr, false);
+        if (!header.is_object() || header.value("heronshift", Json()) != log_kind)
             in_.fail("the file is not a command log");
-        if (head.value("version", Json()) != log_version)
+        if (header.value("version", Json()) != log_version)
             in_.fail(fmt::format("unsupported version of the log format: this program reads version {}", log_version));
     }
 
-    void take_line() {
+    void process_line() {
         const auto json = Json::parse(line_, nullptr, false);
         if (!json.is_object())
             in_.fail("not a JSON object");
@@ -104,7 +104,7 @@
             if (json.contains("begin"))
                 begin_term(json);
             else
-                take_batch(json);
+                replay_batch(json);
         } catch (const LogError&) {
             throw;
         } catch (const std::exception& error) { // from the JSON library (a missing field, a wrong type) or read_batch()
@@ -123,7 +123,7 @@
         ++outcome_.terms;
     }
 
-    void take_batch(const Json& json) {
+    void replay_batch(const Json& json) {
         auto batch = read_batch(json);
         if (!core_)
             in_.fail("a batch of commands before any term has begun");
@@ -140,7 +140,7 @@
     }
 
     LogReader in_;
-    bool allow_cut_;
+    bool allow_truncated_;
     Outcome outcome_;
     std::string line_;
     Settings settings_;
@@ -150,8 +150,8 @@
 
 } // namespace
 
-Outcome replay(const std::string& path, bool allow_cut) {
-    return Replay(path, allow_cut).run();
+Outcome replay(const std::string& path, bool allow_truncated) {
+    return Replay(path, allow_truncated).run();
 }
 
 } // namespace heronshift::replay
--- a/src/scheduling/room_index.hpp
+++ b/src/scheduling/room_index.hpp
@@ -31,7 +31,7 @@
 };
 
 /// The machines that accept tasks in one pass of placement, with their free room. A search gives the same result as
-/// examining every machine (the test RoomIndex.FindsWhatALookAtAllMachinesFinds).
+/// examining every machine (the test RoomIndex.FindsWhatAScanOfAllMachinesFinds).
 class RoomIndex {
 public:
     /// Creates an empty index of the cluster, which rebuild() fills.
--- a/src/store/direct.cpp
+++ b/src/store/direct.cpp
@@ -19,7 +19,7 @@
         w.until_ms = now + static_cast<std::int64_t>(w.follow.block_s * 1000);
         if (auto a = engine_->look(w, true, now); a)
             return answer(std::move(done), std::move(*a));
-        follows_.emplace_back(std::move(w), std::move(done));
+        pending_follows_.emplace_back(std::move(w), std::move(done));
         return;
     }
     Answer a;
@@ -41,8 +41,8 @@
 void DirectStore::sweep() {
     const auto now = now_ms();
     engine_->expire(now);
-    const bool changed = std::exchange(seen_, engine_->data().revision()) != engine_->data().revision();
-    std::erase_if(follows_, [&](auto& f) {
+    const bool changed = std::exchange(checked_revision_, engine_->data().revision()) != engine_->data().revision();
+    std::erase_if(pending_follows_, [&](auto& f) {
         auto a = engine_->look(f.first, changed, now);
         if (a)
             answer(std::move(f.second), std::move(*a));
