--- a/src/store/engine.cpp
+++ b/src/store/engine.cpp
@@ -11,7 +11,7 @@
 
 using codec::Json;
 
-Answer refused(int status, std::string why) {
+Answer error_answer(int status, std::string why) {
     Answer answer;
     answer.status = status;
     answer.sent = true;
@@ -19,7 +19,7 @@
     return answer;
 }
 
-Answer good(std::uint64_t revision) {
+Answer ok_answer(std::uint64_t revision) {
     Answer answer;
     answer.status = 200;
     answer.sent = true;
@@ -38,9 +38,9 @@
 
 // Takes from the two token buckets for requests and writes, which allow bursts of one second's worth. Returns false and
 // takes nothing if either has too little.
-bool Engine::take(double n_requests, double n_writes, std::int64_t now_ms) {
-    const double passed = at_ms_ < 0 ? 1 : static_cast<double>(now_ms - at_ms_) / 1000;
-    at_ms_ = now_ms;
+bool Engine::consume_quota(double n_requests, double n_writes, std::int64_t now_ms) {
+    const double passed = refilled_at_ms_ < 0 ? 1 : static_cast<double>(now_ms - refilled_at_ms_) / 1000;
+    refilled_at_ms_ = now_ms;
     requests_left_ = std::min(limits_.rps, requests_left_ + passed * limits_.rps);
     writes_left_ = std::min(limits_.write_rps, writes_left_ + passed * limits_.write_rps);
     if (limits_.rps > 0 && requests_left_ < n_requests)
@@ -54,10 +54,10 @@
 
 Answer Engine::get(const std::string& key, std::int64_t now_ms) {
     if (!valid_key(key))
-        return refused(400, "key: must be 1 to 200 bytes without spaces and control characters");
-    if (!take(1, 0, now_ms))
-        return refused(429, "too many requests");
-    auto answer = good(data_->revision());
+        return error_answer(400, "key: must be 1 to 200 bytes without spaces and control characters");
+    if (!consume_quota(1, 0, now_ms))
+        return error_answer(429, "too many requests");
+    auto answer = ok_answer(data_->revision());
     const auto row = data_->get(key);
     if (!row) {
         answer.status = 404;
@@ -69,10 +69,10 @@
 
 Answer Engine::list(const std::string& under, const std::string& since, int most, std::int64_t now_ms) {
     if (most < 1)
-        return refused(400, "most: must be at least 1");
-    if (!take(1, 0, now_ms))
-        return refused(429, "too many requests");
-    auto answer = good(data_->revision());
+        return error_answer(400, "most: must be at least 1");
+    if (!consume_quota(1, 0, now_ms))
+        return error_answer(429, "too many requests");
+    auto answer = ok_answer(data_->revision());
     const auto limit = std::min(static_cast<std::size_t>(most), max_items);
     std::size_t size = 0;
     data_->each(under, since, [&](const std::string& key, const Data::Row& row) {
@@ -91,32 +91,32 @@
                         std::int64_t now_ms) {
     const auto ops = static_cast<std::size_t>(limits_.txn_ops);
     if (writes.size() > ops)
-        return refused(400, fmt::format("{} changes, at most {} are allowed", writes.size(), ops));
+        return error_answer(400, fmt::format("{} changes, at most {} are allowed", writes.size(), ops));
     if (guards.size() > 4 * ops)
-        return refused(400, fmt::format("{} guards, at most {} are allowed", guards.size(), 4 * ops));
+        return error_answer(400, fmt::format("{} guards, at most {} are allowed", guards.size(), 4 * ops));
     std::vector<std::string> texts;
     std::size_t total = 0;
     for (const auto& guard : guards) {
         if (!valid_key(guard.key))
-            return refused(400, "key of a guard: must be 1 to 200 bytes without spaces and control characters");
+            return error_answer(400, "key of a guard: must be 1 to 200 bytes without spaces and control characters");
         total += guard.key.size() + 30;
     }
     for (const auto& write : writes) {
         if (!valid_key(write.key))
-            return refused(400, "key of a change: must be 1 to 200 bytes without spaces and control characters");
+            return error_answer(400, "key of a change: must be 1 to 200 bytes without spaces and control characters");
         texts.push_back(write.value ? write.value->dump() : std::string());
         if (static_cast<double>(texts.back().size()) > limits_.value_kb * 1024)
-            return refused(400, fmt::format("{}: value is longer than {} KiB", write.key, limits_.value_kb));
+            return error_answer(400, fmt::format("{}: value is longer than {} KiB", write.key, limits_.value_kb));
         total += write.key.size() + texts.back().size() + 30;
     }
     if (total > max_txn)
-        return refused(400, "transaction is longer than 64 KiB");
-    if (!take(1, static_cast<double>(writes.size()), now_ms))
-        return refused(429, "too many requests or changes");
+        return error_answer(400, "transaction is longer than 64 KiB");
+    if (!consume_quota(1, static_cast<double>(writes.size()), now_ms))
+        return error_answer(429, "too many requests or changes");
     for (const auto& write : writes)
         if (write.value && write.lease != 0 && !data_->get_lease(write.lease))
-            return refused(400, "no such lease");
-    auto answer = good(data_->revision());
+            return error_answer(400, "no such lease");
+    auto answer = ok_answer(data_->revision());
     for (const auto& guard : guards) {
         const auto row = data_->get(guard.key);
         if ((row ? row->mod_revision : 0) != guard.mod_revision)
@@ -144,28 +144,28 @@
 
 Answer Engine::create_lease(std::int64_t ttl_ms, std::int64_t now_ms) {
     if (ttl_ms < min_lease_ms || ttl_ms > max_lease_ms)
-        return refused(400, "ttlMs: must be 100 to 600000");
-    if (!take(1, 0, now_ms))
-        return refused(429, "too many requests");
-    auto answer = good(data_->revision());
+        return error_answer(400, "ttlMs: must be 100 to 600000");
+    if (!consume_quota(1, 0, now_ms))
+        return error_answer(429, "too many requests");
+    auto answer = ok_answer(data_->revision());
     answer.lease = data_->add_lease({ttl_ms, now_ms + ttl_ms});
     return answer;
 }
 
 Answer Engine::renew_lease(std::uint64_t lease, std::int64_t now_ms) {
-    if (!take(1, 0, now_ms))
-        return refused(429, "too many requests");
-    auto h = data_->get_lease(lease);
-    if (!h)
-        return refused(404, "no such lease");
-    h->ends_ms = now_ms + h->ttl_ms;
-    data_->set_lease(lease, *h);
-    auto answer = good(data_->revision());
+    if (!consume_quota(1, 0, now_ms))
+        return error_answer(429, "too many requests");
+    auto record = data_->get_lease(lease);
+    if (!record)
+        return error_answer(404, "no such lease");
+    record->ends_ms = now_ms + record->ttl_ms;
+    data_->set_lease(lease, *record);
+    auto answer = ok_answer(data_->revision());
     answer.lease = lease;
     return answer;
 }
 
-void Engine::drop_lease(std::uint64_t id) {
+void Engine::delete_lease(std::uint64_t id) {
     const auto keys = data_->keys_of(id);
     data_->erase_lease(id);
     if (keys.empty())
@@ -178,25 +178,25 @@
 }
 
 Answer Engine::revoke_lease(std::uint64_t lease, std::int64_t now_ms) {
-    if (!take(1, 0, now_ms))
-        return refused(429, "too many requests");
+    if (!consume_quota(1, 0, now_ms))
+        return error_answer(429, "too many requests");
     if (!data_->get_lease(lease))
-        return refused(404, "no such lease");
-    drop_lease(lease);
-    return good(data_->revision());
+        return error_answer(404, "no such lease");
+    delete_lease(lease);
+    return ok_answer(data_->revision());
 }
 
 Answer Engine::follow_opened(const std::string& under, std::uint64_t since, std::int64_t now_ms) {
-    if (!take(1, 0, now_ms))
-        return refused(429, "too many requests");
+    if (!consume_quota(1, 0, now_ms))
+        return error_answer(429, "too many requests");
     return follow(under, since);
 }
 
 Answer Engine::follow(const std::string& under, std::uint64_t since) {
     const auto list = data_->changes(under, since);
     if (!list)
-        return refused(410, "changes after this revision are no longer kept: read the keys again");
-    auto answer = good(data_->revision());
+        return error_answer(410, "changes after this revision are no longer kept: read the keys again");
+    auto answer = ok_answer(data_->revision());
     for (const auto& c : *list) {
         codec::Item i;
         i.key = c.key;
@@ -217,7 +217,7 @@
                           [&](const CreateLease& x) { return create_lease(std::llround(x.ttl_s * 1000), now_ms); },
                           [&](const RenewLease& x) { return renew_lease(x.lease, now_ms); },
                           [&](const RevokeLease& x) { return revoke_lease(x.lease, now_ms); },
-                          [&](const Follow&) { return refused(400, "a follow cannot run in a transaction"); },
+                          [&](const Follow&) { return error_answer(400, "a follow cannot run in a transaction"); },
                       },
                       call);
 }
@@ -230,7 +230,7 @@
         answer =
             w.opened ? follow(w.follow.under, w.follow.since) : follow_opened(w.follow.under, w.follow.since, now_ms);
     } catch (const std::exception& error) {
-        answer = refused(503, error.what());
+        answer = error_answer(503, error.what());
     }
     data_->abandon();
     w.opened = true;
@@ -243,15 +243,15 @@
 bool Engine::expire(std::int64_t now_ms) {
     const auto ended = data_->expired_leases(now_ms);
     for (const auto id : ended)
-        drop_lease(id);
+        delete_lease(id);
     return !ended.empty();
 }
 
 void Engine::renew_all(std::int64_t now_ms) {
     for (const auto id : data_->expired_leases(INT64_MAX)) {
-        auto h = data_->get_lease(id);
-        h->ends_ms = now_ms + h->ttl_ms;
-        data_->set_lease(id, *h);
+        auto record = data_->get_lease(id);
+        record->ends_ms = now_ms + record->ttl_ms;
+        data_->set_lease(id, *record);
     }
 }
 
@@ -293,11 +293,11 @@
         changes_.push_back(c);
         if (changes_.size() <= kept_changes)
             return;
-        forgotten_ = changes_.front().mod_revision;
+        last_trimmed_revision_ = changes_.front().mod_revision;
         changes_.pop_front();
     }
     std::optional<std::vector<Change>> changes(const std::string& under, std::uint64_t since) override {
-        if (since < forgotten_)
+        if (since < last_trimmed_revision_)
             return {};
         std::vector<Change> out;
         const auto from = std::upper_bound(changes_.begin(), changes_.end(), since,
@@ -307,9 +307,9 @@
                 out.push_back(*it);
         return out;
     }
-    std::uint64_t add_lease(const Lease& h) override {
-        leases_[++last_hold_] = h;
-        return last_hold_;
+    std::uint64_t add_lease(const Lease& record) override {
+        leases_[++last_lease_id_] = record;
+        return last_lease_id_;
     }
     std::optional<Lease> get_lease(std::uint64_t id) override {
         const auto it = leases_.find(id);
@@ -317,16 +317,16 @@
             return {};
         return it->second;
     }
-    void set_lease(std::uint64_t id, const Lease& h) override {
-        leases_[id] = h;
+    void set_lease(std::uint64_t id, const Lease& record) override {
+        leases_[id] = record;
     }
     void erase_lease(std::uint64_t id) override {
         leases_.erase(id);
     }
     std::vector<std::uint64_t> expired_leases(std::int64_t now_ms) override {
         std::vector<std::uint64_t> out;
-        for (const auto& [id, h] : leases_)
-            if (h.ends_ms < now_ms)
+        for (const auto& [id, record] : leases_)
+            if (record.ends_ms < now_ms)
                 out.push_back(id);
         return out;
     }
@@ -345,7 +345,7 @@
     std::map<std::string, Row> rows_;
     std::deque<Change> changes_;
     std::map<std::uint64_t, Lease> leases_;
-    std::uint64_t revision_ = 0, last_hold_ = 0, forgotten_ = 0;
+    std::uint64_t revision_ = 0, last_lease_id_ = 0, last_trimmed_revision_ = 0;
 };
 
 } // namespace
--- a/src/store/file_data.cpp
+++ b/src/store/file_data.cpp
@@ -12,11 +12,11 @@
 namespace heronshift::store {
 namespace {
 
-constexpr int application = 0x48535354; // "HSST", in the header of the SQLite file
-constexpr std::size_t trim_every = 1000;
+constexpr int sqlite_application_id = 0x48535354; // "HSST", in the header of the SQLite file
+constexpr std::size_t changes_per_trim = 1000;
 
 // Migrations: each one upgrades the file from one schema to the next. A migration is never changed after its release.
-constexpr std::array<const char*, file_schema> steps = {
+constexpr std::array<const char*, file_schema> migrations = {
     "CREATE TABLE meta(k TEXT PRIMARY KEY, v) WITHOUT ROWID;"
     "INSERT INTO meta VALUES('epoch', 0), ('boot', '');"
     "CREATE TABLE kv(k TEXT PRIMARY KEY, data TEXT NOT NULL, stamp INTEGER NOT NULL, lease INTEGER NOT NULL)"
@@ -57,10 +57,10 @@
         if (::stat(path_.c_str(), &s) != 0 || s.st_ino != inode_ || s.st_dev != device_)
             throw StoreError(fmt::format("{}: the file was removed or replaced", path_));
         run("BEGIN IMMEDIATE");
-        open_ = true;
+        in_transaction_ = true;
     }
     bool commit() override {
-        open_ = false;
+        in_transaction_ = false;
         reset_all();
         const int e = sqlite3_exec(db_, "COMMIT", nullptr, nullptr, nullptr);
         if (e == SQLITE_OK)
@@ -73,9 +73,9 @@
     }
     void abandon() override {
         reset_all();
-        if (open_)
+        if (in_transaction_)
             sqlite3_exec(db_, "ROLLBACK", nullptr, nullptr, nullptr);
-        open_ = false;
+        in_transaction_ = false;
     }
 
     std::uint64_t revision() override {
@@ -125,7 +125,7 @@
         else
             statement.bind_null(3);
         statement.run();
-        if (++added_ % trim_every != 0)
+        if (++changes_added_ % changes_per_trim != 0)
             return;
         const std::string old = fmt::format("(SELECT max(n)-{} FROM changes)", kept_changes);
         prepared("UPDATE meta SET v=max(v, ifnull((SELECT max(stamp) FROM changes WHERE n<=" + old +
@@ -150,10 +150,10 @@
         }
         return out;
     }
-    std::uint64_t add_lease(const Lease& h) override {
+    std::uint64_t add_lease(const Lease& record) override {
         prepared("INSERT INTO holds(ttl, ends) VALUES(?1,?2)")
-            .bind(1, number(h.ttl_ms))
-            .bind(2, number(h.ends_ms))
+            .bind(1, number(record.ttl_ms))
+            .bind(2, number(record.ends_ms))
             .run();
         return static_cast<std::uint64_t>(sqlite3_last_insert_rowid(db_));
     }
@@ -163,11 +163,11 @@
             return {};
         return Lease{static_cast<std::int64_t>(statement.number(0)), static_cast<std::int64_t>(statement.number(1))};
     }
-    void set_lease(std::uint64_t id, const Lease& h) override {
+    void set_lease(std::uint64_t id, const Lease& record) override {
         prepared("UPDATE holds SET ttl=?2, ends=?3 WHERE id=?1")
             .bind(1, id)
-            .bind(2, number(h.ttl_ms))
-            .bind(3, number(h.ends_ms))
+            .bind(2, number(record.ttl_ms))
+            .bind(3, number(record.ends_ms))
             .run();
     }
     void erase_lease(std::uint64_t id) override {
@@ -192,7 +192,7 @@
         statement.row();
         const auto v = statement.number(0);
         statement.reset();
-        return std::exchange(version_, v) != v;
+        return std::exchange(data_version_, v) != v;
     }
 
 private:
@@ -212,17 +212,17 @@
             sqlite3_reset(statement_);
             return *this;
         }
-        Statement& bind(int at, const std::string& text) {
-            check(sqlite3_bind_text(statement_, at, text.data(), static_cast<int>(text.size()), SQLITE_TRANSIENT),
+        Statement& bind(int index, const std::string& text) {
+            check(sqlite3_bind_text(statement_, index, text.data(), static_cast<int>(text.size()), SQLITE_TRANSIENT),
                   SQLITE_OK);
             return *this;
         }
-        Statement& bind(int at, std::uint64_t n) {
-            check(sqlite3_bind_int64(statement_, at, static_cast<sqlite3_int64>(n)), SQLITE_OK);
+        Statement& bind(int index, std::uint64_t n) {
+            check(sqlite3_bind_int64(statement_, index, static_cast<sqlite3_int64>(n)), SQLITE_OK);
             return *this;
         }
-        void bind_null(int at) {
-            sqlite3_bind_null(statement_, at);
+        void bind_null(int index) {
+            sqlite3_bind_null(statement_, index);
         }
         bool row() {
             const int e = sqlite3_step(statement_);
@@ -236,20 +236,21 @@
             while (row()) {
             }
         }
-        std::string text(int at) {
-            const auto* p = reinterpret_cast<const char*>(sqlite3_column_text(statement_, at));
-            return p == nullptr ? "" : std::string(p, static_cast<std::size_t>(sqlite3_column_bytes(statement_, at)));
+        std::string text(int index) {
+            const auto* p = reinterpret_cast<const char*>(sqlite3_column_text(statement_, index));
+            return p == nullptr ? ""
+                                : std::string(p, static_cast<std::size_t>(sqlite3_column_bytes(statement_, index)));
         }
-        std::uint64_t number(int at) {
-            return static_cast<std::uint64_t>(sqlite3_column_int64(statement_, at));
+        std::uint64_t number(int index) {
+            return static_cast<std::uint64_t>(sqlite3_column_int64(statement_, index));
         }
-        bool null(int at) {
-            return sqlite3_column_type(statement_, at) == SQLITE_NULL;
+        bool null(int index) {
+            return sqlite3_column_type(statement_, index) == SQLITE_NULL;
         }
 
     private:
-        void check(int e, int wanted) {
-            if (e != wanted)
+        void check(int e, int expected) {
+            if (e != expected)
                 throw StoreError(fmt::format("{}: {}", path_, sqlite3_errmsg(db_)));
         }
         sqlite3* db_;
@@ -276,7 +277,7 @@
         if (sqlite3_exec(db_, sql, nullptr, nullptr, nullptr) != SQLITE_OK)
             fail();
     }
-    std::uint64_t ask(const char* sql) {
+    std::uint64_t query_number(const char* sql) {
         Statement statement(db_, path_, sql);
         return statement.row() ? statement.number(0) : 0;
     }
@@ -299,11 +300,11 @@
         // All three are read in one transaction. Between separate reads, another process could create the schema, and
         // the file would look like a database of another program.
         run("BEGIN");
-        const auto owner = ask("PRAGMA application_id");
-        const auto tables = ask("SELECT count(*) FROM sqlite_master");
-        const auto schema = ask("PRAGMA user_version");
+        const auto owner = query_number("PRAGMA application_id");
+        const auto tables = query_number("SELECT count(*) FROM sqlite_master");
+        const auto schema = query_number("PRAGMA user_version");
         run("COMMIT");
-        if (owner != application && (owner != 0 || tables != 0))
+        if (owner != sqlite_application_id && (owner != 0 || tables != 0))
             throw StoreError(fmt::format("{}: not a heronshift store but a database of another program", path_));
         if (schema > static_cast<std::uint64_t>(file_schema))
             throw StoreError(fmt::format("{}: written by a newer version (schema {}, this one knows {})", path_, schema,
@@ -313,15 +314,15 @@
             if (!statement.row() || statement.text(0) != "ok")
                 throw StoreError(fmt::format("{}: damaged: {}", path_, statement.text(0)));
         }
-        to_wal(options.busy_wait_s);
+        enable_wal(options.busy_wait_s);
         run(options.fsync ? "PRAGMA synchronous=FULL" : "PRAGMA synchronous=OFF");
         run("BEGIN IMMEDIATE");
         try {
             // Reads the schema again, since another process may have migrated the file meanwhile.
-            for (auto k = ask("PRAGMA user_version"); k < static_cast<std::uint64_t>(newest); ++k)
-                run(steps[k]);
-            run(fmt::format("PRAGMA application_id={}", application).c_str());
-            if (ask("PRAGMA user_version") < static_cast<std::uint64_t>(newest))
+            for (auto k = query_number("PRAGMA user_version"); k < static_cast<std::uint64_t>(newest); ++k)
+                run(migrations[k]);
+            run(fmt::format("PRAGMA application_id={}", sqlite_application_id).c_str());
+            if (query_number("PRAGMA user_version") < static_cast<std::uint64_t>(newest))
                 run(fmt::format("PRAGMA user_version={}", newest).c_str());
             renew_after_boot();
             run("COMMIT");
@@ -338,7 +339,7 @@
 
     // Switches the file to WAL mode. Retries for up to `wait_s`, because SQLite's busy time-out does not apply when
     // another process is switching the mode at the same time.
-    void to_wal(double wait_s) {
+    void enable_wal(double wait_s) {
         constexpr auto pause = std::chrono::milliseconds(5);
         const auto end = std::chrono::steady_clock::now() + std::chrono::duration<double>(wait_s);
         for (;;) {
@@ -368,8 +369,8 @@
     std::string path_;
     sqlite3* db_ = nullptr;
     std::map<std::string, std::unique_ptr<Statement>> statements_;
-    bool open_ = false;
-    std::uint64_t version_ = 0, added_ = 0;
+    bool in_transaction_ = false;
+    std::uint64_t data_version_ = 0, changes_added_ = 0;
     ino_t inode_ = 0;
     dev_t device_ = 0;
 };
--- a/src/store/local.cpp
+++ b/src/store/local.cpp
@@ -19,7 +19,7 @@
     return static_cast<double>(uv_hrtime()) * 1e-9;
 }
 
-Answer failed(int status, std::string why) {
+Answer error_answer(int status, std::string why) {
     Answer answer;
     answer.status = status;
     answer.sent = true;
@@ -31,7 +31,7 @@
     return std::holds_alternative<Follow>(call);
 }
 
-bool writes(const Call& call) {
+bool may_write(const Call& call) {
     return !is_follow(call) && !std::holds_alternative<Get>(call) && !std::holds_alternative<List>(call);
 }
 
@@ -43,7 +43,7 @@
 
 } // namespace
 
-struct LocalStore::Asked {
+struct LocalStore::QueuedCall {
     std::uint64_t id = 0;
     Call call;
     std::int64_t until_ms = 0; // when a follow is answered at the latest; unused for other calls
@@ -53,7 +53,7 @@
 struct LocalStore::Shared {
     std::mutex lock;
     std::condition_variable wake;
-    std::deque<Asked> queue;
+    std::deque<QueuedCall> queue;
     std::vector<std::pair<std::uint64_t, Answer>> answers;
     bool stop = false;
     std::unique_ptr<Engine> engine;
@@ -72,13 +72,13 @@
         while (!stop || !queue.empty()) {
             if (queue.empty())
                 wake.wait_for(l, std::chrono::duration<double>(poll_s));
-            std::vector<Asked> batch;
+            std::vector<QueuedCall> batch;
             while (!queue.empty() && batch.size() < max_batch) {
                 batch.push_back(std::move(queue.front()));
                 queue.pop_front();
             }
             l.unlock();
-            auto done = take(batch);
+            auto done = execute_batch(batch);
             l.lock();
             if (done.empty())
                 continue;
@@ -88,12 +88,12 @@
         }
     }
 
-    std::vector<std::pair<std::uint64_t, Answer>> take(std::vector<Asked>& batch) {
+    std::vector<std::pair<std::uint64_t, Answer>> execute_batch(std::vector<QueuedCall>& batch) {
         std::vector<std::pair<std::uint64_t, Answer>> out;
         const auto now = steady_ms();
         bool changed = false;
-        std::string wrong;
-        bool open_outcome = false;
+        std::string error_text;
+        bool outcome_unknown = false;
         try {
             changed = engine->data().changed_by_others();
             const bool expires = !engine->data().expired_leases(now).empty();
@@ -106,22 +106,22 @@
                     if (is_follow(c.call))
                         continue;
                     out.emplace_back(c.id, engine->run(c.call, now));
-                    changed = changed || (writes(c.call) && out.back().second.status == 200);
+                    changed = changed || (may_write(c.call) && out.back().second.status == 200);
                 }
-                open_outcome = !engine->data().commit();
-                if (open_outcome)
-                    wrong = "I/O error during commit, the outcome is unknown";
+                outcome_unknown = !engine->data().commit();
+                if (outcome_unknown)
+                    error_text = "I/O error during commit, the outcome is unknown";
             }
         } catch (const std::exception& error) {
-            wrong = error.what();
+            error_text = error.what();
             engine->data().abandon();
         }
-        if (!wrong.empty()) {
+        if (!error_text.empty()) {
             // Discards all answers of the batch, since nothing in it is known to be stored.
             out.clear();
             for (const auto& c : batch)
                 if (!is_follow(c.call))
-                    out.emplace_back(c.id, failed(open_outcome && writes(c.call) ? 0 : 503, wrong));
+                    out.emplace_back(c.id, error_answer(outcome_unknown && may_write(c.call) ? 0 : 503, error_text));
         }
         for (auto& c : batch)
             if (auto* f = std::get_if<Follow>(&c.call); f != nullptr)
@@ -163,13 +163,13 @@
 }
 
 void LocalStore::call(Call&& c, double timeout_s, Callback done) {
-    const auto id = ++last_;
-    open_[id] = {std::move(done), steady_s() + timeout_s};
+    const auto id = ++last_id_;
+    unanswered_[id] = {std::move(done), steady_s() + timeout_s};
     const auto* f = std::get_if<Follow>(&c);
     const auto until = f != nullptr ? steady_ms() + static_cast<std::int64_t>(f->block_s * 1000) : 0;
     const std::lock_guard l(shared_->lock);
     if (shared_->queue.size() >= max_waiting) {
-        shared_->answers.emplace_back(id, failed(503, "too many calls are queued"));
+        shared_->answers.emplace_back(id, error_answer(503, "too many calls are queued"));
         uv_async_send(shared_->async);
         return;
     }
@@ -186,11 +186,11 @@
     // A callback may destroy this store.
     const auto alive = alive_;
     for (auto& [id, answer] : list) {
-        const auto it = open_.find(id);
-        if (it == open_.end())
+        const auto it = unanswered_.find(id);
+        if (it == unanswered_.end())
             continue; // has timed out
         const auto done = std::move(it->second.done);
-        open_.erase(it);
+        unanswered_.erase(it);
         done(std::move(answer));
         if (!*alive)
             return;
@@ -199,18 +199,18 @@
 
 void LocalStore::sweep() {
     const double now = steady_s();
-    std::vector<Callback> late;
-    for (auto it = open_.begin(); it != open_.end();) {
+    std::vector<Callback> timed_out;
+    for (auto it = unanswered_.begin(); it != unanswered_.end();) {
         if (now < it->second.deadline) {
             ++it;
             continue;
         }
-        late.push_back(std::move(it->second.done));
-        it = open_.erase(it);
+        timed_out.push_back(std::move(it->second.done));
+        it = unanswered_.erase(it);
     }
     const auto alive = alive_;
-    for (const auto& done : late) {
-        done(failed(0, "timed out"));
+    for (const auto& done : timed_out) {
+        done(error_answer(0, "timed out"));
         if (!*alive)
             return;
     }
--- a/src/store/local.hpp
+++ b/src/store/local.hpp
@@ -21,14 +21,14 @@
 
 private:
     struct Shared;
-    struct Asked;
+    struct QueuedCall;
     void deliver();
-    struct Open {
+    struct UnansweredCall {
         Callback done;
         double deadline = 0;
     };
-    std::map<std::uint64_t, Open> open_;
-    std::uint64_t last_ = 0;
+    std::map<std::uint64_t, UnansweredCall> unanswered_;
+    std::uint64_t last_id_ = 0;
     std::shared_ptr<Shared> shared_;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/src/store/remote.hpp
+++ b/src/store/remote.hpp
@@ -17,7 +17,7 @@
     }
 
 private:
-    std::string at_;
+    std::string address_;
     HttpClient calls_, follows_;
 };
 
--- a/src/store/server.hpp
+++ b/src/store/server.hpp
@@ -10,8 +10,9 @@
 
 class StoreServer {
 public:
-    // How requests are treated: `well` serves them, `out` answers 503, `busy` answers 429, `silent` does not answer.
-    enum class FaultMode : std::uint8_t { well, out, busy, silent };
+    // How requests are treated: `none` serves them, `out` answers 503, `rate_limited` answers 429, `silent` does not
+    // answer.
+    enum class FaultMode : std::uint8_t { none, unavailable, rate_limited, silent };
     StoreServer(uv_loop_t* loop, std::unique_ptr<Engine> engine);
     StoreServer(const StoreServer&) = delete;
     StoreServer& operator=(const StoreServer&) = delete;
@@ -23,7 +24,7 @@
     [[nodiscard]] Engine& engine() {
         return store_.engine();
     }
-    // When a fault ends (the mode becomes `well`), all leases get their full time again.
+    // When a fault ends (the mode becomes `none`), all leases get their full time again.
     void set_fault_mode(FaultMode m);
     void poll(); // answers follows whose keys have changed or whose time is over; start() calls it periodically
     [[nodiscard]] std::uint64_t requests() const {
@@ -31,12 +32,12 @@
     }
 
 private:
-    void handle(HttpRequest&& request, const Responder& res);
+    void handle(HttpRequest&& request, const Responder& responder);
     uv_loop_t* loop_;
     DirectStore store_;
     HttpServer server_;
     std::vector<Responder> unanswered_;
-    FaultMode fault_mode_ = FaultMode::well;
+    FaultMode fault_mode_ = FaultMode::none;
     std::uint64_t requests_ = 0, polls_ = 0;
     LoopTimer timer_;
 };
--- a/src/timer_queue.hpp
+++ b/src/timer_queue.hpp
@@ -21,7 +21,7 @@
 
     /// Schedules `callback` to be called once, by run(), `delay_s` from now.
     void after(double delay_s, std::function<void()> callback) {
-        list_.push_back({clock_->now() + delay_s, std::move(callback)});
+        timers_.push_back({clock_->now() + delay_s, std::move(callback)});
         if (on_change)
             on_change();
     }
@@ -29,23 +29,23 @@
     /// are not called before the next run().
     void run() {
         std::vector<Entry> due;
-        const double t = clock_->now() + timer_s;
-        for (std::size_t i = 0; i < list_.size();) {
-            if (list_[i].at > t) {
+        const double t = clock_->now() + timer_tolerance_s;
+        for (std::size_t i = 0; i < timers_.size();) {
+            if (timers_[i].at > t) {
                 ++i;
                 continue;
             }
-            due.push_back(std::move(list_[i]));
-            list_[i] = std::move(list_.back());
-            list_.pop_back();
+            due.push_back(std::move(timers_[i]));
+            timers_[i] = std::move(timers_.back());
+            timers_.pop_back();
         }
         for (auto& entry : due)
-            entry.f();
+            entry.callback();
     }
     /// When the next function is due, on the clock of now(); infinity if the queue is empty.
     [[nodiscard]] double next_at() const {
         double at = std::numeric_limits<double>::infinity();
-        for (const auto& entry : list_)
+        for (const auto& entry : timers_)
             at = std::min(at, entry.at);
         return at;
     }
@@ -62,13 +62,13 @@
 
 private:
     // The loop's timers have a resolution of one millisecond and may fire slightly before a function is due.
-    static constexpr double timer_s = 0.0005;
+    static constexpr double timer_tolerance_s = 0.0005;
     struct Entry {
         double at;
-        std::function<void()> f;
+        std::function<void()> callback;
     };
     std::shared_ptr<const Clock> clock_;
-    std::vector<Entry> list_;
+    std::vector<Entry> timers_;
 };
 
 } // namespace heronshift
--- a/src/token_bucket.hpp
+++ b/src/token_bucket.hpp
@@ -9,28 +9,28 @@
 /// Times are seconds of the steady clock. Not synchronised.
 class TokenBucket {
 public:
-    TokenBucket(double per_s, double burst) : rate_(per_s), burst_(burst), left_(burst) {}
+    TokenBucket(double per_s, double burst) : tokens_per_s_(per_s), burst_(burst), tokens_(burst) {}
     /// Takes `n` tokens. Returns false and takes none if fewer are available.
     bool take(double now, double n = 1) {
         if (!would_take(now, n))
             return false;
-        left_ -= n;
+        tokens_ -= n;
         return true;
     }
     /// Takes `n` tokens even if fewer are available: the balance may become negative.
     void spend(double now, double n) {
         would_take(now, 0);
-        left_ -= n;
+        tokens_ -= n;
     }
     /// Whether take() would succeed. Also adds the tokens for the time since the last call.
     bool would_take(double now, double n) {
-        left_ = std::min(burst_, left_ + (now - at_) * rate_);
-        at_ = now;
-        return left_ >= n;
+        tokens_ = std::min(burst_, tokens_ + (now - refilled_at_) * tokens_per_s_);
+        refilled_at_ = now;
+        return tokens_ >= n;
     }
 
 private:
-    double rate_, burst_, left_, at_ = 0;
+    double tokens_per_s_, burst_, tokens_, refilled_at_ = 0;
 };
 
 } // namespace heronshift
--- a/src/workers/heartbeat_handler.cpp
+++ b/src/workers/heartbeat_handler.cpp
@@ -204,7 +204,7 @@
 // A machine that receives no answers tries all controllers in turn. Unless all of them relay its heartbeats, the leader
 // receives only one in each such round, and cannot detect in time that no answer reaches the machine. A returned
 // machine is therefore remembered for as long as a round takes, and a redirection that is longer ago is ignored
-// (docs/safety.md, 30; `InboundUnreachable.OneMachineGetsNothingMoreAndIsGivenBack`).
+// (docs/safety.md, 30; `InboundUnreachable.OneMachineGetsNoMoreTasksAndIsReleased`).
 HeartbeatHandler::Route HeartbeatHandler::route_of(const Heartbeat& heartbeat) {
     const auto& leader = host_.leader();
     const bool leader_reachable = membership_.peer(leader) != membership::Reachability::unreachable;
@@ -265,7 +265,7 @@
             return res.send(reply.status, reply.body);
         handle_or_enqueue({std::move(*shared_heartbeat), false, answer_to(res), since, std::nullopt, leader});
     };
-    peers_.request(Lane::relays, host_.leader(), "POST", peer_prefix + std::string(codec::path_heartbeat),
+    peers_.request(PeerRequestClass::relays, host_.leader(), "POST", peer_prefix + std::string(codec::path_heartbeat),
                    std::move(raw.body), wait_s, std::move(on_reply));
 }
 
@@ -277,7 +277,7 @@
 void HeartbeatHandler::record_launches(const std::vector<Order>& orders) {
     for (const auto& order : orders)
         if (order.verb == Verb::launch)
-            timings_.first_launches.launched(order.job, timers_.now(), timings_.launch);
+            timings_.first_launches.record_launch(order.job, timers_.now(), timings_.launch);
 }
 
 void HeartbeatHandler::record_path(const UnansweredHeartbeat& heartbeat) {
@@ -344,7 +344,7 @@
         }
         done(std::move(command));
     };
-    peers_.request(Lane::relays, peer, "POST", std::string(path_peer_relay) + effect.addr,
+    peers_.request(PeerRequestClass::relays, peer, "POST", std::string(path_peer_relay) + effect.addr,
                    codec::commands(effect.fencing_token, effect.agent_epoch, effect.orders), settings_.report_s / 2,
                    std::move(on_reply));
 }
--- a/tests/direct_commands.hpp
+++ b/tests/direct_commands.hpp
@@ -11,7 +11,7 @@
 
 struct DirectCommands : Network {
     using Network::Network;
-    using Obeyed = std::pair<int, Heartbeat>; // HTTP status and heartbeat of the machine
+    using CommandAnswer = std::pair<int, Heartbeat>; // HTTP status and heartbeat of the machine
 
     struct Command {
         std::string address;
@@ -32,7 +32,7 @@
         int launches_after_cancellation = 0; // executed after the user was told that the job is cancelled
     } late_commands;
 
-    void deliver(const Command& command, const Answer<Obeyed>& answer) {
+    void deliver(const Command& command, const Answer<CommandAnswer>& answer) {
         if (!reachable(command.address))
             return;
         auto& machine = workers[command.address];
@@ -41,10 +41,10 @@
         if (!command.orders.empty() && late_commands.share > 0 && chance() < late_commands.share) {
             ++late_commands.held;
             const double delay = between(late_commands.shortest_s, late_commands.longest_s);
-            return send(delay, [this, command] { arrive_late(command); });
+            return send(delay, [this, command] { deliver_late(command); });
         }
-        const bool obeyed = obey(machine, command);
-        answer({obeyed ? 200 : 409, heartbeat(machine)});
+        const bool accepted = try_execute(machine, command);
+        answer({accepted ? 200 : 409, heartbeat(machine)});
     }
 
 private:
@@ -52,7 +52,7 @@
         const auto machine = workers.find(address);
         return machine != workers.end() && !machine->second.dead && !machine->second.cut;
     }
-    bool obey(Worker& machine, const Command& command) {
+    bool try_execute(Worker& machine, const Command& command) {
         if (command.fencing_token < machine.fencing_token || command.agent_epoch != machine.agent_epoch)
             return false;
         machine.fencing_token = command.fencing_token;
@@ -63,23 +63,23 @@
         if (command.agent_epoch == 0)
             return; // a probe: no machine has the agent epoch 0
         ++late_commands.held_by_hang;
-        send(wait_step_s, [this, command] { arrive_late(command); });
+        send(wait_step_s, [this, command] { deliver_late(command); });
     }
-    void arrive_late(const Command& command) {
+    void deliver_late(const Command& command) {
         if (!reachable(command.address))
             return;
         auto& machine = workers[command.address];
         if (machine.hung) {
-            send(wait_step_s, [this, command] { arrive_late(command); });
+            send(wait_step_s, [this, command] { deliver_late(command); });
             return;
         }
         late_commands.refused_by_token += command.fencing_token < machine.fencing_token;
         late_commands.refused_by_session += command.agent_epoch != machine.agent_epoch;
-        const bool former = command.fencing_token >> cluster::token_counter_bits < newest_term();
-        if (!obey(machine, command))
+        const bool from_former_leader = command.fencing_token >> cluster::token_counter_bits < newest_term();
+        if (!try_execute(machine, command))
             return;
         ++late_commands.executed;
-        late_commands.executed_for_former_leader += former;
+        late_commands.executed_for_former_leader += from_former_leader;
         for (const auto& order : command.orders)
             if (order.verb == Verb::launch && cancelled.contains(order.job))
                 ++late_commands.launches_after_cancellation;
--- a/tests/fault_injection.hpp
+++ b/tests/fault_injection.hpp
@@ -8,33 +8,33 @@
 
 namespace heronshift::testing {
 
-struct FaultInjection : Working {
-    using Working::Working;
+struct FaultInjection : FleetUnderLoad {
+    using FleetUnderLoad::FleetUnderLoad;
 
-    std::size_t pick(std::size_t n) {
+    std::size_t random_index(std::size_t n) {
         return static_cast<std::size_t>(between(0, static_cast<double>(n) - 0.01));
     }
     // The leader with a probability of 0.5, otherwise the node `i`.
     std::size_t leader_or(std::size_t i) {
         return chance() < 0.5 ? leader().value_or(i) : i;
     }
-    Mode some_mode() {
-        return std::array{Mode::drop, Mode::hold, Mode::refuse, Mode::slow}[pick(4)];
+    Mode random_mode() {
+        return std::array{Mode::drop, Mode::hold, Mode::refuse, Mode::slow}[random_index(4)];
     }
     void cut(const std::string& a, const std::string& b, Mode mode, bool one_way, double for_s) {
         set(a, b, mode);
         if (!one_way)
             set(b, a, mode);
-        send(for_s, [this, a, b] { both(a, b, Mode::open); });
+        send(for_s, [this, a, b] { set_both(a, b, Mode::open); });
     }
 
     // Injects a random fault of the first set, which the tests of cut links draw from.
     void inject_fault(double for_s) {
-        hard_at = now;
+        last_severe_fault_at = now;
         const double c = chance();
-        const auto i = pick(nodes.size());
+        const auto i = random_index(nodes.size());
         const auto& name = nodes[i].name;
-        const auto mode = some_mode();
+        const auto mode = random_mode();
         const bool one_way = chance() < 0.3;
         const auto cut_off = [&](const std::string& from, const std::string& to) {
             cut(from, to, mode, one_way, for_s);
@@ -45,9 +45,9 @@
             for (const auto& z : settings.zones)
                 cut_off(name, zone(z));
         } else if (c < 0.5) {
-            cut_off(name, zone(settings.zones[pick(3)]));
+            cut_off(name, zone(settings.zones[random_index(3)]));
         } else if (c < 0.65) {
-            const auto k = pick(nodes.size());
+            const auto k = random_index(nodes.size());
             for (std::size_t o = 0; o < nodes.size(); ++o)
                 if (o != i && (o == k || chance() < 0.3))
                     cut_off(name, nodes[o].name);
@@ -89,7 +89,7 @@
             if ((zone_only.empty() || w.zone == zone_only) && chance() < share)
                 list.push_back(id);
         if (list.empty() && !workers.empty())
-            list.push_back(std::next(workers.begin(), static_cast<long>(pick(workers.size())))->first);
+            list.push_back(std::next(workers.begin(), static_cast<long>(random_index(workers.size())))->first);
         for (const auto& id : list)
             make_inbound_unreachable(id, names);
         send(for_s, [this, list] {
@@ -110,32 +110,32 @@
             if (o != i)
                 cut(nodes[i].name, nodes[o].name, mode, false, for_s);
     }
-    double moment() {
+    double short_downtime_s() {
         return between(0.05, 0.5);
     }
     void inject_later_fault(double for_s) {
-        hard_at = now;
+        last_severe_fault_at = now;
         const double c = chance();
-        const auto i = pick(nodes.size());
+        const auto i = random_index(nodes.size());
         if (c < 0.2) {
             const auto to = chance() < 0.4 ? std::vector{leader().value_or(i)} : all_nodes();
             const double kind = chance();
             make_some_inbound_unreachable(kind < 0.4   ? 0
                                           : kind < 0.7 ? 0.33
                                                        : 1,
-                                          kind < 0.7 ? "" : settings.zones[pick(3)], to, for_s);
+                                          kind < 0.7 ? "" : settings.zones[random_index(3)], to, for_s);
         } else if (c < 0.3) {
-            copies = 0.3;
-            send(2 * for_s, [this] { copies = 0; });
+            late_copy_share = 0.3;
+            send(2 * for_s, [this] { late_copy_share = 0; });
         } else if (c < 0.5) {
-            isolate(leader_or(i), some_mode(), for_s);
+            isolate(leader_or(i), random_mode(), for_s);
             if (chance() < 0.3)
-                isolate(pick(nodes.size()), some_mode(), for_s);
+                isolate(random_index(nodes.size()), random_mode(), for_s);
         } else if (c < 0.7) {
-            crash(leader_or(i), moment());
+            crash(leader_or(i), short_downtime_s());
         } else if (c < 0.8) {
             for (std::size_t o = 0; o < nodes.size(); ++o)
-                send(between(0, 1), [this, o] { crash(o, moment()); });
+                send(between(0, 1), [this, o] { crash(o, short_downtime_s()); });
         } else if (c < 0.9) {
             for (auto& [id, w] : workers)
                 if (chance() < 0.3)
@@ -152,7 +152,7 @@
         auto& w = workers[id];
         if (chance() < 0.5) {
             w.hung = true;
-            send(moment(), [this, id] {
+            send(short_downtime_s(), [this, id] {
                 if (const auto it = workers.find(id); it != workers.end())
                     it->second.hung = false;
             });
--- a/tests/fault_scenario.hpp
+++ b/tests/fault_scenario.hpp
@@ -10,14 +10,14 @@
 
 struct FaultyFleet : FaultInjection {
     explicit FaultyFleet(unsigned seed, std::size_t controllers = 5)
-        : FaultInjection(seed + other_seeds(), controllers, 24) {
+        : FaultInjection(seed + seed_offset(), controllers, 24) {
         before_step = [this] {
             if (on_step)
                 on_step();
         };
     }
     std::function<void()> on_step;
-    int added = 0; // jobs submitted besides the steady load
+    int extra_jobs = 0; // jobs submitted besides the steady load
 
     // This and `limit_teams` have to be called before the first step, in which the controllers start.
     void limit_store(double changes_per_s) {
@@ -35,17 +35,17 @@
     }
     // The first violation of a rule, empty if there is none.
     std::string violation() {
-        if (!broken.empty())
+        if (!violations.empty())
             return first(*this);
-        return started_cancelled > 0
-                   ? fmt::format("{} tasks launched although their jobs were cancelled", started_cancelled)
+        return cancelled_launches > 0
+                   ? fmt::format("{} tasks launched although their jobs were cancelled", cancelled_launches)
                    : "";
     }
     std::string run_final_checks() {
         on_step = {};
         return final_checks(std::max(leases(5), 90.0), leases(3));
     }
-    bool every(double seconds, double from = 0) const {
+    bool due_every(double seconds, double from = 0) const {
         return std::fmod(now + from, seconds) < 0.1;
     }
 };
@@ -57,7 +57,7 @@
     double for_s = 90;
     double changes_per_s = 0; // rate limit of the store's writes; 0: the fleet's default
     // Whether the faults that `name` announces occurred; empty: not checked.
-    std::function<bool(const FaultyFleet&)> took_place = nullptr;
+    std::function<bool(const FaultyFleet&)> faults_occurred = nullptr;
     double team_cpus = 0; // the limit of each team, beyond what the services use; 0: the fleet's default
     // The longest run time of a task, if it exceeds the final checks: a task that is lost late runs again from the
     // start.
@@ -67,21 +67,21 @@
     }
 };
 
-inline void some_cancel(FaultyFleet& f, double share) {
-    for (auto& [id, u] : f.asks)
-        if (u.accepted() && u.seen.done_at < 0 && f.jobs[id].shape != Shape::service && f.chance() < share)
+inline void cancel_random_jobs(FaultyFleet& f, double share) {
+    for (auto& [id, u] : f.users_by_job)
+        if (u.accepted() && u.observed.done_at < 0 && f.jobs[id].shape != Shape::service && f.chance() < share)
             f.request_cancellation(id);
 }
 
 // Makes a share of the machines unreachable for `for_s` seconds: each is cut off, hanging, unreachable inbound or
 // unreachable outbound.
-inline void unreachable(FaultyFleet& f, double share, double for_s) {
+inline void make_machines_unreachable(FaultyFleet& f, double share, double for_s) {
     std::vector<std::string> list;
     for (auto& [id, w] : f.workers)
         if (!w.dead && f.chance() < share)
             list.push_back(id);
     for (const auto& id : list) {
-        const auto k = f.pick(4);
+        const auto k = f.random_index(4);
         auto& w = f.workers[id];
         if (k == 0)
             w.cut = true;
@@ -102,19 +102,19 @@
     });
 }
 
-inline void end_leader(FaultyFleet& f, double for_s = 1) {
+inline void crash_leader(FaultyFleet& f, double for_s = 1) {
     f.crash(f.leader().value_or(0), for_s);
 }
 
-inline void outage(FaultyFleet& f, double for_s) {
+inline void begin_store_outage(FaultyFleet& f, double for_s) {
     f.store_down = true;
     f.send(for_s, [&f] { f.end_outage(); });
 }
 
 inline std::string add(FaultyFleet& f, JobSpec spec, int& n) {
     ++n;
-    spec.id = fmt::format("wk-{:06}", 800'000 + ++f.added);
-    f.ask(spec);
+    spec.id = fmt::format("wk-{:06}", 800'000 + ++f.extra_jobs);
+    f.submit_as_user(spec);
     return spec.id;
 }
 
@@ -125,7 +125,7 @@
 }
 
 // Runs a scenario and checks the rules, all answers to users, that the announced faults occurred, and the final checks.
-inline void play(const Scenario& scenario, unsigned seed) {
+inline void run_scenario(const Scenario& scenario, unsigned seed) {
     FaultyFleet f(seed);
     if (scenario.changes_per_s > 0)
         f.limit_store(scenario.changes_per_s);
@@ -133,15 +133,17 @@
         f.limit_teams(scenario.team_cpus);
     ASSERT_TRUE(f.settle(40)) << seed;
     scenario.begin(f);
-    f.work(scenario.for_s);
+    f.run_under_load(scenario.for_s);
     EXPECT_EQ(f.violation(), "") << seed;
-    if (scenario.took_place) {
-        EXPECT_TRUE(scenario.took_place(f)) << seed;
+    if (scenario.faults_occurred) {
+        EXPECT_TRUE(scenario.faults_occurred(f)) << seed;
     }
-    f.takes = {};
-    f.close_looks = false;
+    f.task_duration = {};
+    f.poll_after_changes = false;
     EXPECT_EQ(f.run_final_checks(), "") << seed;
-    EXPECT_EQ(std::count_if(f.asks.begin(), f.asks.end(), [](const auto& a) { return !a.second.accepted(); }), 0);
+    EXPECT_EQ(
+        std::count_if(f.users_by_job.begin(), f.users_by_job.end(), [](const auto& a) { return !a.second.accepted(); }),
+        0);
     finish_old_jobs(f, scenario.longest_task_s);
     EXPECT_EQ(f.unfinished(f.leases(3)), 0) << seed; // nothing stays suspected, reserved or counted forever
 }
--- a/tests/fleet.hpp
+++ b/tests/fleet.hpp
@@ -18,14 +18,14 @@
         std::string name;
         std::unique_ptr<heronshift::Controller> controller;
         std::shared_ptr<Clock> clock;
-        std::uint64_t life = 0; // counts the node's processes: what was sent to an earlier one is dropped
+        std::uint64_t incarnation = 0; // counts the node's processes: what was sent to an earlier one is dropped
         bool frozen = false, refused_by_store = false, healthy = false;
-        double back_at = -1, frozen_until = -1;
-        double late_s = 0;                        // how long its event loop is paused after every turn
-        int late_turns = 0;                       // how often `late_s` has paused it
+        double restarts_at = -1, frozen_until = -1;
+        double turn_delay_s = 0;                  // how long its event loop is paused after every turn
+        int delayed_turns = 0;                    // how often `turn_delay_s` has paused it
         std::vector<std::function<void()>> inbox; // events that arrived while it is frozen
         // Consecutive successful and failed health checks (/up).
-        int good = 0, bad = 0;
+        int consecutive_successes = 0, consecutive_failures = 0;
     };
     explicit Fleet(unsigned seed, std::size_t count = 5) : DirectCommands(seed) {
         settings.zones = {"a", "b", "c"};
@@ -36,7 +36,7 @@
         for (std::size_t i = 0; i < count; ++i) {
             nodes.emplace_back();
             nodes[i].name = fmt::format("berth-{}", i);
-            nodes[i].clock = std::make_shared<Skewed>(*this, between(0.9995, 1.0005), between(0, 1000));
+            nodes[i].clock = std::make_shared<SkewedClock>(*this, between(0.9995, 1.0005), between(0, 1000));
             begin(i);
         }
     }
@@ -48,9 +48,9 @@
     // Called for each request that a controller sends: `what` is a path under /peer for the node `to`, or the kind of a
     // request to the store (`to` is SIZE_MAX then).
     std::function<void(std::size_t from, std::size_t to, const std::string& what)> on_sent;
-    std::vector<double> changes; // times at which the leader changed
+    std::vector<double> leader_changes; // times at which the leader changed
     std::size_t last_leader = SIZE_MAX;
-    double bound_s = 2 * settings.lease_s; // after a path has existed for so long, no lease may expire
+    double recovery_bound_s = 2 * settings.lease_s; // after a path has existed for so long, no lease may expire
 
     // --- parties of the network ---
     static std::string zone(const std::string& name) {
@@ -58,7 +58,7 @@
     }
     void all_zones(const std::string& node, Mode m) {
         for (const auto& z : settings.zones)
-            both(node, zone(z), m);
+            set_both(node, zone(z), m);
     }
     // A machine that is unreachable inbound has a party name of its own, so that its links can be cut separately.
     std::string party(const Worker& w) const {
@@ -71,7 +71,7 @@
         return out;
     }
     std::map<std::string, std::size_t> inbound_unreachable; // by machine: for how many controllers
-    std::set<std::string> misses_answers; // machines that get no answers to heartbeats, but get orders
+    std::set<std::string> heartbeat_answers_lost; // machines that get no answers to heartbeats, but get orders
     // The machine's heartbeats arrive; what the controllers `to` answer or send to it does not.
     void make_inbound_unreachable(const std::string& machine, const std::vector<std::string>& to) {
         inbound_unreachable[machine] = to.size();
@@ -80,9 +80,9 @@
     }
 
     // Runs `f` in a node's process: not at all if that process has ended, later if it is frozen.
-    void in_node(std::size_t i, std::uint64_t life, std::function<void()> f) {
+    void run_in_node(std::size_t i, std::uint64_t incarnation, std::function<void()> f) {
         auto& n = nodes[i];
-        if (n.life != life || !n.controller)
+        if (n.incarnation != incarnation || !n.controller)
             return;
         if (n.frozen)
             return n.inbox.push_back(std::move(f));
@@ -91,10 +91,11 @@
     template <class R>
     void node_request(std::size_t i, const std::string& to, double timeout_s, std::function<void(Answer<R>)> serve,
                       Done<R> done) {
-        request<R>(nodes[i].name, to, timeout_s, std::move(serve),
-                   [this, i, life = nodes[i].life, done = std::move(done)](std::optional<R> r, bool sent) {
-                       in_node(i, life, [done, r = std::move(r), sent] { done(r, sent); });
-                   });
+        request<R>(
+            nodes[i].name, to, timeout_s, std::move(serve),
+            [this, i, incarnation = nodes[i].incarnation, done = std::move(done)](std::optional<R> r, bool sent) {
+                run_in_node(i, incarnation, [done, r = std::move(r), sent] { done(r, sent); });
+            });
     }
     // An HTTP request to a node, from a user, a worker or (`peer`) another node.
     void http(const std::string& from, std::size_t to, HttpRequest r, bool peer, double timeout_s,
@@ -102,7 +103,7 @@
         request<HttpReply>(
             from, nodes[to].name, timeout_s,
             [this, to, r, peer](const Answer<HttpReply>& answer) {
-                in_node(to, nodes[to].life, [this, to, r, peer, answer] {
+                run_in_node(to, nodes[to].incarnation, [this, to, r, peer, answer] {
                     Responder res([answer](int status, std::string_view body, int) {
                         if (status != 0)
                             answer({status, std::string(body), true});
@@ -121,8 +122,8 @@
     }
 
     // --- simulated replacements of a controller's clock, store, peers and executor ---
-    struct Skewed final : Clock {
-        Skewed(const Fleet& f, double rate, double start) : fleet(f), rate(rate), start(start) {}
+    struct SkewedClock final : Clock {
+        SkewedClock(const Fleet& f, double rate, double start) : fleet(f), rate(rate), start(start) {}
         [[nodiscard]] double now() const override {
             return start + fleet.now * rate;
         }
@@ -134,7 +135,7 @@
     };
     struct SimStore final : store::StateStore {
         SimStore(Fleet& f, std::size_t i) : fleet(f), i(i) {}
-        static std::string word(const store::Call& c) {
+        static std::string call_kind(const store::Call& c) {
             if (std::holds_alternative<store::CreateLease>(c))
                 return "hold";
             const auto* t = std::get_if<store::Transact>(&c);
@@ -146,11 +147,11 @@
         }
         void call(store::Call&& c, double timeout_s, store::Callback done) override {
             if (fleet.on_sent)
-                fleet.on_sent(i, SIZE_MAX, word(c));
+                fleet.on_sent(i, SIZE_MAX, call_kind(c));
             fleet.node_request<store::Answer>(
                 i, state, timeout_s,
                 [this_fleet = &fleet, i = i, c = std::move(c)](const Answer<store::Answer>& answer) {
-                    this_fleet->store_takes(i, c, answer);
+                    this_fleet->handle_store_call(i, c, answer);
                 },
                 [done = std::move(done)](std::optional<store::Answer> a, bool sent) {
                     if (!a) {
@@ -165,8 +166,8 @@
     };
     struct SimPeers final : Peers {
         SimPeers(Fleet& f, std::size_t i) : fleet(f), i(i) {}
-        void request(Lane, const std::string& name, const char* method, const std::string& path, std::string body,
-                     double timeout_s, Done done) override {
+        void request(PeerRequestClass, const std::string& name, const char* method, const std::string& path,
+                     std::string body, double timeout_s, Done done) override {
             if (fleet.on_sent)
                 fleet.on_sent(i, fleet.index(name), path);
             if (path.starts_with("/peer/relay"))
@@ -174,12 +175,13 @@
                     fleet.sent(o->list);
             const auto q = path.find('?');
             HttpRequest r{method, path.substr(0, q), q == std::string::npos ? "" : path.substr(q + 1), std::move(body)};
-            fleet.http(
-                fleet.nodes[i].name, fleet.index(name), std::move(r), true, timeout_s,
-                [this_fleet = &fleet, i = i, life = fleet.nodes[i].life,
-                 done = std::move(done)](std::optional<HttpReply> a, bool sent) {
-                    this_fleet->in_node(i, life, [done, a, sent] { done(a ? HttpReply(*a) : HttpReply{0, "", sent}); });
-                });
+            fleet.http(fleet.nodes[i].name, fleet.index(name), std::move(r), true, timeout_s,
+                       [this_fleet = &fleet, i = i, incarnation = fleet.nodes[i].incarnation,
+                        done = std::move(done)](std::optional<HttpReply> a, bool sent) {
+                           this_fleet->run_in_node(i, incarnation, [done, a, sent] {
+                               done(a ? HttpReply(*a) : HttpReply{0, "", sent});
+                           });
+                       });
         }
         Fleet& fleet;
         std::size_t i;
@@ -187,26 +189,27 @@
     struct SimExecutor final : Executor {
         SimExecutor(Fleet& f, std::size_t i) : fleet(f), i(i) {}
         void to_worker(const std::string& addr, std::uint64_t fencing_token, std::uint64_t agent_epoch,
-                       std::vector<Order> orders, double timeout_s, Done<Obeyed> done) {
+                       std::vector<Order> orders, double timeout_s, Done<CommandAnswer> done) {
             const auto it = fleet.workers.find(addr);
             const auto to = it == fleet.workers.end() ? "nowhere" : fleet.party(it->second);
-            fleet.node_request<Obeyed>(
+            fleet.node_request<CommandAnswer>(
                 i, to, timeout_s,
                 [f = &fleet, addr, fencing_token, agent_epoch,
-                 orders = std::move(orders)](const Answer<Obeyed>& answer) {
+                 orders = std::move(orders)](const Answer<CommandAnswer>& answer) {
                     f->deliver({addr, fencing_token, agent_epoch, orders}, answer);
                 },
                 std::move(done));
         }
         void command(const SendOrders& o, double timeout_s, std::function<void(OrdersAnswered&&)> done) override {
             fleet.sent(o.orders);
-            to_worker(o.addr, o.fencing_token, o.agent_epoch, o.orders, timeout_s,
-                      [done = std::move(done), id = o.machine, batch = o.batch](std::optional<Obeyed> a, bool sent) {
-                          OrdersAnswered out{id, batch, a ? a->first : 0, sent, std::nullopt};
-                          if (a)
-                              out.heartbeat = a->second;
-                          done(std::move(out));
-                      });
+            to_worker(
+                o.addr, o.fencing_token, o.agent_epoch, o.orders, timeout_s,
+                [done = std::move(done), id = o.machine, batch = o.batch](std::optional<CommandAnswer> a, bool sent) {
+                    OrdersAnswered out{id, batch, a ? a->first : 0, sent, std::nullopt};
+                    if (a)
+                        out.heartbeat = a->second;
+                    done(std::move(out));
+                });
         }
         void forward(const std::string& addr, std::string body, double timeout_s,
                      std::function<void(HttpReply&&)> done) override {
@@ -214,13 +217,13 @@
             if (!o || !o->fencing_token || !o->agent_epoch)
                 return done({400, "{}", true});
             to_worker(addr, *o->fencing_token, *o->agent_epoch, o->list, timeout_s,
-                      [done = std::move(done)](std::optional<Obeyed> a, bool sent) {
+                      [done = std::move(done)](std::optional<CommandAnswer> a, bool sent) {
                           done(a ? HttpReply{a->first, codec::to_body(a->second), true} : HttpReply{0, "", sent});
                       });
         }
         void probe(const std::string& addr, double timeout_s, std::function<void(std::optional<bool>)> done) override {
             to_worker(addr, UINT64_MAX, 0, {}, timeout_s,
-                      [done = std::move(done)](const std::optional<Obeyed>& a, bool) { done(a.has_value()); });
+                      [done = std::move(done)](const std::optional<CommandAnswer>& a, bool) { done(a.has_value()); });
         }
         void rent(const Rent& ask, double timeout_s, std::function<void(Rented&&)> done) override {
             fleet.node_request<Rented>(
@@ -271,17 +274,17 @@
     }
     void begin(std::size_t i) {
         auto& n = nodes[i];
-        ++n.life;
-        begun_ = false;
+        ++n.incarnation;
+        all_started_ = false;
     }
     // Starts all nodes that are due; requires that the names of all nodes are set.
-    void begin_all() {
-        begun_ = true;
+    void start_due_nodes() {
+        all_started_ = true;
         for (std::size_t i = 0; i < nodes.size(); ++i) {
             auto& n = nodes[i];
-            if (n.controller || now < n.back_at)
+            if (n.controller || now < n.restarts_at)
                 continue;
-            ++n.life;
+            ++n.incarnation;
             heronshift::Controller::Parts p;
             p.state = std::make_unique<SimStore>(*this, i);
             p.executor = std::make_unique<SimExecutor>(*this, i);
@@ -293,24 +296,24 @@
     }
     void crash(std::size_t i, double for_s) {
         auto& n = nodes[i];
-        ++n.life;
+        ++n.incarnation;
         n.controller.reset();
         n.inbox.clear();
         n.frozen = n.healthy = false;
-        n.back_at = now + for_s;
-        begun_ = false;
-        // A new process knows nothing yet: the time from which `bound_s` counts restarts.
-        ways.clear();
+        n.restarts_at = now + for_s;
+        all_started_ = false;
+        // A new process knows nothing yet: the time from which `recovery_bound_s` counts restarts.
+        service_paths.clear();
     }
     void freeze(std::size_t i, double for_s) { // its clocks keep running
         nodes[i].frozen = true;
         nodes[i].frozen_until = now + for_s;
-        ways.clear();
+        service_paths.clear();
     }
     void run_node(std::size_t i) {
         auto& n = nodes[i];
         if (!n.controller) {
-            begun_ = begun_ && now < n.back_at;
+            all_started_ = all_started_ && now < n.restarts_at;
             return;
         }
         if (n.frozen) {
@@ -321,15 +324,15 @@
             auto list = std::exchange(n.inbox, {});
             std::shuffle(list.begin(), list.end(), rng);
             for (auto& f : list)
-                in_node(i, n.life, std::move(f));
+                run_in_node(i, n.incarnation, std::move(f));
         }
         n.controller->tick();
         for (int k = 0; k < 4 && n.controller->wake_at() <= n.clock->now(); ++k)
             n.controller->wake();
-        if (n.late_s > 0) {
-            ++n.late_turns;
+        if (n.turn_delay_s > 0) {
+            ++n.delayed_turns;
             n.frozen = true;
-            n.frozen_until = now + n.late_s;
+            n.frozen_until = now + n.turn_delay_s;
         }
     }
     bool is_active_leader(std::size_t i) const {
@@ -357,7 +360,7 @@
     bool refuses(std::size_t i) const {
         return store_down || nodes[i].refused_by_store;
     }
-    void store_takes(std::size_t i, const store::Call& c, const Answer<store::Answer>& answer) {
+    void handle_store_call(std::size_t i, const store::Call& c, const Answer<store::Answer>& answer) {
         if (const auto* f = std::get_if<store::Follow>(&c); f != nullptr) {
             store::Engine::Waiting w{*f, 0, false};
             w.until_ms = now_ms() + static_cast<std::int64_t>(f->block_s * 1000);
@@ -368,20 +371,20 @@
             return;
         }
         const bool writes = std::holds_alternative<store::Transact>(c);
-        if (writes && chance() < late_writes) // gets no answer, and is applied after newer transactions
+        if (writes && chance() < late_write_share) // gets no answer, and is applied after newer transactions
             return send(between(2, 12), [this, i, c] {
                 if (!refuses(i))
-                    run_call(c);
+                    apply_store_call(c);
             });
         store::Answer a;
         a.status = 503;
         if (!refuses(i))
-            a = run_call(c);
-        if (!writes || chance() >= lost_answers)
+            a = apply_store_call(c);
+        if (!writes || chance() >= lost_answer_share)
             answer(std::move(a));
     }
-    double late_writes = 0, lost_answers = 0; // shares of the transactions
-    store::Answer run_call(const store::Call& c) {
+    double late_write_share = 0, lost_answer_share = 0; // shares of the transactions
+    store::Answer apply_store_call(const store::Call& c) {
         engine->data().begin();
         engine->expire(now_ms());
         auto a = engine->run(c, now_ms());
@@ -454,9 +457,9 @@
         w.in_flight = true;
         const double sent = now;
         const auto body = codec::to_body(heartbeat(w));
-        if (copies > 0 && chance() < copies)
-            copy(zone(w.zone), body);
-        if (kept_copies > 0 && chance() < kept_copies)
+        if (late_copy_share > 0 && chance() < late_copy_share)
+            send_late_copies(zone(w.zone), body);
+        if (replay_share > 0 && chance() < replay_share)
             kept.emplace_back(zone(w.zone), body);
         http(party(w), w.node, {"POST", std::string(codec::path_heartbeat), "", body}, false, 4,
              [this, id = w.id, sent, agent_epoch = w.agent_epoch](const std::optional<HttpReply>& a, bool) {
@@ -465,7 +468,7 @@
                      return;
                  auto& x = it->second;
                  x.in_flight = false;
-                 if (misses_answers.contains(id)) {
+                 if (heartbeat_answers_lost.contains(id)) {
                      x.node = (x.node + 1) % nodes.size();
                      x.next_heartbeat = now + 5; // the request times out after 4 s
                      return;
@@ -493,10 +496,10 @@
                  execute(x, o->list);
              });
     }
-    double copies = 0;      // the share of heartbeats of which copies arrive late
-    double kept_copies = 0; // the share of heartbeats of which every controller gets a copy when the leader changes
+    double late_copy_share = 0; // the share of heartbeats of which copies arrive late
+    double replay_share = 0;    // the share of heartbeats of which every controller gets a copy when the leader changes
     std::vector<std::pair<std::string, std::string>> kept; // sender's party and body of the heartbeat
-    void deliver_kept() {
+    void replay_kept() {
         for (const auto& [from, body] : std::exchange(kept, {}))
             for (std::size_t to = 0; to < nodes.size(); ++to)
                 http(from, to, {"POST", std::string(codec::path_heartbeat), "", body}, false, 4,
@@ -504,7 +507,7 @@
     }
     std::set<std::string> outbound_unreachable; // machines that reach no controller, but get orders
     // Sends three late copies of a heartbeat to random controllers, some of them as if relayed by another controller.
-    void copy(const std::string& from, const std::string& body) {
+    void send_late_copies(const std::string& from, const std::string& body) {
         for (int k = 0; k < 3; ++k)
             send(chance() < 0.5 ? between(0.2, settings.lease_s) : between(1, 300), [this, from, body] {
                 const auto to = static_cast<std::size_t>(between(0, static_cast<double>(nodes.size()) - 0.01));
@@ -517,28 +520,29 @@
         ++expirations;
         // A machine needs 5 s to find out that a node does not answer: with more than two such nodes its lease may
         // expire whatever the controllers do.
-        const bool findable = now - hard_at > settings.lease_s;
-        if (!w.cut && !w.hung && findable && path_since >= 0 && now - path_since > bound_s &&
-            now - w.well_since > bound_s)
-            broken.push_back(fmt::format(
-                "the lease of {} expired although a leader could have answered it since t={:.1f} s", w.id, path_since));
+        const bool avoidable = now - last_severe_fault_at > settings.lease_s;
+        if (!w.cut && !w.hung && avoidable && service_path_since >= 0 && now - service_path_since > recovery_bound_s &&
+            now - w.healthy_since > recovery_bound_s)
+            violations.push_back(
+                fmt::format("the lease of {} expired although a leader could have answered it since t={:.1f} s", w.id,
+                            service_path_since));
     }
 
     // --- paths between the parties, and one step of the controllers ---
-    double path_since = -1, hard_at = -1e9;
+    double service_path_since = -1, last_severe_fault_at = -1e9;
     // Pairs of a controller that reaches the store and the cloud, and a relay (the same controller: none) through which
     // it reaches those workers and users that it does not reach itself; and since when the pair could serve everybody
-    // without interruption. `path_since` is the earliest of these times; below zero: no pair can at present.
-    std::map<std::pair<std::size_t, std::size_t>, double> ways;
-    void look_for_paths() {
+    // without interruption. `service_path_since` is the earliest of these times; below zero: no pair can at present.
+    std::map<std::pair<std::size_t, std::size_t>, double> service_paths;
+    void update_service_paths() {
         const auto up = [&](std::size_t i) { return nodes[i].controller && !nodes[i].frozen; };
         for (const auto& name : settings.zones)
             if (std::count_if(nodes.begin(), nodes.end(), [&](const Node& n) {
                     return !n.controller || n.frozen || !open(n.name, zone(name));
                 }) > 2)
-                hard_at = now;
+                last_severe_fault_at = now;
         std::map<std::pair<std::size_t, std::size_t>, double> kept;
-        path_since = -1;
+        service_path_since = -1;
         for (std::size_t h = 0; h < nodes.size(); ++h) {
             if (!up(h) || refuses(h) || !open(nodes[h].name, state) || !open(nodes[h].name, cloud))
                 continue;
@@ -550,26 +554,26 @@
                 const auto& z = settings.zones;
                 if (!by(users) || !std::all_of(z.begin(), z.end(), [&](const auto& name) { return by(zone(name)); }))
                     continue;
-                const auto was = ways.find({h, p});
-                const double since = kept[{h, p}] = was == ways.end() ? now : was->second;
-                if (path_since < 0 || since < path_since)
-                    path_since = since;
+                const auto was = service_paths.find({h, p});
+                const double since = kept[{h, p}] = was == service_paths.end() ? now : was->second;
+                if (service_path_since < 0 || since < service_path_since)
+                    service_path_since = since;
             }
         }
-        ways.swap(kept);
+        service_paths.swap(kept);
     }
     virtual void run_users() {}
     int run_controllers() override {
-        if (!begun_)
-            begin_all();
+        if (!all_started_)
+            start_due_nodes();
         run_store();
         run_users();
         for (auto& [id, w] : workers) {
             const auto d = inbound_unreachable.find(id);
             const bool hears = (d == inbound_unreachable.end() || d->second < nodes.size()) &&
-                               !misses_answers.contains(id) && !outbound_unreachable.contains(id);
-            if (w.cut || w.hung || w.dead || w.well_since < 0 || !hears)
-                w.well_since = now;
+                               !heartbeat_answers_lost.contains(id) && !outbound_unreachable.contains(id);
+            if (w.cut || w.hung || w.dead || w.healthy_since < 0 || !hears)
+                w.healthy_since = now;
         }
         int leaders = 0;
         for (std::size_t i = 0; i < nodes.size(); ++i)
@@ -579,18 +583,18 @@
                 continue;
             ++leaders;
             if (last_leader != i) {
-                changes.push_back(now);
-                deliver_kept();
+                leader_changes.push_back(now);
+                replay_kept();
             }
             last_leader = i;
         }
-        look_for_paths();
+        update_service_paths();
         return leaders;
     }
     void read_all() override {} // the simulated users read the jobs' states instead
 
 private:
-    bool begun_ = false;
+    bool all_started_ = false;
 };
 
 } // namespace heronshift::testing
--- a/tests/machines.hpp
+++ b/tests/machines.hpp
@@ -59,7 +59,7 @@
         double lease_from = 0, next_heartbeat = 0, rented_at = 0;
         std::size_t node = 0; // the controller it reports to
         bool in_flight = false;
-        double well_since = -1; // since when it is not cut off, hanging or dead
+        double healthy_since = -1; // since when it is not cut off, hanging or dead
         struct Run {
             std::string job;
             std::uint32_t index = 0;
@@ -67,7 +67,7 @@
             TaskState state = TaskState::fetching;
             ExitCause cause = ExitCause::none;
             double until = 0; // when the present state ends: the fetch, the wait for the gang or the run
-            double alone_since = -1;
+            double incomplete_since = -1;
         };
         std::vector<Run> tasks;
     };
@@ -84,10 +84,11 @@
     std::map<std::string, JobSpec> jobs;
     std::map<std::string, double> cancelled; // when the user was told, by job
     std::set<std::string> done_tasks;
-    int starts_at_limit = 0;                // starts after which the team's limit leaves no room for another such task
-    int started = 0, started_cancelled = 0; // `started_cancelled`: launches after the user was told of the cancellation
-    std::vector<std::string> broken;
-    std::function<double(std::uint32_t)> takes; // how long a task runs, by its index
+    int starts_at_limit = 0; // starts after which the team's limit leaves no room for another such task
+    int started = 0,
+        cancelled_launches = 0; // `cancelled_launches`: launches after the user was told of the cancellation
+    std::vector<std::string> violations;
+    std::function<double(std::uint32_t)> task_duration; // how long a task runs, by its index
 
     double chance() {
         return std::uniform_real_distribution<double>(0, 1)(rng);
@@ -98,7 +99,7 @@
     virtual std::optional<codec::Json> stored(const std::string& key) = 0; // the store's present value of the key
     virtual void heartbeat_if_due(Worker& w) = 0;
     virtual void expired(Worker& /*w*/) {}
-    virtual void begun(const Worker::Run& /*t*/) {} // the task makes progress
+    virtual void on_task_running(const Worker::Run& /*t*/) {} // the task makes progress
 
     Heartbeat heartbeat(Worker& w) {
         Heartbeat r{w.id, w.addr, "m8", w.zone, w.spot, w.agent_epoch, ++w.counter, w.fencing_token, -1, {}};
@@ -110,7 +111,7 @@
     // Counts launches sent after the user was told of the cancellation; `execute` counts those that arrive after it.
     void sent(const std::vector<Order>& orders) {
         for (const auto& o : orders)
-            started_cancelled += o.verb == Verb::launch && cancelled.contains(o.job);
+            cancelled_launches += o.verb == Verb::launch && cancelled.contains(o.job);
     }
     void execute(Worker& w, const std::vector<Order>& orders) {
         for (const auto& o : orders) {
@@ -118,7 +119,7 @@
                 return t.job == o.job && t.index == o.index && t.attempt == o.attempt;
             });
             if (o.verb == Verb::launch) {
-                started_cancelled += cancelled.contains(o.job);
+                cancelled_launches += cancelled.contains(o.job);
                 if (it != w.tasks.end())
                     continue;
                 Worker::Run t{o.job, o.index, o.attempt, TaskState::fetching, ExitCause::none, now + between(0.1, 2)};
@@ -142,13 +143,13 @@
         }
     }
 
-    virtual void on_machine(Worker& w, Worker::Run& t) {
+    virtual void check_task_start(Worker& w, Worker::Run& t) {
         const auto name = fmt::format("{}/{}", t.job, t.index);
         const auto& spec = jobs[t.job];
         ++started;
         for (const auto& id : spec.dependencies)
             if (const auto f = stored("f/" + id); !f || (*f)["s"] != codec::status_done)
-                broken.push_back("too_early " + name + " needs " + id);
+                violations.push_back("too_early " + name + " needs " + id);
         int here = 0, in_zone = 0;
         Resources used;
         for (const auto& [id, x] : workers) {
@@ -162,26 +163,26 @@
                 if (r.job == t.job && x.zone == w.zone)
                     ++in_zone;
                 if (r.job == t.job && spec.one_zone && x.zone != w.zone)
-                    broken.push_back("wrong_place " + name);
+                    violations.push_back("wrong_place " + name);
                 if (jobs[r.job].team == spec.team)
                     used += jobs[r.job].each;
             }
         }
         if (here > 1)
-            broken.push_back("ran_twice " + name);
+            violations.push_back("ran_twice " + name);
         if (spec.spread && in_zone > static_cast<int>((spec.tasks + 1) / 2))
-            broken.push_back("wrong_place " + name);
+            violations.push_back("wrong_place " + name);
         if (w.spot && !spec.spot)
-            broken.push_back("wrong_place " + name);
+            violations.push_back("wrong_place " + name);
         for (const auto& l : settings.teams) {
             if (l.name != spec.team)
                 continue;
             if (used.cpus > l.cpus_max + 1e-6)
-                broken.push_back(fmt::format("quota {}", name));
+                violations.push_back(fmt::format("quota {}", name));
             starts_at_limit += used.cpus + spec.each.cpus > l.cpus_max;
         }
         if (cancelled.contains(t.job) && now > cancelled[t.job] + settings.cancel_s)
-            broken.push_back("ran_cancelled " + name);
+            violations.push_back("ran_cancelled " + name);
     }
 
     void run_worker(Worker& w) {
@@ -205,9 +206,9 @@
                 const bool gang = jobs[t.job].shape == Shape::gang;
                 t.state = gang ? TaskState::waiting : TaskState::running;
                 t.until = now + (gang ? settings.gang_wait_s : run_s(t.index));
-                on_machine(w, t);
+                check_task_start(w, t);
                 if (!gang)
-                    begun(t);
+                    on_task_running(t);
             } else if (t.state == TaskState::waiting && now >= t.until) {
                 t.state = TaskState::ended;
                 t.cause = ExitCause::alone;
@@ -223,7 +224,7 @@
         heartbeat_if_due(w);
     }
     double run_s(std::uint32_t index) {
-        return takes ? takes(index) : between(2, 12);
+        return task_duration ? task_duration(index) : between(2, 12);
     }
 
     // The tasks of one attempt of a gang start together, and end when one of them has been gone for `gang_peer_s`.
@@ -243,15 +244,15 @@
                 if (all_wait) {
                     t->state = TaskState::running;
                     t->until = until;
-                    begun(*t);
+                    on_task_running(*t);
                 }
                 if (t->state != TaskState::running)
                     continue;
                 if (whole)
-                    t->alone_since = -1;
-                else if (t->alone_since < 0)
-                    t->alone_since = now;
-                else if (now - t->alone_since > settings.gang_peer_s) {
+                    t->incomplete_since = -1;
+                else if (t->incomplete_since < 0)
+                    t->incomplete_since = now;
+                else if (now - t->incomplete_since > settings.gang_peer_s) {
                     t->state = TaskState::ended;
                     t->cause = ExitCause::peers;
                 }
--- a/tests/network.hpp
+++ b/tests/network.hpp
@@ -28,21 +28,21 @@
         for (auto& f : std::exchange(l.held, {}))
             send(delay += 0.001, std::move(f));
     }
-    void both(const std::string& a, const std::string& b, Mode m) {
+    void set_both(const std::string& a, const std::string& b, Mode m) {
         set(a, b, m);
         set(b, a, m);
     }
     bool open(const std::string& a, const std::string& b) {
-        const auto is = [&](const std::string& x, const std::string& y) {
+        const auto is_open = [&](const std::string& x, const std::string& y) {
             const auto it = links.find({x, y});
             return it == links.end() || it->second.mode == Mode::open;
         };
-        return is(a, b) && is(b, a);
+        return is_open(a, b) && is_open(b, a);
     }
-    void pass(const std::string& from, const std::string& to, std::function<void()> f,
-              std::function<void()> refused = {}) {
+    void transmit(const std::string& from, const std::string& to, std::function<void()> f,
+                  std::function<void()> refused = {}) {
         auto& l = links[{from, to}];
-        const double delay = chance() < late ? between(0.3, 2) : between(0.001, 0.03);
+        const double delay = chance() < delayed_share ? between(0.3, 2) : between(0.001, 0.03);
         switch (l.mode) {
         case Mode::open:
             return send(delay, std::move(f));
@@ -70,10 +70,10 @@
             if (const auto f = std::exchange(*once, nullptr); f)
                 f(std::move(r), sent);
         };
-        pass(
+        transmit(
             from, to,
             [this, from, to, serve = std::move(serve), finish] {
-                serve([this, from, to, finish](R r) { pass(to, from, [finish, r] { finish(r, true); }); });
+                serve([this, from, to, finish](R r) { transmit(to, from, [finish, r] { finish(r, true); }); });
             },
             [finish] { finish({}, false); });
         send(timeout_s, [finish] { finish({}, true); });
--- a/tests/simulated_cluster.hpp
+++ b/tests/simulated_cluster.hpp
@@ -24,12 +24,12 @@
         std::string name;
         std::unique_ptr<Core> core; // set while it is the leader or takes itself for it
         std::vector<Command> queue;
-        std::uint64_t life = 0, term = 0, store_lease = 0; // answers to an earlier `life` are dropped
-        std::optional<LeaderLease> leader_lease;           // none: the only controller, which may always act
+        std::uint64_t incarnation = 0, term = 0, store_lease = 0; // answers to an earlier `incarnation` are dropped
+        std::optional<LeaderLease> leader_lease;                  // none: the only controller, which may always act
         bool alive = true, acquiring = false, no_store = false, no_workers = false, no_peers = false;
         // Runs the version before job chains: `start_core`, `submit` and `perform` skip what it lacks.
-        bool old = false;
-        double rate = 1, back_at = 0, next_look = 0, next_renew = 0;
+        bool runs_old_version = false;
+        double clock_rate = 1, restarts_at = 0, next_store_check = 0, next_renew = 0;
     };
 
     explicit SimulatedCluster(unsigned seed, std::size_t count = 1)
@@ -38,14 +38,14 @@
             controllers[i].name = fmt::format("berth-{}", i);
             if (count == 1)
                 continue;
-            controllers[i].rate = between(0.9995, 1.0005); // the steady clocks of different hosts drift apart
+            controllers[i].clock_rate = between(0.9995, 1.0005); // the steady clocks of different hosts drift apart
             controllers[i].leader_lease.emplace(ttl_s(), count - 1, 0);
         }
     }
     Settings old_settings = settings;
-    double heartbeat_loss = 0, order_loss = 0, late = 0;
-    // `strict`: a transaction above the store's limits is a violation.
-    bool store_down = false, strict = false;
+    double heartbeat_loss = 0, order_loss = 0, delayed_share = 0;
+    // `enforce_store_limits`: a transaction above the store's limits is a violation.
+    bool store_down = false, enforce_store_limits = false;
     bool check_orphaned = true;
     std::map<std::string, codec::Json> store;
     struct LeaderRecord {
@@ -55,11 +55,11 @@
     std::optional<LeaderRecord> leader_record;
     std::map<std::uint64_t, double> store_leases; // expiry time by lease
     std::uint64_t term = 0, store_lease_seq = 0;
-    // `carried`: steps in which extension votes alone kept the leadership.
-    int acquisitions = 0, carried = 0;
+    // `steps_on_votes_alone`: steps in which extension votes alone kept the leadership.
+    int acquisitions = 0, steps_on_votes_alone = 0;
     std::map<std::string, double> submitted;
-    std::set<std::string> asked;             // jobs whose users requested the cancellation
-    std::map<std::string, std::string> told; // final states that users were told, by job
+    std::set<std::string> cancellations_requested;   // jobs whose users requested the cancellation
+    std::map<std::string, std::string> final_states; // final states that users were told, by job
     std::vector<Message> messages;
     std::vector<Controller> controllers;
     std::unique_ptr<Core>& core; // of the first controller
@@ -68,9 +68,9 @@
     std::uint64_t handles = 0;
     int capacity = 6; // machines that can still be rented
     // If set: the number of on-demand machines that can still be rented; `capacity` counts spot machines only then.
-    std::optional<int> ordinary;
+    std::optional<int> on_demand_capacity;
     int machines = 0, steps = 0;
-    std::set<std::string> claims;
+    std::set<std::string> rental_claims;
     std::function<void(const std::vector<codec::Write>&)> on_commit;
     replay::CommandLog* log = nullptr; // if set, records the commands and effects of the only controller
 
@@ -84,7 +84,7 @@
         return controllers.size() > 1;
     }
     [[nodiscard]] bool may_act(const Controller& c) const {
-        return c.alive && c.core && (!c.leader_lease || c.leader_lease->valid(now * c.rate));
+        return c.alive && c.core && (!c.leader_lease || c.leader_lease->valid(now * c.clock_rate));
     }
 
     // Starts a new term on the first controller, which knows only what the store holds.
@@ -94,13 +94,13 @@
     }
 
     void start_core(Controller& c) {
-        ++c.life;
+        ++c.incarnation;
         ++acquisitions;
         c.term = term;
         Snapshot s;
         for (const auto& [k, v] : store) {
             // The old version ignores job records without a spec, and does not know the keys q/ and x/.
-            if (c.old && (k.starts_with("q/") || (k.starts_with("j/") && !v.contains("spec"))))
+            if (c.runs_old_version && (k.starts_with("q/") || (k.starts_with("j/") && !v.contains("spec"))))
                 continue;
             codec::Item i{k, v, 1, false};
             if (k.starts_with("j/"))
@@ -113,34 +113,35 @@
                 s.images.push_back(i);
             if (k.starts_with("l/"))
                 s.learned.push_back(i);
-            if (k.starts_with("x/") && !c.old)
+            if (k.starts_with("x/") && !c.runs_old_version)
                 s.cascades.push_back(i);
             if (k.starts_with("m/") || k.starts_with("d/"))
                 s.legacy.push_back(i);
         }
         c.queue.clear();
         if (log != nullptr)
-            log->begin(settings, c.term, s, now * c.rate, now);
-        c.core = std::make_unique<Core>(c.old ? old_settings : settings, c.term, s, now * c.rate, now);
+            log->begin(settings, c.term, s, now * c.clock_rate, now);
+        c.core =
+            std::make_unique<Core>(c.runs_old_version ? old_settings : settings, c.term, s, now * c.clock_rate, now);
         c.queue.push_back(MachineTypesKnown{small_types()});
         c.queue.push_back(list());
     }
 
     bool rent_one(bool spot) {
-        auto& left = kind(spot);
+        auto& left = capacity_left(spot);
         if (left <= 0)
             return false;
         --left;
         return true;
     }
-    int& kind(bool spot) {
-        return !spot && ordinary ? *ordinary : capacity;
+    int& capacity_left(bool spot) {
+        return !spot && on_demand_capacity ? *on_demand_capacity : capacity;
     }
     void give_back(const std::string& id) {
         const auto it = workers.find(id);
         if (it == workers.end())
             return;
-        ++kind(it->second.spot);
+        ++capacity_left(it->second.spot);
         workers.erase(it);
     }
 
@@ -158,9 +159,9 @@
         store["j/" + spec.id] = codec::to_record({spec, now, -1, waits, {}});
         submitted[spec.id] = now;
         for (auto& c : controllers)
-            if (c.core && !(c.old && waits))
-                send(between(0, 0.3), [this, &c, life = c.life, spec, at = now, waits] {
-                    if (c.life == life && c.core)
+            if (c.core && !(c.runs_old_version && waits))
+                send(between(0, 0.3), [this, &c, incarnation = c.incarnation, spec, at = now, waits] {
+                    if (c.incarnation == incarnation && c.core)
                         c.queue.push_back(JobStored{spec, now - at, -1, waits});
                 });
     }
@@ -168,7 +169,7 @@
     void cancel(const std::string& id) {
         if (store.contains("f/" + id))
             return;
-        asked.insert(id);
+        cancellations_requested.insert(id);
         for (auto& c : controllers) {
             if (!may_act(c))
                 continue;
@@ -180,9 +181,9 @@
 
     void crash(Controller& c, double for_s) {
         c.core.reset();
-        ++c.life;
+        ++c.incarnation;
         c.alive = c.acquiring = false;
-        c.back_at = now + for_s;
+        c.restarts_at = now + for_s;
     }
 
     void end_store_outage() {
@@ -213,7 +214,7 @@
             return;
         const double sent = now;
         auto r = heartbeat(w);
-        const double delay = chance() < late ? between(5, 60) : between(0, 0.2);
+        const double delay = chance() < delayed_share ? between(5, 60) : between(0, 0.2);
         if (chance() < heartbeat_loss)
             return;
         send(delay, [this, id = w.id, r, sent, agent_epoch = w.agent_epoch, node = w.node] {
@@ -247,14 +248,14 @@
     }
 
     void perform(Controller& c, const Effect& effect) {
-        auto tell = [this, &c, life = c.life](Command a) {
-            if (c.life == life && c.core)
+        auto enqueue = [this, &c, incarnation = c.incarnation](Command a) {
+            if (c.incarnation == incarnation && c.core)
                 c.queue.push_back(std::move(a));
         };
         if (const auto* commit = std::get_if<Commit>(&effect)) {
             if (on_commit)
                 on_commit(commit->writes);
-            send(between(0.01, 0.5), [this, &c, tell, t = c.term, writes = commit->writes] {
+            send(between(0.01, 0.5), [this, &c, enqueue, t = c.term, writes = commit->writes] {
                 if (t != term || (several() && (!leader_record || leader_record->term != t)))
                     return; // the guards fail
                 TxnOutcome out = TxnOutcome::refused;
@@ -265,13 +266,13 @@
                     for (const auto& w : writes)
                         if (w.value && w.value->dump().size() > settings.value_kb * 1024)
                             out = TxnOutcome::too_large;
-                    if (out == TxnOutcome::too_large && strict) {
-                        broken.push_back("transaction above the store's limits");
-                        return tell(Committed{out});
+                    if (out == TxnOutcome::too_large && enforce_store_limits) {
+                        violations.push_back("transaction above the store's limits");
+                        return enqueue(Committed{out});
                     }
                     out = TxnOutcome::applied;
                     for (const auto& w : writes) {
-                        if (c.old && w.key.starts_with("q/"))
+                        if (c.runs_old_version && w.key.starts_with("q/"))
                             continue;
                         if (w.value)
                             store[w.key] = *w.value;
@@ -279,12 +280,12 @@
                             store.erase(w.key);
                     }
                 }
-                tell(Committed{out});
+                enqueue(Committed{out});
             });
         } else if (const auto* o = std::get_if<SendOrders>(&effect)) {
-            const bool lost = chance() < order_loss, held = chance() < late;
+            const bool lost = chance() < order_loss, held = chance() < delayed_share;
             const double delay = held ? between(3, 90) : between(0, 0.1);
-            auto answer = [tell](OrdersAnswered a) { tell(std::move(a)); };
+            auto answer = [enqueue](OrdersAnswered a) { enqueue(std::move(a)); };
             if (!lost && !c.no_workers)
                 send(delay, [this, o = *o, answer, held] {
                     auto it = workers.find(o.machine);
@@ -311,12 +312,12 @@
             if (a->status.empty())
                 return;
             const auto& id = cancels[a->handle];
-            hear(id, a->status);
+            record_status(id, a->status);
             if (a->status == codec::status_cancelled)
                 cancelled.emplace(id, now);
         } else if (const auto* r = std::get_if<Rent>(&effect)) {
-            if (!claims.insert(r->claim).second)
-                broken.push_back("claim used for a second rental: " + r->claim);
+            if (!rental_claims.insert(r->claim).second)
+                violations.push_back("claim used for a second rental: " + r->claim);
             Rented out{r->claim, RentOutcome::no_capacity, {}};
             for (int i = 0; i < r->count && rent_one(r->spot); ++i) {
                 out.outcome = RentOutcome::rented;
@@ -333,18 +334,18 @@
                     workers[id] = w;
                 });
             }
-            send(0.2, [tell, out] { tell(out); });
+            send(0.2, [enqueue, out] { enqueue(out); });
         } else if (const auto* r = std::get_if<Release>(&effect)) {
-            send(0.2, [this, tell, list = r->machines] {
+            send(0.2, [this, enqueue, list = r->machines] {
                 for (const auto& m : list)
                     give_back(m);
-                tell(Released{list, true});
+                enqueue(Released{list, true});
             });
         } else if (const auto* f = std::get_if<FindJob>(&effect)) {
-            send(between(0, 0.1), [this, &c, tell, id = f->id] {
+            send(between(0, 0.1), [this, &c, enqueue, id = f->id] {
                 JobFound found{id, Known::no_answer, std::nullopt};
                 if (store_down || c.no_store)
-                    return tell(found);
+                    return enqueue(found);
                 const auto j = store.find("j/" + id);
                 found.state = j == store.end() ? Known::never : Known::open;
                 if (j != store.end())
@@ -354,20 +355,20 @@
                     found.state = Known::cancelled;
                 if (const auto x = store.find("f/" + id); x != store.end())
                     found.state = x->second["s"] == codec::status_done ? Known::done : Known::cancelled;
-                tell(found);
+                enqueue(found);
             });
         } else if (std::get_if<Resign>(&effect) != nullptr) {
             c.core.reset();
-            ++c.life;
+            ++c.incarnation;
         }
     }
 
     // A controller's part in leader election, as src/leadership.cpp does it over the wire.
     void run_leader_lease(std::size_t i) {
         auto& c = controllers[i];
-        const double t = now * c.rate;
+        const double t = now * c.clock_rate;
         if (!c.alive) {
-            if (now < c.back_at)
+            if (now < c.restarts_at)
                 return;
             c.alive = true;
             c.leader_lease.emplace(ttl_s(), controllers.size() - 1, t);
@@ -383,7 +384,7 @@
             c.next_renew = t + ttl_s() / 6;
             if (served && !store_leases.contains(c.store_lease)) {
                 c.core.reset();
-                ++c.life;
+                ++c.incarnation;
                 return;
             }
             if (served) {
@@ -393,9 +394,9 @@
                 request_extension_votes(i, t);
             }
         }
-        if (c.core || c.acquiring || now < c.next_look)
+        if (c.core || c.acquiring || now < c.next_store_check)
             return;
-        c.next_look = now + between(0.1, 0.3);
+        c.next_store_check = now + between(0.1, 0.3);
         c.leader_lease->record_store_answer(served, t);
         if (!served)
             return;
@@ -404,28 +405,28 @@
             leader_record.reset();
             c.leader_lease->previous_process_was_leader();
         } else if (!leader_record && c.leader_lease->may_acquire(t)) {
-            attempt(i, t);
+            attempt_acquisition(i, t);
         }
     }
 
-    void attempt(std::size_t i, double sent) {
+    void attempt_acquisition(std::size_t i, double sent) {
         auto& c = controllers[i];
         c.acquiring = true;
         const auto store_lease = ++store_lease_seq;
         store_leases[store_lease] = now + ttl_s();
-        const double delay = chance() < late ? between(1, 20) : between(0.02, 0.2);
-        send(std::min(delay, 1.0), [this, &c, life = c.life, delay] {
-            if (c.life != life || !c.acquiring || delay < 1)
+        const double delay = chance() < delayed_share ? between(1, 20) : between(0.02, 0.2);
+        send(std::min(delay, 1.0), [this, &c, incarnation = c.incarnation, delay] {
+            if (c.incarnation != incarnation || !c.acquiring || delay < 1)
                 return;
             c.acquiring = false;
             c.leader_lease->acquisition_in_doubt(); // the late transaction may still be applied
         });
-        send(delay, [this, i, &c, life = c.life, store_lease, sent, read = term] {
+        send(delay, [this, i, &c, incarnation = c.incarnation, store_lease, sent, read = term] {
             const bool applied =
                 !store_down && !c.no_store && !leader_record && store_leases.contains(store_lease) && term == read;
             if (applied)
                 leader_record = LeaderRecord{i, store_lease, ++term};
-            if (c.life != life || !c.acquiring)
+            if (c.incarnation != incarnation || !c.acquiring)
                 return;
             c.acquiring = false;
             if (!applied)
@@ -442,18 +443,18 @@
         for (std::size_t k = 0; k < controllers.size(); ++k) {
             if (k == i || c.no_peers)
                 continue;
-            send(between(0, 0.1), [this, k, &c, life = c.life, sent] {
+            send(between(0, 0.1), [this, k, &c, incarnation = c.incarnation, sent] {
                 auto& p = controllers[k];
                 if (!p.alive || p.no_peers)
                     return;
-                const double t = now * p.rate;
+                const double t = now * p.clock_rate;
                 const bool failed = store_down || p.no_store;
                 p.leader_lease->record_store_answer(!failed, t);
                 if (!p.leader_lease->grant_extension(c.leader_lease->extension_s(), t, !p.core && !p.acquiring, failed))
                     return;
-                send(between(0, 0.1), [this, &c, life, sent, name = p.name] {
-                    if (c.life == life && c.core)
-                        c.leader_lease->extension_granted(name, sent, now * c.rate);
+                send(between(0, 0.1), [this, &c, incarnation, sent, name = p.name] {
+                    if (c.incarnation == incarnation && c.core)
+                        c.leader_lease->extension_granted(name, sent, now * c.clock_rate);
                 });
             });
         }
@@ -461,14 +462,14 @@
 
     // Whether the cancellation of a direct or indirect dependency of the job was requested. Lowers `since` to the
     // earliest time at which a user was told that one of them is cancelled.
-    bool doomed(const std::string& id, double& since) {
+    bool dependency_cancelled(const std::string& id, double& since) {
         bool any = false;
         std::vector<std::string> stack = jobs[id].dependencies;
         std::set<std::string> seen(stack.begin(), stack.end());
         while (!stack.empty()) {
             const auto n = stack.back();
             stack.pop_back();
-            any = any || asked.contains(n);
+            any = any || cancellations_requested.contains(n);
             if (const auto t = cancelled.find(n); t != cancelled.end())
                 since = std::min(since, t->second);
             if (const auto j = jobs.find(n); j != jobs.end())
@@ -479,28 +480,29 @@
         return any;
     }
 
-    void hear(const std::string& id, std::string_view status) {
-        if (told.contains(id) && told[id] == status)
+    void record_status(const std::string& id, std::string_view status) {
+        if (final_states.contains(id) && final_states[id] == status)
             return;
         double since = 1e18;
-        const bool cancelled_with_dependency = !asked.empty() && !jobs[id].dependencies.empty() && doomed(id, since);
-        if (status == codec::status_cancelled && !asked.contains(id) && !cancelled_with_dependency)
-            broken.push_back("went_back " + id + ": cancelled without a request");
+        const bool cancelled_with_dependency =
+            !cancellations_requested.empty() && !jobs[id].dependencies.empty() && dependency_cancelled(id, since);
+        if (status == codec::status_cancelled && !cancellations_requested.contains(id) && !cancelled_with_dependency)
+            violations.push_back("went_back " + id + ": cancelled without a request");
         if (check_orphaned && status != codec::status_cancelled && status != codec::status_done &&
             now > std::max(since, submitted[id]) + settings.cancel_s)
-            broken.push_back("orphaned " + id);
+            violations.push_back("orphaned " + id);
         if (status != codec::status_done && status != codec::status_cancelled) {
-            if (told.contains(id))
-                broken.push_back("went_back " + id);
+            if (final_states.contains(id))
+                violations.push_back("went_back " + id);
             return;
         }
-        const auto [it, fresh] = told.emplace(id, status);
+        const auto [it, fresh] = final_states.emplace(id, status);
         if (!fresh && it->second != status)
-            broken.push_back("went_back " + id);
+            violations.push_back("went_back " + id);
         if (status == codec::status_done)
             for (std::uint32_t i = 0; i < jobs[id].tasks; ++i)
                 if (!done_tasks.contains(fmt::format("{}/{}", id, i)))
-                    broken.push_back("not_done " + id);
+                    violations.push_back("not_done " + id);
     }
 
     void step(double dt = 0.05) {
@@ -524,12 +526,12 @@
         if (!store_down && ++steps % 20 == 0)
             read_all();
         if (leaders > 1)
-            broken.push_back("two active leaders");
+            violations.push_back("two active leaders");
         for (const auto& [id, w] : workers)
             for (const auto& t : w.tasks)
                 if (!w.dead && (t.state == TaskState::running || t.state == TaskState::waiting) &&
                     cancelled.contains(t.job) && now > cancelled[t.job] + settings.cancel_s)
-                    broken.push_back("ran_cancelled " + t.job);
+                    violations.push_back("ran_cancelled " + t.job);
     }
 
     virtual int run_controllers() { // returns how many controllers may act as the leader
@@ -542,10 +544,10 @@
                 continue;
             const bool may = may_act(c);
             leaders += may;
-            carried += may && several() && store_down;
+            steps_on_votes_alone += may && several() && store_down;
             if (log != nullptr)
-                log->commands(c.queue, now * c.rate, now, may);
-            const auto effects = c.core->step(c.queue, now * c.rate, now, may);
+                log->commands(c.queue, now * c.clock_rate, now, may);
+            const auto effects = c.core->step(c.queue, now * c.clock_rate, now, may);
             if (log != nullptr)
                 log->effects(effects);
             for (const auto& e : effects)
@@ -555,7 +557,7 @@
                 continue;
             for (const auto& [id, spec] : jobs)
                 if (const auto v = c.core->view(id); v)
-                    hear(id, v->status);
+                    record_status(id, v->status);
         }
         return leaders;
     }
@@ -564,18 +566,18 @@
         for (const auto& [id, spec] : jobs) {
             const auto f = store.find("f/" + id);
             if (f != store.end())
-                hear(id, f->second["s"].get<std::string>());
+                record_status(id, f->second["s"].get<std::string>());
             else if (in_cascade_record(id))
-                hear(id, codec::status_cancelled);
+                record_status(id, codec::status_cancelled);
             else if (store.contains("j/" + id))
-                hear(id, codec::status_pending);
+                record_status(id, codec::status_pending);
             else
-                broken.push_back("forgotten " + id);
+                violations.push_back("forgotten " + id);
         }
     }
 
     void run(double seconds) {
-        for (const double end = now + seconds; now < end && broken.empty();)
+        for (const double end = now + seconds; now < end && violations.empty();)
             step();
     }
 };
--- a/tests/test_cancellation_cascades.cpp
+++ b/tests/test_cancellation_cascades.cpp
@@ -31,16 +31,16 @@
         settings.txn_ops = 5;
         settings.value_kb = 4;
         settings.teams = {{"red", 400, 800, 0, 0}, {"blue", 400, 1200, 0, 0}};
-        strict = true;
+        enforce_store_limits = true;
         capacity = 40;
-        takes = [this](std::uint32_t) { return between(4, 8); };
+        task_duration = [this](std::uint32_t) { return between(4, 8); };
         next_failover_at_ = load.first_failover_at;
         on_commit = [this](const std::vector<codec::Write>& writes) { count(writes); };
         acquire_leadership();
     }
 
     void run_load(double seconds) {
-        for (const double end = now + seconds; now < end && broken.empty();) {
+        for (const double end = now + seconds; now < end && violations.empty();) {
             submit_due();
             cancel_due();
             change_leader_if_due();
@@ -109,7 +109,7 @@
     // Users repeat a cancellation until they are told the final state of the job.
     void cancel_due() {
         for (auto it = cancel_at_.begin(); it != cancel_at_.end();) {
-            if (told.contains(it->first)) {
+            if (final_states.contains(it->first)) {
                 it = cancel_at_.erase(it);
                 continue;
             }
@@ -126,7 +126,7 @@
             return;
         if (core) {
             core.reset();
-            ++controllers[0].life;
+            ++controllers[0].incarnation;
             next_failover_at_ = now + leaderless_s;
             return;
         }
@@ -140,18 +140,18 @@
     std::map<std::string, double> cancel_at_;
 };
 
-std::string first_broken(const ShortJobsAndPipelines& cluster) {
-    if (cluster.broken.empty())
+std::string first_violation(const ShortJobsAndPipelines& cluster) {
+    if (cluster.violations.empty())
         return "";
-    return fmt::format("{} at {:.1f} s; final states sent: {} of dependents, {} of other jobs", cluster.broken.front(),
-                       cluster.now, cluster.dependents_written, cluster.others_written);
+    return fmt::format("{} at {:.1f} s; final states sent: {} of dependents, {} of other jobs",
+                       cluster.violations.front(), cluster.now, cluster.dependents_written, cluster.others_written);
 }
 
 TEST(CancellationCascades, AreStoredInTimeWhileJobsEndFasterThanTheStoreTakesThem) {
     for (unsigned seed = 1; seed <= 2; ++seed) {
         ShortJobsAndPipelines cluster(seed, {.jobs_per_s = 12, .first_failover_at = 40});
         cluster.run_load(160);
-        EXPECT_EQ(first_broken(cluster), "") << "seed " << seed;
+        EXPECT_EQ(first_violation(cluster), "") << "seed " << seed;
         EXPECT_GT(cluster.dependents.size(), 50U);
     }
 }
@@ -160,14 +160,14 @@
     for (unsigned seed = 1; seed <= 2; ++seed) {
         ShortJobsAndPipelines cluster(seed, {.jobs_per_s = 12});
         cluster.run_load(160);
-        EXPECT_EQ(first_broken(cluster), "") << "seed " << seed;
+        EXPECT_EQ(first_violation(cluster), "") << "seed " << seed;
     }
 }
 
 TEST(CancellationCascades, NoKindOfRecordStarvesForThem) {
     ShortJobsAndPipelines cluster(3, {.jobs_per_s = 12, .pipelines_per_s = 1.2});
     cluster.run_load(240);
-    EXPECT_EQ(first_broken(cluster), "");
+    EXPECT_EQ(first_violation(cluster), "");
     auto& longest = cluster.longest_waits;
     const double report_s = cluster.settings.report_s;
     EXPECT_LT(longest["cancelled"], report_s);
--- a/tests/test_cascade_soak.cpp
+++ b/tests/test_cascade_soak.cpp
@@ -16,7 +16,7 @@
 
 struct PipelinesUnderLoad : FaultyFleet {
     static constexpr double pipelines_per_s = 0.3, failover_every_s = 25, restart_s = 4;
-    static constexpr double cancelled_jobs = 0.25, cancelled_pipelines = 0.8;
+    static constexpr double cancelled_job_share = 0.25, cancelled_pipeline_share = 0.8;
     static constexpr int stages = 4;
 
     PipelinesUnderLoad(unsigned seed, double jobs_per_s) : FaultyFleet(seed), jobs_per_s_(jobs_per_s) {
@@ -28,9 +28,9 @@
         settings.value_kb = 2;
         settings.txn_ops = 5;
         engine = std::make_unique<store::Engine>(store::memory_data(), store::Limits{90, 24, 5, 2});
-        every_s = 1e9; // no generated load; submit_and_cancel() adds all jobs
+        job_interval_s = 1e9; // no generated load; submit_and_cancel() adds all jobs
         n = 1000;
-        takes = [this](std::uint32_t) { return between(4, 8); };
+        task_duration = [this](std::uint32_t) { return between(4, 8); };
         on_step = [this] { submit_and_cancel(); };
     }
 
@@ -38,10 +38,10 @@
     /// state was reported are marked as cancelled, so that the final checks don't expect them to have run.
     void end_load() {
         on_step = {};
-        work(settings.cancel_s);
+        run_under_load(settings.cancel_s);
         for (const auto& id : dependents_)
-            if (told.contains(id))
-                asks[id].cancels = true;
+            if (final_states.contains(id))
+                users_by_job[id].cancels = true;
     }
 
     /// The highest number of answers about jobs that one controller process has given from a cascade record.
@@ -51,14 +51,14 @@
     std::string next_job(const std::vector<std::string>& dependencies) {
         auto spec = job(++n, Shape::array, 1, 0.25, chance() < 0.5 ? "red" : "blue");
         spec.dependencies = dependencies;
-        ask(spec);
+        submit_as_user(spec);
         return spec.id;
     }
 
     void submit_and_cancel() {
         for (; next_job_at_ < now; next_job_at_ += between(0.5, 1.5) / jobs_per_s_) {
             const auto id = next_job({});
-            if (chance() < cancelled_jobs)
+            if (chance() < cancelled_job_share)
                 send(between(0.5, 4), [this, id] { request_cancellation(id); });
         }
         for (; next_pipeline_at_ < now; next_pipeline_at_ += between(0.5, 1.5) / pipelines_per_s)
@@ -75,12 +75,12 @@
         std::vector<std::string> ids{next_job({})};
         for (int stage = 1; stage < stages; ++stage)
             ids.push_back(next_job({ids.back()}));
-        if (chance() >= cancelled_pipelines)
+        if (chance() >= cancelled_pipeline_share)
             return;
         send(between(1, 3), [this, ids] {
             request_cancellation(ids.front());
             for (const auto& id : ids)
-                history.cancel_asked(id); // the dependents are cancelled with the first job
+                history.cancellation_requested(id); // the dependents are cancelled with the first job
             dependents_.insert(dependents_.end(), ids.begin() + 1, ids.end());
         });
     }
@@ -110,10 +110,10 @@
 TEST(CascadeSoak, NoRuleIsBrokenWhileJobsComeFasterThanTheStoreTakesThem) {
     for (unsigned seed = 1; seed <= soak_seeds; ++seed) {
         PipelinesUnderLoad fleet(seed, 3.5);
-        fleet.close_looks = true;
-        fleet.work(soak_s());
+        fleet.poll_after_changes = true;
+        fleet.run_under_load(soak_s());
         EXPECT_EQ(fleet.violation(), "") << seed;
-        EXPECT_GT(fleet.looks, 1000) << seed;
+        EXPECT_GT(fleet.polls, 1000) << seed;
         EXPECT_GT(fleet.answers_from_cascades, 0) << seed << ": no controller answered from a cascade record";
     }
 }
@@ -124,8 +124,8 @@
 TEST(CascadeSoak, EveryJobIsServedWhereTheStoreTakesThem) {
     for (unsigned seed = 1; seed <= soak_seeds; ++seed) {
         PipelinesUnderLoad fleet(210 + seed, 1.5);
-        fleet.close_looks = true;
-        fleet.work(soak_s());
+        fleet.poll_after_changes = true;
+        fleet.run_under_load(soak_s());
         fleet.end_load();
         EXPECT_EQ(fleet.violation(), "") << seed;
         EXPECT_EQ(fleet.run_final_checks(), "") << seed;
--- a/tests/test_chains.cpp
+++ b/tests/test_chains.cpp
@@ -8,26 +8,26 @@
 namespace heronshift::testing {
 namespace {
 
-JobSpec after(int n, const std::vector<int>& dependencies, std::uint32_t tasks = 2) {
+JobSpec dependent_job(int n, const std::vector<int>& dependencies, std::uint32_t tasks = 2) {
     auto j = job(n, Shape::array, tasks, 1);
     for (const int k : dependencies)
         j.dependencies.push_back(fmt::format("wk-{:06}", k));
     return j;
 }
-std::string name(int n) {
+std::string job_id(int n) {
     return fmt::format("wk-{:06}", n);
 }
-std::string first(const SimulatedCluster& w) {
-    return w.broken.empty() ? "" : w.broken.front();
+std::string first_violation(const SimulatedCluster& w) {
+    return w.violations.empty() ? "" : w.violations.front();
 }
-codec::Json waiting(const JobSpec& s, double at = 0) {
+codec::Json waiting_record(const JobSpec& s, double at = 0) {
     return codec::to_record({s, at, -1, true, {}});
 }
 
 // --- submissions and stored records ---
 
-TEST(Chains, ASubmissionNamesJobsOrSaysWhichFieldIsWrong) {
-    auto body = codec::to_json(after(5, {}));
+TEST(JobDependencies, ASubmissionNamesJobsOrSaysWhichFieldIsWrong) {
+    auto body = codec::to_json(dependent_job(5, {}));
     auto read = [&](const codec::Json& dependencies) {
         body["waitsOn"] = dependencies;
         return codec::submission(body.dump());
@@ -45,7 +45,7 @@
 }
 
 // The records are exactly as the previous version writes them.
-TEST(Chains, RecordsOfTheVersionBeforeAreRead) {
+TEST(JobDependencies, RecordsOfThePreviousVersionAreRead) {
     Snapshot s;
     auto put = [](std::vector<codec::Item>& to, const char* key, const char* value) {
         to.push_back({key, codec::parse(value), 1, false});
@@ -69,10 +69,10 @@
 }
 
 // The previous version starts a job only if its record has a `spec` that it can read.
-TEST(Chains, TheVersionBeforeStartsNothingOfAJobThatWaits) {
-    const auto record = waiting(after(2, {1}), 5);
+TEST(JobDependencies, ThePreviousVersionDoesNotStartAWaitingJob) {
+    const auto record = waiting_record(dependent_job(2, {1}), 5);
     EXPECT_FALSE(record.contains("spec"));
-    const auto ready = codec::to_record({after(2, {}), 5, 8, false, {}});
+    const auto ready = codec::to_record({dependent_job(2, {}), 5, 8, false, {}});
     EXPECT_TRUE(ready.contains("spec"));
     EXPECT_FALSE(ready["spec"].contains("waitsOn"));
     const auto back = codec::stored_job(ready, 20);
@@ -83,60 +83,60 @@
     EXPECT_FALSE(c.waits);
 }
 
-TEST(Chains, ARecordWithDamagedNeedsWaitsAndCanBeCancelled) {
-    auto record = waiting(after(2, {1}));
+TEST(JobDependencies, ARecordWithInvalidDependenciesWaitsAndCanBeCancelled) {
+    auto record = waiting_record(dependent_job(2, {1}));
     record["chain"]["waitsOn"] = {"wk-000001", 5};
     SimulatedCluster w(1);
-    w.jobs["wk-000002"] = after(2, {});
+    w.jobs["wk-000002"] = dependent_job(2, {});
     w.store["j/wk-000002"] = record;
     w.acquire_leadership();
     w.run(20);
     EXPECT_EQ(w.started, 0);
     w.cancel("wk-000002");
     w.run(2);
-    EXPECT_EQ(w.told["wk-000002"], codec::status_cancelled);
+    EXPECT_EQ(w.final_states["wk-000002"], codec::status_cancelled);
 }
 
-TEST(Chains, AJobThatNeedsWhatTheStoreDoesNotKnowWaitsAndCanBeCancelled) {
+TEST(JobDependencies, AJobWithAnUnknownDependencyWaitsAndCanBeCancelled) {
     SimulatedCluster w(1);
     w.acquire_leadership();
-    w.submit(after(2, {77}));
+    w.submit(dependent_job(2, {77}));
     w.run(30);
     EXPECT_EQ(w.started, 0);
     w.cancel("wk-000002");
     w.run(2);
-    EXPECT_EQ(w.told["wk-000002"], codec::status_cancelled);
-    EXPECT_EQ(first(w), "");
+    EXPECT_EQ(w.final_states["wk-000002"], codec::status_cancelled);
+    EXPECT_EQ(first_violation(w), "");
 }
 
 // --- dependencies in a running cluster ---
 
-TEST(Chains, ADiamondRunsInItsOrder) {
+TEST(JobDependencies, ADiamondRunsInItsOrder) {
     SimulatedCluster w(2);
     w.acquire_leadership();
-    w.submit(after(1, {}));
-    w.submit(after(2, {1}));
-    w.submit(after(3, {1}));
+    w.submit(dependent_job(1, {}));
+    w.submit(dependent_job(2, {1}));
+    w.submit(dependent_job(3, {1}));
     auto gang = job(4, Shape::gang, 3, 2);
-    gang.dependencies = {name(2), name(3)};
+    gang.dependencies = {job_id(2), job_id(3)};
     w.submit(gang);
-    w.submit(after(5, {4, 1}));
+    w.submit(dependent_job(5, {4, 1}));
     w.run(15);
-    EXPECT_EQ(w.core->view(name(5))->status, codec::status_pending);
+    EXPECT_EQ(w.core->view(job_id(5))->status, codec::status_pending);
     w.run(200);
     for (int i = 1; i <= 5; ++i)
-        EXPECT_EQ(w.told[name(i)], codec::status_done) << i;
-    w.submit(after(6, {5, 3})); // submitted after its dependencies are done
+        EXPECT_EQ(w.final_states[job_id(i)], codec::status_done) << i;
+    w.submit(dependent_job(6, {5, 3})); // submitted after its dependencies are done
     w.run(40);
-    EXPECT_EQ(w.told[name(6)], codec::status_done);
-    EXPECT_EQ(first(w), "");
+    EXPECT_EQ(w.final_states[job_id(6)], codec::status_done);
+    EXPECT_EQ(first_violation(w), "");
 }
 
-TEST(Chains, AChainOfAHundredOutlivesFailovers) {
+TEST(JobDependencies, AChainOfAHundredJobsSurvivesFailovers) {
     SimulatedCluster w(3);
     w.acquire_leadership();
     for (int i = 0; i < 100; ++i) {
-        auto j = after(i + 1, i > 0 ? std::vector<int>{i} : std::vector<int>{}, 1);
+        auto j = dependent_job(i + 1, i > 0 ? std::vector<int>{i} : std::vector<int>{}, 1);
         j.estimate_s = 1;
         w.submit(j);
     }
@@ -145,63 +145,63 @@
         if (i % 2 == 0)
             w.acquire_leadership();
     }
-    EXPECT_EQ(w.told[name(100)], codec::status_done);
-    EXPECT_EQ(first(w), "");
+    EXPECT_EQ(w.final_states[job_id(100)], codec::status_done);
+    EXPECT_EQ(first_violation(w), "");
 }
 
 // The final states of 200 jobs take many small transactions, and the leader changes between them.
-TEST(Chains, ACancellationCancelsAllDependentsWhoeverIsLeader) {
+TEST(JobDependencies, ACancellationCancelsAllDependentsWhoeverIsLeader) {
     for (unsigned seed = 1; seed <= 4; ++seed) {
         SimulatedCluster w(seed);
         w.settings.txn_ops = 5;
         w.settings.value_kb = 2;
         w.settings.state_write_rps = 24;
-        w.strict = true;
+        w.enforce_store_limits = true;
         w.acquire_leadership();
-        auto root = after(1, {}, 300); // more tasks than its team's limit allows at once
+        auto root = dependent_job(1, {}, 300); // more tasks than its team's limit allows at once
         w.submit(root);
         for (int i = 2; i <= 200; ++i)
-            w.submit(after(i, {i % 7 == 0 ? 1 : i - 1}));
+            w.submit(dependent_job(i, {i % 7 == 0 ? 1 : i - 1}));
         w.run(10);
         for (int i = 0; i < 6; ++i) {
-            if (!w.cancelled.contains(name(1)))
-                w.cancel(name(1)); // the user repeats the request
+            if (!w.cancelled.contains(job_id(1)))
+                w.cancel(job_id(1)); // the user repeats the request
             w.run(w.between(0.2, 5));
             w.acquire_leadership();
         }
         w.run(w.settings.cancel_s);
-        EXPECT_EQ(first(w), "");
+        EXPECT_EQ(first_violation(w), "");
         for (int i = 1; i <= 200; ++i)
-            ASSERT_EQ(w.told[name(i)], codec::status_cancelled) << i << " seed " << seed;
-        w.submit(after(201, {150})); // depends on a cancelled job: accepted, then cancelled with it
+            ASSERT_EQ(w.final_states[job_id(i)], codec::status_cancelled) << i << " seed " << seed;
+        w.submit(dependent_job(201, {150})); // depends on a cancelled job: accepted, then cancelled with it
         w.run(3);
-        EXPECT_EQ(w.told[name(201)], codec::status_cancelled);
-        EXPECT_EQ(first(w), "");
+        EXPECT_EQ(w.final_states[job_id(201)], codec::status_cancelled);
+        EXPECT_EQ(first_violation(w), "");
     }
 }
 
 // Whether the store first holds the job as done or as cancelled decides for all its dependents: either all of them run
 // or none does.
-TEST(Chains, ACancellationRacesWithTheLastTask) {
+TEST(JobDependencies, ACancellationRacesWithTheLastTask) {
     int done = 0, cancelled = 0;
     for (unsigned seed = 1; seed <= 40; ++seed) {
         SimulatedCluster w(seed);
         w.acquire_leadership();
-        w.submit(after(1, {}));
-        w.submit(after(2, {1}));
-        while (!w.told.contains(name(1)) && w.broken.empty() && w.now < 60) {
+        w.submit(dependent_job(1, {}));
+        w.submit(dependent_job(2, {1}));
+        while (!w.final_states.contains(job_id(1)) && w.violations.empty() && w.now < 60) {
             w.step();
             if (w.done_tasks.size() == 2 && w.chance() < 0.08)
-                w.cancel(name(1));
+                w.cancel(job_id(1));
         }
-        w.submit(after(3, {1}));
+        w.submit(dependent_job(3, {1}));
         if (w.chance() < 0.5)
             w.acquire_leadership();
         w.run(40);
-        EXPECT_EQ(first(w), "") << seed;
-        EXPECT_EQ(w.told[name(1)], w.told[name(2)]) << seed;
-        EXPECT_EQ(w.told[name(1)], w.told[name(3)]) << seed;
-        ++(w.told[name(1)] == codec::status_done ? done : cancelled);
+        EXPECT_EQ(first_violation(w), "") << seed;
+        EXPECT_EQ(w.final_states[job_id(1)], w.final_states[job_id(2)]) << seed;
+        EXPECT_EQ(w.final_states[job_id(1)], w.final_states[job_id(3)]) << seed;
+        ++(w.final_states[job_id(1)] == codec::status_done ? done : cancelled);
     }
     EXPECT_GT(done, 3);
     EXPECT_GT(cancelled, 3);
@@ -209,16 +209,16 @@
 
 // The store holds the final state of job 1, but no longer its record, and job 2, its dependent, is not yet stored as
 // ready. The new leader must look job 1 up before it makes job 2 ready.
-TEST(Chains, ANewLeaderFindsWhatIsDoneInTheStore) {
+TEST(JobDependencies, ANewLeaderFindsWhatIsDoneInTheStore) {
     Snapshot s;
-    s.jobs.push_back({"j/wk-000002", waiting(after(2, {1})), 1, false});
+    s.jobs.push_back({"j/wk-000002", waiting_record(dependent_job(2, {1})), 1, false});
     const auto settings = small_settings();
     Core core(settings, 2, s, 0, 0);
     std::vector<Command> q{MachineTypesKnown{small_types()}};
-    bool asked = false, open = false; // `open`: an unrelated transaction is not answered yet
+    bool asked = false, transaction_open = false; // `transaction_open`: an unrelated transaction is not answered yet
     for (const auto& e : core.step(q, 0.1, 0.1)) {
         asked = asked || std::holds_alternative<FindJob>(e);
-        open = open || std::holds_alternative<Commit>(e);
+        transaction_open = transaction_open || std::holds_alternative<Commit>(e);
     }
     EXPECT_TRUE(asked);
     auto wrote_ready = [&](std::vector<Command> with, double now) {
@@ -231,23 +231,23 @@
     };
     EXPECT_FALSE(wrote_ready({JobFound{"wk-000001", Known::no_answer, std::nullopt}}, 0.2));
     std::vector<Command> found{JobFound{"wk-000001", Known::done, std::nullopt}};
-    if (open)
+    if (transaction_open)
         found.emplace_back(Committed{});
     EXPECT_TRUE(wrote_ready(std::move(found), 0.3));
 }
 
 // A job that is done only in the leader's memory may be run again by the next leader, so its dependents have to wait
 // until its final state is stored.
-TEST(Chains, NothingIsReadyBeforeTheStoreHasTheFinalState) {
+TEST(JobDependencies, NothingIsReadyBeforeTheStoreHasTheFinalState) {
     const auto settings = small_settings();
     Snapshot s;
-    auto gone = job(1, Shape::array, 1, 1);
-    s.jobs.push_back({"j/wk-000001", codec::to_record({gone, 0, -1, false, {}}), 1, false});
-    s.jobs.push_back({"j/wk-000002", waiting(after(2, {1})), 1, false});
+    auto completed = job(1, Shape::array, 1, 1);
+    s.jobs.push_back({"j/wk-000001", codec::to_record({completed, 0, -1, false, {}}), 1, false});
+    s.jobs.push_back({"j/wk-000002", waiting_record(dependent_job(2, {1})), 1, false});
     s.progress.push_back({"q/0", {{"wk-000001", "0"}}, 1, false}); // all its tasks are done
     Core core(settings, 2, s, 0, 0);
     bool final_sent = false, ready_sent = false;
-    auto go = [&](double from, double to, std::vector<Command> q) {
+    auto run_core = [&](double from, double to, std::vector<Command> q) {
         for (double now = from; now < to; now += 0.05) {
             for (const auto& e : core.step(q, now, now))
                 if (const auto* c = std::get_if<Commit>(&e))
@@ -258,34 +258,34 @@
             q.clear();
         }
     };
-    go(0.1, 2, {MachineTypesKnown{small_types()}}); // the store does not answer
+    run_core(0.1, 2, {MachineTypesKnown{small_types()}}); // the store does not answer
     EXPECT_TRUE(final_sent);
     EXPECT_FALSE(ready_sent);
     final_sent = false;
-    go(2, 2.5, {Committed{TxnOutcome::refused}});
+    run_core(2, 2.5, {Committed{TxnOutcome::refused}});
     EXPECT_TRUE(final_sent); // sent again after the refusal
     EXPECT_FALSE(ready_sent);
-    go(2.5, 3, {Committed{TxnOutcome::applied}});
+    run_core(2.5, 3, {Committed{TxnOutcome::applied}});
     EXPECT_TRUE(ready_sent);
 }
 
-TEST(Chains, WhatWaitsHoldsNothingOfItsTeam) {
+TEST(JobDependencies, AWaitingJobUsesNoneOfItsTeamsLimit) {
     SimulatedCluster w(4);
     w.acquire_leadership();
-    w.submit(after(1, {}, 1));
+    w.submit(dependent_job(1, {}, 1));
     auto large = job(2, Shape::service, 9, 4); // nearly the team's whole limit
-    large.dependencies = {name(1)};
+    large.dependencies = {job_id(1)};
     w.submit(large);
     w.submit(job(3, Shape::service, 4, 4));
     w.run(4);
-    EXPECT_EQ(w.core->live_tasks(name(2)), 0U);
-    EXPECT_EQ(w.core->live_tasks(name(3)), 4U);
-    EXPECT_EQ(first(w), "");
+    EXPECT_EQ(w.core->live_tasks(job_id(2)), 0U);
+    EXPECT_EQ(w.core->live_tasks(job_id(3)), 4U);
+    EXPECT_EQ(first_violation(w), "");
 }
 
 // A job has at least the priority of its dependents, and the deadline of the last job of a chain applies to all jobs
 // before it.
-TEST(Chains, TheLastJobsPriorityIsThatOfAllItDependsOn) {
+TEST(JobDependencies, DependenciesInheritThePriorityOfTheLastJob) {
     SimulatedCluster w(5);
     w.capacity = 2;
     w.acquire_leadership();
@@ -295,27 +295,27 @@
         w.submit(j);
     }
     w.run(25);
-    auto low = after(10, {}, 2);
+    auto low = dependent_job(10, {}, 2);
     low.priority = Priority::low;
-    auto last = after(12, {11}, 1);
+    auto last = dependent_job(12, {11}, 1);
     last.priority = Priority::high;
     last.deadline_s = 80;
-    auto middle = after(11, {10}, 1);
+    auto middle = dependent_job(11, {10}, 1);
     middle.priority = Priority::low;
     w.submit(low);
     w.submit(middle);
     w.submit(last);
     w.run(60);
-    EXPECT_EQ(w.told[name(12)], codec::status_done);
-    EXPECT_NE(w.told[name(6)], codec::status_done);
-    EXPECT_EQ(first(w), "");
+    EXPECT_EQ(w.final_states[job_id(12)], codec::status_done);
+    EXPECT_NE(w.final_states[job_id(6)], codec::status_done);
+    EXPECT_EQ(first_violation(w), "");
 }
 
 // --- lowered limits of the store ---
 
 // A record of 12 KiB, written before the limit was lowered, is too large to be rewritten. Its live intents move to
 // other records, and the store must name every live task at any time.
-TEST(Chains, LongRecordsAreCarriedOnWithoutAGap) {
+TEST(JobDependencies, OversizedIntentRecordsMoveWithoutAGap) {
     auto settings = small_settings();
     settings.teams[0].cpus_max = 5000;
     settings.value_kb = 2;
@@ -337,7 +337,7 @@
     Core core(settings, 2, s, 0, 0);
     std::mt19937 rng(1);
     std::vector<Command> q{MachineTypesKnown{small_types()}};
-    auto named = [&] {
+    auto named_tasks = [&] {
         std::set<std::uint32_t> tasks;
         for (const auto& [k, v] : store)
             for (const auto& i : intents::read(v["t"].get<std::string>()).intents)
@@ -363,14 +363,14 @@
             }
             q.emplace_back(Committed{refused ? TxnOutcome::refused : TxnOutcome::applied});
         }
-        ASSERT_EQ(named(), 300U) << now;
+        ASSERT_EQ(named_tasks(), 300U) << now;
     }
     EXPECT_GT(writes, 8);
     for (const auto& [k, v] : store)
         EXPECT_LE(v.dump().size(), 2048U) << k;
 }
 
-TEST(Chains, ATransactionThatTheStoreCallsTooLargeIsNotSentAgain) {
+TEST(JobDependencies, ATransactionThatTheStoreCallsTooLargeIsNotSentAgain) {
     const auto settings = small_settings();
     Snapshot s;
     for (int i = 1; i <= 40; ++i) {
@@ -379,27 +379,27 @@
     }
     Core core(settings, 2, s, 0, 0);
     std::vector<Command> q;
-    std::size_t largest = 0, gone = 0;
+    std::size_t largest = 0, completed = 0;
     for (double now = 0.05; now < 10; now += 0.05)
         for (const auto& e : core.step(q, now, now))
             if (const auto* c = std::get_if<Commit>(&e)) {
                 largest = std::max(largest, c->writes.size());
                 const bool taken = c->writes.size() + 1 <= 5;
                 if (taken)
-                    gone += c->writes.size();
+                    completed += c->writes.size();
                 q.emplace_back(Committed{taken ? TxnOutcome::applied : TxnOutcome::too_large});
             }
     EXPECT_GT(largest, 5U);
-    EXPECT_GE(gone, 40U);
+    EXPECT_GE(completed, 40U);
 }
 
 // --- both versions on one store ---
 
-struct Turn {
+struct MixedVersionCase {
     unsigned seed;
     bool back; // whether nodes may return to the old version after jobs with dependencies were submitted
 };
-class BothVersions : public ::testing::TestWithParam<Turn> {};
+class BothVersions : public ::testing::TestWithParam<MixedVersionCase> {};
 
 // Controllers are upgraded one after the other under load and faults. Jobs with dependencies are submitted once all run
 // the new version.
@@ -413,45 +413,45 @@
     w.settings.value_kb = 2;
     w.check_orphaned = !p.back; // an old leader does not cancel dependents: see docs/operations.md
     w.capacity = 60;
-    w.heartbeat_loss = w.order_loss = w.late = 0.02;
+    w.heartbeat_loss = w.order_loss = w.delayed_share = 0.02;
     for (auto& c : w.controllers)
-        c.old = true;
+        c.runs_old_version = true;
     int n = 0;
-    std::size_t turned = 0;
-    double next_turn = 15, next_job = 1, next_fault = 20;
+    std::size_t upgraded_count = 0;
+    double next_upgrade = 15, next_job = 1, next_fault = 20;
     std::vector<int> arrays;
-    while (w.now < 190 && w.broken.empty()) {
-        if (turned < 5 && w.now >= next_turn) {
-            next_turn = w.now + w.between(4, 9);
-            w.controllers[turned].old = false;
-            w.crash(w.controllers[turned++], 3);
+    while (w.now < 190 && w.violations.empty()) {
+        if (upgraded_count < 5 && w.now >= next_upgrade) {
+            next_upgrade = w.now + w.between(4, 9);
+            w.controllers[upgraded_count].runs_old_version = false;
+            w.crash(w.controllers[upgraded_count++], 3);
         }
         if (w.now >= next_job && !w.store_down) {
             next_job = w.now + w.between(0.3, 1.5);
             const double c = w.chance();
             const auto shape = c < 0.75 ? Shape::array : c < 0.9 ? Shape::gang : Shape::service;
             auto j = job(++n, shape, static_cast<std::uint32_t>(w.between(1, shape == Shape::array ? 30 : 6)), 1);
-            if (turned == 5 && w.now > next_turn && !arrays.empty())
+            if (upgraded_count == 5 && w.now > next_upgrade && !arrays.empty())
                 for (int k = 0; k < 3; ++k)
                     if (w.chance() < 0.4) {
                         const auto at = arrays.size() - 1 -
                                         static_cast<std::size_t>(w.between(
                                             0, std::min<double>(8, static_cast<double>(arrays.size()) - 0.01)));
-                        j.dependencies.push_back(name(arrays[at]));
+                        j.dependencies.push_back(job_id(arrays[at]));
                     }
             if (shape != Shape::service)
                 arrays.push_back(n);
             w.submit(j);
         }
         if (n > 0 && w.chance() < 0.004)
-            w.cancel(name(1 + static_cast<int>(w.between(std::max(0, n - 15), n - 0.01))));
+            w.cancel(job_id(1 + static_cast<int>(w.between(std::max(0, n - 15), n - 0.01))));
         if (w.now >= next_fault) {
             next_fault = w.now + w.between(3, 12);
             const double c = w.chance();
             auto& node = w.controllers[static_cast<std::size_t>(w.between(0, 4.99))];
             if (c < 0.5) {
-                if (p.back && turned == 5)
-                    node.old = !node.old;
+                if (p.back && upgraded_count == 5)
+                    node.runs_old_version = !node.runs_old_version;
                 w.crash(node, 2);
             } else if (c < 0.65) {
                 w.store_down = true;
@@ -469,14 +469,16 @@
         }
         w.step();
     }
-    EXPECT_EQ(first(w), "") << "at " << w.now;
+    EXPECT_EQ(first_violation(w), "") << "at " << w.now;
     EXPECT_GT(w.started, 300);
     EXPECT_GE(w.acquisitions, 2);
 }
 
 INSTANTIATE_TEST_SUITE_P(Turns, BothVersions,
-                         ::testing::Values(Turn{1, false}, Turn{2, false}, Turn{3, false}, Turn{4, false},
-                                           Turn{5, true}, Turn{6, true}, Turn{7, true}));
+                         ::testing::Values(MixedVersionCase{1, false}, MixedVersionCase{2, false},
+                                           MixedVersionCase{3, false}, MixedVersionCase{4, false},
+                                           MixedVersionCase{5, true}, MixedVersionCase{6, true},
+                                           MixedVersionCase{7, true}));
 
 } // namespace
 } // namespace heronshift::testing
--- a/tests/test_cli.cpp
+++ b/tests/test_cli.cpp
@@ -15,23 +15,23 @@
 
 using Json = codec::Json;
 
-const Json good = {{"id", "wk-000412"},
-                   {"jobclass", "train"},
-                   {"owner", "vision"},
-                   {"shape", "gang"},
-                   {"rank", "high"},
-                   {"shards", 16},
-                   {"cpus", 8.0},
-                   {"accelerators", 1.0},
-                   {"memGb", 64.0},
-                   {"bundle", "img-07"},
-                   {"imageGb", 6.2},
-                   {"flavors", {"g8"}},
-                   {"yard", nullptr},
-                   {"together", true},
-                   {"dueS", 900.0},
-                   {"waitsOn", {"wk-000398"}},
-                   {"later", "unknown fields are ignored"}};
+const Json valid = {{"id", "wk-000412"},
+                    {"jobclass", "train"},
+                    {"owner", "vision"},
+                    {"shape", "gang"},
+                    {"rank", "high"},
+                    {"shards", 16},
+                    {"cpus", 8.0},
+                    {"accelerators", 1.0},
+                    {"memGb", 64.0},
+                    {"bundle", "img-07"},
+                    {"imageGb", 6.2},
+                    {"flavors", {"g8"}},
+                    {"yard", nullptr},
+                    {"together", true},
+                    {"dueS", 900.0},
+                    {"waitsOn", {"wk-000398"}},
+                    {"later", "unknown fields are ignored"}};
 
 bool accepted(const Json& j) {
     const auto parsed = codec::submission(j.dump());
@@ -39,8 +39,8 @@
 }
 
 TEST(Schema, AgreesWithTheService) {
-    EXPECT_EQ(violation(submission_schema, good.dump()), "");
-    EXPECT_TRUE(accepted(good));
+    EXPECT_EQ(violation(submission_schema, valid.dump()), "");
+    EXPECT_TRUE(accepted(valid));
     const std::vector<std::pair<const char*, Json>> wrong = {{"id", "412"},
                                                              {"id", "wk-x"},
                                                              {"jobclass", ""},
@@ -66,7 +66,7 @@
                                                              {"expectedS", -0.5},
                                                              {"yard", 3}};
     for (const auto& [field, value] : wrong) {
-        auto j = good;
+        auto j = valid;
         j[field] = value;
         const auto why = violation(submission_schema, j.dump());
         EXPECT_EQ(why.substr(0, std::string(field).size()), field) << why << " of " << value;
@@ -74,13 +74,13 @@
     }
     for (const auto* field :
          {"id", "jobclass", "owner", "shape", "rank", "shards", "cpus", "memGb", "bundle", "imageGb"}) {
-        auto j = good;
+        auto j = valid;
         j.erase(field);
         EXPECT_NE(violation(submission_schema, j.dump()).find(field), std::string::npos);
         EXPECT_FALSE(accepted(j));
     }
     for (const auto* field : {"yard", "flavors", "together", "dueS", "waitsOn", "accelerators"}) {
-        auto j = good;
+        auto j = valid;
         j[field] = nullptr; // optional fields may be null
         EXPECT_EQ(violation(submission_schema, j.dump()), "");
         EXPECT_TRUE(accepted(j)) << field;
@@ -88,7 +88,7 @@
 }
 
 TEST(Schema, NamesThePlaceInsideAList) {
-    auto j = good;
+    auto j = valid;
     j["waitsOn"] = {"wk-000398", "nonsense"};
     EXPECT_EQ(violation(submission_schema, j.dump()).substr(0, 11), "waitsOn[1]:");
     EXPECT_EQ(violation(submission_schema, "{"), "not JSON");
@@ -130,15 +130,15 @@
     for (const auto& [at, value] : wrong) {
         auto bad = settings;
         bad[Json::json_pointer(at)] = value;
-        const auto said = violation(settings_schema, bad.dump());
+        const auto error = violation(settings_schema, bad.dump());
         std::string field(at);
         field = field.substr(field.rfind('/') + 1);
-        EXPECT_NE(said.find(field), std::string::npos) << at << ": " << said;
+        EXPECT_NE(error.find(field), std::string::npos) << at << ": " << error;
     }
-    for (const auto* gone : {"host_name", "external", "facts"}) {
+    for (const auto* missing : {"host_name", "external", "facts"}) {
         auto bad = settings;
-        bad.erase(gone);
-        EXPECT_NE(violation(settings_schema, bad.dump()).find(gone), std::string::npos);
+        bad.erase(missing);
+        EXPECT_NE(violation(settings_schema, bad.dump()).find(missing), std::string::npos);
     }
 }
 
@@ -146,7 +146,7 @@
 TEST(Schema, OfTheOperatorsAgreesWithTheReader) {
     const auto path = ::testing::TempDir() + "operators.sx";
     const auto rules = Json::parse(operators_schema)["properties"];
-    const auto takes = [&](const std::string& text) {
+    const auto reader_accepts = [&](const std::string& text) {
         std::ofstream(path) << text;
         try {
             load_operator_settings(path, 1);
@@ -155,70 +155,72 @@
         }
         return true;
     };
-    const auto good = [&](const std::string& text) {
+    const auto valid = [&](const std::string& text) {
         std::ofstream(path) << text;
         return violation(operators_schema, operators_as_json(path)).empty();
     };
     EXPECT_EQ(rules.size(), 11U);
     for (const auto& [name, rule] : rules.items()) {
-        const auto some = "(heronshift (" + name + (name == "begin-s" ? " 100))" : " 1))");
-        EXPECT_TRUE(takes(some) || name == "alpha" || name == "beta" || name == "gamma")
+        const auto allowed = "(heronshift (" + name + (name == "begin-s" ? " 100))" : " 1))");
+        EXPECT_TRUE(reader_accepts(allowed) || name == "alpha" || name == "beta" || name == "gamma")
             << name; // these three must fit each other, so one alone may be refused
-        EXPECT_TRUE(good(some)) << name;
+        EXPECT_TRUE(valid(allowed)) << name;
         for (const auto* bad : {"-1", "many", "(1)"}) {
             const auto text = "(heronshift (" + name + " " + bad + "))";
-            EXPECT_FALSE(takes(text)) << text;
-            EXPECT_FALSE(good(text)) << text;
+            EXPECT_FALSE(reader_accepts(text)) << text;
+            EXPECT_FALSE(valid(text)) << text;
         }
-        for (const auto* far : {"9", "100000"})
-            EXPECT_FALSE(name == "begin-s" && takes("(heronshift (begin-s " + std::string(far) + "))")) << far;
+        for (const auto* out_of_range : {"9", "100000"})
+            EXPECT_FALSE(name == "begin-s" &&
+                         reader_accepts("(heronshift (begin-s " + std::string(out_of_range) + "))"))
+                << out_of_range;
         if (rule["type"] != "integer")
             continue;
-        EXPECT_FALSE(takes("(heronshift (" + name + " 1.5))")) << name;
-        EXPECT_FALSE(good("(heronshift (" + name + " 1.5))")) << name;
+        EXPECT_FALSE(reader_accepts("(heronshift (" + name + " 1.5))")) << name;
+        EXPECT_FALSE(valid("(heronshift (" + name + " 1.5))")) << name;
     }
-    EXPECT_FALSE(takes("(heronshift (bath 3))"));
-    EXPECT_FALSE(good("(heronshift (bath 3))"));
+    EXPECT_FALSE(reader_accepts("(heronshift (bath 3))"));
+    EXPECT_FALSE(valid("(heronshift (bath 3))"));
     std::remove(path.c_str());
 }
 
 TEST(Metrics, LatenciesFallIntoBins) {
-    metrics::Latency l;
+    metrics::LatencyHistogram l;
     for (const double s : {0.0, 0.0005, 0.0015, 0.0015, 0.3, 100.0, -1.0})
         l.add(s);
     l.add(std::numeric_limits<double>::quiet_NaN()); // not counted
     EXPECT_EQ(l.count(), 7U);
     EXPECT_NEAR(l.sum(), 100.3035, 1e-9);
     const auto b = l.buckets();
-    EXPECT_NEAR(b.front().upto, 0.001, 1e-9);
+    EXPECT_NEAR(b.front().upper_bound, 0.001, 1e-9);
     EXPECT_EQ(b.front().count, 3U); // 0, 0.0005 and -1
-    EXPECT_NEAR(b[1].upto, 0.002, 1e-9);
+    EXPECT_NEAR(b[1].upper_bound, 0.002, 1e-9);
     EXPECT_EQ(b[1].count, 5U);
     EXPECT_EQ(b[b.size() - 2].count, 6U);
     EXPECT_EQ(b.back().count, 7U);
 }
 
 TEST(Metrics, TheFirstLaunchOfAJobCountsOnce) {
-    metrics::Latency l;
-    metrics::FirstLaunches f;
-    f.known("wk-1", 10);
-    f.known("wk-1", 11); // reported a second time, by a follower
-    f.launched("wk-1", 12.5, l);
-    f.launched("wk-1", 20, l);
-    f.launched("wk-2", 20, l); // accepted before this term
+    metrics::LatencyHistogram l;
+    metrics::FirstLaunchTracker f;
+    f.record_known("wk-1", 10);
+    f.record_known("wk-1", 11); // reported a second time, by a follower
+    f.record_launch("wk-1", 12.5, l);
+    f.record_launch("wk-1", 20, l);
+    f.record_launch("wk-2", 20, l); // accepted before this term
     EXPECT_EQ(l.count(), 1U);
     EXPECT_DOUBLE_EQ(l.sum(), 2.5);
     f.limit(4999);
     for (int i = 0; i < 5000; ++i)
-        f.known(std::to_string(i), 30);
-    f.launched("0", 40, l); // evicted: the number of known jobs is limited
+        f.record_known(std::to_string(i), 30);
+    f.record_launch("0", 40, l); // evicted: the number of known jobs is limited
     EXPECT_EQ(l.count(), 1U);
-    f.launched("4999", 40, l);
+    f.record_launch("4999", 40, l);
     EXPECT_EQ(l.count(), 2U);
 }
 
 TEST(Metrics, AreTextThatMonitoringReads) {
-    metrics::Latency l;
+    metrics::LatencyHistogram l;
     l.add(0.0015);
     const auto t = metrics::text({{"a_total", "things", 3}, {"b", "now", 0.5}}, {{"c_seconds", "took", &l}});
     for (const auto* line :
--- a/tests/test_cluster_state.cpp
+++ b/tests/test_cluster_state.cpp
@@ -23,14 +23,14 @@
         cluster.set_persistence(persistence);
         cluster.types_known(small_types());
         for (const auto* id : {"a1", "a2", "b1", "s1"})
-            up(id);
+            add_machine(id);
     }
-    void up(const std::string& id) {
+    void add_machine(const std::string& id) {
         Heartbeat r{id, id, "m8", id[0] == 'b' ? "b" : "a", id[0] == 's', 1, ++counter, 0, -1, {}};
         cluster.receive_heartbeat(HeartbeatReceived{r, counter});
     }
-    const cluster::Job& add(const JobSpec& s, bool waits = false) {
-        JobStored c{s, 0, -1, waits};
+    const cluster::Job& add(const JobSpec& s, bool waiting = false) {
+        JobStored c{s, 0, -1, waiting};
         cluster.add_job(c);
         return *cluster.view().find_job(s.id);
     }
@@ -51,9 +51,9 @@
     EXPECT_EQ(d.refusal(d.add(s), "s1"), "a type, zone or kind that the job does not allow"); // a spot machine
     s = job(2, Shape::array, 4, 1);
     s.zone = "b";
-    const auto& only_b = d.add(s);
-    EXPECT_NE(d.refusal(only_b, "a1"), "");
-    EXPECT_EQ(d.refusal(only_b, "b1"), "");
+    const auto& zone_b_job = d.add(s);
+    EXPECT_NE(d.refusal(zone_b_job, "a1"), "");
+    EXPECT_EQ(d.refusal(zone_b_job, "b1"), "");
     s = job(3, Shape::array, 4, 1);
     s.types = {"m64"};
     EXPECT_NE(d.refusal(d.add(s), "a1"), "");
@@ -63,17 +63,17 @@
     ClusterFixture d;
     auto s = job(1, Shape::gang, 3, 1);
     s.one_zone = true;
-    const auto& together = d.add(s);
-    EXPECT_EQ(d.refusal(together, "a1"), "");
-    EXPECT_NE(d.refusal(together, "b1"), "");
-    EXPECT_EQ(d.refusal(together, "a2"), "");
+    const auto& one_zone_job = d.add(s);
+    EXPECT_EQ(d.refusal(one_zone_job, "a1"), "");
+    EXPECT_NE(d.refusal(one_zone_job, "b1"), "");
+    EXPECT_EQ(d.refusal(one_zone_job, "a2"), "");
     s = job(2, Shape::service, 3, 1);
     s.spread = true;
-    const auto& apart = d.add(s); // at most two of its three tasks may be in one zone
-    EXPECT_EQ(d.refusal(apart, "a1"), "");
-    EXPECT_EQ(d.refusal(apart, "a2"), "");
-    EXPECT_NE(d.refusal(apart, "a1"), "");
-    EXPECT_EQ(d.refusal(apart, "b1"), "");
+    const auto& spread_job = d.add(s); // at most two of its three tasks may be in one zone
+    EXPECT_EQ(d.refusal(spread_job, "a1"), "");
+    EXPECT_EQ(d.refusal(spread_job, "a2"), "");
+    EXPECT_NE(d.refusal(spread_job, "a1"), "");
+    EXPECT_EQ(d.refusal(spread_job, "b1"), "");
 }
 
 TEST(ClusterState, RefusesWhatExceedsRoomOrLimit) {
@@ -84,23 +84,23 @@
     // The team's limit is 40 CPUs. Every task that may be on a machine counts towards it, reported or not.
     d.settings.teams[0].cpus_max = 40;
     for (int i = 0; i < 8; ++i)
-        d.up(fmt::format("a{}", 10 + i));
+        d.add_machine(fmt::format("a{}", 10 + i));
     for (int i = 0; i < 7; ++i)
         EXPECT_EQ(d.refusal(big, fmt::format("a{}", 10 + i)), "") << i;
     EXPECT_EQ(d.refusal(big, "a17"), "the team's limit");
     EXPECT_EQ(d.cluster.view().teams[0].used.cpus, 40);
 }
 
-TEST(ClusterState, RefusesWhatWaitsIsOverOrOnItsWayOut) {
+TEST(ClusterState, RefusesWaitingAndFinishedJobsAndMachinesInRelease) {
     ClusterFixture d;
     auto s = job(2, Shape::array, 2, 1);
     s.dependencies = {"wk-000001"};
-    const auto& waits = d.add(s, true);
-    EXPECT_EQ(d.refusal(waits, "a1"), "the jobs that it needs are not done");
-    const auto& over = d.add(job(3, Shape::array, 2, 1));
-    EXPECT_EQ(d.refusal(over, "a1"), "");
+    const auto& waiting = d.add(s, true);
+    EXPECT_EQ(d.refusal(waiting, "a1"), "the jobs that it needs are not done");
+    const auto& finished = d.add(job(3, Shape::array, 2, 1));
+    EXPECT_EQ(d.refusal(finished, "a1"), "");
     d.cluster.cancel({"wk-000003", 1});
-    EXPECT_EQ(d.refusal(over, "a1"), "the job is over");
+    EXPECT_EQ(d.refusal(finished, "a1"), "the job is over");
     const auto& other = d.add(job(4, Shape::array, 2, 1));
     d.cluster.begin_release(d.machine("a1"));
     EXPECT_EQ(d.refusal(other, "a1"), "the machine takes no work");
--- a/tests/test_codec.cpp
+++ b/tests/test_codec.cpp
@@ -5,21 +5,21 @@
 namespace heronshift {
 namespace {
 
-codec::Json good_job() {
+codec::Json valid_submission() {
     return codec::Json::parse(R"({"id":"wk-000412","jobclass":"train","owner":"vision","shape":"gang","rank":"high",
         "shards":16,"cpus":8.0,"accelerators":1.0,"memGb":64.0,"bundle":"img-07","imageGb":6.2,"flavors":["g8"],
         "yard":null,"together":true,"scatter":false,"standby":true,"expectedS":240.0,"snapshotEveryS":30.0,
         "snapshotS":4.0,"dueS":900.0})");
 }
 
-std::string complaint(const codec::Json& j) {
+std::string validation_error(const codec::Json& j) {
     const auto r = codec::submission(j.dump());
     const auto* bad = std::get_if<codec::Invalid>(&r);
     return bad != nullptr ? bad->why : "";
 }
 
 TEST(Submission, IsReadAndSurvivesTheStore) {
-    const auto r = codec::submission(good_job().dump());
+    const auto r = codec::submission(valid_submission().dump());
     ASSERT_TRUE(std::holds_alternative<JobSpec>(r));
     const auto& s = std::get<JobSpec>(r);
     EXPECT_EQ(s.shape, Shape::gang);
@@ -38,16 +38,16 @@
         {"dueS", "soon"},  {"flavors", "g8"},  {"flavors", {1}},   {"together", "yes"},  {"bundle", nullptr},
         {"owner", ""},     {"imageGb", -2},    {"yard", 4},        {"accelerators", -1}, {"jobclass", nullptr}};
     for (const auto& [field, value] : cases) {
-        auto j = good_job();
+        auto j = valid_submission();
         j[field] = value;
-        EXPECT_TRUE(complaint(j).starts_with(field)) << field << " = " << value << ": " << complaint(j);
+        EXPECT_TRUE(validation_error(j).starts_with(field)) << field << " = " << value << ": " << validation_error(j);
     }
     EXPECT_TRUE(std::holds_alternative<codec::Invalid>(codec::submission("{\"id\":")));
     EXPECT_TRUE(std::holds_alternative<codec::Invalid>(codec::submission("[1]")));
 }
 
 TEST(Submission, NullAndMissingAreTheSameAndUnknownFieldsAreIgnored) {
-    auto j = good_job();
+    auto j = valid_submission();
     j.erase("yard");
     j["flavors"] = nullptr;
     j["dueS"] = nullptr;
--- a/tests/test_combined_faults.cpp
+++ b/tests/test_combined_faults.cpp
@@ -8,52 +8,53 @@
 
 // --- the checker of answers ---
 
-TEST(AnswersOfAll, OlderOnesAreCaught) {
-    const auto one = [](std::initializer_list<std::tuple<double, double, int, std::string_view>> list) {
+TEST(AnswerChecker, StaleAnswersAreCaught) {
+    const auto violations_of = [](std::initializer_list<std::tuple<double, double, int, std::string_view>> list) {
         Answers h;
         h.submitted("j");
         for (const auto& [asked, now, status, state] : list)
             h.answered("j", "x", asked, now, status, state);
-        return fmt::format("{}", fmt::join(h.broken(), "; "));
+        return fmt::format("{}", fmt::join(h.violations(), "; "));
     };
-    EXPECT_EQ(one({{0, 1, 201, "pending"}, {2, 3, 200, "running"}, {4, 5, 200, "done"}, {6, 7, 200, "done"}}), "");
-    EXPECT_EQ(one({{0, 1, 201, "pending"}, {2, 3, 404, ""}}), "forgotten j: x says 404");
-    EXPECT_EQ(one({{0, 1, 201, "pending"}, {2, 3, 422, ""}}), "forgotten j: x says 422");
-    EXPECT_EQ(one({{0, 1, 200, "done"}, {2, 3, 200, "running"}}), "went_back j: x says running");
-    EXPECT_EQ(one({{0, 1, 200, "done"}, {2, 3, 404, ""}}), "forgotten j: x says 404");
-    EXPECT_EQ(one({{0, 1, 200, "withdrawn"}}), "went_back j: x says cancelled by nobody");
+    EXPECT_EQ(violations_of({{0, 1, 201, "pending"}, {2, 3, 200, "running"}, {4, 5, 200, "done"}, {6, 7, 200, "done"}}),
+              "");
+    EXPECT_EQ(violations_of({{0, 1, 201, "pending"}, {2, 3, 404, ""}}), "forgotten j: x says 404");
+    EXPECT_EQ(violations_of({{0, 1, 201, "pending"}, {2, 3, 422, ""}}), "forgotten j: x says 422");
+    EXPECT_EQ(violations_of({{0, 1, 200, "done"}, {2, 3, 200, "running"}}), "went_back j: x says running");
+    EXPECT_EQ(violations_of({{0, 1, 200, "done"}, {2, 3, 404, ""}}), "forgotten j: x says 404");
+    EXPECT_EQ(violations_of({{0, 1, 200, "withdrawn"}}), "went_back j: x says cancelled by nobody");
     // A request sent before the newer answer arrived may get an older one, but two answers must not give two different
     // final states.
-    EXPECT_EQ(one({{0, 3, 200, "done"}, {2, 4, 200, "running"}, {2, 4, 503, ""}}), "");
+    EXPECT_EQ(violations_of({{0, 3, 200, "done"}, {2, 4, 200, "running"}, {2, 4, 503, ""}}), "");
     Answers h;
     h.submitted("j");
-    h.cancel_asked("j");
+    h.cancellation_requested("j");
     h.answered("j", "x", 0, 3, 200, "done");
     h.answered("j", "x", 2, 4, 200, "withdrawn");
-    EXPECT_EQ(h.broken(), std::vector<std::string>{"went_back j: x says withdrawn after done"});
+    EXPECT_EQ(h.violations(), std::vector<std::string>{"went_back j: x says withdrawn after done"});
     h.answered("k", "x", 0, 1, 200, "pending");
-    EXPECT_EQ(h.broken().back(), "invented k: x says 200");
+    EXPECT_EQ(h.violations().back(), "invented k: x says 200");
 }
 
 constexpr unsigned seeds = sanitized ? 1 : 4;
 
 // Guards against a leader that answers with an older state than other controllers: they had read from the store what
 // a transaction wrote, while the store's reply to the leader was lost.
-TEST(CombinedFaults, CloseLooksWhileTheAnswersOfTransactionsAreLost) {
+TEST(CombinedFaults, NoStaleAnswerWhileRepliesToTransactionsAreLost) {
     for (unsigned seed = 1; seed <= seeds; ++seed) {
         FaultyFleet f(500 + seed);
-        f.close_looks = true;
-        f.looks_cancel = 0.15;
+        f.poll_after_changes = true;
+        f.poll_cancel_share = 0.15;
         ASSERT_TRUE(f.settle(40)) << seed;
-        f.lost_answers = 0.4;
+        f.lost_answer_share = 0.4;
         f.on_step = [&f] { // every controller answers a repeated submission from the store
-            for (auto& [id, u] : f.asks)
-                if (u.accepted() && u.seen.done_at < 0 && f.chance() < 0.05)
-                    u.repeat_at = u.next_at = f.now;
+            for (auto& [id, u] : f.users_by_job)
+                if (u.accepted() && u.observed.done_at < 0 && f.chance() < 0.05)
+                    u.resubmit_at = u.next_at = f.now;
         };
-        f.work(60);
+        f.run_under_load(60);
         EXPECT_EQ(f.violation(), "") << seed;
-        EXPECT_GT(f.looks, 1000) << seed;
+        EXPECT_GT(f.polls, 1000) << seed;
         EXPECT_EQ(f.run_final_checks(), "") << seed;
     }
 }
@@ -63,14 +64,14 @@
 TEST(CombinedFaults, OddRequestsGetTheSameAnswerEverywhere) {
     FaultyFleet f(510);
     ASSERT_TRUE(f.settle(40));
-    std::string done, open;
-    for (const auto& [id, u] : f.asks) {
-        if (const auto t = f.told.find(id); t != f.told.end() && t->second == codec::status_done)
+    std::string done, open_job;
+    for (const auto& [id, u] : f.users_by_job) {
+        if (const auto t = f.final_states.find(id); t != f.final_states.end() && t->second == codec::status_done)
             done = id;
         if (f.jobs[id].shape == Shape::service && u.accepted())
-            open = id;
+            open_job = id;
     }
-    ASSERT_FALSE(done.empty() || open.empty());
+    ASSERT_FALSE(done.empty() || open_job.empty());
     const std::string runs(codec::path_jobs);
     const auto body = [](JobSpec spec, const std::string& id, const char* without) {
         spec.id = id;
@@ -79,14 +80,14 @@
             j.erase(without);
         return j.dump();
     };
-    auto huge = job(1, Shape::array, 1, 99);
-    auto crowd = job(1, Shape::gang, 500, 4); // the whole gang exceeds its team's limit
-    auto stranger = job(1, Shape::array, 1, 1, "nobody");
-    const auto plain = job(1, Shape::array, 1, 1);
+    auto oversized_job = job(1, Shape::array, 1, 99);
+    auto over_limit_gang = job(1, Shape::gang, 500, 4); // the whole gang exceeds its team's limit
+    auto unknown_owner_job = job(1, Shape::array, 1, 1, "nobody");
+    const auto valid_job = job(1, Shape::array, 1, 1);
     struct OddRequest {
         HttpRequest r;
         int status;
-        std::string says;
+        std::string expected_text;
     };
     std::vector<OddRequest> odd{{{"POST", runs, "", "[1"}, 400, "error"},
                                 {{"POST", runs, "", "{\"id\":7}"}, 400, "id"},
@@ -94,14 +95,14 @@
                                 {{"POST", runs + "/wk-999999/cancel", "", "{}"}, 404, "no such job"},
                                 {{"GET", runs + "/wk-999999", "", ""}, 404, "no such job"}};
     for (const auto& [spec, status, why] : std::vector<std::tuple<JobSpec, int, const char*>>{
-             {huge, 422, "machine type"}, {crowd, 422, "cpus"}, {stranger, 422, "owner"}}) {
+             {oversized_job, 422, "machine type"}, {over_limit_gang, 422, "cpus"}, {unknown_owner_job, 422, "owner"}}) {
         odd.push_back({{"POST", runs, "", body(spec, "wk-999998", nullptr)}, status, why});
         odd.push_back({{"POST", runs, "", body(spec, done, nullptr)}, 200, "done"});
     }
     for (const char* field : {"owner", "shards", "cpus", "bundle", "shape"}) {
-        odd.push_back({{"POST", runs, "", body(plain, "wk-999997", field)}, 400, field});
-        odd.push_back({{"POST", runs, "", body(plain, done, field)}, 200, "done"});
-        odd.push_back({{"POST", runs, "", body(plain, open, field)}, 200, open});
+        odd.push_back({{"POST", runs, "", body(valid_job, "wk-999997", field)}, 400, field});
+        odd.push_back({{"POST", runs, "", body(valid_job, done, field)}, 200, "done"});
+        odd.push_back({{"POST", runs, "", body(valid_job, open_job, field)}, 200, open_job});
     }
     int answered = 0;
     for (std::size_t to = 0; to < f.nodes.size(); ++to)
@@ -111,23 +112,24 @@
                     ASSERT_TRUE(a);
                     ++answered;
                     EXPECT_EQ(a->status, o.status) << to << ' ' << o.r.path << ' ' << o.r.body << ' ' << a->body;
-                    EXPECT_NE(a->body.find(o.says), std::string::npos) << to << ' ' << o.r.body << ' ' << a->body;
+                    EXPECT_NE(a->body.find(o.expected_text), std::string::npos)
+                        << to << ' ' << o.r.body << ' ' << a->body;
                 });
             });
-    f.work(15);
+    f.run_under_load(15);
     EXPECT_EQ(answered, static_cast<int>(odd.size() * f.nodes.size()));
     EXPECT_EQ(f.violation(), "");
 }
 
 void small_jobs(FaultyFleet& f) {
-    f.every_s = 1e9;
+    f.job_interval_s = 1e9;
     f.on_step = [&f, n = 0]() mutable {
-        if (!f.every(0.25))
+        if (!f.due_every(0.25))
             return;
         const auto id = add(f, job(0, Shape::array, 1, 1), n);
         if (n % 4 == 0)
             f.send(f.between(0.5, 8), [&f, id] {
-                if (f.asks[id].accepted() && f.asks[id].seen.done_at < 0)
+                if (f.users_by_job[id].accepted() && f.users_by_job[id].observed.done_at < 0)
                     f.request_cancellation(id);
             });
     };
@@ -138,21 +140,21 @@
         {"TenLeadersInTwoMinutesAlsoInAnOutage",
          [](FaultyFleet& f) {
              f.on_step = [&f] {
-                 if (f.every(12))
-                     end_leader(f, f.between(0.2, 4));
-                 if (f.every(50))
-                     outage(f, 14);
-                 if (f.every(5))
-                     some_cancel(f, 0.1);
+                 if (f.due_every(12))
+                     crash_leader(f, f.between(0.2, 4));
+                 if (f.due_every(50))
+                     begin_store_outage(f, 14);
+                 if (f.due_every(5))
+                     cancel_random_jobs(f, 0.1);
              };
          },
          120},
         {"ZoneBoundJobsLoseMachines",
          [](FaultyFleet& f) {
              f.on_step = [&f, n = 0]() mutable {
-                 if (f.every(4)) {
+                 if (f.due_every(4)) {
                      auto array = job(0, Shape::array, 6, 2);
-                     array.zone = f.settings.zones[f.pick(3)];
+                     array.zone = f.settings.zones[f.random_index(3)];
                      add(f, array, n);
                      auto gang = job(0, Shape::gang, 3, 2, "blue");
                      gang.one_zone = gang.spot = true;
@@ -161,49 +163,49 @@
                      array.one_zone = true;
                      add(f, array, n);
                  }
-                 if (f.every(15))
+                 if (f.due_every(15))
                      for (auto& [id, w] : f.workers)
                          w.dead = w.dead || f.chance() < 0.2;
-                 if (f.every(31))
-                     end_leader(f);
+                 if (f.due_every(31))
+                     crash_leader(f);
              };
          }},
         {"TeamsAtTheirLimitWithCancelledJobsOnMachinesThatCannotBeAsked",
          [](FaultyFleet& f) {
-             f.takes = [&f](std::uint32_t) { return f.between(20, 60); };
+             f.task_duration = [&f](std::uint32_t) { return f.between(20, 60); };
              f.on_step = [&f, n = 0, last_job = f.now + 65]() mutable {
                  if (f.now > last_job) // jobs that wait at the limit by then finish before the run ends
                      f.next_job = 1e9;
-                 if (f.every(4) && f.now < last_job)
+                 if (f.due_every(4) && f.now < last_job)
                      add(f, job(0, Shape::array, 8, 2, n % 2 == 0 ? "red" : "blue"), n);
-                 if (f.every(30)) {
-                     unreachable(f, 0.5, f.between(5, 35));
-                     some_cancel(f, 0.4);
-                     f.send(f.between(0, 2), [&f] { end_leader(f, f.between(1, 5)); });
-                     f.send(3, [&f] { some_cancel(f, 0.3); });
+                 if (f.due_every(30)) {
+                     make_machines_unreachable(f, 0.5, f.between(5, 35));
+                     cancel_random_jobs(f, 0.4);
+                     f.send(f.between(0, 2), [&f] { crash_leader(f, f.between(1, 5)); });
+                     f.send(3, [&f] { cancel_random_jobs(f, 0.3); });
                  }
              };
          },
-         90, 0, [](const FaultyFleet& f) { return f.starts_at_limit > 0 && f.changes.size() > 1; }, 48},
+         90, 0, [](const FaultyFleet& f) { return f.starts_at_limit > 0 && f.leader_changes.size() > 1; }, 48},
         {"CommandsAndAnswersHeldForSeconds",
          [](FaultyFleet& f) {
-             f.late = 0.15;
+             f.delayed_share = 0.15;
              f.on_step = [&f] {
-                 if (f.every(9)) {
-                     const auto zone = Fleet::zone(f.settings.zones[f.pick(3)]);
-                     const auto& name = f.nodes[f.leader_or(f.pick(f.nodes.size()))].name;
+                 if (f.due_every(9)) {
+                     const auto zone = Fleet::zone(f.settings.zones[f.random_index(3)]);
+                     const auto& name = f.nodes[f.leader_or(f.random_index(f.nodes.size()))].name;
                      f.cut(name, zone, Mode::hold, f.chance() < 0.5, f.between(3, 9));
                  }
-                 if (f.every(5))
-                     some_cancel(f, 0.1);
-                 if (f.every(40))
-                     end_leader(f);
+                 if (f.due_every(5))
+                     cancel_random_jobs(f, 0.1);
+                 if (f.due_every(40))
+                     crash_leader(f);
              };
          }},
         {"MoreWorkThanRoomOverSlowLinks",
          [](FaultyFleet& f) {
              f.on_step = [&f, n = 0]() mutable {
-                 if (f.every(1) && f.now < 100) {
+                 if (f.due_every(1) && f.now < 100) {
                      auto urgent = job(0, Shape::array, 2, 4, "blue");
                      urgent.priority = Priority::high;
                      add(f, urgent, n);
@@ -211,20 +213,20 @@
                      other.priority = Priority::low;
                      add(f, other, n);
                  }
-                 if (f.every(10))
-                     f.cut(f.nodes[f.leader_or(f.pick(f.nodes.size()))].name, Fleet::zone(f.settings.zones[f.pick(3)]),
-                           Mode::slow, false, 6);
-                 if (f.every(5))
-                     some_cancel(f, 0.1);
+                 if (f.due_every(10))
+                     f.cut(f.nodes[f.leader_or(f.random_index(f.nodes.size()))].name,
+                           Fleet::zone(f.settings.zones[f.random_index(3)]), Mode::slow, false, 6);
+                 if (f.due_every(5))
+                     cancel_random_jobs(f, 0.1);
              };
          }},
         {"TasksOfAJobEndFarApartAcrossLeaders",
          [](FaultyFleet& f) {
-             f.takes = [](std::uint32_t index) { return 3.0 + 14 * index; };
-             f.close_looks = true;
+             f.task_duration = [](std::uint32_t index) { return 3.0 + 14 * index; };
+             f.poll_after_changes = true;
              f.on_step = [&f] {
-                 if (f.every(11))
-                     end_leader(f, f.between(0.1, 3));
+                 if (f.due_every(11))
+                     crash_leader(f, f.between(0.1, 3));
              };
          }},
         {"OneTaskJobsFourASecondAQuarterCancelledAt35ChangesASecond", small_jobs, 150, 35},
@@ -232,63 +234,63 @@
         {"AllControllersEndAndOneReturns",
          [](FaultyFleet& f) {
              f.on_step = [&f] {
-                 if (!f.every(17))
+                 if (!f.due_every(17))
                      return;
-                 const auto first = f.pick(f.nodes.size());
+                 const auto first = f.random_index(f.nodes.size());
                  for (std::size_t i = 0; i < f.nodes.size(); ++i)
-                     f.crash(i, i == first ? f.moment() : f.between(1, 12));
-                 some_cancel(f, 0.1);
+                     f.crash(i, i == first ? f.short_downtime_s() : f.between(1, 12));
+                 cancel_random_jobs(f, 0.1);
              };
          }},
         {"OldReportsReachEveryControllerAsALeaderBegins",
          [](FaultyFleet& f) {
-             f.kept_copies = 0.3;
-             f.copies = 0.2;
+             f.replay_share = 0.3;
+             f.late_copy_share = 0.2;
              f.on_step = [&f] {
-                 if (f.every(13))
-                     end_leader(f, f.between(0.1, 3));
-                 if (f.every(13, 6))
+                 if (f.due_every(13))
+                     crash_leader(f, f.between(0.1, 3));
+                 if (f.due_every(13, 6))
                      for (auto& [id, w] : f.workers)
                          w.dead = w.dead || f.chance() < 0.1;
-                 if (f.every(5))
-                     some_cancel(f, 0.1);
+                 if (f.due_every(5))
+                     cancel_random_jobs(f, 0.1);
              };
          }},
         {"CancellationsMeetTheEndOfTheLastTask",
          [](FaultyFleet& f) {
-             f.close_looks = true;
-             f.looks_cancel = 0.1;
+             f.poll_after_changes = true;
+             f.poll_cancel_share = 0.1;
              f.on_step = [&f] { // act on jobs with at most one unfinished task
-                 for (auto& [id, u] : f.asks) {
-                     if (!u.accepted() || u.cancels || u.seen.done_at >= 0 || f.jobs[id].shape == Shape::service)
+                 for (auto& [id, u] : f.users_by_job) {
+                     if (!u.accepted() || u.cancels || u.observed.done_at >= 0 || f.jobs[id].shape == Shape::service)
                          continue;
                      std::uint32_t done = 0;
                      for (std::uint32_t i = 0; i < f.jobs[id].tasks; ++i)
                          done += f.done_tasks.contains(fmt::format("{}/{}", id, i));
                      if (done + 1 < f.jobs[id].tasks || f.chance() < 0.7)
                          continue;
-                     f.chance() < 0.5 ? f.request_cancellation(id) : (void)(u.repeat_at = u.next_at = f.now);
+                     f.chance() < 0.5 ? f.request_cancellation(id) : (void)(u.resubmit_at = u.next_at = f.now);
                      u.next_at = f.now;
                  }
              };
          }},
         {"TheLeaderEndsWhileMachinesWithLongTasksCannotBeReached",
          [](FaultyFleet& f) {
-             f.takes = [&f](std::uint32_t) { return f.between(30, 70); };
+             f.task_duration = [&f](std::uint32_t) { return f.between(30, 70); };
              f.on_step = [&f] {
-                 if (!f.every(35))
+                 if (!f.due_every(35))
                      return;
-                 unreachable(f, 0.5, f.between(10, 40));
-                 end_leader(f, f.between(0.5, 10));
-                 f.send(3, [&f] { some_cancel(f, 0.3); });
+                 make_machines_unreachable(f, 0.5, f.between(10, 40));
+                 crash_leader(f, f.between(0.5, 10));
+                 f.send(3, [&f] { cancel_random_jobs(f, 0.3); });
              };
          }},
         {"AllControllersAwayForLongerThanALease",
          [](FaultyFleet& f) {
              f.on_step = [&f] {
-                 if (!f.every(45))
+                 if (!f.due_every(45))
                      return;
-                 some_cancel(f, 0.2);
+                 cancel_random_jobs(f, 0.2);
                  f.send(1, [&f] {
                      for (std::size_t i = 0; i < f.nodes.size(); ++i)
                          f.crash(i, f.leases(f.between(1.05, 1.3)));
@@ -297,31 +299,31 @@
          }},
         {"CancellationsWhileTheLeaderChanges",
          [](FaultyFleet& f) {
-             f.takes = [&f](std::uint32_t) { return f.between(20, 60); };
+             f.task_duration = [&f](std::uint32_t) { return f.between(20, 60); };
              f.on_step = [&f] {
-                 if (f.every(12, 0.5))
-                     some_cancel(f, 0.2);
-                 if (f.every(12)) { // by a crash, a handover or a network cut
+                 if (f.due_every(12, 0.5))
+                     cancel_random_jobs(f, 0.2);
+                 if (f.due_every(12)) { // by a crash, a handover or a network cut
                      const auto h = f.leader().value_or(0);
-                     const auto k = f.pick(3);
+                     const auto k = f.random_index(3);
                      if (k == 0)
-                         f.crash(h, f.moment());
+                         f.crash(h, f.short_downtime_s());
                      if (k == 1)
                          f.nodes[h].refused_by_store = true;
                      if (k == 2)
                          f.isolate(h, Mode::hold, 8);
                      f.send(8, [&f, h] { f.nodes[h].refused_by_store = false; });
                  }
-                 if (f.every(12, -0.5) || f.every(12, -2))
-                     some_cancel(f, 0.2);
+                 if (f.due_every(12, -0.5) || f.due_every(12, -2))
+                     cancel_random_jobs(f, 0.2);
              };
          }},
         {"AZoneWithAControllerIsCutOffForLongerThanALease",
          [](FaultyFleet& f) {
              f.on_step = [&f] {
-                 if (!f.every(50))
+                 if (!f.due_every(50))
                      return;
-                 const auto in = f.leader_or(f.pick(f.nodes.size()));
+                 const auto in = f.leader_or(f.random_index(f.nodes.size()));
                  const auto zone = f.settings.zones[in % 3];
                  const double for_s = f.leases(1.3);
                  for (std::size_t o = 0; o < f.nodes.size(); ++o) {
@@ -338,41 +340,41 @@
                          if (o % 3 == in % 3 && p % 3 != in % 3)
                              f.cut(f.nodes[o].name, f.nodes[p].name, Mode::drop, false, for_s);
                  }
-                 f.send(2, [&f] { some_cancel(f, 0.2); });
+                 f.send(2, [&f] { cancel_random_jobs(f, 0.2); });
              };
          },
          110},
         {"NewMachinesGetWorkWhileWritesLagAndTheLeaderEnds",
          [](FaultyFleet& f) {
-             f.late_writes = 0.2;
+             f.late_write_share = 0.2;
              f.on_step = [&f, n = 0]() mutable {
-                 if (f.every(15))
+                 if (f.due_every(15))
                      for (int k = 0; k < 2; ++k)
                          add(f, job(0, Shape::array, 12, 4, "blue"), n);
-                 if (f.every(15, -2.5))
-                     end_leader(f);
-                 if (f.every(15, -8))
+                 if (f.due_every(15, -2.5))
+                     crash_leader(f);
+                 if (f.due_every(15, -8))
                      for (auto& [id, w] : f.workers)
                          w.dead = w.dead || f.chance() < 0.3;
              };
          }},
         {"ALeaderCutFromStoreAndControllersWhileOthersCancel",
          [](FaultyFleet& f) {
-             f.takes = [&f](std::uint32_t) { return f.between(20, 90); };
+             f.task_duration = [&f](std::uint32_t) { return f.between(20, 90); };
              f.on_step = [&f] {
                  // `Mode::slow` is left out: renewals that take 8 s to arrive keep the other controllers from taking
                  // over for so long that worker leases expire, whenever the leader resigns.
-                 const auto mode = std::array{Mode::drop, Mode::hold, Mode::refuse}[f.pick(3)];
-                 if (f.every(30))
+                 const auto mode = std::array{Mode::drop, Mode::hold, Mode::refuse}[f.random_index(3)];
+                 if (f.due_every(30))
                      f.isolate(f.leader().value_or(0), mode, f.between(8, 26));
-                 if (f.every(4))
-                     some_cancel(f, 0.15);
+                 if (f.due_every(4))
+                     cancel_random_jobs(f, 0.15);
              };
          }},
         {"TheStoreIsSlowThenRefusesTheLeaderThenEverybody",
          [](FaultyFleet& f) {
-             f.takes = [&f](std::uint32_t) { return f.between(20, 90); };
-             f.close_looks = true;
+             f.task_duration = [&f](std::uint32_t) { return f.between(20, 90); };
+             f.poll_after_changes = true;
              f.on_step = [&f, t0 = f.now] {
                  const double t = f.now - t0;
                  if (t < 0.1)
@@ -381,38 +383,38 @@
                  if (std::abs(t - 25) < 0.05)
                      f.nodes[f.leader().value_or(0)].refused_by_store = true;
                  if (std::abs(t - 25.9) < 0.05)
-                     outage(f, f.settings.cancel_s + 5);
-                 if (f.every(3))
-                     some_cancel(f, 0.1);
+                     begin_store_outage(f, f.settings.cancel_s + 5);
+                 if (f.due_every(3))
+                     cancel_random_jobs(f, 0.1);
              };
          },
          90},
         {"TransactionsAreCarriedOutAfterNewerOnes",
          [](FaultyFleet& f) {
-             f.late_writes = 0.3;
-             f.close_looks = true;
-             f.looks_cancel = 0.1;
+             f.late_write_share = 0.3;
+             f.poll_after_changes = true;
+             f.poll_cancel_share = 0.1;
              f.on_step = [&f] {
-                 if (f.every(14))
-                     end_leader(f, f.between(0.1, 3));
+                 if (f.due_every(14))
+                     crash_leader(f, f.between(0.1, 3));
              };
          }},
         {"TransactionsAreCarriedOutLateAndTheLeaderEndsWhileMachinesCannotBeAsked",
          [](FaultyFleet& f) {
-             f.late_writes = 0.3;
-             f.takes = [&f](std::uint32_t) { return f.between(15, 40); };
+             f.late_write_share = 0.3;
+             f.task_duration = [&f](std::uint32_t) { return f.between(15, 40); };
              f.on_step = [&f] {
-                 if (f.every(16)) {
-                     unreachable(f, 0.5, f.between(8, 18));
-                     f.send(f.between(1, 6), [&f] { end_leader(f, f.between(0.1, 3)); });
+                 if (f.due_every(16)) {
+                     make_machines_unreachable(f, 0.5, f.between(8, 18));
+                     f.send(f.between(1, 6), [&f] { crash_leader(f, f.between(0.1, 3)); });
                  }
              };
          }},
         {"WorkersReachNoControllerWhileCommandsReachThem",
          [](FaultyFleet& f) {
-             f.takes = [&f](std::uint32_t) { return f.between(20, 60); };
+             f.task_duration = [&f](std::uint32_t) { return f.between(20, 60); };
              f.on_step = [&f] {
-                 if (f.every(40)) {
+                 if (f.due_every(40)) {
                      std::vector<std::string> list;
                      for (const auto& [id, w] : f.workers)
                          if (f.chance() < 0.4)
@@ -422,10 +424,10 @@
                          for (const auto& id : list)
                              f.outbound_unreachable.erase(id);
                      });
-                     f.send(2, [&f] { some_cancel(f, 0.3); });
+                     f.send(2, [&f] { cancel_random_jobs(f, 0.3); });
                  }
-                 if (f.every(40, -5))
-                     end_leader(f);
+                 if (f.due_every(40, -5))
+                     crash_leader(f);
              };
          }},
     };
@@ -435,7 +437,7 @@
 
 TEST_P(FaultScenarios, BreakNoRule) {
     for (unsigned seed = 1; seed <= (sanitized ? 1 : 2); ++seed)
-        play(GetParam(), 600 + seed);
+        run_scenario(GetParam(), 600 + seed);
 }
 
 INSTANTIATE_TEST_SUITE_P(All, FaultScenarios, ::testing::ValuesIn(scenarios()),
@@ -444,7 +446,7 @@
 // Two scenarios at once, drawn by seed. They may leave no controller that can answer a machine in time, so expired
 // leases are not checked here. The rules, the answers and the knowledge of accepted jobs are.
 TEST(CombinedFaults, TwoAtOnceBreakNoRule) {
-    std::mt19937 rng(90 + other_seeds());
+    std::mt19937 rng(90 + seed_offset());
     const auto all = scenarios();
     for (unsigned k = 0; k < (sanitized ? 2 : 16); ++k) {
         const auto& a = all[rng() % all.size()];
@@ -452,26 +454,26 @@
         FaultyFleet f(700 + k, k % 3 == 0 ? 3 : 5);
         ASSERT_TRUE(f.settle(40)) << k;
         a.begin(f);
-        const auto first_one = f.on_step;
+        const auto first_step = f.on_step;
         b.begin(f);
-        f.on_step = [&f, first_one, second = f.on_step] {
-            f.hard_at = f.now;
-            if (first_one)
-                first_one();
+        f.on_step = [&f, first_step, second = f.on_step] {
+            f.last_severe_fault_at = f.now;
+            if (first_step)
+                first_step();
             if (second)
                 second();
         };
-        f.work(90);
+        f.run_under_load(90);
         EXPECT_EQ(f.violation(), "") << k << ' ' << a << ' ' << b;
-        f.takes = {};
-        f.every_s = 1e9;
-        f.close_looks = false;
+        f.task_duration = {};
+        f.job_interval_s = 1e9;
+        f.poll_after_changes = false;
         f.on_step = {};
         f.final_checks(f.leases(5));
-        for (const auto& [id, u] : f.asks)
+        for (const auto& [id, u] : f.users_by_job)
             if (u.accepted() && !u.cancels) {
-                EXPECT_LT(u.seen.silent_s, 75) << id << ' ' << k << ' ' << a << ' ' << b;
-                EXPECT_TRUE(u.seen.repeated_ok) << id << ' ' << k << ' ' << a << ' ' << b;
+                EXPECT_LT(u.observed.silent_s, 75) << id << ' ' << k << ' ' << a << ' ' << b;
+                EXPECT_TRUE(u.observed.resubmission_ok) << id << ' ' << k << ' ' << a << ' ' << b;
             }
         EXPECT_EQ(f.violation(), "") << k << ' ' << a << ' ' << b;
     }
--- a/tests/test_config.cpp
+++ b/tests/test_config.cpp
@@ -7,7 +7,7 @@
 namespace heronshift {
 namespace {
 
-const char* const good = R"(host_name = "berth-0"
+const char* const valid_settings = R"(host_name = "berth-0"
 zone = "a"
 bind = "10.0.0.1:8080"
 back = "10.0.0.1:8081"
@@ -55,11 +55,11 @@
         const auto path =
             std::filesystem::temp_directory_path() / (std::string("heronshift-") + info->name() + "-" + name);
         std::ofstream(path) << text;
-        made_.push_back(path);
+        written_files_.push_back(path);
         return path.string();
     }
     void TearDown() override {
-        for (const auto& p : made_)
+        for (const auto& p : written_files_)
             std::filesystem::remove(p);
     }
     template <class F> static std::string error_of(F f) {
@@ -72,25 +72,25 @@
     }
 
 private:
-    std::vector<std::filesystem::path> made_;
+    std::vector<std::filesystem::path> written_files_;
 };
 
 TEST_F(ConfigFile, OfThePlatformIsReadAndUnknownFieldsAreIgnored) {
-    const auto s = load_settings(write(good));
+    const auto s = load_settings(write(valid_settings));
     EXPECT_EQ(s.peers.at(0).addr.str(), "10.0.0.2:8081");
     EXPECT_EQ(s.teams.at(0).cpus_max, 20);
     EXPECT_EQ(s.ops.pull_back_cap, OperatorSettings{}.pull_back_cap);
 }
 
 TEST_F(ConfigFile, TheSmallerOfTheStoresLimitsIsInForceFromTheStart) {
-    std::string text = good;
+    std::string text = valid_settings;
     text.insert(text.find("[facts.cloud]"), "[facts.state.next]\nwrite_rps = 24.0\nvalue_kb = 2.0\ntxn_ops = 40\n");
     const auto s = load_settings(write(text));
     EXPECT_EQ(s.state_write_rps, 24);
     EXPECT_EQ(s.value_kb, 2);
     EXPECT_EQ(s.txn_ops, 16);
     for (const char* wrong : {"write_rps = 0.0", "value_kb = \"2\"", "txn_ops = 3"}) {
-        auto bad = std::string(good);
+        auto bad = std::string(valid_settings);
         bad.insert(bad.find("[facts.cloud]"), std::string("[facts.state.next]\n") + wrong + "\n");
         const auto field = "facts.state.next." + std::string(wrong).substr(0, std::string(wrong).find(' '));
         EXPECT_NE(error_of([&] { load_settings(write(bad)); }).find(field), std::string::npos) << wrong;
@@ -110,7 +110,7 @@
         {"txn_ops = 16", "txn_ops = 1", "facts.state.txn_ops"},
         {"state = \"10.2.0.1:2379\"", "state = \"10.2.0.1:99999\"", "external.state"}};
     for (const auto& [from, to, field] : cases) {
-        std::string text = good;
+        std::string text = valid_settings;
         text.replace(text.find(from), std::string(from).size(), to);
         const auto path = write(text);
         const auto e = error_of([&] { load_settings(path); });
--- a/tests/test_connections.cpp
+++ b/tests/test_connections.cpp
@@ -35,12 +35,12 @@
     shares.classify(c[4].share, ClientKind::worker);
     EXPECT_TRUE(shares.over_share(ClientKind::worker));
     EXPECT_FALSE(shares.over_share(ClientKind::user));
-    shares.idle(c[3].share, &c[3]);
-    shares.idle(c[1].share, &c[1]);
-    shares.idle(c[0].share, &c[0]);
+    shares.mark_idle(c[3].share, &c[3]);
+    shares.mark_idle(c[1].share, &c[1]);
+    shares.mark_idle(c[0].share, &c[0]);
     EXPECT_EQ(shares.longest_idle(), &c[3]);
     EXPECT_EQ(shares.longest_idle(ClientKind::worker), &c[1]);
-    shares.busy(c[1].share);
+    shares.mark_busy(c[1].share);
     EXPECT_EQ(shares.longest_idle(ClientKind::worker), &c[0]);
     shares.closed(c[0].share);
     EXPECT_EQ(shares.longest_idle(ClientKind::worker), nullptr);
@@ -50,16 +50,16 @@
 
 // Clients that each keep a connection open, and a server that allows far fewer connections. The ratio is that of 6,000
 // workers to the 650 connections that a controller with 1,000 sockets leaves for workers and users.
-struct Crowd {
+struct ManyClients {
     static constexpr std::size_t workers = 400, users = 60, connections = 43;
     static constexpr double report_s = 0.3, lease_s = 2,
-                            held_s = 0.4; // how long the server takes to answer a user
+                            user_answer_s = 0.4; // how long the server takes to answer a user
 
     struct Client {
         explicit Client(uv_loop_t* l) : http(l, 1, 1) {}
         HttpClient http;
-        bool asking = false;
-        double next = 0, served = 0, max_gap = 0;
+        bool request_pending = false;
+        double next_request_at = 0, last_served_at = 0, max_gap = 0;
     };
     Loop l;
     HttpServer server{
@@ -70,55 +70,55 @@
         [this](HttpRequest&& r, const Responder& res) {
             if (r.path == codec::path_heartbeat)
                 return res.send(200, "{}");
-            held.emplace_back(seconds() + held_s, res);
+            pending_answers.emplace_back(seconds() + user_answer_s, res);
         }};
-    std::deque<std::pair<double, Responder>> held;
+    std::deque<std::pair<double, Responder>> pending_answers;
     std::deque<Client> worker, user;
-    std::map<int, int> told_users;
+    std::map<int, int> user_answers;
     std::size_t max_connections = 0;
 
-    Crowd() {
+    ManyClients() {
         EXPECT_EQ(server.listen({"127.0.0.1", 0}), 0);
         for (std::size_t k = 0; k < workers; ++k)
             worker.emplace_back(&l.loop);
         for (std::size_t k = 0; k < users; ++k)
             user.emplace_back(&l.loop);
     }
-    void ask(Client& c, std::string_view path, std::function<void(int status)> told) {
-        c.asking = true;
+    void send_request(Client& c, std::string_view path, std::function<void(int status)> on_status) {
+        c.request_pending = true;
         c.http.request(fmt::format("127.0.0.1:{}", server.port()), "POST", std::string(path), "{}", 1,
-                       [&c, told = std::move(told)](HttpReply&& r) {
-                           c.asking = false;
-                           told(r.status);
+                       [&c, on_status = std::move(on_status)](HttpReply&& r) {
+                           c.request_pending = false;
+                           on_status(r.status);
                        });
     }
     void heartbeat(Client& c) {
-        ask(c, codec::path_heartbeat, [&c](int status) {
+        send_request(c, codec::path_heartbeat, [&c](int status) {
             const double t = seconds();
-            c.next = t + (status == 200 ? report_s : report_s / 10);
+            c.next_request_at = t + (status == 200 ? report_s : report_s / 10);
             if (status != 200)
                 return;
-            c.max_gap = std::max(c.max_gap, t - c.served);
-            c.served = t;
+            c.max_gap = std::max(c.max_gap, t - c.last_served_at);
+            c.last_served_at = t;
         });
     }
     void run(double for_s) {
-        const double began = seconds();
+        const double started_at = seconds();
         for (auto& c : worker)
-            c.served = began;
-        for (double t = began; t < began + for_s; t = seconds()) {
+            c.last_served_at = started_at;
+        for (double t = started_at; t < started_at + for_s; t = seconds()) {
             for (auto& c : worker)
-                if (!c.asking && t >= c.next)
+                if (!c.request_pending && t >= c.next_request_at)
                     heartbeat(c);
             for (auto& c : user)
-                if (!c.asking && t >= c.next)
-                    ask(c, codec::path_jobs, [this, &c](int status) {
-                        ++told_users[status];
-                        c.next = seconds() + 0.1;
+                if (!c.request_pending && t >= c.next_request_at)
+                    send_request(c, codec::path_jobs, [this, &c](int status) {
+                        ++user_answers[status];
+                        c.next_request_at = seconds() + 0.1;
                     });
             l.turn();
-            for (; !held.empty() && held.front().first <= t; held.pop_front())
-                held.front().second.send(200, "{}");
+            for (; !pending_answers.empty() && pending_answers.front().first <= t; pending_answers.pop_front())
+                pending_answers.front().second.send(200, "{}");
             for (auto* all : {&worker, &user})
                 for (auto& c : *all)
                     c.http.sweep();
@@ -126,23 +126,23 @@
             usleep(500);
         }
         for (auto& c : worker)
-            c.max_gap = std::max(c.max_gap, seconds() - c.served);
+            c.max_gap = std::max(c.max_gap, seconds() - c.last_served_at);
     }
 };
 
 TEST(Connections, WorkersAreServedInTurnsWithinTheirLease) {
-    Crowd crowd;
-    crowd.run(3 * Crowd::lease_s);
+    ManyClients clients;
+    clients.run(3 * ManyClients::lease_s);
     std::size_t expired = 0;
     double longest = 0;
-    for (const auto& c : crowd.worker) {
-        expired += c.max_gap > Crowd::lease_s;
+    for (const auto& c : clients.worker) {
+        expired += c.max_gap > ManyClients::lease_s;
         longest = std::max(longest, c.max_gap);
     }
-    EXPECT_EQ(expired, 0U) << "of " << Crowd::workers << ", the longest wait " << longest;
-    EXPECT_LE(crowd.max_connections, Crowd::connections);
-    EXPECT_GT(crowd.told_users[200], 0); // workers do not take all connections
-    EXPECT_GT(crowd.told_users[503], 0);
+    EXPECT_EQ(expired, 0U) << "of " << ManyClients::workers << ", the longest wait " << longest;
+    EXPECT_LE(clients.max_connections, ManyClients::connections);
+    EXPECT_GT(clients.user_answers[200], 0); // workers do not take all connections
+    EXPECT_GT(clients.user_answers[503], 0);
 }
 
 // If all connections for users are in use, a further user gets 503 with a Retry-After header.
