--- a/tests/test_core.cpp
+++ b/tests/test_core.cpp
@@ -6,7 +6,7 @@
 namespace heronshift::testing {
 namespace {
 
-template <class T> std::vector<T> all(const std::vector<Effect>& effects) {
+template <class T> std::vector<T> effects_of(const std::vector<Effect>& effects) {
     std::vector<T> out;
     for (const auto& e : effects)
         if (const auto* x = std::get_if<T>(&e))
@@ -25,26 +25,26 @@
 
     bool store_answers = true;
 
-    void take(std::vector<Command> q, std::vector<Effect>& out) {
+    void run_step(std::vector<Command> q, std::vector<Effect>& out) {
         now += 0.05;
         const auto effects = core.step(q, now, now);
         for (const auto& e : effects) {
             out.push_back(e);
             if (store_answers && std::holds_alternative<Commit>(e))
-                take({Committed{}}, out);
+                run_step({Committed{}}, out);
             if (const auto* o = std::get_if<SendOrders>(&e); o != nullptr && o->orders.empty()) // an unanswered probe
-                take({OrdersAnswered{o->machine, o->batch, 0, false, std::nullopt}}, out);
+                run_step({OrdersAnswered{o->machine, o->batch, 0, false, std::nullopt}}, out);
         }
     }
-    std::vector<Effect> give(Command c) {
+    std::vector<Effect> deliver(Command c) {
         std::vector<Effect> out;
-        take({std::move(c)}, out);
+        run_step({std::move(c)}, out);
         return out;
     }
-    std::vector<Effect> idle(double s) {
+    std::vector<Effect> advance(double s) {
         std::vector<Effect> out;
         for (const double end = now + s; now < end;)
-            take({}, out);
+            run_step({}, out);
         return out;
     }
     static Heartbeat heartbeat(std::uint64_t counter, std::uint64_t fencing_token, std::vector<ReportedTask> tasks = {},
@@ -53,13 +53,13 @@
     }
 
     OneTask() {
-        give(MachineTypesKnown{small_types()});
-        give(HeartbeatReceived{heartbeat(1, fencing_token), 1});
-        find_launch(give(JobStored{job(1, Shape::service, 1, 4), 0}));
-        find_launch(idle(0.5));
+        deliver(MachineTypesKnown{small_types()});
+        deliver(HeartbeatReceived{heartbeat(1, fencing_token), 1});
+        find_launch(deliver(JobStored{job(1, Shape::service, 1, 4), 0}));
+        find_launch(advance(0.5));
     }
     void find_launch(const std::vector<Effect>& list) {
-        for (const auto& o : all<SendOrders>(list))
+        for (const auto& o : effects_of<SendOrders>(list))
             if (o.orders.front().verb == Verb::launch)
                 launch = o;
     }
@@ -68,27 +68,27 @@
 TEST(Core, LaunchesOnlyWhatTheStoreHolds) {
     OneTask s;
     ASSERT_EQ(s.launch.orders.size(), 1U);
-    s.give(OrdersAnswered{"n-1", s.launch.batch, 200, true,
-                          OneTask::heartbeat(2, s.fencing_token,
-                                             {{"wk-000001", 0, s.launch.orders[0].attempt, TaskState::running,
-                                               ExitCause::none, false}})});
+    s.deliver(OrdersAnswered{"n-1", s.launch.batch, 200, true,
+                             OneTask::heartbeat(2, s.fencing_token,
+                                                {{"wk-000001", 0, s.launch.orders[0].attempt, TaskState::running,
+                                                  ExitCause::none, false}})});
     s.store_answers = false; // the store has not answered yet
-    auto effects = s.give(JobStored{job(2, Shape::service, 1, 1), 0});
-    for (auto& e : s.idle(1))
+    auto effects = s.deliver(JobStored{job(2, Shape::service, 1, 1), 0});
+    for (auto& e : s.advance(1))
         effects.push_back(e);
-    EXPECT_EQ(all<Commit>(effects).size(), 1U);
-    EXPECT_TRUE(all<SendOrders>(effects).empty());
-    EXPECT_FALSE(all<SendOrders>(s.give(Committed{})).empty());
+    EXPECT_EQ(effects_of<Commit>(effects).size(), 1U);
+    EXPECT_TRUE(effects_of<SendOrders>(effects).empty());
+    EXPECT_FALSE(effects_of<SendOrders>(s.deliver(Committed{})).empty());
 }
 
 TEST(Core, AnOldHeartbeatProvesNothing) {
     OneTask s;
     // The answer to the launch is lost. Then a heartbeat that was sent before the launch arrives late.
-    s.give(OrdersAnswered{"n-1", s.launch.batch, 0, true, std::nullopt});
-    s.give(HeartbeatReceived{OneTask::heartbeat(2, 0), 2});
+    s.deliver(OrdersAnswered{"n-1", s.launch.batch, 0, true, std::nullopt});
+    s.deliver(HeartbeatReceived{OneTask::heartbeat(2, 0), 2});
     EXPECT_EQ(s.core.live_tasks("wk-000001"), 1U);
     // A heartbeat that shows only the fencing token of the launch itself proves nothing either.
-    s.give(HeartbeatReceived{OneTask::heartbeat(3, s.fencing_token), 3});
+    s.deliver(HeartbeatReceived{OneTask::heartbeat(3, s.fencing_token), 3});
     EXPECT_EQ(s.core.live_tasks("wk-000001"), 1U);
 }
 
@@ -112,41 +112,42 @@
 
 TEST(Core, AnIncrementedTokenSeenInAHeartbeatSettlesALostLaunch) {
     OneTask s;
-    s.give(OrdersAnswered{"n-1", s.launch.batch, 0, true, std::nullopt});
-    const auto answers = all<AnswerHeartbeat>(s.give(HeartbeatReceived{OneTask::heartbeat(2, s.fencing_token), 2}));
+    s.deliver(OrdersAnswered{"n-1", s.launch.batch, 0, true, std::nullopt});
+    const auto answers =
+        effects_of<AnswerHeartbeat>(s.deliver(HeartbeatReceived{OneTask::heartbeat(2, s.fencing_token), 2}));
     ASSERT_EQ(answers.size(), 1U);
     EXPECT_EQ(answers[0].fencing_token, s.fencing_token + 1);
     // The task is started again as a new attempt, because the same launch is never sent twice.
     const auto first = s.launch.orders.at(0).attempt;
     s.launch = {};
-    s.find_launch(s.give(HeartbeatReceived{OneTask::heartbeat(3, s.fencing_token + 1), 3}));
-    s.find_launch(s.idle(1.5));
-    s.find_launch(s.give(HeartbeatReceived{OneTask::heartbeat(4, s.fencing_token + 1), 4}));
-    s.find_launch(s.idle(1));
+    s.find_launch(s.deliver(HeartbeatReceived{OneTask::heartbeat(3, s.fencing_token + 1), 3}));
+    s.find_launch(s.advance(1.5));
+    s.find_launch(s.deliver(HeartbeatReceived{OneTask::heartbeat(4, s.fencing_token + 1), 4}));
+    s.find_launch(s.advance(1));
     ASSERT_FALSE(s.launch.orders.empty());
     EXPECT_NE(s.launch.orders[0].attempt, first);
 }
 
 TEST(Core, ANewAgentEpochMeansThatAllTasksAreGone) {
     OneTask s;
-    s.give(HeartbeatReceived{
+    s.deliver(HeartbeatReceived{
         OneTask::heartbeat(2, s.fencing_token,
                            {{"wk-000001", 0, s.launch.orders[0].attempt, TaskState::running, ExitCause::none, false}}),
         2});
     EXPECT_EQ(s.core.view("wk-000001")->running, 1U);
-    s.give(HeartbeatReceived{OneTask::heartbeat(1, s.fencing_token, {}, 2), 3});
+    s.deliver(HeartbeatReceived{OneTask::heartbeat(1, s.fencing_token, {}, 2), 3});
     EXPECT_EQ(s.core.view("wk-000001")->running, 0U);
 }
 
 TEST(Core, ASilentMachineIsOccupiedUntilItsLeaseHasSurelyExpired) {
     OneTask s;
-    s.give(HeartbeatReceived{
+    s.deliver(HeartbeatReceived{
         OneTask::heartbeat(2, s.fencing_token,
                            {{"wk-000001", 0, s.launch.orders[0].attempt, TaskState::running, ExitCause::none, false}}),
         2});
-    s.idle(s.settings.lease_s - 0.5);
+    s.advance(s.settings.lease_s - 0.5);
     EXPECT_EQ(s.core.live_tasks("wk-000001"), 1U);
-    s.idle(2);
+    s.advance(2);
     EXPECT_EQ(s.core.live_tasks("wk-000001"), 0U);
 }
 
@@ -156,14 +157,14 @@
     OneTask s;
     std::map<std::string, std::string> records;
     auto read = [&](const std::vector<Effect>& effects) {
-        for (const auto& c : all<Commit>(effects))
+        for (const auto& c : effects_of<Commit>(effects))
             for (const auto& w : c.writes)
                 if (w.key.starts_with("i/"))
                     records[w.key] = (*w.value)["t"].get<std::string>();
     };
     // The second job has intents records written before and after the lease of the machine expires.
-    read(s.give(JobStored{job(2, Shape::service, 1, 1), 0}));
-    read(s.idle(s.settings.lease_s + 4));
+    read(s.deliver(JobStored{job(2, Shape::service, 1, 1), 0}));
+    read(s.advance(s.settings.lease_s + 4));
     ASSERT_FALSE(records.empty());
     for (const auto& [key, text] : records)
         EXPECT_EQ(text, "") << key;
@@ -178,8 +179,8 @@
         q.push_back(HeartbeatReceived{OneTask::heartbeat(2, s.fencing_token), 77});
         q.push_back(JobStored{job(5, Shape::array, 50, 4), 0});
         const auto effects = s.core.step(q, t, t, false);
-        EXPECT_EQ(effects.size(), all<AnswerHeartbeat>(effects).size());
-        for (const auto& a : all<AnswerHeartbeat>(effects))
+        EXPECT_EQ(effects.size(), effects_of<AnswerHeartbeat>(effects).size());
+        for (const auto& a : effects_of<AnswerHeartbeat>(effects))
             EXPECT_EQ(a.status, 503);
     }
     EXPECT_EQ(s.core.live_tasks("wk-000001"), 1U);
@@ -188,36 +189,36 @@
 
 TEST(Core, AHigherTermInAHeartbeatEndsTheTerm) {
     OneTask s;
-    const auto effects = s.give(HeartbeatReceived{OneTask::heartbeat(2, std::uint64_t{8} << token_counter_bits), 2});
-    EXPECT_EQ(all<Resign>(effects).size(), 1U);
-    EXPECT_EQ(all<AnswerHeartbeat>(effects).at(0).status, 503);
+    const auto effects = s.deliver(HeartbeatReceived{OneTask::heartbeat(2, std::uint64_t{8} << token_counter_bits), 2});
+    EXPECT_EQ(effects_of<Resign>(effects).size(), 1U);
+    EXPECT_EQ(effects_of<AnswerHeartbeat>(effects).at(0).status, 503);
     EXPECT_FALSE(s.core.view("wk-000001"));
 }
 
 TEST(Core, DoneIsReapedOnlyOnceTheStoreHoldsIt) {
     OneTask s;
-    s.give(JobStored{job(2, Shape::array, 2, 1), 0});
+    s.deliver(JobStored{job(2, Shape::array, 2, 1), 0});
     const std::vector<ReportedTask> done{{"wk-000002", 0, 5, TaskState::ended, ExitCause::done, false}};
     auto reaps = [&](std::uint64_t counter) {
         std::size_t n = 0;
-        for (const auto& a : all<AnswerHeartbeat>(
-                 s.give(HeartbeatReceived{OneTask::heartbeat(counter, s.fencing_token, done), counter})))
+        for (const auto& a : effects_of<AnswerHeartbeat>(
+                 s.deliver(HeartbeatReceived{OneTask::heartbeat(counter, s.fencing_token, done), counter})))
             for (const auto& o : a.orders)
                 n += o.verb == Verb::reap;
         return n;
     };
     EXPECT_EQ(reaps(10), 0U);
-    s.idle(6);
+    s.advance(6);
     EXPECT_EQ(reaps(11), 1U);
 }
 
 TEST(Core, AFinishedJobIsNotBroughtBackByALateEvent) {
     OneTask s;
-    s.give(CancellationRequested{"wk-000001", 9});
-    s.idle(0.5);
-    s.give(HeartbeatReceived{OneTask::heartbeat(9, s.fencing_token + 1), 2});
-    s.idle(1);
-    s.give(JobStored{job(1, Shape::service, 1, 4), 0});
+    s.deliver(CancellationRequested{"wk-000001", 9});
+    s.advance(0.5);
+    s.deliver(HeartbeatReceived{OneTask::heartbeat(9, s.fencing_token + 1), 2});
+    s.advance(1);
+    s.deliver(JobStored{job(1, Shape::service, 1, 4), 0});
     ASSERT_TRUE(s.core.view("wk-000001"));
     EXPECT_EQ(s.core.view("wk-000001")->status, codec::status_cancelled);
 }
@@ -225,10 +226,11 @@
 TEST(Core, AReleasedMachineStaysGoneWhateverALateListSays) {
     OneTask s;
     const auto before = s.core.machine_count();
-    s.give(Released{{"n-1"}, true});
+    s.deliver(Released{{"n-1"}, true});
     EXPECT_EQ(s.core.live_tasks("wk-000001"), 0U);
-    s.give(MachinesListed{{{"n-1", "10.1.0.1:9000", "m8", "a", "running", false, 50}}, 0});
-    EXPECT_EQ(all<AnswerHeartbeat>(s.give(HeartbeatReceived{OneTask::heartbeat(50, 0), 50})).at(0).status, 503);
+    s.deliver(MachinesListed{{{"n-1", "10.1.0.1:9000", "m8", "a", "running", false, 50}}, 0});
+    EXPECT_EQ(effects_of<AnswerHeartbeat>(s.deliver(HeartbeatReceived{OneTask::heartbeat(50, 0), 50})).at(0).status,
+              503);
     EXPECT_EQ(s.core.machine_count(), before - 1);
 }
 
@@ -236,25 +238,25 @@
 TEST(Core, AMachineIsUsedOnceItHasShownThisTermsFencingToken) {
     const auto settings = small_settings();
     Core core(settings, 7, {}, 0, 0);
-    std::size_t launches = 0, questions = 0;
+    std::size_t launches = 0, probes = 0;
     double now = 0;
-    const auto give = [&](std::vector<Command> q) {
+    const auto deliver = [&](std::vector<Command> q) {
         for (const double end = now + 1; now < end; now += 0.05)
             for (const auto& e : core.step(q, now, now)) {
                 if (std::holds_alternative<Commit>(e))
                     q.emplace_back(Committed{});
                 if (const auto* o = std::get_if<SendOrders>(&e)) {
-                    (o->orders.empty() ? questions : launches) += 1;
+                    (o->orders.empty() ? probes : launches) += 1;
                     if (o->orders.empty())
                         q.emplace_back(OrdersAnswered{o->machine, o->batch, 0, false, std::nullopt});
                 }
             }
     };
-    give({MachineTypesKnown{small_types()}, JobStored{job(1, Shape::array, 1, 4), 0},
-          HeartbeatReceived{OneTask::heartbeat(50, (std::uint64_t{6} << token_counter_bits) + 3), 1}});
+    deliver({MachineTypesKnown{small_types()}, JobStored{job(1, Shape::array, 1, 4), 0},
+             HeartbeatReceived{OneTask::heartbeat(50, (std::uint64_t{6} << token_counter_bits) + 3), 1}});
     EXPECT_EQ(launches, 0U);
-    EXPECT_EQ(questions, 1U); // the answer to a probe shows the token sooner than the next heartbeat
-    give({HeartbeatReceived{OneTask::heartbeat(51, std::uint64_t{7} << token_counter_bits), 2}});
+    EXPECT_EQ(probes, 1U); // the answer to a probe shows the token sooner than the next heartbeat
+    deliver({HeartbeatReceived{OneTask::heartbeat(51, std::uint64_t{7} << token_counter_bits), 2}});
     EXPECT_EQ(launches, 1U);
 }
 
@@ -263,26 +265,30 @@
     OneTask s;
     const auto live = OneTask::heartbeat(
         8, s.fencing_token, {{"wk-000001", 0, s.launch.orders[0].attempt, TaskState::running, ExitCause::none, false}});
-    EXPECT_EQ(all<AnswerHeartbeat>(s.give(HeartbeatReceived{live, 2})).at(0).status, 200);
-    s.give(OrdersAnswered{"n-1", s.launch.batch, 200, true, OneTask::heartbeat(10, s.fencing_token, live.tasks)});
+    EXPECT_EQ(effects_of<AnswerHeartbeat>(s.deliver(HeartbeatReceived{live, 2})).at(0).status, 200);
+    s.deliver(OrdersAnswered{"n-1", s.launch.batch, 200, true, OneTask::heartbeat(10, s.fencing_token, live.tasks)});
     // Heartbeat 9 was sent before heartbeat 10, which overtook it in an answer to orders. It is answered but does not
     // renew the lease.
-    s.idle(5);
-    EXPECT_EQ(all<AnswerHeartbeat>(s.give(HeartbeatReceived{OneTask::heartbeat(9, s.fencing_token), 3})).at(0).status,
+    s.advance(5);
+    EXPECT_EQ(effects_of<AnswerHeartbeat>(s.deliver(HeartbeatReceived{OneTask::heartbeat(9, s.fencing_token), 3}))
+                  .at(0)
+                  .status,
               200);
     EXPECT_EQ(s.core.view("wk-000001")->running, 1U);
     for (double t = 0; t < s.settings.lease_s - 6; t += 0.5) {
-        EXPECT_EQ(all<AnswerHeartbeat>(s.give(HeartbeatReceived{live, 4})).at(0).status, 503);
-        s.idle(0.4);
+        EXPECT_EQ(effects_of<AnswerHeartbeat>(s.deliver(HeartbeatReceived{live, 4})).at(0).status, 503);
+        s.advance(0.4);
     }
     EXPECT_EQ(s.core.live_tasks("wk-000001"), 1U);
-    s.give(HeartbeatReceived{live, 5});
-    s.idle(2);
+    s.deliver(HeartbeatReceived{live, 5});
+    s.advance(2);
     EXPECT_EQ(s.core.live_tasks("wk-000001"), 0U);
     // A copy does not bring the machine back either after the core has forgotten it.
-    s.idle(4 * s.settings.list_lag_s + 3 * s.settings.lease_s);
-    EXPECT_EQ(all<AnswerHeartbeat>(s.give(HeartbeatReceived{live, 6})).at(0).status, 503);
-    EXPECT_EQ(all<AnswerHeartbeat>(s.give(HeartbeatReceived{OneTask::heartbeat(11, s.fencing_token), 7})).at(0).status,
+    s.advance(4 * s.settings.list_lag_s + 3 * s.settings.lease_s);
+    EXPECT_EQ(effects_of<AnswerHeartbeat>(s.deliver(HeartbeatReceived{live, 6})).at(0).status, 503);
+    EXPECT_EQ(effects_of<AnswerHeartbeat>(s.deliver(HeartbeatReceived{OneTask::heartbeat(11, s.fencing_token), 7}))
+                  .at(0)
+                  .status,
               200);
 }
 
@@ -295,10 +301,10 @@
         return -1.0;
     };
     const auto copies = value("heronshift_reports_dropped_total", "old");
-    t.give(HeartbeatReceived{OneTask::heartbeat(1, t.fencing_token), 9}); // a copy of the first heartbeat
+    t.deliver(HeartbeatReceived{OneTask::heartbeat(1, t.fencing_token), 9}); // a copy of the first heartbeat
     EXPECT_EQ(value("heronshift_reports_dropped_total", "old"), copies + 1);
-    t.give(JobStored{job(7, Shape::array, 1, 500), 3}); // fits no machine; ready for 3 s already
-    t.idle(2);
+    t.deliver(JobStored{job(7, Shape::array, 1, 500), 3}); // fits no machine; ready for 3 s already
+    t.advance(2);
     EXPECT_NEAR(value("heronshift_oldest_wait_seconds", "red"), 5, 0.2);
     EXPECT_NEAR(value("heronshift_oldest_wait_seconds", "c"), 5, 0.2);
     EXPECT_EQ(value("heronshift_oldest_wait_seconds", "blue"), -1);
@@ -312,8 +318,8 @@
     for (int i = 0; i < waiting; ++i)
         q.emplace_back(JobStored{job(100 + i, Shape::array, 1, 500), 0});
     std::vector<Effect> out;
-    t.take(std::move(q), out);
-    t.idle(3 * t.settings.report_s);
+    t.run_step(std::move(q), out);
+    t.advance(3 * t.settings.report_s);
     for (const auto& m : t.core.metrics())
         if (m.name == "heronshift_passes_total")
             return m.value;
--- a/tests/test_end_of_day.cpp
+++ b/tests/test_end_of_day.cpp
@@ -12,67 +12,68 @@
 
 // --- `FinalChecks` itself ---
 
-std::vector<Seen> a_good_day() {
-    std::vector<Seen> out;
+std::vector<ObservedJob> fault_free_day() {
+    std::vector<ObservedJob> out;
     for (int i = 0; i < 40; ++i) {
-        Seen j{fmt::format("wk-{:06}", i), i % 4 == 0 ? "wide" : "small", i % 2 == 0 ? "red" : "blue"};
+        ObservedJob j{fmt::format("wk-{:06}", i), i % 4 == 0 ? "wide" : "small", i % 2 == 0 ? "red" : "blue"};
         j.size = i;
         j.asked_at = i;
         j.accepted_at = i + 0.1;
-        j.begun_at = i + 10;
+        j.started_at = i + 10;
         j.done_at = i + 60;
         out.push_back(j);
     }
     return out;
 }
 
-std::string wrong(const std::vector<Seen>& all) {
+std::string failed_checks(const std::vector<ObservedJob>& all) {
     FinalChecks end;
     end.now = 500;
-    return fmt::format("{}", fmt::join(end.wrong(all), "; "));
+    return fmt::format("{}", fmt::join(end.failed_checks(all), "; "));
 }
 
-TEST(FinalChecks, AGoodDayIsOne) {
-    EXPECT_EQ(wrong(a_good_day()), "");
+TEST(FinalChecks, AFaultFreeDayHasNoViolations) {
+    EXPECT_EQ(failed_checks(fault_free_day()), "");
 }
 
 TEST(FinalChecks, AJobThatNobodyAnswersForIsForgottenHoweverOthersFare) {
-    auto day = a_good_day();
+    auto day = fault_free_day();
     day[7].silent_s = 76;
-    EXPECT_EQ(wrong(day), "forgotten: wk-000007 had no answer for 76 s");
+    EXPECT_EQ(failed_checks(day), "forgotten: wk-000007 had no answer for 76 s");
     day[7].cancelled = true;
-    EXPECT_EQ(wrong(day), "");
-    day[8].repeated_ok = false;
-    EXPECT_EQ(wrong(day), "forgotten: wk-000008, submitted again");
+    EXPECT_EQ(failed_checks(day), "");
+    day[8].resubmission_ok = false;
+    EXPECT_EQ(failed_checks(day), "forgotten: wk-000008, submitted again");
 }
 
 TEST(FinalChecks, AStarvedTeamIsSeenAmongManyServed) {
-    auto day = a_good_day();
+    auto day = fault_free_day();
     int n = 0;
     for (auto& j : day)
         if (j.team == "blue" && j.size < 30 && ++n > 3)
             j.done_at = -1, j.running = true;
-    EXPECT_EQ(wrong(day), "team blue: 8 of 20 served");
+    EXPECT_EQ(failed_checks(day), "team blue: 8 of 20 served");
 }
 
 TEST(FinalChecks, ALargestJobThatBeginsLateIsSeen) {
-    auto day = a_good_day();
-    day[36].begun_at = day[36].asked_at + 241; // the largest of "wide"
-    EXPECT_EQ(wrong(day), "wk-000036, one of the largest of class wide, begins after 241 s");
+    auto day = fault_free_day();
+    day[36].started_at = day[36].asked_at + 241; // the largest of "wide"
+    EXPECT_EQ(failed_checks(day), "wk-000036, one of the largest of class wide, begins after 241 s");
     day[36].excused_s = 5;
-    EXPECT_EQ(wrong(day), "");
-    day[36].begun_at = day[36].done_at = -1;
-    EXPECT_EQ(wrong(day), "wk-000036 of wide red does not run, 464 s old; wk-000036, one of the largest of class wide, "
-                          "begins after 464 s; the largest of class wide: 0 of 1 served");
+    EXPECT_EQ(failed_checks(day), "");
+    day[36].started_at = day[36].done_at = -1;
+    EXPECT_EQ(failed_checks(day),
+              "wk-000036 of wide red does not run, 464 s old; wk-000036, one of the largest of class wide, "
+              "begins after 464 s; the largest of class wide: 0 of 1 served");
 }
 
 // --- rate limit ---
 
 // Six times as many callers ask as the budget allows, and all of them are served in turn. If requests were served in
 // order of arrival, unlucky callers would be refused for minutes.
-TEST(FairTokenBucket, NobodyWhoAsksAgainAndAgainIsRefusedForLong) {
+TEST(FairTokenBucket, NobodyWhoRetriesIsRefusedForLong) {
     std::mt19937 rng(5);
-    gateway::FairTokenBucket turns(10, 16, 40);
+    gateway::FairTokenBucket bucket(10, 16, 40);
     std::vector<double> next(300), served(300);
     for (auto& t : next)
         t = std::uniform_real_distribution<double>(0, 5)(rng);
@@ -82,7 +83,7 @@
             if (now < next[i])
                 continue;
             next[i] = now + std::uniform_real_distribution<double>(4, 6)(rng);
-            if (!turns.take(std::to_string(i), now))
+            if (!bucket.take(std::to_string(i), now))
                 continue;
             longest = std::max(longest, now - served[i]);
             served[i] = now;
@@ -95,35 +96,35 @@
 // A workload of services, small and wide arrays, and gangs of two teams.
 struct Day : FaultInjection {
     Day(unsigned seed, std::size_t controllers, int machines)
-        : FaultInjection(seed + other_seeds(), controllers, machines) {
-        for (auto& [id, u] : asks)
-            u.seen.job_class = jobs[id].job_class = "serve";
+        : FaultInjection(seed + seed_offset(), controllers, machines) {
+        for (auto& [id, u] : users_by_job)
+            u.observed.job_class = jobs[id].job_class = "serve";
         before_step = [this] {
             if (std::fmod(now, 12) < 0.1)
-                ask_also(job(900'000 + ++others, Shape::array, 30, 2), "wide");
+                submit_extra_job(job(900'000 + ++extra_jobs, Shape::array, 30, 2), "wide");
             if (std::fmod(now + 6, 12) < 0.1) {
-                auto gang = job(900'000 + ++others, Shape::gang, 4, 4);
-                gang.one_zone = others % 4 == 0;
+                auto gang = job(900'000 + ++extra_jobs, Shape::gang, 4, 4);
+                gang.one_zone = extra_jobs % 4 == 0;
                 gang.spot = true;
-                ask_also(gang, "gang");
+                submit_extra_job(gang, "gang");
             }
-            if (more)
-                more();
+            if (on_step)
+                on_step();
         };
     }
-    void ask_also(JobSpec spec, const std::string& job_class) {
+    void submit_extra_job(JobSpec spec, const std::string& job_class) {
         spec.job_class = job_class;
-        spec.team = others % 4 < 2 ? "red" : "blue";
-        ask(spec);
+        spec.team = extra_jobs % 4 < 2 ? "red" : "blue";
+        submit_as_user(spec);
     }
-    int others = 0;
-    std::function<void()> more;
+    int extra_jobs = 0;
+    std::function<void()> on_step;
     // Ends the faults and runs the final checks; returns their violations, empty if there are none.
     std::string end() {
-        more = {};
+        on_step = {};
         return final_checks(std::max(leases(5), 90.0));
     }
-    const cluster::Machine* known(const std::string& id) {
+    const cluster::Machine* known_machine(const std::string& id) {
         const auto& c = nodes[leader().value_or(0)].controller;
         const auto* term = c ? c->core() : nullptr;
         if (term == nullptr)
@@ -147,7 +148,7 @@
 // all controllers in turn, and those that had redirected it to the leader once did so again, without effect. The leader
 // therefore saw one heartbeat in 26 s and needed three (log of seed 0: "route=taken" at 87.9 and next at 114,
 // "route=redirected to the leader" between them). One of the later failures had another cause, see `ReleasedMachines`.
-void one_gets_nothing_more(bool orders_reach, double known_after, double gone_after) {
+void expect_no_more_placements(bool orders_reach, double recognised_within_leases, double run_leases) {
     Day f(11, 5, 40);
     ASSERT_TRUE(f.settle(60));
     std::string id; // a machine with service replicas, which is not released for being idle
@@ -156,38 +157,38 @@
             if (f.jobs[t.job].shape == Shape::service)
                 id = name;
     if (orders_reach)
-        f.misses_answers.insert(id);
+        f.heartbeat_answers_lost.insert(id);
     else
         f.make_inbound_unreachable(id, f.names());
     const double since = f.now;
-    double known_at = -1, known_there = -1, gone_at = -1;
+    double recognised_at = -1, recognised_at_node_time = -1, released_at = -1;
     int placed = 0;
-    f.more = [&] {
-        const auto* m = f.known(id);
-        if (known_at < 0 && m != nullptr && m->inbound_unreachable()) {
-            known_at = f.now;
-            known_there = f.nodes[*f.leader()].clock->now();
+    f.on_step = [&] {
+        const auto* m = f.known_machine(id);
+        if (recognised_at < 0 && m != nullptr && m->inbound_unreachable()) {
+            recognised_at = f.now;
+            recognised_at_node_time = f.nodes[*f.leader()].clock->now();
         }
-        if (gone_at < 0 && !f.workers.contains(id))
-            gone_at = f.now;
-        if (known_at < 0 || m == nullptr)
+        if (released_at < 0 && !f.workers.contains(id))
+            released_at = f.now;
+        if (recognised_at < 0 || m == nullptr)
             return;
         for (const auto& e : m->entries)
-            placed += e->placed_at > known_there;
+            placed += e->placed_at > recognised_at_node_time;
     };
-    f.work(f.leases(gone_after));
+    f.run_under_load(f.leases(run_leases));
     EXPECT_EQ(first(f), "");
-    EXPECT_GT(known_at, 0);
-    EXPECT_LT(known_at - since, f.leases(known_after));
+    EXPECT_GT(recognised_at, 0);
+    EXPECT_LT(recognised_at - since, f.leases(recognised_within_leases));
     EXPECT_EQ(placed, 0);
-    EXPECT_GT(gone_at, 0);
+    EXPECT_GT(released_at, 0);
     EXPECT_EQ(f.end(), "");
 }
-TEST(InboundUnreachable, OneMachineGetsNothingMoreAndIsGivenBack) {
-    one_gets_nothing_more(false, 3, 6);
+TEST(InboundUnreachable, OneMachineGetsNoMoreTasksAndIsReleased) {
+    expect_no_more_placements(false, 3, 6);
 }
-TEST(InboundUnreachable, OneThatOrdersReachGetsNothingMoreAndIsGivenBack) {
-    one_gets_nothing_more(true, 3, 6);
+TEST(InboundUnreachable, OneThatCommandsReachGetsNoMoreTasksAndIsReleased) {
+    expect_no_more_placements(true, 3, 6);
 }
 
 // The leader does not reach some machines, but another controller forwards their heartbeats: they keep their leases and
@@ -196,44 +197,45 @@
     for (unsigned seed = 1; seed <= 6; ++seed) {
         Day f(20 + seed, 5, 40);
         ASSERT_TRUE(f.settle(60)) << seed;
-        std::vector<std::string> some = f.busy();
-        some.resize(5);
+        std::vector<std::string> unreachable_machines = f.busy();
+        unreachable_machines.resize(5);
         const int before = f.expirations;
-        for (const auto& id : some)
+        for (const auto& id : unreachable_machines)
             f.make_inbound_unreachable(id, {f.nodes[*f.leader()].name});
-        f.work(f.leases(4));
+        f.run_under_load(f.leases(4));
         EXPECT_EQ(first(f), "") << seed;
         EXPECT_EQ(f.expirations, before) << seed;
-        EXPECT_LE(f.changes.size(), 2U) << seed; // at most one handover, to a controller that reaches them all
+        EXPECT_LE(f.leader_changes.size(), 2U) << seed; // at most one handover, to a controller that reaches them all
         EXPECT_EQ(f.end(), "") << seed;
     }
 }
 
-struct Silence {
+struct InboundFault {
     double share;
     std::string zone;
-    friend std::ostream& operator<<(std::ostream& o, const Silence& s) {
+    friend std::ostream& operator<<(std::ostream& o, const InboundFault& s) {
         return o << s.share << s.zone;
     }
 };
-class InboundUnreachableMachines : public ::testing::TestWithParam<Silence> {};
+class InboundUnreachableMachines : public ::testing::TestWithParam<InboundFault> {};
 
 // Some gangs run partly on machines that receive no messages, and some jobs that run there are cancelled.
 TEST_P(InboundUnreachableMachines, OfManyStartsTheirWorkElsewhereOnlyOnceItIsGone) {
     Day f(31, 5, 60);
     ASSERT_TRUE(f.settle(60));
     f.make_some_inbound_unreachable(GetParam().share, GetParam().zone, f.all_nodes(), f.leases(3));
-    for (const auto& [id, u] : f.asks)
-        if (f.chance() < 0.1 && u.seen.done_at < 0)
+    for (const auto& [id, u] : f.users_by_job)
+        if (f.chance() < 0.1 && u.observed.done_at < 0)
             f.request_cancellation(id);
-    f.work(f.leases(4));
+    f.run_under_load(f.leases(4));
     EXPECT_EQ(first(f), "");
-    f.work(f.leases(2)); // the machines receive messages again and get tasks again
+    f.run_under_load(f.leases(2)); // the machines receive messages again and get tasks again
     EXPECT_EQ(f.end(), "");
     EXPECT_EQ(f.unfinished(f.leases(3)), 0);
 }
 
-INSTANTIATE_TEST_SUITE_P(Day, InboundUnreachableMachines, ::testing::Values(Silence{0.33, ""}, Silence{1, "b"}));
+INSTANTIATE_TEST_SUITE_P(Day, InboundUnreachableMachines,
+                         ::testing::Values(InboundFault{0.33, ""}, InboundFault{1, "b"}));
 
 // A leader probes four machines of each zone, and hands the leadership to a controller that reaches more zones. It kept
 // probing machines that it had released itself, which could not answer. If all probed machines of a zone were such, it
@@ -244,9 +246,9 @@
     for (unsigned seed = 1; seed <= (sanitized ? 4 : 24); ++seed) {
         Day f(900 + seed, 5, 40);
         ASSERT_TRUE(f.settle(60)) << seed;
-        f.work(130);
+        f.run_under_load(130);
         EXPECT_EQ(first(f), "") << seed;
-        EXPECT_EQ(f.changes.size(), 1U) << seed;
+        EXPECT_EQ(f.leader_changes.size(), 1U) << seed;
     }
 }
 
@@ -255,14 +257,14 @@
 TEST(Copies, OfHeartbeatsChangeNothing) {
     for (unsigned seed = 1; seed <= 4; ++seed) {
         Day f(40 + seed, 5, 60);
-        f.copies = 0.5;
+        f.late_copy_share = 0.5;
         ASSERT_TRUE(f.settle(60)) << seed;
         for (int k = 0; k < 3; ++k) {
             for (auto& [id, w] : f.workers)
                 if (f.chance() < 0.2)
                     w.dead = true; // reclaimed without notice, while duplicates keep arriving
             f.crash(*f.leader(), k == 0 ? 0.2 : 3);
-            f.work(f.leases(1.5));
+            f.run_under_load(f.leases(1.5));
             ASSERT_TRUE(f.leader()) << seed;
         }
         EXPECT_EQ(first(f), "") << seed;
@@ -280,14 +282,14 @@
     const auto zone = Fleet::zone(w.zone);
     w.dead = true;
     const double since = f.now;
-    f.more = [&] { // several duplicates of one heartbeat per second
-        f.http(zone, f.pick(3), {"POST", std::string(codec::path_heartbeat), "", body}, false, 4,
+    f.on_step = [&] { // several duplicates of one heartbeat per second
+        f.http(zone, f.random_index(3), {"POST", std::string(codec::path_heartbeat), "", body}, false, 4,
                [](const std::optional<HttpReply>&, bool) {});
     };
     double freed_at = -1;
     for (int k = 0; k < 60 && freed_at < 0; ++k) {
-        f.work(1);
-        const auto* m = f.known(id);
+        f.run_under_load(1);
+        const auto* m = f.known_machine(id);
         if (m == nullptr || m->entries.empty())
             freed_at = f.now;
     }
@@ -298,56 +300,56 @@
 
 // A controller that reaches neither the store nor other controllers may act until its lease expires. After that it
 // answers workers and users at once with a refusal, and no message of its term takes effect later.
-struct CutOff {
-    int who; // 0: the leader, 1: a standby, 2: the leader and a standby
+struct IsolationCase {
+    int isolated_nodes; // 0: the leader, 1: a standby, 2: the leader and a standby
     Mode mode;
     double leases;
-    friend std::ostream& operator<<(std::ostream& o, const CutOff& c) {
-        return o << c.who << " mode " << static_cast<int>(c.mode) << ' ' << c.leases;
+    friend std::ostream& operator<<(std::ostream& o, const IsolationCase& c) {
+        return o << c.isolated_nodes << " mode " << static_cast<int>(c.mode) << ' ' << c.leases;
     }
 };
-class Isolated : public ::testing::TestWithParam<CutOff> {};
+class Isolated : public ::testing::TestWithParam<IsolationCase> {};
 
-TEST_P(Isolated, ControllerSendsAllAwayAtOnce) {
+TEST_P(Isolated, ControllerRefusesAllRequestsAtOnce) {
     const auto p = GetParam();
     Day f(61, 5, 40);
     ASSERT_TRUE(f.settle(60));
-    const auto h = *f.leader();
+    const auto leader_index = *f.leader();
     const double for_s = p.leases * f.settings.lease_s;
     std::vector<std::size_t> cut;
-    if (p.who != 1)
-        cut.push_back(h);
-    if (p.who != 0)
-        cut.push_back((h + 2) % 5);
+    if (p.isolated_nodes != 1)
+        cut.push_back(leader_index);
+    if (p.isolated_nodes != 0)
+        cut.push_back((leader_index + 2) % 5);
     for (const auto i : cut)
         f.isolate(i, p.mode, for_s);
     const int expirations = f.expirations;
-    f.work(std::min(for_s - 1, 8.0)); // the length of a store lease and the time to notice its expiry
+    f.run_under_load(std::min(for_s - 1, 8.0)); // the length of a store lease and the time to notice its expiry
     if (for_s > 9)
         for (const auto i : cut) {
             EXPECT_FALSE(f.is_active_leader(i));
-            const auto said = std::make_shared<std::map<std::string, std::pair<int, double>>>();
-            const auto try_out = [&](const std::string& what, HttpRequest r) {
+            const auto answers = std::make_shared<std::map<std::string, std::pair<int, double>>>();
+            const auto send_to_isolated = [&](const std::string& what, HttpRequest r) {
                 f.http(Fleet::users, i, std::move(r), false, 4,
-                       [said, &f, what, at = f.now](const std::optional<HttpReply>& a, bool) {
-                           (*said)[what] = {a ? a->status : 0, f.now - at};
+                       [answers, &f, what, at = f.now](const std::optional<HttpReply>& a, bool) {
+                           (*answers)[what] = {a ? a->status : 0, f.now - at};
                        });
             };
-            try_out("up", {"GET", std::string(codec::path_health), "", ""});
-            try_out("job", {"GET", std::string(codec::path_jobs) + "/wk-000001", "", ""});
-            try_out("submission",
-                    {"POST", std::string(codec::path_jobs), "", codec::to_body(job(777, Shape::array, 1, 1))});
-            try_out("report", {"POST", std::string(codec::path_heartbeat), "",
-                               codec::to_body(f.heartbeat(f.workers.begin()->second))});
-            f.work(1);
+            send_to_isolated("up", {"GET", std::string(codec::path_health), "", ""});
+            send_to_isolated("job", {"GET", std::string(codec::path_jobs) + "/wk-000001", "", ""});
+            send_to_isolated("submission",
+                             {"POST", std::string(codec::path_jobs), "", codec::to_body(job(777, Shape::array, 1, 1))});
+            send_to_isolated("report", {"POST", std::string(codec::path_heartbeat), "",
+                                        codec::to_body(f.heartbeat(f.workers.begin()->second))});
+            f.run_under_load(1);
             for (const auto* what : {"up", "job", "submission", "report"}) {
                 // A standby may still know the leader, and redirect the machine to it.
-                const bool knows = i != h && what == std::string_view("report");
-                EXPECT_EQ((*said)[what].first, knows && (*said)[what].first != 503 ? 421 : 503) << what;
-                EXPECT_LT((*said)[what].second, 0.5) << what;
+                const bool knows_leader = i != leader_index && what == std::string_view("report");
+                EXPECT_EQ((*answers)[what].first, knows_leader && (*answers)[what].first != 503 ? 421 : 503) << what;
+                EXPECT_LT((*answers)[what].second, 0.5) << what;
             }
         }
-    f.work(for_s);
+    f.run_under_load(for_s);
     EXPECT_EQ(first(f), "");
     EXPECT_EQ(f.expirations, expirations);
     EXPECT_EQ(f.end(), "");
@@ -355,43 +357,43 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(Day, Isolated,
-                         ::testing::Values(CutOff{0, Mode::drop, 0.2}, CutOff{0, Mode::drop, 0.5},
-                                           CutOff{0, Mode::refuse, 2}, CutOff{0, Mode::hold, 2},
-                                           CutOff{1, Mode::drop, 2}, CutOff{1, Mode::hold, 0.5},
-                                           CutOff{2, Mode::drop, 2}, CutOff{2, Mode::hold, 1}));
+                         ::testing::Values(IsolationCase{0, Mode::drop, 0.2}, IsolationCase{0, Mode::drop, 0.5},
+                                           IsolationCase{0, Mode::refuse, 2}, IsolationCase{0, Mode::hold, 2},
+                                           IsolationCase{1, Mode::drop, 2}, IsolationCase{1, Mode::hold, 0.5},
+                                           IsolationCase{2, Mode::drop, 2}, IsolationCase{2, Mode::hold, 1}));
 
 // A process restarts at once, at each message where that could matter. Its successor has the same name, which must not
 // be taken for the same process.
-struct Back {
-    std::string when; // the message that triggers the restart
-    bool other;       // the receiver of the message restarts, not its sender
-    friend std::ostream& operator<<(std::ostream& o, const Back& b) {
-        return o << b.when << (b.other ? " restarts the receiver" : " restarts the sender");
+struct RestartCase {
+    std::string trigger;    // the message that triggers the restart
+    bool restarts_receiver; // the receiver of the message restarts, not its sender
+    friend std::ostream& operator<<(std::ostream& o, const RestartCase& b) {
+        return o << b.trigger << (b.restarts_receiver ? " restarts the receiver" : " restarts the sender");
     }
 };
-class BackAtOnce : public ::testing::TestWithParam<Back> {};
+class ImmediateRestart : public ::testing::TestWithParam<RestartCase> {};
 
-TEST_P(BackAtOnce, BreaksNoRule) {
+TEST_P(ImmediateRestart, BreaksNoRule) {
     const auto p = GetParam();
     for (unsigned seed = 1; seed <= (sanitized ? 1 : 3); ++seed) {
         Day f(70 + seed, 5, 40);
         ASSERT_TRUE(f.settle(60)) << seed;
-        int times = 0;
+        int restarts = 0;
         f.on_sent = [&](std::size_t from, std::size_t to, const std::string& what) {
-            if (times >= 10 || !what.starts_with(p.when))
+            if (restarts >= 10 || !what.starts_with(p.trigger))
                 return;
-            const auto i = p.other ? to : from;
+            const auto i = p.restarts_receiver ? to : from;
             if (i >= f.nodes.size())
                 return;
-            ++times;
-            f.send(f.between(0, 0.3), [&f, i] { f.crash(i, f.moment()); });
+            ++restarts;
+            f.send(f.between(0, 0.3), [&f, i] { f.crash(i, f.short_downtime_s()); });
         };
         // Faults that make the controllers send the message: leader changes, store outages, and a zone that the leader
         // doesn't reach.
-        f.more = [&] {
-            const bool handovers = p.when == "/peer/take"; // sent only if the leader has not changed within a lease
+        f.on_step = [&] {
+            const bool handovers = p.trigger == "/peer/take"; // sent only if the leader has not changed within a lease
             if (!handovers && std::fmod(f.now, 20) < 0.1)
-                f.crash(f.leader().value_or(0), f.moment());
+                f.crash(f.leader().value_or(0), f.short_downtime_s());
             if (std::fmod(f.now + 5, 40) < 0.1) {
                 f.store_down = true;
                 f.send(4, [&f] { f.end_outage(); });
@@ -399,69 +401,70 @@
             if (std::fmod(f.now + 15, 45) < 0.1)
                 f.cut(f.nodes[f.leader().value_or(0)].name, Fleet::zone("a"), Mode::drop, false, 15);
         };
-        f.work(f.leases(5));
+        f.run_under_load(f.leases(5));
         EXPECT_EQ(first(f), "") << seed;
-        EXPECT_GT(times, 0) << seed;
+        EXPECT_GT(restarts, 0) << seed;
         EXPECT_EQ(f.end(), "") << seed;
     }
 }
 
-INSTANTIATE_TEST_SUITE_P(Day, BackAtOnce,
-                         ::testing::Values(Back{"claim", false}, Back{"hold", false}, Back{"commit", false},
-                                           Back{"/peer/promise", true}, Back{"/peer/promise", false},
-                                           Back{"/peer/agent", false}, Back{"/peer/agent", true},
-                                           Back{"/peer/take", false}, Back{"/peer/take", true}));
+INSTANTIATE_TEST_SUITE_P(Day, ImmediateRestart,
+                         ::testing::Values(RestartCase{"claim", false}, RestartCase{"hold", false},
+                                           RestartCase{"commit", false}, RestartCase{"/peer/promise", true},
+                                           RestartCase{"/peer/promise", false}, RestartCase{"/peer/agent", false},
+                                           RestartCase{"/peer/agent", true}, RestartCase{"/peer/take", false},
+                                           RestartCase{"/peer/take", true}));
 
-TEST(BackAtOnce, AllWithinASecondAndTenTimesAMinute) {
+TEST(ImmediateRestart, AllWithinASecondAndTenTimesAMinute) {
     Day f(81, 5, 40);
     ASSERT_TRUE(f.settle(60));
-    f.more = [&] {
+    f.on_step = [&] {
         if (std::fmod(f.now, 6) < 0.1 && f.now < 140)
             for (std::size_t i = 0; i < f.nodes.size(); ++i)
-                f.send(f.between(0, 1), [&f, i] { f.crash(i, f.moment()); });
+                f.send(f.between(0, 1), [&f, i] { f.crash(i, f.short_downtime_s()); });
     };
-    f.work(90);
-    f.more = {};
-    f.work(f.leases(1));
+    f.run_under_load(90);
+    f.on_step = {};
+    f.run_under_load(f.leases(1));
     EXPECT_EQ(first(f), "");
     EXPECT_EQ(f.end(), "");
 }
 
 // All faults of this file and those of `inject_fault`, drawn by the seed.
-struct Drawn {
+struct RandomDay {
     std::size_t controllers;
     int machines;
     unsigned seed;
-    friend std::ostream& operator<<(std::ostream& o, const Drawn& d) {
+    friend std::ostream& operator<<(std::ostream& o, const RandomDay& d) {
         return o << d.controllers << ' ' << d.machines << ' ' << d.seed;
     }
 };
-class Days : public ::testing::TestWithParam<Drawn> {};
+class RandomDays : public ::testing::TestWithParam<RandomDay> {};
 
-TEST_P(Days, EndWithEveryJobKnownAndEveryClassServed) {
+TEST_P(RandomDays, EndWithEveryJobKnownAndEveryClassServed) {
     const auto p = GetParam();
     Day f(p.seed, p.controllers, p.machines);
-    f.every_s = 20.0 / p.machines;
-    f.late = 0.01;
+    f.job_interval_s = 20.0 / p.machines;
+    f.delayed_share = 0.01;
     double next_fault = 25;
-    f.more = [&] {
+    f.on_step = [&] {
         if (f.n > 0 && f.chance() < 0.01)
-            f.request_cancellation(fmt::format("wk-{:06}", 1 + f.pick(static_cast<std::size_t>(f.n))));
+            f.request_cancellation(fmt::format("wk-{:06}", 1 + f.random_index(static_cast<std::size_t>(f.n))));
         if (f.now < next_fault || f.now > 200)
             return;
         next_fault = f.now + f.between(2, 10);
         const double for_s = f.chance() < 0.8 ? f.between(1, 20) : 45;
         f.chance() < 0.6 ? f.inject_later_fault(for_s) : f.inject_fault(for_s);
     };
-    f.work(240);
+    f.run_under_load(240);
     EXPECT_EQ(first(f), "");
     EXPECT_EQ(f.end(), "");
     EXPECT_GT(f.started, p.machines);
 }
 
-INSTANTIATE_TEST_SUITE_P(Day, Days,
-                         ::testing::Values(Drawn{3, 60, 1}, Drawn{5, 60, 2}, Drawn{7, 60, 3}, Drawn{5, 300, 4},
-                                           Drawn{3, 60, 5}, Drawn{5, 60, 6}));
+INSTANTIATE_TEST_SUITE_P(Day, RandomDays,
+                         ::testing::Values(RandomDay{3, 60, 1}, RandomDay{5, 60, 2}, RandomDay{7, 60, 3},
+                                           RandomDay{5, 300, 4}, RandomDay{3, 60, 5}, RandomDay{5, 60, 6}));
 
 } // namespace
 } // namespace heronshift::testing
--- a/tests/test_golden.cpp
+++ b/tests/test_golden.cpp
@@ -44,7 +44,7 @@
     return s;
 }
 
-Heartbeat full_report() {
+Heartbeat full_heartbeat() {
     Heartbeat r{"n-1", "10.0.0.9:9000", "g8", "a", true, 3, 88, 41, 90, {}};
     r.tasks = {{"wk-000412", 0, 1, TaskState::fetching, ExitCause::none, false},
                {"wk-000412", 1, 2, TaskState::waiting, ExitCause::none, false},
@@ -105,7 +105,7 @@
     EXPECT_EQ(codec::to_body(std::get<JobSpec>(read)), golden("users/submission.json"));
 }
 
-TEST_F(Golden, SubmissionOfEachShapeAndRank) {
+TEST_F(Golden, SubmissionOfEachShapeAndPriority) {
     std::string lines;
     for (const auto shape : {Shape::array, Shape::gang, Shape::service})
         for (const auto priority : {Priority::critical, Priority::high, Priority::normal, Priority::low})
@@ -141,13 +141,13 @@
 // --- workers ---
 
 TEST_F(Golden, Heartbeat) {
-    expect_golden("workers/report.json", codec::to_body(full_report()));
+    expect_golden("workers/report.json", codec::to_body(full_heartbeat()));
     const auto read = codec::heartbeat(golden("workers/report.json"));
     ASSERT_TRUE(read);
     EXPECT_EQ(codec::to_body(*read), golden("workers/report.json"));
 }
 
-TEST_F(Golden, ReportOfAnEmptyMachine) {
+TEST_F(Golden, HeartbeatOfAnEmptyMachine) {
     const heronshift::Heartbeat empty{"n-2", "10.0.0.10:9000", "m4", "", false, 1, 0, 0, -1, {}};
     expect_golden("workers/report_empty.json", codec::to_body(empty));
     const auto read = codec::heartbeat(golden("workers/report_empty.json"));
@@ -156,7 +156,7 @@
     EXPECT_EQ(codec::to_body(*read), golden("workers/report_empty.json"));
 }
 
-TEST_F(Golden, AnswerToAReport) {
+TEST_F(Golden, AnswerToAHeartbeat) {
     expect_golden("workers/orders.json", codec::orders(std::uint64_t{7} << 24, all_orders()));
     expect_golden("workers/orders_none.json", codec::orders(1, {}));
     const auto read = codec::read_orders(golden("workers/orders.json"));
--- a/tests/test_golden_controller.cpp
+++ b/tests/test_golden_controller.cpp
@@ -61,8 +61,8 @@
 };
 
 struct RecordingPeers final : Peers {
-    void request(Lane, const std::string&, const char* method, const std::string& path, std::string body, double,
-                 Done done) override {
+    void request(PeerRequestClass, const std::string&, const char* method, const std::string& path, std::string body,
+                 double, Done done) override {
         if (path != membership::path_peer_view)
             sent.emplace(std::string(method) + ' ' + path, body);
         const auto it = replies.find(path);
@@ -89,9 +89,9 @@
         done(types_known ? std::optional(small_types()) : std::nullopt);
     }
     void forward(const std::string&, std::string, double, std::function<void(HttpReply&&)> done) override {
-        done({0, "", passes_on});
+        done({0, "", forwards});
     }
-    bool types_known = true, passes_on = true;
+    bool types_known = true, forwards = true;
 };
 
 // One of two controllers with its store. Its peer is a `RecordingPeers`.
@@ -148,7 +148,7 @@
     std::unique_ptr<Controller> controller;
 };
 
-std::string report_of(std::uint64_t counter, const std::vector<ReportedTask>& tasks = {}) {
+std::string heartbeat_body(std::uint64_t counter, const std::vector<ReportedTask>& tasks = {}) {
     return codec::to_body({"n-1", "10.1.0.1:9000", "m8", "a", false, 1, counter, 0, -1, tasks});
 }
 
@@ -175,56 +175,57 @@
         change(spec);
         return codec::to_body(spec);
     };
-    std::string said;
-    said += c.ask("POST", jobs, body(1));
-    said += c.ask("POST", jobs, body(1));
-    said += c.ask("GET", jobs + "/wk-000001");
-    said += c.ask("POST", jobs, body(2, [](JobSpec& s) { s.dependencies = {"wk-000001"}; }));
-    said += c.ask("POST", jobs, body(3, [](JobSpec& s) { s.dependencies = {"wk-000099"}; }));
-    said += c.ask("POST", jobs, body(4, [](JobSpec& s) { s.dependencies = {s.id}; }));
-    said += c.ask("POST", jobs, body(5, [](JobSpec& s) { s.team = "green"; }));
-    said += c.ask("POST", jobs, body(6, [](JobSpec& s) { s.each.cpus = 9; }));
-    said += c.ask("POST", jobs, body(7, [](JobSpec& s) { s.each.cpus = 41; }));
-    said += c.ask("POST", jobs, R"({"id":"wk-000008"})");
-    said += c.ask("POST", jobs, "{");
-    said += c.ask("GET", jobs + "/wk-000099");
-    said += c.ask("GET", jobs + "/job-1");
-    said += c.ask("POST", jobs + "/wk-000001/cancel");
-    said += c.ask("GET", jobs + "/wk-000002");
-    said += c.ask("POST", jobs, body(1));
-    said += c.ask("POST", jobs + "/wk-000099/cancel");
-    said += c.ask("GET", jobs);
-    said += c.ask("GET", jobs + "/wk-000001/cancel");
-    said += c.ask("POST", jobs + "/wk-000001/stop");
-    said += c.ask("GET", "/nowhere");
-    said += c.ask("GET", std::string(codec::path_health));
-    expect_golden("users/answers.txt", without_last_line_end(said));
+    std::string transcript;
+    transcript += c.ask("POST", jobs, body(1));
+    transcript += c.ask("POST", jobs, body(1));
+    transcript += c.ask("GET", jobs + "/wk-000001");
+    transcript += c.ask("POST", jobs, body(2, [](JobSpec& s) { s.dependencies = {"wk-000001"}; }));
+    transcript += c.ask("POST", jobs, body(3, [](JobSpec& s) { s.dependencies = {"wk-000099"}; }));
+    transcript += c.ask("POST", jobs, body(4, [](JobSpec& s) { s.dependencies = {s.id}; }));
+    transcript += c.ask("POST", jobs, body(5, [](JobSpec& s) { s.team = "green"; }));
+    transcript += c.ask("POST", jobs, body(6, [](JobSpec& s) { s.each.cpus = 9; }));
+    transcript += c.ask("POST", jobs, body(7, [](JobSpec& s) { s.each.cpus = 41; }));
+    transcript += c.ask("POST", jobs, R"({"id":"wk-000008"})");
+    transcript += c.ask("POST", jobs, "{");
+    transcript += c.ask("GET", jobs + "/wk-000099");
+    transcript += c.ask("GET", jobs + "/job-1");
+    transcript += c.ask("POST", jobs + "/wk-000001/cancel");
+    transcript += c.ask("GET", jobs + "/wk-000002");
+    transcript += c.ask("POST", jobs, body(1));
+    transcript += c.ask("POST", jobs + "/wk-000099/cancel");
+    transcript += c.ask("GET", jobs);
+    transcript += c.ask("GET", jobs + "/wk-000001/cancel");
+    transcript += c.ask("POST", jobs + "/wk-000001/stop");
+    transcript += c.ask("GET", "/nowhere");
+    transcript += c.ask("GET", std::string(codec::path_health));
+    expect_golden("users/answers.txt", without_last_line_end(transcript));
 }
 
-TEST_F(Golden, AnswersToUsersBeforeItKnowsAnything) {
+TEST_F(Golden, AnswersToUsersBeforeTypesAreKnown) {
     LoneController c(false);
     const std::string jobs(codec::path_jobs);
-    std::string said = c.ask("POST", jobs, codec::to_body(job(1, Shape::array, 2, 1)));
-    said += c.ask("POST", jobs + "/wk-000001/cancel");
-    said += c.ask("GET", std::string(codec::path_health));
+    std::string transcript = c.ask("POST", jobs, codec::to_body(job(1, Shape::array, 2, 1)));
+    transcript += c.ask("POST", jobs + "/wk-000001/cancel");
+    transcript += c.ask("GET", std::string(codec::path_health));
     c.store_down = true;
-    said += c.ask("GET", jobs + "/wk-000001");
-    expect_golden("users/answers_early.txt", without_last_line_end(said));
+    transcript += c.ask("GET", jobs + "/wk-000001");
+    expect_golden("users/answers_early.txt", without_last_line_end(transcript));
 }
 
 TEST_F(Golden, AnswersToWorkers) {
     LoneController c;
     const std::string path(codec::path_heartbeat);
-    std::string said = c.ask("POST", path, report_of(1));
+    std::string transcript = c.ask("POST", path, heartbeat_body(1));
     c.run(6);
-    said += c.ask("POST", path, report_of(2));
+    transcript += c.ask("POST", path, heartbeat_body(2));
     c.ask("POST", std::string(codec::path_jobs), codec::to_body(job(1, Shape::array, 1, 1)));
     c.run(2);
-    said += c.ask("POST", path, report_of(3));
-    said += c.ask("POST", path, report_of(4, {{"wk-000777", 0, 1, TaskState::running, ExitCause::none, false}}));
-    said += c.ask("POST", path, "{}");
-    said += c.ask("GET", path);
-    expect_golden("workers/answers.txt", without_last_line_end(said));
+    transcript += c.ask("POST", path, heartbeat_body(3));
+    transcript +=
+        c.ask("POST", path, heartbeat_body(4, {{"wk-000777", 0, 1, TaskState::running, ExitCause::none, false}}));
+    transcript += c.ask("POST", path, "{}");
+    transcript += c.ask("GET", path);
+    expect_golden("workers/answers.txt", without_last_line_end(transcript));
 }
 
 // The store names berth-1 as the leader, which does not answer.
@@ -233,14 +234,14 @@
     c.state->put("office", golden("records/office_of_peer.json"));
     c.run(1);
     const std::string jobs(codec::path_jobs);
-    std::string said = c.ask("POST", std::string(codec::path_heartbeat), report_of(1));
-    said += c.ask("POST", jobs, codec::to_body(job(1, Shape::array, 2, 1)));
-    said += c.ask("GET", jobs + "/wk-000001");
-    said += c.ask("POST", jobs + "/wk-000001/cancel");
-    said += c.ask("GET", "/peer/office");
-    said += c.ask("POST", "/peer" + jobs + "/wk-000001/cancel");
-    said += c.ask("POST", "/peer" + std::string(codec::path_heartbeat), report_of(2));
-    expect_golden("peers/answers_of_a_standby.txt", without_last_line_end(said));
+    std::string transcript = c.ask("POST", std::string(codec::path_heartbeat), heartbeat_body(1));
+    transcript += c.ask("POST", jobs, codec::to_body(job(1, Shape::array, 2, 1)));
+    transcript += c.ask("GET", jobs + "/wk-000001");
+    transcript += c.ask("POST", jobs + "/wk-000001/cancel");
+    transcript += c.ask("GET", "/peer/office");
+    transcript += c.ask("POST", "/peer" + jobs + "/wk-000001/cancel");
+    transcript += c.ask("POST", "/peer" + std::string(codec::path_heartbeat), heartbeat_body(2));
+    expect_golden("peers/answers_of_a_standby.txt", without_last_line_end(transcript));
 }
 
 TEST_F(Golden, AnswerToAWorkerWhileNobodyLeads) {
@@ -248,26 +249,26 @@
     c.store_down = true;
     c.run(6);
     expect_golden("workers/answers_no_leader.txt",
-                  without_last_line_end(c.ask("POST", std::string(codec::path_heartbeat), report_of(1))));
+                  without_last_line_end(c.ask("POST", std::string(codec::path_heartbeat), heartbeat_body(1))));
 }
 
 TEST_F(Golden, AnswersToPeers) {
     LoneController c;
     // The controller is still a standby, so it tries to take over.
-    std::string said = c.ask("POST", "/peer/take", R"({"node":"berth-1","term":1,"hold":1})");
+    std::string transcript = c.ask("POST", "/peer/take", R"({"node":"berth-1","term":1,"hold":1})");
     c.run(6);
-    said += c.ask("GET", "/peer/office");
-    said += c.ask("POST", "/peer/promise", "{}");
-    said += c.ask("POST", "/peer/promise", R"({"node":"berth-1","term":1,"forS":0.5})");
-    said += c.ask("POST", "/peer/take", "{}");
-    said += c.ask("POST", "/peer/take", R"({"node":"berth-1","term":1,"hold":1})");
-    said += c.ask("POST", "/peer/view", "{}");
-    said += c.ask("POST", "/peer/relay", codec::commands(1, 1, {}));
-    said += c.ask("POST", "/peer/relay?to=10.1.0.1:9000", codec::commands(1, 1, {}));
-    c.executor->passes_on = false;
-    said += c.ask("POST", "/peer/relay?to=10.1.0.1:9000", codec::commands(1, 1, {}));
-    said += c.ask("GET", "/peer/nowhere");
-    expect_golden("peers/answers.txt", without_last_line_end(said));
+    transcript += c.ask("GET", "/peer/office");
+    transcript += c.ask("POST", "/peer/promise", "{}");
+    transcript += c.ask("POST", "/peer/promise", R"({"node":"berth-1","term":1,"forS":0.5})");
+    transcript += c.ask("POST", "/peer/take", "{}");
+    transcript += c.ask("POST", "/peer/take", R"({"node":"berth-1","term":1,"hold":1})");
+    transcript += c.ask("POST", "/peer/view", "{}");
+    transcript += c.ask("POST", "/peer/relay", codec::commands(1, 1, {}));
+    transcript += c.ask("POST", "/peer/relay?to=10.1.0.1:9000", codec::commands(1, 1, {}));
+    c.executor->forwards = false;
+    transcript += c.ask("POST", "/peer/relay?to=10.1.0.1:9000", codec::commands(1, 1, {}));
+    transcript += c.ask("GET", "/peer/nowhere");
+    expect_golden("peers/answers.txt", without_last_line_end(transcript));
 }
 
 // The store stops answering this controller for good. It first asks its peer for an extension vote (/peer/promise). The
@@ -279,11 +280,11 @@
     c.peers->replies["/peer/take"] = {200, "{}", true};
     c.store_down = true;
     c.run(3);
-    std::string said;
+    std::string transcript;
     for (const auto& [what, body] : c.peers->sent)
-        said += what + ' ' + body + '\n';
-    ASSERT_FALSE(said.empty());
-    expect_golden("peers/requests.txt", without_last_line_end(said));
+        transcript += what + ' ' + body + '\n';
+    ASSERT_FALSE(transcript.empty());
+    expect_golden("peers/requests.txt", without_last_line_end(transcript));
 }
 
 } // namespace
--- a/tests/test_golden_records.cpp
+++ b/tests/test_golden_records.cpp
@@ -111,25 +111,26 @@
 }
 
 // A core with one machine and a store that accepts every transaction.
-struct OneMachine {
+struct OneMachineCluster {
     Settings settings = small_settings();
     Store store;
     std::unique_ptr<Core> core;
     double now = 0;
-    std::uint64_t reports = 0;
-    std::vector<Command> next{MachineTypesKnown{small_types()}};
+    std::uint64_t heartbeat_counter = 0;
+    std::vector<Command> next_commands{MachineTypesKnown{small_types()}};
     std::map<std::pair<std::string, std::uint32_t>, ReportedTask> tasks; // on the machine
 
-    explicit OneMachine(const Snapshot& stored) {
+    explicit OneMachineCluster(const Snapshot& stored) {
         core = std::make_unique<Core>(settings, term, stored, now, started_wall);
     }
     void submit(const JobSpec& spec) {
         const bool waits = !spec.dependencies.empty();
         store["j/" + spec.id] = codec::to_record({spec, started_wall + now, -1, waits, {}});
-        next.push_back(JobStored{spec, 0, -1, waits});
+        next_commands.push_back(JobStored{spec, 0, -1, waits});
     }
     Heartbeat heartbeat() {
-        Heartbeat r{"n-1", "10.1.0.1:9000", "m8", "a", false, 1, ++reports, term << token_counter_bits, -1, {}};
+        Heartbeat r{"n-1", "10.1.0.1:9000", "m8", "a", false, 1, ++heartbeat_counter, term << token_counter_bits, -1,
+                    {}};
         for (const auto& [name, t] : tasks)
             r.tasks.push_back(t);
         return r;
@@ -139,7 +140,7 @@
         t.state = TaskState::ended;
         t.cause = ExitCause::done;
     }
-    void obey(const std::vector<Order>& orders) {
+    void execute(const std::vector<Order>& orders) {
         for (const auto& o : orders) {
             if (o.verb == Verb::launch)
                 tasks[{o.job, o.index}] = {o.job, o.index, o.attempt, TaskState::running, ExitCause::none, false};
@@ -148,7 +149,7 @@
         }
     }
     void step() {
-        auto batch = std::exchange(next, {});
+        auto batch = std::exchange(next_commands, {});
         for (const auto& e : core->step(batch, now, started_wall + now)) {
             if (const auto* c = std::get_if<Commit>(&e)) {
                 for (const auto& w : c->writes)
@@ -156,26 +157,26 @@
                         store[w.key] = *w.value;
                     else
                         store.erase(w.key);
-                next.push_back(Committed{});
+                next_commands.push_back(Committed{});
             }
             if (const auto* o = std::get_if<SendOrders>(&e)) {
-                obey(o->orders);
-                next.push_back(OrdersAnswered{o->machine, o->batch, 200, true, heartbeat()});
+                execute(o->orders);
+                next_commands.push_back(OrdersAnswered{o->machine, o->batch, 200, true, heartbeat()});
             }
             if (const auto* a = std::get_if<AnswerHeartbeat>(&e))
-                obey(a->orders);
+                execute(a->orders);
         }
         now += 0.125; // a power of two, so that sums are exact in floating point
     }
     void run(double seconds) {
         for (const double until = now + seconds; now < until;) {
             if (std::fmod(now, 1) == 0)
-                next.push_back(HeartbeatReceived{heartbeat(), reports});
+                next_commands.push_back(HeartbeatReceived{heartbeat(), heartbeat_counter});
             step();
         }
     }
     // Runs the tasks that the placement records name on the machine.
-    void place(const codec::Json& stored) {
+    void run_placed_tasks(const codec::Json& stored) {
         for (const auto& [key, value] : stored.items()) {
             if (!key.starts_with("i/"))
                 continue;
@@ -186,8 +187,8 @@
 };
 
 // The store after a leader has run for a while. It contains a record of each kind.
-Store after_a_while() {
-    OneMachine w(Snapshot{});
+Store store_after_run() {
+    OneMachineCluster w(Snapshot{});
     w.submit(job(1, Shape::array, 6, 1));
     auto spread = job(2, Shape::service, 1, 0.5);
     spread.spread = true;
@@ -205,13 +206,13 @@
         w.end("wk-000001", index);
     w.end("wk-000003", 0);
     w.run(8);
-    w.next.push_back(CancellationRequested{"wk-000006", 1});
+    w.next_commands.push_back(CancellationRequested{"wk-000006", 1});
     w.run(1);
     return w.store;
 }
 
 TEST_F(Golden, TheStoreThatALeaderLeaves) {
-    const auto store = after_a_while();
+    const auto store = store_after_run();
     expect_golden("records/store.json", codec::Json(store).dump(1));
     std::set<std::string> kinds;
     for (const auto& [key, value] : store)
@@ -221,7 +222,7 @@
 
 TEST_F(Golden, TheNextLeaderReadsTheStore) {
     const auto store = golden_json("records/store.json");
-    OneMachine w(snapshot_of(store));
+    OneMachineCluster w(snapshot_of(store));
     EXPECT_EQ(w.core->live_tasks("wk-000001"), 3U);
     EXPECT_EQ(w.core->view("wk-000001")->done, 3U);
     EXPECT_EQ(w.core->live_tasks("wk-000002"), 1U);
@@ -229,7 +230,7 @@
     EXPECT_EQ(w.core->live_tasks("wk-000005"), 1U);
     EXPECT_EQ(w.core->view("wk-000006")->status, codec::status_cancelled);
     // The leader writes unchanged placements exactly as it read them.
-    w.place(store);
+    w.run_placed_tasks(store);
     w.run(5);
     EXPECT_FALSE(w.store.empty());
     for (const auto& [key, value] : w.store) {
--- a/tests/test_leader_election.cpp
+++ b/tests/test_leader_election.cpp
@@ -33,13 +33,13 @@
 
 // Another node may have become leader in between, confirmed requests of users that this node doesn't know of, and lost
 // the leadership again.
-TEST_F(ExtensionVotes, DoNotMendAnExpiry) {
+TEST_F(ExtensionVotes, DoNotUndoAnExpiry) {
     leader.extension_granted("b", 101.9, 102.5);
     leader.extension_granted("c", 101.9, 102.5);
     EXPECT_FALSE(leader.valid(102.5));
 }
 
-TEST_F(ExtensionVotes, AreNotGivenByWhomTheStoreServes) {
+TEST_F(ExtensionVotes, AreNotGrantedByAPeerThatTheStoreServes) {
     LeaderLease peer(ttl, 2, 0);
     for (double t = 0; t < 10; t += 0.5)
         peer.record_store_answer(true, t);
@@ -417,7 +417,7 @@
     EXPECT_FALSE(machine.is_leader());
 }
 
-TEST_F(Election, ALeaderWithoutTheStoreLivesOnByTheVotesOfAllPeers) {
+TEST_F(Election, ALeaderWithoutTheStoreStaysByTheVotesOfAllPeers) {
     become_leader();
     const double asked_at = start_at + 1;
     const auto actions = machine.tick(asked_at);
@@ -445,7 +445,7 @@
     EXPECT_EQ(find<OfferTakeover>(actions)->successors, std::vector<std::string>{"berth-2"});
 }
 
-TEST_F(Election, AFollowerBelievesAPeerUntilItsWordIsOld) {
+TEST_F(Election, AFollowerTrustsTheReportOfAPeerUntilItIsOld) {
     hints.reported = {"berth-2", 6};
     (void)machine.tick(start_at);
     EXPECT_EQ(machine.leader(), "berth-2");
--- a/tests/test_membership.cpp
+++ b/tests/test_membership.cpp
@@ -25,7 +25,7 @@
     return settings;
 }
 
-PeerView view_of(const std::string& node, Reachability store, std::map<std::string, Reachability> zones) {
+PeerView make_view(const std::string& node, Reachability store, std::map<std::string, Reachability> zones) {
     PeerView view;
     view.node = node;
     view.store = store;
@@ -33,7 +33,7 @@
     return view;
 }
 
-void give_view(PeerViews& peers, const PeerView& view, double made_at) {
+void set_view(PeerViews& peers, const PeerView& view, double made_at) {
     auto* peer = peers.find(view.node);
     ASSERT_NE(peer, nullptr);
     peer->view = view;
@@ -93,20 +93,20 @@
     const auto settings = test_settings();
     PeerViews peers(settings);
     EXPECT_FALSE(peers.reported_leader(10));
-    auto first = view_of("c0", reachable, {});
+    auto first = make_view("c0", reachable, {});
     first.sees_leader = true;
     first.leader = "c2";
     first.term = 4;
-    auto second = view_of("c2", reachable, {});
+    auto second = make_view("c2", reachable, {});
     second.is_active_leader = true;
     second.leader = "c2";
     second.term = 5;
-    give_view(peers, first, 10);
-    give_view(peers, second, 8);
+    set_view(peers, first, 10);
+    set_view(peers, second, 8);
     EXPECT_EQ(peers.reported_leader(11)->term, 5U);
     EXPECT_EQ(peers.reported_leader(12)->term, 4U) << "the second view is stale";
     first.sees_leader = false;
-    give_view(peers, first, 10);
+    set_view(peers, first, 10);
     EXPECT_FALSE(peers.reported_leader(12)) << "c0 does not see the leader itself";
 }
 
@@ -135,15 +135,15 @@
 }
 
 TEST(Evaluate, CountsUnknownLinksAsTold) {
-    const auto view = view_of("c0", unknown, {{"a", unknown}}); // zone b is not reported at all
+    const auto view = make_view("c0", unknown, {{"a", unknown}}); // zone b is not reported at all
     const std::vector<std::string> zones{"a", "b"};
     EXPECT_EQ(evaluate(view, {}, zones, UnknownLinks::as_unreachable), (Eligibility{0, 0, 0, 1}));
     EXPECT_EQ(evaluate(view, {}, zones, UnknownLinks::as_reachable), (Eligibility{1, 2, 0, 1}));
 }
 
 TEST(Evaluate, CountsAZoneThroughAnotherThatReachesItAndAnswers) {
-    auto candidate = view_of("c0", reachable, {{"a", reachable}, {"b", unreachable}});
-    const auto relay = view_of("c2", unreachable, {{"b", reachable}});
+    auto candidate = make_view("c0", reachable, {{"a", reachable}, {"b", unreachable}});
+    const auto relay = make_view("c2", unreachable, {{"b", reachable}});
     const std::vector<std::string> zones{"a", "b"};
     const auto evaluated = [&] { return evaluate(candidate, {&candidate, &relay}, zones, UnknownLinks::as_reachable); };
     EXPECT_EQ(evaluated(), (Eligibility{1, 1, 0, 1})) << "the link to c2 is unknown";
@@ -154,7 +154,7 @@
 }
 
 TEST(Evaluate, IsNoRelayOfItsOwn) {
-    auto candidate = view_of("c0", reachable, {{"a", unknown}});
+    auto candidate = make_view("c0", reachable, {{"a", unknown}});
     candidate.peers["c0"] = reachable;
     auto earlier = candidate;
     earlier.zones["a"] = reachable;
@@ -208,8 +208,8 @@
     PeerViews peers(settings);
     RelayChoice relays(peers);
     EXPECT_EQ(relays.to_zone("a", 10), std::nullopt);
-    give_view(peers, view_of("c0", unknown, {{"a", reachable}}), 10);
-    give_view(peers, view_of("c2", unknown, {{"a", reachable}, {"b", unreachable}}), 12);
+    set_view(peers, make_view("c0", unknown, {{"a", reachable}}), 10);
+    set_view(peers, make_view("c2", unknown, {{"a", reachable}, {"b", unreachable}}), 12);
     EXPECT_EQ(relays.to_zone("b", 12), std::nullopt);
     EXPECT_EQ(relays.to_zone("a", 12), "c0");
     EXPECT_EQ(relays.to_zone("a", 12), "c2");
@@ -225,11 +225,11 @@
     const auto settings = test_settings();
     PeerViews peers(settings);
     const RelayChoice relays(peers);
-    give_view(peers, view_of("c0", reachable, {}), 10);
-    give_view(peers, view_of("c2", reachable, {}), 10);
+    set_view(peers, make_view("c0", reachable, {}), 10);
+    set_view(peers, make_view("c2", reachable, {}), 10);
     EXPECT_EQ(relays.to_store("c2", 10), "c2");
     EXPECT_EQ(relays.to_store("c9", 10), "c0");
-    give_view(peers, view_of("c2", unknown, {}), 10);
+    set_view(peers, make_view("c2", unknown, {}), 10);
     EXPECT_EQ(relays.to_store("c2", 10), "c0");
 }
 
@@ -238,7 +238,7 @@
     PeerViews peers(settings);
     const RelayChoice relays(peers);
     EXPECT_TRUE(relays.leader_reaches("c0", "a", 10));
-    give_view(peers, view_of("c0", unknown, {{"a", unreachable}, {"b", unknown}}), 10);
+    set_view(peers, make_view("c0", unknown, {{"a", unreachable}, {"b", unknown}}), 10);
     EXPECT_FALSE(relays.leader_reaches("c0", "a", 10));
     EXPECT_TRUE(relays.leader_reaches("c0", "b", 10));
     EXPECT_TRUE(relays.leader_reaches("c0", "a", 14)) << "the view is stale";
@@ -351,7 +351,7 @@
     EXPECT_EQ(zone.reach(true), reachable);
 }
 
-TEST(ZoneHealthTest, MachinesThatPeersOnlyRememberAreNotHandedOn) {
+TEST(ZoneHealthTest, MachinesThatPeersOnlyRememberAreNotShared) {
     const auto settings = test_settings();
     ZoneHealth zone(settings);
     zone.adopt_machines({"m1"}, false, 50);
--- a/tests/test_missed_answers.cpp
+++ b/tests/test_missed_answers.cpp
@@ -21,23 +21,23 @@
     return it == core->state().machines.end() ? nullptr : it->second.get();
 }
 
-struct Unheard {
+struct InboundFault {
     std::string name;
     std::size_t controllers;
-    double share;      // fraction of the machines that is affected; 0: a single machine
-    std::string zone;  // only machines of this zone; empty: of any zone
-    bool orders_reach; // commands arrive; only answers to heartbeats are lost
-    bool leader_ends;  // the leader crashes one lease after the fault began
-    friend std::ostream& operator<<(std::ostream& out, const Unheard& unheard) {
-        return out << unheard.name;
+    double share;        // fraction of the machines that is affected; 0: a single machine
+    std::string zone;    // only machines of this zone; empty: of any zone
+    bool orders_arrive;  // commands arrive; only answers to heartbeats are lost
+    bool leader_crashes; // the leader crashes one lease after the fault began
+    friend std::ostream& operator<<(std::ostream& out, const InboundFault& fault) {
+        return out << fault.name;
     }
 };
-class MissedAnswers : public ::testing::TestWithParam<Unheard> {};
+class MissedAnswers : public ::testing::TestWithParam<InboundFault> {};
 
-std::vector<std::string> some_machines(FaultInjection& fleet, const Unheard& unheard) {
+std::vector<std::string> affected_machines(FaultInjection& fleet, const InboundFault& fault) {
     std::vector<std::string> out;
     for (const auto& [id, worker] : fleet.workers)
-        if (!worker.dead && (unheard.zone.empty() || worker.zone == unheard.zone) && fleet.chance() < unheard.share)
+        if (!worker.dead && (fault.zone.empty() || worker.zone == fault.zone) && fleet.chance() < fault.share)
             out.push_back(id);
     for (const auto& [id, worker] : fleet.workers)
         if (out.empty() && !worker.dead && !worker.tasks.empty())
@@ -45,84 +45,84 @@
     return out;
 }
 
-TEST_P(MissedAnswers, AreRecognisedInThreeLeasesAndTheirMachinesGivenBackInSix) {
-    const auto& unheard = GetParam();
+TEST_P(MissedAnswers, AreDetectedInThreeLeasesAndTheirMachinesReleasedInSix) {
+    const auto& fault = GetParam();
     for (unsigned seed = 1; seed <= (sanitized ? 1 : 4); ++seed) {
-        FaultInjection fleet(700 + seed + other_seeds(), unheard.controllers, 60);
+        FaultInjection fleet(700 + seed + seed_offset(), fault.controllers, 60);
         ASSERT_TRUE(fleet.settle(60)) << seed;
-        const auto list = some_machines(fleet, unheard);
-        for (const auto& id : list)
-            if (unheard.orders_reach)
-                fleet.misses_answers.insert(id);
+        const auto affected = affected_machines(fleet, fault);
+        for (const auto& id : affected)
+            if (fault.orders_arrive)
+                fleet.heartbeat_answers_lost.insert(id);
             else
                 fleet.make_inbound_unreachable(id, fleet.names());
-        if (unheard.leader_ends) {
-            fleet.work(fleet.leases(1));
+        if (fault.leader_crashes) {
+            fleet.run_under_load(fleet.leases(1));
             fleet.crash(fleet.leader().value_or(0), 3);
         }
-        fleet.work(fleet.leases(3));
-        for (const auto& id : list) {
+        fleet.run_under_load(fleet.leases(3));
+        for (const auto& id : affected) {
             const auto* machine = known_to_leader(fleet, id);
             EXPECT_TRUE(machine == nullptr || machine->inbound_unreachable() || !fleet.workers.contains(id))
                 << id << " seed " << seed;
         }
-        fleet.work(fleet.leases(3));
-        for (const auto& id : list)
+        fleet.run_under_load(fleet.leases(3));
+        for (const auto& id : affected)
             EXPECT_FALSE(fleet.workers.contains(id)) << id << " seed " << seed;
         EXPECT_EQ(first(fleet), "") << seed;
     }
 }
 
 INSTANTIATE_TEST_SUITE_P(Day, MissedAnswers,
-                         ::testing::Values(Unheard{"one_of_three_controllers", 3, 0, "", false, false},
-                                           Unheard{"one_of_seven_controllers", 7, 0, "", false, false},
-                                           Unheard{"a_third", 5, 0.33, "", false, false},
-                                           Unheard{"a_zone", 5, 1, "b", false, false},
-                                           Unheard{"a_third_that_orders_reach", 5, 0.33, "", true, false},
-                                           Unheard{"one_and_the_leader_ends", 5, 0, "", false, true},
-                                           Unheard{"a_third_and_the_leader_ends", 7, 0.33, "", false, true}),
+                         ::testing::Values(InboundFault{"one_of_three_controllers", 3, 0, "", false, false},
+                                           InboundFault{"one_of_seven_controllers", 7, 0, "", false, false},
+                                           InboundFault{"a_third", 5, 0.33, "", false, false},
+                                           InboundFault{"a_zone", 5, 1, "b", false, false},
+                                           InboundFault{"a_third_that_orders_reach", 5, 0.33, "", true, false},
+                                           InboundFault{"one_and_the_leader_ends", 5, 0, "", false, true},
+                                           InboundFault{"a_third_and_the_leader_ends", 7, 0.33, "", false, true}),
                          [](const auto& parameter) { return parameter.param.name; });
 
 // Lost and late messages, partitions that delay or drop, leaders that change or freeze, outages: no machine is cut off
 // from all controllers for long. A misjudgement is a machine that the leader considers inbound unreachable although it
 // has received an answer since the last one that it missed. It costs a task if the machine is released while it has a
 // live one.
-TEST(MissedAnswers, OfMachinesThatHearCostNoTask) {
-    int misjudged = 0, cost = 0;
+TEST(MissedAnswers, MisjudgementsCostNoTask) {
+    int misjudgements = 0, tasks_lost = 0;
     for (unsigned seed = 1; seed <= (sanitized ? 2 : 12); ++seed) {
-        FaultInjection fleet(800 + seed + other_seeds(), 5, 60);
+        FaultInjection fleet(800 + seed + seed_offset(), 5, 60);
         ASSERT_TRUE(fleet.settle(60)) << seed;
-        fleet.late = 0.02;
-        fleet.copies = 0.1;
+        fleet.delayed_share = 0.02;
+        fleet.late_copy_share = 0.1;
         fleet.late_commands.share = 0.05;
         double next_fault = fleet.now;
-        std::map<std::string, bool> judged; // by machine: whether it has live tasks
+        std::map<std::string, bool> misjudged_machines; // by machine: whether it has live tasks
         fleet.before_step = [&] {
-            for (auto& [id, live_tasks] : judged)
-                cost += live_tasks && !fleet.workers.contains(id);
-            std::erase_if(judged, [&](const auto& entry) { return !fleet.workers.contains(entry.first); });
+            for (auto& [id, live_tasks] : misjudged_machines)
+                tasks_lost += live_tasks && !fleet.workers.contains(id);
+            std::erase_if(misjudged_machines, [&](const auto& entry) { return !fleet.workers.contains(entry.first); });
             for (auto& [id, worker] : fleet.workers) {
                 const auto* machine = known_to_leader(fleet, id);
-                const bool hears = !worker.dead && !worker.hung && !worker.cut &&
-                                   fleet.now - worker.lease_from < 1.25 * fleet.settings.report_s;
-                if (machine == nullptr || !machine->inbound_unreachable() || !hears) {
-                    judged.erase(id);
+                const bool receives_answers = !worker.dead && !worker.hung && !worker.cut &&
+                                              fleet.now - worker.lease_from < 1.25 * fleet.settings.report_s;
+                if (machine == nullptr || !machine->inbound_unreachable() || !receives_answers) {
+                    misjudged_machines.erase(id);
                     continue;
                 }
-                misjudged += !judged.contains(id);
-                judged[id] = std::any_of(worker.tasks.begin(), worker.tasks.end(),
-                                         [](const auto& task) { return task.state != TaskState::ended; });
+                misjudgements += !misjudged_machines.contains(id);
+                misjudged_machines[id] = std::any_of(worker.tasks.begin(), worker.tasks.end(),
+                                                     [](const auto& task) { return task.state != TaskState::ended; });
             }
             if (fleet.now < next_fault)
                 return;
             next_fault = fleet.now + fleet.between(5, 15);
             fleet.inject_fault(fleet.between(2, 15));
         };
-        fleet.work(240);
+        fleet.run_under_load(240);
         EXPECT_EQ(first(fleet), "") << seed;
     }
-    RecordProperty("misjudged", misjudged);
-    EXPECT_EQ(cost, 0);
+    RecordProperty("misjudged", misjudgements);
+    EXPECT_EQ(tasks_lost, 0);
 }
 
 } // namespace
--- a/tests/test_placement.cpp
+++ b/tests/test_placement.cpp
@@ -54,18 +54,18 @@
 }
 
 // The largest number of tasks that can be placed, by exhaustive search, as a reference for the dynamic program.
-int max_by_trying(const std::vector<Group>& g, std::vector<Bin> bins, std::size_t group, int left) {
+int max_placed_by_search(const std::vector<Group>& g, std::vector<Bin> bins, std::size_t group, int left) {
     if (group == g.size())
         return 0;
     if (left == 0)
-        return max_by_trying(g, bins, group + 1, group + 1 < g.size() ? g[group + 1].count : 0);
-    int best = max_by_trying(g, bins, group, left - 1);
+        return max_placed_by_search(g, bins, group + 1, group + 1 < g.size() ? g[group + 1].count : 0);
+    int best = max_placed_by_search(g, bins, group, left - 1);
     for (std::size_t b = 0; b < bins.size(); ++b) {
         if (g[group].cost[b] < 0 || !g[group].each.fits(bins[b].free))
             continue;
         auto next = bins;
         next[b].free -= g[group].each;
-        best = std::max(best, 1 + max_by_trying(g, next, group, left - 1));
+        best = std::max(best, 1 + max_placed_by_search(g, next, group, left - 1));
     }
     return best;
 }
@@ -97,7 +97,7 @@
             }
             EXPECT_TRUE(used.fits(bins[b].free));
         }
-        EXPECT_EQ(placed, max_by_trying(groups, bins, 0, groups[0].count));
+        EXPECT_EQ(placed, max_placed_by_search(groups, bins, 0, groups[0].count));
     }
 }
 
@@ -109,7 +109,7 @@
     EveryBinMatcher(const std::vector<Group>& groups, const std::vector<Bin>& bins, const Resources& shape)
         : groups_(groups), bins_(bins), shape_(shape) {
         for (const auto& group : groups) {
-            steps_.push_back(states_);
+            place_values_.push_back(states_);
             states_ *= static_cast<std::size_t>(group.count) + 1;
         }
         best_.assign(states_, unreachable);
@@ -126,7 +126,7 @@
     static constexpr double placed_task_value = 1e9;
 
     [[nodiscard]] int digit(std::size_t state, std::size_t group) const {
-        return static_cast<int>(state / steps_[group] % (static_cast<std::size_t>(groups_[group].count) + 1));
+        return static_cast<int>(state / place_values_[group] % (static_cast<std::size_t>(groups_[group].count) + 1));
     }
     [[nodiscard]] bool is_allowed(std::size_t state, std::size_t code, std::size_t bin) const {
         Resources need;
@@ -183,13 +183,13 @@
     const std::vector<Group>& groups_;
     const std::vector<Bin>& bins_;
     const Resources& shape_;
-    std::vector<std::size_t> steps_; // place value of each group's digit
+    std::vector<std::size_t> place_values_; // place value of each group's digit
     std::size_t states_ = 1;
     std::vector<double> best_;
     std::vector<std::vector<std::size_t>> taken_; // the code chosen, by bin and state
 };
 
-TEST(Batch, PassesOverAlikeBinsWithoutAnotherResult) {
+TEST(Batch, SkipsIdenticalBinsWithTheSameResult) {
     std::mt19937 rng(11);
     auto pick = [&](int a, int b) { return std::uniform_int_distribution<int>(a, b)(rng); };
     for (int round = 0; round < 200; ++round) {
--- a/tests/test_records.cpp
+++ b/tests/test_records.cpp
@@ -46,14 +46,14 @@
     EXPECT_EQ(seen, 4U);
 }
 
-Snapshot one_job(const JobSpec& spec) {
+Snapshot snapshot_with_job(const JobSpec& spec) {
     Snapshot s;
     s.jobs.push_back({"j/" + spec.id, {{"spec", codec::to_json(spec)}, {"at", 0.0}}, 1, false});
     return s;
 }
 
-std::vector<Effect> step(Core& core, double now, std::vector<Command> q) {
-    return core.step(q, now, now);
+std::vector<Effect> step(Core& core, double now, std::vector<Command> commands) {
+    return core.step(commands, now, now);
 }
 
 Heartbeat heartbeat(const std::string& id, std::uint64_t counter, std::uint64_t fencing_token) {
@@ -61,17 +61,17 @@
 }
 
 // Drives a core whose transactions are always committed, and counts the launches that it sends.
-struct Launches {
+struct LaunchCountingDriver {
     Core& core;
     double now = 0.1;
     bool stored = false;
 
-    int give(std::vector<Command> q) {
+    int launches_in_step(std::vector<Command> commands) {
         if (stored)
-            q.insert(q.begin(), Committed{});
+            commands.insert(commands.begin(), Committed{});
         stored = false;
         int n = 0;
-        for (const auto& e : step(core, now, std::move(q))) {
+        for (const auto& e : step(core, now, std::move(commands))) {
             stored = stored || std::holds_alternative<Commit>(e);
             if (const auto* o = std::get_if<SendOrders>(&e))
                 for (const auto& x : o->orders)
@@ -80,10 +80,10 @@
         now += 0.05;
         return n;
     }
-    int within(double seconds) {
+    int launches_within(double seconds) {
         int n = 0;
         for (const double end = now + seconds; now < end;)
-            n += give({});
+            n += launches_in_step({});
         return n;
     }
 };
@@ -92,18 +92,19 @@
 // heartbeat with the current token or its lease has certainly expired.
 TEST(ClusterRecords, ADamagedRecordKeepsItsMachineOccupiedUntilItIsProven) {
     const auto settings = small_settings();
-    auto stored = one_job(job(1, Shape::array, 2, 1));
+    auto stored = snapshot_with_job(job(1, Shape::array, 2, 1));
     stored.intents.push_back({"i/0", {{"t", "n-9 a 1 wk-00"}}, 1, false});
     Core core(settings, 7, stored, 0, 0);
-    Launches l{core};
-    l.give({MachineTypesKnown{small_types()},
-            HeartbeatReceived{heartbeat("n-1", 1, std::uint64_t{7} << token_counter_bits), 1}});
-    EXPECT_EQ(l.within(2), 0);
-    l.give({HeartbeatReceived{heartbeat("n-9", 1, 0), 2}}); // its token is not of the current term: proves nothing
-    EXPECT_EQ(l.within(0.5), 0);
-    l.give({HeartbeatReceived{heartbeat("n-9", 2, std::uint64_t{7} << token_counter_bits), 3},
-            HeartbeatReceived{heartbeat("n-1", 2, std::uint64_t{7} << token_counter_bits), 4}});
-    EXPECT_EQ(l.within(2), 2);
+    LaunchCountingDriver driver{core};
+    driver.launches_in_step({MachineTypesKnown{small_types()},
+                             HeartbeatReceived{heartbeat("n-1", 1, std::uint64_t{7} << token_counter_bits), 1}});
+    EXPECT_EQ(driver.launches_within(2), 0);
+    driver.launches_in_step(
+        {HeartbeatReceived{heartbeat("n-9", 1, 0), 2}}); // its token is not of the current term: proves nothing
+    EXPECT_EQ(driver.launches_within(0.5), 0);
+    driver.launches_in_step({HeartbeatReceived{heartbeat("n-9", 2, std::uint64_t{7} << token_counter_bits), 3},
+                             HeartbeatReceived{heartbeat("n-1", 2, std::uint64_t{7} << token_counter_bits), 4}});
+    EXPECT_EQ(driver.launches_within(2), 2);
 }
 
 // A record that cannot be read keeps machines occupied, so the log has to say so. Guards against losing the log lines
@@ -123,36 +124,36 @@
 }
 
 // Otherwise each new leader would have images of 15 GB fetched again although machines have them cached.
-TEST(ClusterRecords, ANewLeaderKnowsWhereImagesLie) {
+TEST(ClusterRecords, ANewLeaderKnowsCachedImages) {
     const auto settings = small_settings();
-    auto stored = one_job(job(1, Shape::array, 1, 1));
+    auto stored = snapshot_with_job(job(1, Shape::array, 1, 1));
     stored.images.push_back(
         {"c/0", codec::parse(R"({"names":[["other",1],["img",0.5]],"held":{"n-2":[1],"n-1":[0,7]}})"), 1, false});
     Core core(settings, 7, stored, 0, 0);
-    std::vector<Command> q{MachineTypesKnown{small_types()}};
+    std::vector<Command> commands{MachineTypesKnown{small_types()}};
     for (const auto* id : {"n-1", "n-2", "n-3"})
-        q.emplace_back(HeartbeatReceived{heartbeat(id, 1, std::uint64_t{7} << token_counter_bits), 1});
-    std::string where;
-    bool stored_now = false;
+        commands.emplace_back(HeartbeatReceived{heartbeat(id, 1, std::uint64_t{7} << token_counter_bits), 1});
+    std::string ordered_machines;
+    bool commit_pending = false;
     for (double t = 0.1; t < 2; t += 0.05) {
-        if (stored_now)
-            q.emplace_back(Committed{});
-        stored_now = false;
-        for (const auto& e : step(core, t, std::move(q))) {
-            stored_now = stored_now || std::holds_alternative<Commit>(e);
+        if (commit_pending)
+            commands.emplace_back(Committed{});
+        commit_pending = false;
+        for (const auto& e : step(core, t, std::move(commands))) {
+            commit_pending = commit_pending || std::holds_alternative<Commit>(e);
             if (const auto* o = std::get_if<SendOrders>(&e))
-                where += o->machine;
+                ordered_machines += o->machine;
         }
-        q.clear();
+        commands.clear();
     }
-    EXPECT_EQ(where, "n-2");
+    EXPECT_EQ(ordered_machines, "n-2");
 }
 
 // Guards against renting machines after a failover for tasks that run already (seen in the faults of
 // vagonplan-ops-grown).
 TEST(ClusterRecords, NothingIsRentedForWhatRunsAlready) {
     const auto settings = small_settings();
-    auto stored = one_job(job(1, Shape::gang, 4, 8));
+    auto stored = snapshot_with_job(job(1, Shape::gang, 4, 8));
     stored.intents.push_back({"i/0",
                               {{"t", "n-1 a 1 wk-000001/0:5\nn-2 a 1 wk-000001/1:5\nn-3 a 1 wk-000001/2:5\n"
                                      "n-4 a 1 wk-000001/3:5"}},
@@ -166,7 +167,7 @@
 
 TEST(ClusterRecords, TheEarlierLayoutIsReadAndRemoved) {
     const auto settings = small_settings();
-    auto stored = one_job(job(1, Shape::array, 4, 1));
+    auto stored = snapshot_with_job(job(1, Shape::array, 4, 1));
     stored.legacy.push_back({"m/n-1",
                              {{"addr", "10.1.0.1:9000"},
                               {"flavor", "m8"},
@@ -218,7 +219,7 @@
         EXPECT_LE(bytes, 62U * 1024);
     };
     w.run(60);
-    EXPECT_TRUE(w.broken.empty());
+    EXPECT_TRUE(w.violations.empty());
     std::size_t live = 0;
     for (int i = 1; i <= 20; ++i)
         live += w.core->live_tasks(fmt::format("wk-{:06}", i));
@@ -233,33 +234,33 @@
 
 // A new leader that knows neither the age of the machines nor the usual load releases machines that are needed a moment
 // later, or releases none for a minute.
-TEST(ClusterRecords, WhatALeaderLearnedGoesToTheNext) {
+TEST(ClusterRecords, LearnedRatesPassToTheNextLeader) {
     const auto settings = small_settings();
-    auto returned = [&](const codec::Json& learned) {
+    auto released_at = [&](const codec::Json& learned) {
         Snapshot s;
         s.learned.push_back({"l/0", learned, 1, false});
         Core core(settings, 7, s, 0, 100);
-        std::vector<Command> q{MachineTypesKnown{small_types()},
-                               MachinesListed{{{"n-1", "10.1.0.1:9000", "m8", "a", "running", false, 100}}, 0}};
+        std::vector<Command> commands{MachineTypesKnown{small_types()},
+                                      MachinesListed{{{"n-1", "10.1.0.1:9000", "m8", "a", "running", false, 100}}, 0}};
         std::uint64_t counter = 0;
         for (double now = 0.05; now < 15; now += 0.5) {
-            q.emplace_back(
+            commands.emplace_back(
                 HeartbeatReceived{heartbeat("n-1", ++counter, std::uint64_t{7} << token_counter_bits), counter});
-            for (const auto& e : core.step(q, now, 100 + now)) {
+            for (const auto& e : core.step(commands, now, 100 + now)) {
                 if (std::holds_alternative<Release>(e))
                     return now;
                 if (std::holds_alternative<Commit>(e))
-                    q.emplace_back(Committed{});
+                    commands.emplace_back(Committed{});
             }
         }
         return -1.0;
     };
     const codec::Json learned{{"at", 99.0}, {"offered", 50.0}, {"ran", 10.0}, {"estimated", 12.0}, {"spotLosses", 0.5}};
-    EXPECT_LT(returned(learned), 0);
+    EXPECT_LT(released_at(learned), 0);
     auto damaged = learned;
     damaged["offered"] = "much";
     for (const auto& none : {codec::Json(), codec::Json::array(), damaged})
-        EXPECT_GT(returned(none), settings.lease_s);
+        EXPECT_GT(released_at(none), settings.lease_s);
 }
 
 } // namespace
--- a/tests/test_room_index.cpp
+++ b/tests/test_room_index.cpp
@@ -22,8 +22,8 @@
     void add_machine(int number) {
         auto m = std::make_unique<Machine>();
         m->id = fmt::format("m{}", number);
-        m->type = pick(0, 2);
-        m->zone = pick(0, 2);
+        m->type = random_int(0, 2);
+        m->zone = random_int(0, 2);
         m->type_name = view_.types[static_cast<std::size_t>(m->type)].name;
         m->zone_name = settings_.zones[static_cast<std::size_t>(m->zone)];
         m->total = view_.types[static_cast<std::size_t>(m->type)].room;
@@ -38,18 +38,18 @@
         m->avoid_until = one_in(12) ? view_.now + 1 : 0;
         m->slow_until = one_in(8) ? view_.now + 1 : -1;
         m->pool = !m->spot && one_in(3);
-        m->used = {0.1 * pick(0, static_cast<int>(m->total.cpus * 10)), double(pick(0, int(m->total.gpus))),
-                   0.1 * pick(0, static_cast<int>(m->total.memory_gb * 10))};
+        m->used = {0.1 * random_int(0, static_cast<int>(m->total.cpus * 10)), double(random_int(0, int(m->total.gpus))),
+                   0.1 * random_int(0, static_cast<int>(m->total.memory_gb * 10))};
         view_.machines.emplace(m->id, std::move(m));
     }
     Job& add_job() {
         auto& j = *jobs_.emplace_back(std::make_unique<Job>());
         constexpr Shape shapes[] = {Shape::array, Shape::service, Shape::gang};
-        j.spec.shape = shapes[pick(0, 2)];
-        j.priority = static_cast<Priority>(pick(0, 3));
-        j.spec.each = {0.1 * pick(1, 100), one_in(6) ? 1.0 : 0.0, 0.1 * pick(1, 200)};
+        j.spec.shape = shapes[random_int(0, 2)];
+        j.priority = static_cast<Priority>(random_int(0, 3));
+        j.spec.each = {0.1 * random_int(1, 100), one_in(6) ? 1.0 : 0.0, 0.1 * random_int(1, 200)};
         j.spec.spot = one_in(2);
-        j.spec.tasks = static_cast<std::uint32_t>(pick(1, 6));
+        j.spec.tasks = static_cast<std::uint32_t>(random_int(1, 6));
         j.spec.spread = one_in(5);
         j.spec.one_zone = !j.spec.spread && one_in(5);
         if (one_in(6))
@@ -63,21 +63,22 @@
         }
         return j;
     }
-    void change(Machine& m) {
+    void change_at_random(Machine& m) {
         if (one_in(2)) {
-            m.reserved_for = one_in(3) ? nullptr : jobs_[static_cast<std::size_t>(pick(0, job_count() - 1))].get();
-            m.reserved_until = view_.now + pick(-1, 2);
-            m.reserved_priority = static_cast<Priority>(pick(0, 3));
+            m.reserved_for =
+                one_in(3) ? nullptr : jobs_[static_cast<std::size_t>(random_int(0, job_count() - 1))].get();
+            m.reserved_until = view_.now + random_int(-1, 2);
+            m.reserved_priority = static_cast<Priority>(random_int(0, 3));
         } else {
-            m.used = m.total * (0.1 * pick(0, 10));
+            m.used = m.total * (0.1 * random_int(0, 10));
         }
     }
-    Machine& any_machine() {
+    Machine& random_machine() {
         auto it = view_.machines.begin();
-        std::advance(it, pick(0, static_cast<int>(view_.machines.size()) - 1));
+        std::advance(it, random_int(0, static_cast<int>(view_.machines.size()) - 1));
         return *it->second;
     }
-    [[nodiscard]] std::vector<const Machine*> look_at_all(const Job& j, bool exclude_on_demand) const {
+    [[nodiscard]] std::vector<const Machine*> scan_machines(const Job& j, bool exclude_on_demand) const {
         std::vector<const Machine*> out;
         for (const auto& [id, m] : view_.machines)
             if (j.spec.each.fits(m->total - m->used) && usable(view_, *m, j) &&
@@ -85,11 +86,11 @@
                 out.push_back(m.get());
         return out;
     }
-    int pick(int a, int b) {
+    int random_int(int a, int b) {
         return std::uniform_int_distribution<int>(a, b)(rng_);
     }
     bool one_in(int n) {
-        return pick(1, n) == 1;
+        return random_int(1, n) == 1;
     }
     [[nodiscard]] int job_count() const {
         return static_cast<int>(jobs_.size());
@@ -112,27 +113,27 @@
             for (const auto p : index.find(*j, exclude_on_demand ? RoomIndex::CpuOnlyOnDemand::excluded
                                                                  : RoomIndex::CpuOnlyOnDemand::included))
                 found.push_back(index.machines()[p]);
-            EXPECT_EQ(found, fleet.look_at_all(*j, exclude_on_demand));
+            EXPECT_EQ(found, fleet.scan_machines(*j, exclude_on_demand));
         }
 }
 
-TEST(RoomIndex, FindsWhatALookAtAllMachinesFinds) {
+TEST(RoomIndex, FindsWhatAScanOfAllMachinesFinds) {
     for (unsigned seed = 1; seed <= 20; ++seed) {
         RandomFleet fleet(seed);
-        const int machines = fleet.pick(1, 150);
+        const int machines = fleet.random_int(1, 150);
         for (int n = 0; n < machines; ++n)
             fleet.add_machine(n);
         for (int n = 0; n < 25; ++n)
             fleet.add_job();
         for (int n = 0; n < machines / 3; ++n)
-            fleet.change(fleet.any_machine()); // reservations and usage left by earlier passes
+            fleet.change_at_random(fleet.random_machine()); // reservations and usage left by earlier passes
         RoomIndex index(fleet.view());
         for (int pass = 0; pass < 2; ++pass) {
             index.rebuild();
             expect_same(fleet, index);
             for (int step = 0; step < 30; ++step) {
-                auto& m = fleet.any_machine();
-                fleet.change(m);
+                auto& m = fleet.random_machine();
+                fleet.change_at_random(m);
                 index.update(m);
                 if (step % 5 == 0)
                     expect_same(fleet, index);
--- a/tests/test_scheduler.cpp
+++ b/tests/test_scheduler.cpp
@@ -86,19 +86,19 @@
     void set_heartbeat_handler(const Scheduler& s) {
         platform->heartbeat_to({{"copy", fmt::format("127.0.0.1:{}", s.port())}});
     }
-    void want(const JobSpec& s) {
-        platform->know(s);
+    void expect_job(const JobSpec& s) {
+        platform->register_job(s);
         history.submitted(s);
     }
     // Runs the loop until the condition holds, for at most 60 s, which no scenario needs.
-    bool until(const std::function<bool()>& over) {
+    bool run_until(const std::function<bool()>& condition) {
         const auto end = uv_hrtime() + 60'000'000'000ULL;
-        bool so = false;
-        while (!(so = over()) && uv_hrtime() < end) {
+        bool met = false;
+        while (!(met = condition()) && uv_hrtime() < end) {
             uv_run(&loop, UV_RUN_NOWAIT);
             usleep(1000);
         }
-        return so;
+        return met;
     }
     // Submits as a client does: retries while the answer is 503 or 429 ("not now").
     void submit(Scheduler& s, const JobSpec& j, Reply* into) {
@@ -120,9 +120,9 @@
         o.settings.state = {"127.0.0.1", service.port()};
         return o;
     }
-    void two_copies(const SchedulerOptions& first);
+    void run_two_copies(const SchedulerOptions& first);
     // Starts a program that embeds the scheduler, as a child process.
-    static pid_t program(const SchedulerOptions& o) {
+    static pid_t start_program(const SchedulerOptions& o) {
         const pid_t child = fork();
         if (child != 0)
             return child;
@@ -149,7 +149,7 @@
             out = r;
             got = true;
         });
-        EXPECT_TRUE(until([&] { return got.load(); }));
+        EXPECT_TRUE(run_until([&] { return got.load(); }));
         return out;
     }
 };
@@ -158,7 +158,7 @@
 class Users {
 public:
     Users(Embedded& e, std::vector<std::string> addresses, int jobs)
-        : e_(e), addresses_(std::move(addresses)), client_(std::make_unique<HttpClient>(&e.loop, 8, 64)) {
+        : fixture_(e), addresses_(std::move(addresses)), client_(std::make_unique<HttpClient>(&e.loop, 8, 64)) {
         for (int n = 1; n <= jobs; ++n) {
             User u;
             u.spec = job(n, 1 + static_cast<std::uint32_t>(n * 7 % 4));
@@ -168,48 +168,48 @@
             }
             if (n % 7 == 0)
                 u.spec.dependencies = {job(n - 1).id};
-            e_.want(u.spec);
-            list_.push_back(std::move(u));
+            fixture_.expect_job(u.spec);
+            users_.push_back(std::move(u));
         }
     }
-    bool serve() { // returns whether all jobs are done
-        const double t = e_.platform->now();
-        for (std::size_t i = 0; i < list_.size(); ++i) {
-            auto& u = list_[i];
-            if (u.asking || u.state == "done" || t < u.next || (i > 0 && !list_[i - 1].accepted))
+    bool send_due_requests() { // returns whether all jobs are done
+        const double t = fixture_.platform->now();
+        for (std::size_t i = 0; i < users_.size(); ++i) {
+            auto& u = users_[i];
+            if (u.request_pending || u.state == "done" || t < u.next || (i > 0 && !users_[i - 1].accepted))
                 continue;
-            u.asking = true;
+            u.request_pending = true;
             const auto path = std::string(codec::path_jobs) + (u.accepted ? "/" + u.spec.id : "");
             client_->request(addresses_[asked_++ % addresses_.size()], u.accepted ? "GET" : "POST", path,
                              u.accepted ? "" : codec::to_body(u.spec), 1,
-                             [this, i](HttpReply&& r) { answered(list_[i], r); });
+                             [this, i](HttpReply&& r) { handle_reply(users_[i], r); });
         }
         client_->sweep();
-        return std::all_of(list_.begin(), list_.end(), [](const User& u) { return u.state == "done"; });
+        return std::all_of(users_.begin(), users_.end(), [](const User& u) { return u.state == "done"; });
     }
 
 private:
     struct User {
         JobSpec spec;
-        bool accepted = false, asking = false;
+        bool accepted = false, request_pending = false;
         std::string state;
         double next = 0;
     };
-    void answered(User& x, const HttpReply& r) {
-        x.asking = false;
-        x.next = e_.platform->now() + 0.1;
+    void handle_reply(User& x, const HttpReply& r) {
+        x.request_pending = false;
+        x.next = fixture_.platform->now() + 0.1;
         const auto a = codec::job_answer_of(r.body);
         if (r.status != 0)
-            e_.history.told(x.spec.id, r.status, a ? a->status : "", e_.platform->now());
+            fixture_.history.user_answered(x.spec.id, r.status, a ? a->status : "", fixture_.platform->now());
         if ((r.status != 200 && r.status != 201) || !a)
             return;
         x.accepted = true;
         x.state = a->status;
     }
-    Embedded& e_;
+    Embedded& fixture_;
     std::vector<std::string> addresses_;
     std::unique_ptr<HttpClient> client_;
-    std::vector<User> list_;
+    std::vector<User> users_;
     std::size_t asked_ = 0;
 };
 
@@ -218,17 +218,17 @@
     set_heartbeat_handler(*s);
     std::vector<Change> changes;
     s->subscribe([&](const Change& c) { changes.push_back(c); });
-    want(job(1));
+    expect_job(job(1));
     auto next = job(2);
     next.dependencies = {"wk-000001"};
-    want(next);
+    expect_job(next);
     Reply a, b;
     submit(*s, job(1), &a);
-    ASSERT_TRUE(until([&] { return a.ok(); }));
+    ASSERT_TRUE(run_until([&] { return a.ok(); }));
     EXPECT_EQ(a.status, 201);
     EXPECT_EQ(a.state, "pending");
     submit(*s, next, &b);
-    ASSERT_TRUE(until([&] { return changes.size() >= 2; }));
+    ASSERT_TRUE(run_until([&] { return changes.size() >= 2; }));
     EXPECT_EQ(changes[0].id, "wk-000001");
     EXPECT_EQ(changes[1].id, "wk-000002");
     EXPECT_EQ(changes[1].state, "done");
@@ -240,12 +240,12 @@
 #pragma GCC diagnostic ignored "-Wdeprecated-declarations"
     EXPECT_TRUE(s->acts()); // the deprecated name
 #pragma GCC diagnostic pop
-    EXPECT_TRUE(history.broken().empty());
+    EXPECT_TRUE(history.violations().empty());
 }
 
 TEST_F(Embedded, RefusesAsTheDaemonDoes) {
     Scheduler s(&loop, options());
-    ASSERT_TRUE(until([&] { return s.is_active_leader(); }));
+    ASSERT_TRUE(run_until([&] { return s.is_active_leader(); }));
     EXPECT_EQ(ask([&](auto d) { s.submit(std::string("{"), d); }).status, 400);
     const auto bad = ask([&](auto d) { s.submit(std::string(R"({"id":"wk-000001"})"), d); });
     EXPECT_EQ(bad.status, 400);
@@ -254,7 +254,7 @@
     j.team = "nobody";
     Reply r;
     submit(s, j, &r);
-    ASSERT_TRUE(until([&] { return r.status == 422; }));
+    ASSERT_TRUE(run_until([&] { return r.status == 422; }));
     EXPECT_NE(r.error.find("owner"), std::string::npos);
     EXPECT_EQ(ask([&](auto d) { s.get("wk-000099", d); }).status, 404);
     EXPECT_EQ(ask([&](auto d) { s.get("nonsense", d); }).status, 404);
@@ -275,7 +275,7 @@
     set_heartbeat_handler(*s);
     constexpr int callers = 4, each = 5;
     for (int n = 0; n < callers * each; ++n)
-        want(job(n + 1, 1));
+        expect_job(job(n + 1, 1));
     std::atomic<int> accepted = 0;
     std::vector<std::thread> threads;
     threads.reserve(callers);
@@ -292,16 +292,16 @@
                         usleep(20'000);
                 }
         });
-    ASSERT_TRUE(until([&] { return accepted == callers * each; }));
+    ASSERT_TRUE(run_until([&] { return accepted == callers * each; }));
     for (auto& t : threads)
         t.join();
     int done = 0;
     for (int n = 0; n < callers * each; ++n)
         EXPECT_TRUE(
-            until([&] { return ask([&](auto d) { s->get(job(n + 1).id, d); }).state == "done" && ++done > 0; }));
+            run_until([&] { return ask([&](auto d) { s->get(job(n + 1).id, d); }).state == "done" && ++done > 0; }));
     EXPECT_EQ(done, callers * each);
     s.reset();
-    EXPECT_TRUE(history.broken().empty());
+    EXPECT_TRUE(history.violations().empty());
 }
 
 TEST_F(Embedded, MayBeDestroyedInsideItsOwnCallback) {
@@ -312,7 +312,7 @@
             s.reset();
             gone = true;
         });
-        EXPECT_TRUE(until([&] { return gone.load(); }));
+        EXPECT_TRUE(run_until([&] { return gone.load(); }));
     }
 }
 
@@ -326,38 +326,38 @@
 
 // Two schedulers share a store: one is the active leader; the other answers reads correctly and takes over when the
 // first one ends.
-void Embedded::two_copies(const SchedulerOptions& first) {
+void Embedded::run_two_copies(const SchedulerOptions& first) {
     auto second = first;
     second.settings.name = "other";
     auto one = std::make_unique<Scheduler>(first);
-    ASSERT_TRUE(until([&] { return one->is_active_leader(); }));
+    ASSERT_TRUE(run_until([&] { return one->is_active_leader(); }));
     set_heartbeat_handler(*one);
     Scheduler two(second);
-    want(job(1));
+    expect_job(job(1));
     Reply a;
     submit(*one, job(1), &a);
-    ASSERT_TRUE(until([&] { return a.ok(); }));
-    EXPECT_TRUE(until([&] { return ask([&](auto d) { two.get("wk-000001", d); }).state == "done"; }));
+    ASSERT_TRUE(run_until([&] { return a.ok(); }));
+    EXPECT_TRUE(run_until([&] { return ask([&](auto d) { two.get("wk-000001", d); }).state == "done"; }));
     EXPECT_TRUE(one->is_active_leader());
     EXPECT_FALSE(two.is_active_leader());
     one.reset();
-    ASSERT_TRUE(until([&] { return two.is_active_leader(); }));
+    ASSERT_TRUE(run_until([&] { return two.is_active_leader(); }));
     platform->heartbeat_to({{"other", fmt::format("127.0.0.1:{}", two.port())}});
-    want(job(2));
+    expect_job(job(2));
     Reply b;
     submit(two, job(2), &b);
-    EXPECT_TRUE(until([&] { return ask([&](auto d) { two.get("wk-000002", d); }).state == "done"; }));
+    EXPECT_TRUE(run_until([&] { return ask([&](auto d) { two.get("wk-000002", d); }).state == "done"; }));
     EXPECT_EQ(ask([&](auto d) { two.get("wk-000001", d); }).state, "done"); // an answer given earlier still holds
-    EXPECT_TRUE(history.broken().empty());
+    EXPECT_TRUE(history.violations().empty());
 }
 
 TEST_F(Embedded, OfTwoCopiesOnOneFileOneActsAndTheOtherTakesOver) {
-    two_copies(options());
+    run_two_copies(options());
 }
 
 TEST_F(Embedded, OfTwoCopiesOnOneStateServiceOneActsAndTheOtherTakesOver) {
     auto service = state_service();
-    two_copies(on(*service));
+    run_two_copies(on(*service));
 }
 
 // A leader whose event loop is blocked for longer than the store lease must not continue as the leader when it resumes,
@@ -365,43 +365,43 @@
 TEST_F(Embedded, ABlockedLoopLosesTheLeadershipAndKnowsIt) {
     auto service = state_service(); // on this loop too: store leases do not expire while it is blocked
     const auto o = options();
-    auto two_o = o;
-    two_o.settings.name = "other";
+    auto second_options = o;
+    second_options.settings.name = "other";
     Scheduler one(&loop, o);
-    ASSERT_TRUE(until([&] { return one.is_active_leader(); }));
-    auto two = std::make_unique<Scheduler>(two_o); // on a thread of its own
+    ASSERT_TRUE(run_until([&] { return one.is_active_leader(); }));
+    auto two = std::make_unique<Scheduler>(second_options); // on a thread of its own
     platform->heartbeat_to(
         {{"copy", fmt::format("127.0.0.1:{}", one.port())}, {"other", fmt::format("127.0.0.1:{}", two->port())}});
     Users users(*this, {fmt::format("127.0.0.1:{}", one.port()), fmt::format("127.0.0.1:{}", two->port())}, 6);
-    ASSERT_TRUE(until([&] { return users.serve(), history.starts() > 0; }));
+    ASSERT_TRUE(run_until([&] { return users.send_due_requests(), history.starts() > 0; }));
     const auto end = uv_hrtime() + 30'000'000'000ULL;
     while (!two->is_active_leader() && uv_hrtime() < end)
         usleep(1000); // the loop does not run
     EXPECT_TRUE(two->is_active_leader());
     EXPECT_FALSE(one.is_active_leader());
-    ASSERT_TRUE(until([&] { return users.serve(); }));
+    ASSERT_TRUE(run_until([&] { return users.send_due_requests(); }));
     EXPECT_FALSE(one.is_active_leader());
     EXPECT_TRUE(two->is_active_leader());
     two.reset();
-    EXPECT_TRUE(until([&] { return one.is_active_leader(); }));
-    EXPECT_EQ(history.broken(), std::vector<std::string>{});
+    EXPECT_TRUE(run_until([&] { return one.is_active_leader(); }));
+    EXPECT_EQ(history.violations(), std::vector<std::string>{});
 }
 
 // A connection to the state service that can be cut for a single copy.
-class Cut final : public store::StateStore {
+class CuttableStore final : public store::StateStore {
 public:
-    Cut(uv_loop_t* loop, const Endpoint& at, const bool& cut)
-        : good_(loop, at), dead_(loop, {"127.0.0.1", 1}), cut_(cut) {}
+    CuttableStore(uv_loop_t* loop, const Endpoint& at, const bool& cut)
+        : connected_(loop, at), unreachable_(loop, {"127.0.0.1", 1}), cut_(cut) {}
     void call(store::Call&& c, double timeout_s, store::Callback done) override {
-        (cut_ ? dead_ : good_).call(std::move(c), timeout_s, std::move(done));
+        (cut_ ? unreachable_ : connected_).call(std::move(c), timeout_s, std::move(done));
     }
     void sweep() override {
-        good_.sweep();
-        dead_.sweep();
+        connected_.sweep();
+        unreachable_.sweep();
     }
 
 private:
-    store::RemoteStore good_, dead_;
+    store::RemoteStore connected_, unreachable_;
     const bool& cut_;
 };
 
@@ -411,9 +411,9 @@
     auto service = state_service();
     bool cut = false;
     auto o = on(*service);
-    o.state = [&](uv_loop_t* l) { return std::make_unique<Cut>(l, o.settings.state, cut); };
+    o.state = [&](uv_loop_t* l) { return std::make_unique<CuttableStore>(l, o.settings.state, cut); };
     Scheduler one(&loop, o);
-    ASSERT_TRUE(until([&] { return one.is_active_leader(); }));
+    ASSERT_TRUE(run_until([&] { return one.is_active_leader(); }));
     auto second = on(*service);
     second.settings.name = "other";
     Scheduler two(&loop, second);
@@ -421,14 +421,14 @@
                                              fmt::format("127.0.0.1:{}", two.port())};
     platform->heartbeat_to({{"copy", addresses[0]}, {"other", addresses[1]}});
     Users users(*this, addresses, 14);
-    bool both = false;
+    bool both_active = false;
     const auto watch = [&] {
-        both = both || (one.is_active_leader() && two.is_active_leader());
-        return users.serve();
+        both_active = both_active || (one.is_active_leader() && two.is_active_leader());
+        return users.send_due_requests();
     };
-    ASSERT_TRUE(until([&] { return watch(), history.starts() > 0; }));
+    ASSERT_TRUE(run_until([&] { return watch(), history.starts() > 0; }));
     cut = true;
-    ASSERT_TRUE(until([&] { return watch(), two.is_active_leader(); }));
+    ASSERT_TRUE(run_until([&] { return watch(), two.is_active_leader(); }));
     EXPECT_FALSE(one.is_active_leader());
     // If the former leader accepted a heartbeat, it would renew a machine lease that the new leader expects to expire.
     HttpClient worker(&loop, 1, 4);
@@ -436,14 +436,14 @@
     const Heartbeat heartbeat{"n-000001", "127.0.0.1:1", "m8", "a", false, 1, 1000, 0, -1, {}};
     worker.request(addresses[0], "POST", std::string(codec::path_heartbeat), codec::to_body(heartbeat), 5,
                    [&](HttpReply&& r) { status = r.status; });
-    ASSERT_TRUE(until([&] { return watch(), status != 0; }));
+    ASSERT_TRUE(run_until([&] { return watch(), status != 0; }));
     EXPECT_TRUE(status == 503 || status == 421) << status;
-    ASSERT_TRUE(until([&] { return watch(), history.starts() > 5; }));
+    ASSERT_TRUE(run_until([&] { return watch(), history.starts() > 5; }));
     cut = false;
-    EXPECT_TRUE(until(watch));
+    EXPECT_TRUE(run_until(watch));
     EXPECT_TRUE(two.is_active_leader());
-    EXPECT_FALSE(both);
-    EXPECT_EQ(history.broken(), std::vector<std::string>{});
+    EXPECT_FALSE(both_active);
+    EXPECT_EQ(history.violations(), std::vector<std::string>{});
     EXPECT_TRUE(history.unfinished().empty());
 }
 
@@ -455,19 +455,20 @@
     set_heartbeat_handler(s);
     Users users(*this, {fmt::format("127.0.0.1:{}", s.port())}, 12);
     int n = 100;
-    for (const auto fault_mode : {store::StoreServer::FaultMode::out, store::StoreServer::FaultMode::silent}) {
+    for (const auto fault_mode : {store::StoreServer::FaultMode::unavailable, store::StoreServer::FaultMode::silent}) {
         const int starts = history.starts();
-        ASSERT_TRUE(until([&] { return users.serve(), s.is_active_leader() && history.starts() > starts; }));
+        ASSERT_TRUE(
+            run_until([&] { return users.send_due_requests(), s.is_active_leader() && history.starts() > starts; }));
         service->set_fault_mode(fault_mode);
-        ASSERT_TRUE(until([&] { return users.serve(), !s.is_active_leader(); }));
+        ASSERT_TRUE(run_until([&] { return users.send_due_requests(), !s.is_active_leader(); }));
         const auto r = ask([&](auto d) { s.submit(job(++n), d); });
         EXPECT_EQ(r.status, 503);
         EXPECT_GT(r.retry_after_s, 0);
-        service->set_fault_mode(store::StoreServer::FaultMode::well);
+        service->set_fault_mode(store::StoreServer::FaultMode::none);
     }
-    EXPECT_TRUE(until([&] { return users.serve(); }));
+    EXPECT_TRUE(run_until([&] { return users.send_due_requests(); }));
     EXPECT_EQ(ask([&](auto d) { s.get(job(101).id, d); }).status, 404); // the refused job was not stored
-    EXPECT_EQ(history.broken(), std::vector<std::string>{});
+    EXPECT_EQ(history.violations(), std::vector<std::string>{});
     EXPECT_TRUE(history.unfinished().empty());
 }
 
@@ -475,8 +476,8 @@
 // between a heartbeat and the final state. Its earlier answers stay valid, no task runs twice and no job is lost.
 TEST_F(Embedded, TheProgramIsKilledAgainAndAgain) {
     // `HERONSHIFT_KILLS=300` gives a long run, outside CI.
-    const char* many = std::getenv("HERONSHIFT_KILLS");
-    const int kills = many != nullptr ? std::atoi(many) : 16, jobs = 40 + 2 * (kills - 16);
+    const char* kills_variable = std::getenv("HERONSHIFT_KILLS");
+    const int kills = kills_variable != nullptr ? std::atoi(kills_variable) : 16, jobs = 40 + 2 * (kills - 16);
     std::mt19937 rng(20261201);
     auto o = options();
     const local::Port port;
@@ -484,20 +485,20 @@
     const auto address = o.settings.listen.str();
     platform->heartbeat_to({{"copy", address}});
     pid_t child = -1;
-    auto start = [&] { child = program(o); };
+    auto start = [&] { child = start_program(o); };
     auto stop = [&] { kill_program(child); };
     auto users = std::make_unique<Users>(*this, std::vector{address}, jobs);
     for (int k = 0; k < kills; ++k) {
         start();
         const double end = platform->now() + std::uniform_real_distribution<double>(0.05, 1.6)(rng);
-        until([&] { return users->serve(), platform->now() >= end; });
+        run_until([&] { return users->send_due_requests(), platform->now() >= end; });
         stop();
     }
     start();
-    EXPECT_TRUE(until([&] { return users->serve(); }));
+    EXPECT_TRUE(run_until([&] { return users->send_due_requests(); }));
     stop();
     users.reset();
-    EXPECT_EQ(history.broken(), std::vector<std::string>{});
+    EXPECT_EQ(history.violations(), std::vector<std::string>{});
     EXPECT_TRUE(history.unfinished().empty());
 }
 
@@ -515,7 +516,7 @@
         o.settings.listen.port = ports[i].number();
         addresses.push_back(o.settings.listen.str());
         names.emplace_back(o.settings.name, addresses.back());
-        copies.push_back(program(o));
+        copies.push_back(start_program(o));
     }
     platform->heartbeat_to(names);
     Users users(*this, addresses, 40);
@@ -524,7 +525,7 @@
     std::size_t up = 0;
     HttpClient probe(&loop, 1, 4);
     std::vector<bool> answers(2), asked(2);
-    ASSERT_TRUE(until([&] {
+    ASSERT_TRUE(run_until([&] {
         for (std::size_t i = 0; i < 2; ++i)
             if (!answers[i] && !asked[i]) {
                 asked[i] = true;
@@ -539,33 +540,33 @@
     for (int k = 0; k < 8; ++k) {
         kill(copies[static_cast<std::size_t>(k % 2)], SIGSTOP);
         const double on = platform->now() + std::uniform_real_distribution<double>(0.3, 1.8)(rng);
-        until([&] { return users.serve(), platform->now() >= on; });
+        run_until([&] { return users.send_due_requests(), platform->now() >= on; });
         kill(copies[static_cast<std::size_t>(k % 2)], SIGCONT);
         const double next = platform->now() + std::uniform_real_distribution<double>(0, 0.5)(rng);
-        until([&] { return users.serve(), platform->now() >= next; });
+        run_until([&] { return users.send_due_requests(), platform->now() >= next; });
     }
-    EXPECT_TRUE(until([&] { return users.serve(); }));
+    EXPECT_TRUE(run_until([&] { return users.send_due_requests(); }));
     for (const auto pid : copies)
         kill_program(pid);
-    EXPECT_GE(platform->sum().fencing_token >> cluster::token_counter_bits, 2U) << "no copy ever took over";
-    EXPECT_EQ(history.broken(), std::vector<std::string>{});
+    EXPECT_GE(platform->totals().fencing_token >> cluster::token_counter_bits, 2U) << "no copy ever took over";
+    EXPECT_EQ(history.violations(), std::vector<std::string>{});
     EXPECT_TRUE(history.unfinished().empty());
 }
 
 TEST_F(Embedded, ACallerInCGetsCodesNotCrashes) {
     hs_scheduler* s = nullptr;
-    char why[100] = "x";
+    char error_text[100] = "x";
     const hs_done done = [](const hs_reply*, void*) {};
-    EXPECT_EQ(hs_start(nullptr, nullptr, &s, why, sizeof why), HS_INVALID);
+    EXPECT_EQ(hs_start(nullptr, nullptr, &s, error_text, sizeof error_text), HS_INVALID);
     EXPECT_EQ(hs_start("x", nullptr, nullptr, nullptr, 0), HS_INVALID);
-    EXPECT_EQ(hs_start("/no/such.toml", nullptr, &s, why, sizeof why), HS_SETTINGS);
+    EXPECT_EQ(hs_start("/no/such.toml", nullptr, &s, error_text, sizeof error_text), HS_SETTINGS);
     EXPECT_EQ(s, nullptr);
-    EXPECT_STREQ(why, "/no/such.toml: cannot be read");
-    EXPECT_EQ(hs_start("/no/such.toml", nullptr, &s, why, 4), HS_SETTINGS);
-    EXPECT_STREQ(why, "/no"); // truncated and null-terminated
-    int elsewhere = 0;
-    auto* wrong = reinterpret_cast<hs_scheduler*>(&elsewhere);
-    for (auto* x : {static_cast<hs_scheduler*>(nullptr), wrong}) {
+    EXPECT_STREQ(error_text, "/no/such.toml: cannot be read");
+    EXPECT_EQ(hs_start("/no/such.toml", nullptr, &s, error_text, 4), HS_SETTINGS);
+    EXPECT_STREQ(error_text, "/no"); // truncated and null-terminated
+    int not_a_scheduler = 0;
+    auto* invalid = reinterpret_cast<hs_scheduler*>(&not_a_scheduler);
+    for (auto* x : {static_cast<hs_scheduler*>(nullptr), invalid}) {
         EXPECT_EQ(hs_submit(x, "{}", done, nullptr), HS_INVALID);
         EXPECT_EQ(hs_get(x, "wk-1", done, nullptr), HS_INVALID);
         EXPECT_EQ(hs_cancel(x, "wk-1", done, nullptr), HS_INVALID);
--- a/tests/test_store.cpp
+++ b/tests/test_store.cpp
@@ -29,7 +29,7 @@
 using codec::Write;
 
 // Longer than any scenario takes: only a store that hangs times out.
-constexpr double patience_s = 30;
+constexpr double call_timeout_s = 30;
 
 std::string file_name() {
     const auto* test = ::testing::UnitTest::GetInstance()->current_test_info();
@@ -62,38 +62,38 @@
         wait([&] { return got.has_value(); }, s);
         return got.value_or(Answer{});
     }
-    void wait(const std::function<bool()>& over, StateStore& s) {
-        const auto end = uv_hrtime() + static_cast<std::uint64_t>(patience_s * 1e9);
-        while (!over() && uv_hrtime() < end) {
+    void wait(const std::function<bool()>& condition, StateStore& s) {
+        const auto end = uv_hrtime() + static_cast<std::uint64_t>(call_timeout_s * 1e9);
+        while (!condition() && uv_hrtime() < end) {
             uv_run(&loop, UV_RUN_NOWAIT);
             s.sweep();
             usleep(1000);
         }
-        EXPECT_TRUE(over());
+        EXPECT_TRUE(condition());
     }
 };
 
 // Blocking calls to a store.
-struct Easy {
+struct BlockingStore {
     Loop& l;
     StateStore& s;
     Answer get(const std::string& k) {
-        return l.ask(s, [&](auto& x, auto d) { x.get(k, patience_s, d); });
+        return l.ask(s, [&](auto& x, auto d) { x.get(k, call_timeout_s, d); });
     }
     Answer list(const std::string& under, const std::string& since = "", int most = 200) {
-        return l.ask(s, [&](auto& x, auto d) { x.list(under, since, most, patience_s, d); });
+        return l.ask(s, [&](auto& x, auto d) { x.list(under, since, most, call_timeout_s, d); });
     }
     Answer txn(const std::vector<Guard>& g, const std::vector<Write>& w) {
-        return l.ask(s, [&](auto& x, auto d) { x.transact(g, w, patience_s, d); });
+        return l.ask(s, [&](auto& x, auto d) { x.transact(g, w, call_timeout_s, d); });
     }
     Answer create_lease(double ttl) {
-        return l.ask(s, [&](auto& x, auto d) { x.create_lease(ttl, patience_s, d); });
+        return l.ask(s, [&](auto& x, auto d) { x.create_lease(ttl, call_timeout_s, d); });
     }
     Answer renew_lease(std::uint64_t h) {
-        return l.ask(s, [&](auto& x, auto d) { x.renew_lease(h, patience_s, d); });
+        return l.ask(s, [&](auto& x, auto d) { x.renew_lease(h, call_timeout_s, d); });
     }
     Answer revoke_lease(std::uint64_t h) {
-        return l.ask(s, [&](auto& x, auto d) { x.revoke_lease(h, patience_s, d); });
+        return l.ask(s, [&](auto& x, auto d) { x.revoke_lease(h, call_timeout_s, d); });
     }
     Answer follow(const std::string& under, std::uint64_t since, double block) {
         return l.ask(s, [&](auto& x, auto d) { x.follow(under, since, block, d); });
@@ -102,8 +102,8 @@
 
 enum class Kind { memory, file, remote, direct };
 
-struct Rig {
-    explicit Rig(Kind kind, const Limits& limits = {}) {
+struct StoreFixture {
+    explicit StoreFixture(Kind kind, const Limits& limits = {}) {
         if (kind == Kind::remote) {
             server = std::make_unique<StoreServer>(&loop.loop, std::make_unique<Engine>(memory_data(), limits));
             EXPECT_EQ(server->start({"127.0.0.1", 0}), 0);
@@ -119,15 +119,15 @@
         auto data = kind == Kind::file ? file_data(path) : memory_data();
         store = std::make_unique<LocalStore>(&loop.loop, std::make_unique<Engine>(std::move(data), limits));
     }
-    ~Rig() {
+    ~StoreFixture() {
         store.reset();
         server.reset();
         if (!path.empty())
             remove_file(path);
     }
-    Rig(const Rig&) = delete;
-    Rig& operator=(const Rig&) = delete;
-    Easy easy() {
+    StoreFixture(const StoreFixture&) = delete;
+    StoreFixture& operator=(const StoreFixture&) = delete;
+    BlockingStore blocking_store() {
         return {loop, *store};
     }
     std::string path;
@@ -138,9 +138,9 @@
 
 class Contract : public ::testing::TestWithParam<Kind> {};
 
-TEST_P(Contract, AKeyHasTheStampOfItsLastChange) {
-    Rig r(GetParam());
-    auto s = r.easy();
+TEST_P(Contract, AKeyHasTheRevisionOfItsLastChange) {
+    StoreFixture r(GetParam());
+    auto s = r.blocking_store();
     EXPECT_EQ(s.get("a/b").status, 404);
     const auto first = s.txn({{"a/b", 0}}, {{"a/b", Json{{"n", 1}}, 0}, {"a/c", Json("x"), 0}});
     ASSERT_EQ(first.status, 200);
@@ -156,8 +156,8 @@
 }
 
 TEST_P(Contract, AGuardThatFailsStopsAll) {
-    Rig r(GetParam());
-    auto s = r.easy();
+    StoreFixture r(GetParam());
+    auto s = r.blocking_store();
     const auto a = s.txn({}, {{"a", Json(1), 0}});
     const auto refused = s.txn({{"a", a.revision}, {"b", 7}}, {{"a", Json(2), 0}, {"c", Json(3), 0}});
     EXPECT_EQ(refused.status, 409);
@@ -169,8 +169,8 @@
 }
 
 TEST_P(Contract, AListComesInPagesInTheOrderOfKeys) {
-    Rig r(GetParam());
-    auto s = r.easy();
+    StoreFixture r(GetParam());
+    auto s = r.blocking_store();
     for (int i = 0; i < 30; ++i)
         s.txn({}, {{fmt::format("j/{:02}", i), Json(i), 0}, {fmt::format("k/{}", i), Json(i), 0}});
     std::string since;
@@ -189,8 +189,8 @@
 }
 
 TEST_P(Contract, KeysGoWithTheirLease) {
-    Rig r(GetParam());
-    auto s = r.easy();
+    StoreFixture r(GetParam());
+    auto s = r.blocking_store();
     const auto h = s.create_lease(60);
     ASSERT_EQ(h.status, 200);
     ASSERT_EQ(s.txn({}, {{"on", Json(1), h.lease}, {"off", Json(1), h.lease}}).status, 200);
@@ -216,11 +216,11 @@
 }
 
 TEST_P(Contract, AFollowWaitsForAChange) {
-    Rig r(GetParam());
-    auto s = r.easy();
+    StoreFixture r(GetParam());
+    auto s = r.blocking_store();
     const auto at = s.txn({}, {{"c/1", Json(1), 0}}).revision;
     std::optional<Answer> got;
-    r.store->follow("c/", at, patience_s, [&](Answer&& a) { got = std::move(a); });
+    r.store->follow("c/", at, call_timeout_s, [&](Answer&& a) { got = std::move(a); });
     s.txn({}, {{"d/1", Json(1), 0}}); // not under the followed prefix
     EXPECT_FALSE(got);
     s.txn({}, {{"c/2", Json("x"), 0}, {"c/1", std::nullopt, 0}});
@@ -234,9 +234,9 @@
               0U); // without a change it returns an empty list after the timeout
 }
 
-TEST_P(Contract, WhatWasForgottenMustBeReadAgain) {
-    Rig r(GetParam(), {0, 0, 4000, 16});
-    auto s = r.easy();
+TEST_P(Contract, DiscardedChangesMustBeReadAgain) {
+    StoreFixture r(GetParam(), {0, 0, 4000, 16});
+    auto s = r.blocking_store();
     const auto start = s.txn({}, {{"a", Json(0), 0}}).revision;
     for (int i = 0; i < 12; ++i) {
         std::vector<Write> many;
@@ -250,8 +250,8 @@
 }
 
 TEST_P(Contract, WhatIsNotAllowedIsRefused) {
-    Rig r(GetParam(), {0, 0, 3, 1});
-    auto s = r.easy();
+    StoreFixture r(GetParam(), {0, 0, 3, 1});
+    auto s = r.blocking_store();
     EXPECT_EQ(s.txn({}, {{"a", Json(1), 0}, {"b", Json(1), 0}, {"c", Json(1), 0}, {"d", Json(1), 0}}).status, 400);
     EXPECT_EQ(s.txn({}, {{"a", Json(std::string(1100, 'x')), 0}}).status, 400);
     EXPECT_EQ(s.txn({}, {{std::string(201, 'k'), Json(1), 0}}).status, 400);
@@ -261,8 +261,8 @@
 }
 
 TEST_P(Contract, AboveTheLimitsComes429) {
-    Rig r(GetParam(), {5, 2, 16, 16});
-    auto s = r.easy();
+    StoreFixture r(GetParam(), {5, 2, 16, 16});
+    auto s = r.blocking_store();
     int refused = 0;
     for (int i = 0; i < 40; ++i)
         refused += s.txn({}, {{"a", Json(i), 0}}).status == 429;
@@ -279,23 +279,23 @@
                          });
 
 TEST(RemoteStore, AnOutageIs503AndSilenceIsNoAnswer) {
-    Rig r(Kind::remote);
-    auto s = r.easy();
+    StoreFixture r(Kind::remote);
+    auto s = r.blocking_store();
     const auto h = s.create_lease(0.2);
     s.txn({}, {{"a", Json(1), h.lease}});
-    r.server->set_fault_mode(StoreServer::FaultMode::out);
+    r.server->set_fault_mode(StoreServer::FaultMode::unavailable);
     EXPECT_EQ(s.get("a").status, 503);
     usleep(400'000); // longer than the store lease
-    r.server->set_fault_mode(StoreServer::FaultMode::well);
+    r.server->set_fault_mode(StoreServer::FaultMode::none);
     EXPECT_EQ(s.get("a").status, 200); // the end of the outage renewed the lease
-    r.server->set_fault_mode(StoreServer::FaultMode::busy);
+    r.server->set_fault_mode(StoreServer::FaultMode::rate_limited);
     EXPECT_EQ(s.get("a").status, 429);
     EXPECT_EQ(s.renew_lease(h.lease).status, 429);
     r.server->set_fault_mode(StoreServer::FaultMode::silent);
     const auto silent = r.loop.ask(*r.store, [](auto& x, auto d) { x.get("a", 0.1, d); });
     EXPECT_EQ(silent.status, 0);
     EXPECT_TRUE(silent.sent); // the request may have been executed
-    r.server->set_fault_mode(StoreServer::FaultMode::well);
+    r.server->set_fault_mode(StoreServer::FaultMode::none);
     EXPECT_NE(s.get("a").status, 0);
 }
 
@@ -333,7 +333,7 @@
     return std::make_unique<LocalStore>(&l.loop, std::make_unique<Engine>(file_data(path), Limits{}));
 }
 
-std::string why_not(const std::string& path) {
+std::string open_error(const std::string& path) {
     try {
         file_data(path);
     } catch (const StoreError& e) {
@@ -342,7 +342,7 @@
     return "opened";
 }
 
-void sql(const std::string& path, const std::string& text) {
+void run_sql(const std::string& path, const std::string& text) {
     sqlite3* db = nullptr;
     ASSERT_EQ(sqlite3_open(path.c_str(), &db), SQLITE_OK);
     EXPECT_EQ(sqlite3_exec(db, text.c_str(), nullptr, nullptr, nullptr), SQLITE_OK) << sqlite3_errmsg(db);
@@ -367,7 +367,7 @@
     constexpr int rounds = 40, openers = 8;
     std::atomic<int> opened = 0;
     std::mutex lock;
-    std::set<std::string> said;
+    std::set<std::string> reported;
     for (int r = 0; r < rounds; ++r) {
         remove_file(path);
         std::vector<std::thread> list;
@@ -377,30 +377,30 @@
             list.emplace_back([&] {
                 while (!go)
                     std::this_thread::yield();
-                const auto why = why_not(path);
+                const auto why = open_error(path);
                 const std::lock_guard l(lock);
                 if (why == "opened")
                     ++opened;
                 else
-                    said.insert(why);
+                    reported.insert(why);
             });
         go = true;
         for (auto& t : list)
             t.join();
     }
-    EXPECT_EQ(said, std::set<std::string>{});
+    EXPECT_EQ(reported, std::set<std::string>{});
     EXPECT_EQ(opened, rounds * openers);
 }
 
 TEST_F(FileStore, TwoProcessesSeeEachOther) {
     Loop l;
     auto one = open_file(l, path), two = open_file(l, path);
-    Easy a{l, *one}, b{l, *two};
+    BlockingStore a{l, *one}, b{l, *two};
     const auto at = a.txn({{"office", 0}}, {{"office", Json("one"), 0}}).revision;
     EXPECT_EQ(b.get("office").item->value, Json("one"));
     EXPECT_EQ(b.txn({{"office", 0}}, {{"office", Json("two"), 0}}).status, 409);
     std::optional<Answer> got;
-    two->follow("office", at, patience_s, [&](Answer&& x) { got = std::move(x); });
+    two->follow("office", at, call_timeout_s, [&](Answer&& x) { got = std::move(x); });
     a.txn({}, {{"office", Json("again"), 0}});
     l.wait([&] { return got.has_value(); }, *two);
     ASSERT_EQ(got->items.size(), 1U);
@@ -414,16 +414,16 @@
 }
 
 TEST_F(FileStore, WhatCannotBeUsedIsRefusedWithTheReason) {
-    EXPECT_NE(why_not("/no/such/folder/x.db").find("unable to open"), std::string::npos);
+    EXPECT_NE(open_error("/no/such/folder/x.db").find("unable to open"), std::string::npos);
     std::ofstream(path) << std::string(4096, 'x');
-    EXPECT_NE(why_not(path).find("not a database"), std::string::npos);
+    EXPECT_NE(open_error(path).find("not a database"), std::string::npos);
     remove_file(path);
-    sql(path, "CREATE TABLE theirs(x)");
-    EXPECT_NE(why_not(path).find("another program"), std::string::npos);
+    run_sql(path, "CREATE TABLE theirs(x)");
+    EXPECT_NE(open_error(path).find("another program"), std::string::npos);
     remove_file(path);
     file_data(path);
-    sql(path, "PRAGMA user_version=99");
-    EXPECT_NE(why_not(path).find("newer version (schema 99, this one knows 2)"), std::string::npos);
+    run_sql(path, "PRAGMA user_version=99");
+    EXPECT_NE(open_error(path).find("newer version (schema 99, this one knows 2)"), std::string::npos);
     remove_file(path);
     {
         auto d = file_data(path);
@@ -436,7 +436,7 @@
     f.seekp(40'000);
     f << std::string(30'000, '\x5a');
     f.close();
-    const auto why = why_not(path);
+    const auto why = open_error(path);
     EXPECT_TRUE(why.find("damaged") != std::string::npos || why.find("malformed") != std::string::npos) << why;
 }
 
@@ -461,24 +461,24 @@
     sqlite3_close(db);
 }
 
-TEST_F(FileStore, AFullDiskTellsNothingAndGoesOnWhenItClears) {
+TEST_F(FileStore, AFullDiskConfirmsNothingAndRecoversWhenItClears) {
     Loop l;
     auto store = open_file(l, path);
-    Easy s{l, *store};
+    BlockingStore s{l, *store};
     ASSERT_EQ(s.txn({}, {{"a", Json(1), 0}}).status, 200);
     rlimit before{};
     getrlimit(RLIMIT_FSIZE, &before);
     auto* const handler = std::signal(SIGXFSZ, SIG_IGN);
     const rlimit small{64UL * 1024, before.rlim_max};
     setrlimit(RLIMIT_FSIZE, &small);
-    int told = 0, refused = 0;
+    int confirmed = 0, refused = 0;
     for (int i = 0; i < 40; ++i) {
         const auto a = s.txn({}, {{fmt::format("k{}", i), Json(std::string(8000, 'x')), 0}});
-        told += a.status == 200;
+        confirmed += a.status == 200;
         refused += a.status == 503 || a.status == 0;
         EXPECT_EQ(a.status == 200, a.error.empty());
     }
-    EXPECT_EQ(told + refused, 40);
+    EXPECT_EQ(confirmed + refused, 40);
     EXPECT_GT(refused, 0);
     setrlimit(RLIMIT_FSIZE, &before);
     std::signal(SIGXFSZ, handler);
@@ -487,23 +487,23 @@
     auto d = file_data(path);
     int kept = 0;
     d->each("k", "", [&](const auto&, const auto&) { return ++kept, true; });
-    EXPECT_GE(kept, told);
+    EXPECT_GE(kept, confirmed);
     EXPECT_TRUE(d->get("b"));
 }
 
-TEST_F(FileStore, AFileRemovedBeneathItTakesNothingMore) {
+TEST_F(FileStore, ARemovedFileAcceptsNoWrites) {
     Loop l;
     auto store = open_file(l, path);
-    Easy s{l, *store};
+    BlockingStore s{l, *store};
     ASSERT_EQ(s.txn({}, {{"a", Json(1), 0}}).status, 200);
-    const auto aside = path + ".aside";
-    std::rename(path.c_str(), aside.c_str());
+    const auto moved_path = path + ".aside";
+    std::rename(path.c_str(), moved_path.c_str());
     const auto gone = s.txn({}, {{"a", Json(2), 0}});
     EXPECT_EQ(gone.status, 503);
     EXPECT_NE(gone.error.find("removed or replaced"), std::string::npos);
     std::ofstream(path) << "not the file";
     EXPECT_EQ(s.get("a").status, 503);
-    std::rename(aside.c_str(), path.c_str());
+    std::rename(moved_path.c_str(), path.c_str());
     EXPECT_EQ(s.get("a").item->value, Json(1)); // the file is back with its old content
     EXPECT_EQ(s.txn({}, {{"a", Json(3), 0}}).status, 200);
 }
@@ -511,7 +511,7 @@
 TEST_F(FileStore, ABackupIsWholeAndOverwritesNothing) {
     Loop l;
     auto store = open_file(l, path);
-    Easy s{l, *store};
+    BlockingStore s{l, *store};
     s.txn({}, {{"a", Json(1), 0}});
     const auto copy = path + ".copy";
     remove_file(copy);
@@ -545,11 +545,11 @@
             }
         }
         close(out[1]);
-        std::uint32_t said = 0, n = 0;
+        std::uint32_t reported = 0, n = 0;
         const auto stop_after = last + std::uniform_int_distribution<std::uint32_t>(1, 20)(rng);
         while (read(out[0], &n, sizeof n) == sizeof n) {
-            EXPECT_EQ(n, std::max(said, last) + 1);
-            said = n;
+            EXPECT_EQ(n, std::max(reported, last) + 1);
+            reported = n;
             if (n < stop_after)
                 continue;
             usleep(std::uniform_int_distribution<useconds_t>(0, 3000)(rng));
@@ -557,7 +557,7 @@
             break;
         }
         while (read(out[0], &n, sizeof n) == sizeof n)
-            said = n; // written to the pipe before the child died
+            reported = n; // written to the pipe before the child died
         close(out[0]);
         int status = 0;
         waitpid(child, &status, 0);
@@ -565,8 +565,8 @@
         const auto row = file_data(path)->get("n");
         ASSERT_TRUE(row);
         last = static_cast<std::uint32_t>(std::stoul(row->data));
-        EXPECT_GE(last, said);
-        EXPECT_LE(last, said + 1); // killed between the commit and the write to the pipe
+        EXPECT_GE(last, reported);
+        EXPECT_LE(last, reported + 1); // killed between the commit and the write to the pipe
     }
 }
 
--- a/tests/test_stored_records.cpp
+++ b/tests/test_stored_records.cpp
@@ -86,7 +86,7 @@
         EXPECT_FALSE(decode_learned(json(other))) << other;
 }
 
-TEST(StoredRecords, ADamagedCascadeNamesWhomItCan) {
+TEST(StoredRecords, ADamagedCascadeKeepsItsReadableJobs) {
     EXPECT_EQ(decode_cascade(json(R"({"cancelled":["wk-000001",7,null,"wk-000002"]})")),
               (std::vector<std::string>{"wk-000001", "wk-000002"}));
     for (const char* text : malformed)
--- a/tools/measure.cpp
+++ b/tools/measure.cpp
@@ -24,8 +24,8 @@
 namespace heronshift {
 namespace {
 
-constexpr std::size_t in_flight = 64;
-constexpr double patience_s = 120;
+constexpr std::size_t max_in_flight = 64;
+constexpr double wait_timeout_s = 120;
 
 double now() {
     return static_cast<double>(uv_hrtime()) * 1e-9;
@@ -73,7 +73,7 @@
     return s;
 }
 
-std::unique_ptr<store::StateStore> file(uv_loop_t* loop, const std::string& path, bool fsync) {
+std::unique_ptr<store::StateStore> open_store(uv_loop_t* loop, const std::string& path, bool fsync) {
     return std::make_unique<store::LocalStore>(
         loop, std::make_unique<store::Engine>(store::file_data(path, {.fsync = fsync}), store::Limits{}));
 }
@@ -83,7 +83,7 @@
         std::remove((path + end).c_str());
 }
 
-double share(std::vector<double> v, double q) {
+double quantile(std::vector<double> v, double q) {
     if (v.empty())
         return 0;
     std::sort(v.begin(), v.end());
@@ -95,7 +95,7 @@
 // Measures one route to the scheduler, with emulators, store and load of its own.
 class Trial {
 public:
-    Trial(Route way, bool fsync, std::string path) : way_(way), path_(std::move(path)), history_({}, 15) {
+    Trial(Route route, bool fsync, std::string path) : route_(route), path_(std::move(path)), history_({}, 15) {
         remove_file(path_);
         uv_loop_init(&loop_);
         local::PlatformPlan plan;
@@ -105,15 +105,15 @@
         plan.workers.lease_s = 6;
         platform_ = std::make_unique<local::Platform>(&loop_, plan, history_);
         platform_->on_launch = [this](const Order& o, const MachineType&, const std::string&, bool) {
-            if (const auto it = asked_.find(o.job); it != asked_.end()) {
-                waits_.push_back(now() - it->second);
-                asked_.erase(it);
+            if (const auto it = submitted_at_.find(o.job); it != submitted_at_.end()) {
+                launch_delays_s_.push_back(now() - it->second);
+                submitted_at_.erase(it);
             }
         };
         SchedulerOptions o;
         o.settings = settings();
-        o.state = [path = path_, fsync](uv_loop_t* l) { return file(l, path, fsync); };
-        if (way == Route::in_process) {
+        o.state = [path = path_, fsync](uv_loop_t* l) { return open_store(l, path, fsync); };
+        if (route == Route::in_process) {
             o.executor = [this](uv_loop_t*) { return platform_->executor(); };
             scheduler_ = std::make_unique<Scheduler>(&loop_, o);
             return;
@@ -124,11 +124,11 @@
         o.settings.peer_listen = {"127.0.0.1", 0};
         platform_->heartbeat_to({{"copy", o.settings.listen.str()}});
         address_ = o.settings.listen.str();
-        if (way == Route::thread) {
+        if (route == Route::thread) {
             scheduler_ = std::make_unique<Scheduler>(o);
             return;
         }
-        users_ = std::make_unique<HttpClient>(&loop_, in_flight, 4096);
+        users_ = std::make_unique<HttpClient>(&loop_, max_in_flight, 4096);
         child_ = fork();
         if (child_ != 0)
             return;
@@ -162,23 +162,23 @@
         const double began = now();
         int next = 2;
         wait([&] {
-            while (next <= burst + 1 && static_cast<std::size_t>(next - 1 - accepted_) < in_flight)
+            while (next <= burst + 1 && static_cast<std::size_t>(next - 1 - accepted_) < max_in_flight)
                 submit(next++);
             return accepted_ == burst + 1;
         });
         const double burst_s = now() - began;
-        wait([&] { return asked_.empty(); }); // Until all jobs are launched.
-        waits_.clear();
+        wait([&] { return submitted_at_.empty(); }); // Until all jobs are launched.
+        launch_delays_s_.clear();
         const double steady = now();
         const int first = next;
         wait([&] {
             const double t = now() - steady;
             while (next - first < rate * std::min(t, seconds))
                 submit(next++);
-            return t >= seconds && asked_.empty();
+            return t >= seconds && submitted_at_.empty();
         });
         std::cout << fmt::format("{:22} {:8.0f} {:10.1f} {:10.1f} {:8.1f}\n", name_, burst / burst_s,
-                                 share(waits_, 0.5) * 1000, share(waits_, 0.99) * 1000,
+                                 quantile(launch_delays_s_, 0.5) * 1000, quantile(launch_delays_s_, 0.99) * 1000,
                                  resident_mb(child_ > 0 ? std::to_string(child_).c_str() : "self"));
         if (retries_ > 0)
             std::cout << fmt::format("  {} submissions were refused and sent again\n", retries_);
@@ -188,14 +188,14 @@
 private:
     void submit(int n) {
         const auto s = job(n);
-        platform_->know(s);
+        platform_->register_job(s);
         history_.submitted(s);
         if (n > 1)
-            asked_[s.id] = now();
+            submitted_at_[s.id] = now();
         attempt(s);
     }
     void attempt(const JobSpec& s) {
-        if (way_ == Route::daemon) {
+        if (route_ == Route::daemon) {
             users_->request(address_, "POST", std::string(codec::path_jobs), codec::to_body(s), 5,
                             [this, s](HttpReply&& r) { answered(s, r.status); });
             return;
@@ -212,10 +212,10 @@
         }
         if (accepted_ > 0)
             ++retries_; // Refusals before the first acceptance are not counted, since the scheduler is still starting.
-        again_.push_back(s);
+        to_retry_.push_back(s);
     }
     void wait(const std::function<bool()>& over) {
-        const double end = now() + patience_s;
+        const double end = now() + wait_timeout_s;
         while (!over()) {
             if (now() > end)
                 throw std::runtime_error(name_ + ": time limit exceeded");
@@ -228,14 +228,14 @@
             }
             for (const auto& [s, status] : got)
                 answered(s, status);
-            for (const auto& s : std::exchange(again_, {}))
+            for (const auto& s : std::exchange(to_retry_, {}))
                 attempt(s);
             if (users_)
                 users_->sweep();
         }
     }
 
-    Route way_;
+    Route route_;
     std::string path_, address_;
     uv_loop_t loop_{};
     local::History history_;
@@ -246,27 +246,27 @@
     pid_t child_ = -1;
     std::mutex lock_;
     std::vector<std::pair<JobSpec, int>> answers_;
-    std::vector<JobSpec> again_;
-    std::unordered_map<std::string, double> asked_;
-    std::vector<double> waits_;
+    std::vector<JobSpec> to_retry_;
+    std::unordered_map<std::string, double> submitted_at_;
+    std::vector<double> launch_delays_s_;
     int accepted_ = 0, retries_ = 0;
 };
 
 void compare(const std::string& folder, int jobs, double rate, double seconds) {
     std::cout << fmt::format("{:22} {:>8} {:>10} {:>10} {:>8}\n", "", "jobs/s", "p50 ms", "p99 ms", "MB");
     for (const bool fsync : {true, false})
-        for (const auto way : {Route::daemon, Route::thread, Route::in_process}) {
-            Trial t(way, fsync, folder + "/measure.state");
+        for (const auto route : {Route::daemon, Route::thread, Route::in_process}) {
+            Trial t(route, fsync, folder + "/measure.state");
             t.name_ = fmt::format("{}{}",
-                                  way == Route::daemon   ? "daemon"
-                                  : way == Route::thread ? "library, own thread"
-                                                         : "library, in process",
+                                  route == Route::daemon   ? "daemon"
+                                  : route == Route::thread ? "library, own thread"
+                                                           : "library, in process",
                                   fsync ? "" : " *");
             t.run(jobs, rate, seconds);
         }
     std::cout << fmt::format(
         "* without fsync. jobs/s: {} jobs, {} at a time; ms: from submission to launch, at {} jobs/s\n", jobs,
-        in_flight, rate);
+        max_in_flight, rate);
 }
 
 // Writes `n` accepted jobs into a store, starts a scheduler on it that has no machines to place them on, and prints
@@ -296,7 +296,7 @@
     auto platform = std::make_unique<local::Platform>(&loop, plan, history);
     SchedulerOptions o;
     o.settings = settings();
-    o.state = [&](uv_loop_t* l) { return file(l, path, true); };
+    o.state = [&](uv_loop_t* l) { return open_store(l, path, true); };
     o.executor = [&](uv_loop_t*) { return platform->executor(); };
     const double began = now();
     auto s = std::make_unique<Scheduler>(&loop, o);
@@ -310,14 +310,14 @@
     };
     while (!s->is_active_leader())
         turn();
-    const double acts_s = now() - began;
+    const double leader_s = now() - began;
     s->get(job(std::max(1, n)).id, [&](const Reply& r) { status = r.status; });
     while (status == 0)
         turn();
     const double answers_s = now() - began, cpu = cpu_s(), from = now();
     while (now() < from + 5)
         turn();
-    std::cout << fmt::format("{:8} {:9.2f} {:9.2f} {:9.1f} {:9.2f} {:9.0f}\n", n, acts_s, answers_s,
+    std::cout << fmt::format("{:8} {:9.2f} {:9.2f} {:9.1f} {:9.2f} {:9.0f}\n", n, leader_s, answers_s,
                              resident_mb() - before_mb, (cpu_s() - cpu) / (now() - from), longest * 1000);
     if (status != (n == 0 ? 404 : 200))
         throw std::runtime_error(fmt::format("unexpected status {} for the last job", status));
