--- a/src/store/server.cpp
+++ b/src/store/server.cpp
@@ -91,8 +91,8 @@
         if (const auto text = query_field(request.query, "most"); !text.empty() && !parse_number(text, most))
             return bad_request("most: must be an integer");
         return execute(List{query_field(request.query, "under"), query_field(request.query, "since"), most},
-                       [](Answer&& answer) {
-                           return codec::page_answer({std::move(answer.items), answer.more, answer.revision});
+                       [](Answer&& a) {
+                           return codec::page_answer({std::move(a.items), a.more, a.revision});
                        });
     }
     if (post && request.path == codec::path_txn) {
@@ -132,8 +132,8 @@
         if (block < 0 || block > max_block_ms)
             return bad_request("blockMs: must be 0 to 60000");
         return execute(Follow{query_field(request.query, "under"), since, static_cast<double>(block) / 1000},
-                       [](Answer&& answer) {
-                           return codec::events_answer({std::move(answer.items), answer.more, answer.revision});
+                       [](Answer&& a) {
+                           return codec::events_answer({std::move(a.items), a.more, a.revision});
                        });
     }
     responder.send(404, no_such_path);
