--- a/src/store/server.cpp
+++ b/src/store/server.cpp
@@ -12,7 +12,7 @@
 constexpr const char* no_such_path = R"({"error":"no such path"})";
 constexpr std::int64_t max_block_ms = 60'000;
 
-std::string query_field(const std::string& query, std::string_view name) {
+std::string field_of(const std::string& query, std::string_view name) {
     std::size_t at = 0;
     while (at <= query.size()) {
         const auto end = std::min(query.find('&', at), query.size());
@@ -69,7 +69,7 @@
         return responder.send(429, R"({"error":"too many requests"})", 1);
     const auto bad_request = [&](const char* what) { responder.send(400, codec::Json{{"error", what}}.dump()); };
     // Executes a call. `text` formats the body of an answer with status 200; other answers contain the error.
-    const auto execute = [&](Call&& call, std::string (*text)(Answer &&)) {
+    const auto run = [&](Call&& call, std::string (*text)(Answer &&)) {
         store_.call(std::move(call), 0, [responder, text](Answer&& answer) {
             const int status = answer.status;
             if (status == 200)
@@ -84,30 +84,29 @@
     const bool get = request.method == "GET", post = request.method == "POST";
     const std::string store(codec::path_store), leases(codec::path_leases);
     if (get && request.path.starts_with(store + "/"))
-        return execute(Get{request.path.substr(store.size() + 1)},
-                       [](Answer&& answer) { return codec::item_answer(*answer.item); });
+        return run(Get{request.path.substr(store.size() + 1)},
+                   [](Answer&& answer) { return codec::item_answer(*answer.item); });
     if (get && request.path == store) {
         int most = static_cast<int>(max_items);
-        if (const auto text = query_field(request.query, "most"); !text.empty() && !parse_number(text, most))
+        if (const auto text = field_of(request.query, "most"); !text.empty() && !parse_number(text, most))
             return bad_request("most: must be an integer");
-        return execute(List{query_field(request.query, "under"), query_field(request.query, "since"), most},
-                       [](Answer&& a) {
-                           return codec::page_answer({std::move(a.items), a.more, a.revision});
-                       });
+        return run(List{field_of(request.query, "under"), field_of(request.query, "since"), most}, [](Answer&& answer) {
+            return codec::page_answer({std::move(answer.items), answer.more, answer.revision});
+        });
     }
     if (post && request.path == codec::path_txn) {
         auto t = codec::txn_request(request.body);
         if (!t)
             return bad_request("the body is not a transaction");
-        return execute(Transact{std::move(t->guards), std::move(t->writes)},
-                       [](Answer&& answer) { return codec::revision_answer(answer.revision); });
+        return run(Transact{std::move(t->guards), std::move(t->writes)},
+                   [](Answer&& answer) { return codec::revision_answer(answer.revision); });
     }
     if (post && request.path == leases) {
         const auto ttl = codec::ttl_ms_of(request.body);
         if (!ttl)
             return bad_request("ttlMs: must be a non-negative integer");
-        return execute(CreateLease{static_cast<double>(*ttl) / 1000},
-                       [](Answer&& answer) { return codec::lease_answer(answer.lease); });
+        return run(CreateLease{static_cast<double>(*ttl) / 1000},
+                   [](Answer&& answer) { return codec::lease_answer(answer.lease); });
     }
     if (request.path.starts_with(leases + "/")) {
         auto rest = request.path.substr(leases.size() + 1);
@@ -119,22 +118,22 @@
         if (!parse_number(rest, id) || (!renews && request.method != "DELETE"))
             return responder.send(404, no_such_path);
         if (renews)
-            return execute(RenewLease{id}, [](Answer&& answer) { return codec::lease_answer(answer.lease); });
-        return execute(RevokeLease{id}, [](Answer&&) { return std::string("{}"); });
+            return run(RenewLease{id}, [](Answer&& answer) { return codec::lease_answer(answer.lease); });
+        return run(RevokeLease{id}, [](Answer&&) { return std::string("{}"); });
     }
     if (get && request.path == codec::path_follow) {
         std::uint64_t since = 0;
         std::int64_t block = 0;
-        if (!parse_number(query_field(request.query, "since"), since))
+        if (!parse_number(field_of(request.query, "since"), since))
             return bad_request("since: must be a revision number");
-        if (const auto text = query_field(request.query, "blockMs"); !text.empty() && !parse_number(text, block))
+        if (const auto text = field_of(request.query, "blockMs"); !text.empty() && !parse_number(text, block))
             return bad_request("blockMs: must be an integer");
         if (block < 0 || block > max_block_ms)
             return bad_request("blockMs: must be 0 to 60000");
-        return execute(Follow{query_field(request.query, "under"), since, static_cast<double>(block) / 1000},
-                       [](Answer&& a) {
-                           return codec::events_answer({std::move(a.items), a.more, a.revision});
-                       });
+        return run(Follow{field_of(request.query, "under"), since, static_cast<double>(block) / 1000},
+                   [](Answer&& answer) {
+                       return codec::events_answer({std::move(answer.items), answer.more, answer.revision});
+                   });
     }
     responder.send(404, no_such_path);
 }
